--- a/benchmarks/capacity_control.py
+++ b/benchmarks/capacity_control.py
@@ -30,8 +30,8 @@
     worker_rows,
 )
 
-from pepperrun.consensus.canonical_json import Texts
-from pepperrun.consensus.values import BEGIN, Held, Life, Value, digest_of
+from pepperrun.consensus.canonical_json import CachedJsonEncoder
+from pepperrun.consensus.state import INITIAL_BALLOT, Incarnation, Proposal, Value, digest_of
 from pepperrun.control import changes, validation
 from pepperrun.control.cells import Beat, Cells
 from pepperrun.control.handlers import read_beat
@@ -172,9 +172,9 @@
     def taken() -> None:
         Table(2, new, ledger, before)
 
-    texts = Texts(sort=True)
+    texts = CachedJsonEncoder(sort_keys=True)
     gc.collect()
-    whole_ms = best_ms(lambda: texts.of(held), 1)
+    whole_ms = best_ms(lambda: texts.encode(held), 1)
     gc.collect()
     frame = encode({"k": "change", "base": 1, "n": 2, "op": op, "seal": seal(new)})
     body = len(json.dumps(held, separators=(",", ":")))
@@ -196,7 +196,7 @@
         "routes": routes(size if kind == "routes" else 10),
         "senders": tenants(size if kind == "senders" else 0),
     }
-    voters = (Life("10.9.0.1", "first"),)
+    voters = (Incarnation("10.9.0.1", "first"),)
     with tempfile.TemporaryDirectory() as folder:
         disk = DiskStore(folder)
         memory = disk.begin("core", "10.9.0.1", ["10.9.0.1"])
@@ -204,7 +204,7 @@
         for number in range(1, 6):
             held = held | {"routes": held["routes"] | {"new": {"name": "new", "line": f"service{number}"}}}
             value = Value(number, voters, (), "10.9.0.1", digest_of(held))
-            memory.accepted = memory.chosen = Held(BEGIN, value, held)
+            memory.accepted = memory.chosen = Proposal(INITIAL_BALLOT, value, held)
             began, began_wall = time.process_time(), time.monotonic()
             disk.save(memory)
             took.append((time.process_time() - began) * 1000)
--- a/benchmarks/control_cost.py
+++ b/benchmarks/control_cost.py
@@ -20,19 +20,18 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
-from pepperrun.simulation import virtual_time
-from pepperrun.control import validation
-from pepperrun.control import changes
+from pepperrun.consensus.canonical_json import CachedJsonEncoder
+from pepperrun.consensus.state import digest_of
+from pepperrun.control import changes, validation
 from pepperrun.control.matchers import Call
 from pepperrun.dataplane.numbering import Ledger
 from pepperrun.dataplane.routes import Table
 from pepperrun.foundation.netstring import Decoder, encode, packed
 from pepperrun.foundation.settings import Bounds
-from pepperrun.consensus.canonical_json import Texts
-from pepperrun.consensus.values import digest_of
-from pepperrun.simulation.virtual_time import MS, World
+from pepperrun.simulation import virtual_time
 from pepperrun.simulation.narrow_links import ZONES, route
 from pepperrun.simulation.nodes import Core, Gate, machines, settings_of
+from pepperrun.simulation.virtual_time import MS, World
 
 
 def best(make: Callable[[], Any]) -> tuple[float, Any]:
@@ -64,7 +63,7 @@
     print(f"read and checked by the core machine that is called ms={took:.1f} bytes={len(data)}")
     new, _ = changes.apply(held, op)
     assert new is not None
-    took, _ = best(lambda: Texts(sort=True).of(new))
+    took, _ = best(lambda: CachedJsonEncoder(sort_keys=True).encode(new))
     print(f"digest, all items new ms={took:.1f}")
     small = new | {"routes": new["routes"] | {"r": {"name": "r"}}}
     digest_of(new)
--- a/benchmarks/control_scale.py
+++ b/benchmarks/control_scale.py
@@ -16,8 +16,8 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
-from pepperrun.simulation.narrow_links import ZONES, Narrow, told
 from pepperrun.simulation.distribution_world import MS
+from pepperrun.simulation.narrow_links import ZONES, Narrow, told
 
 
 def measure(gates: int, routes: int, mbps: float, seed: int) -> dict[str, float]:
--- a/benchmarks/ill_workers.py
+++ b/benchmarks/ill_workers.py
@@ -35,8 +35,8 @@
     SetTimer,
     TimerFired,
 )
-from pepperrun.dataplane.numbering import Ledger  # noqa: E402
 from pepperrun.dataplane.ejection import Chart, OutlierEjection  # noqa: E402
+from pepperrun.dataplane.numbering import Ledger  # noqa: E402
 from pepperrun.foundation.settings import Bounds  # noqa: E402
 
 MS, SECOND = 1_000_000, 1_000_000_000
--- a/benchmarks/many_changes.py
+++ b/benchmarks/many_changes.py
@@ -15,8 +15,8 @@
 import argparse
 import gc
 import json
-import random
 import os
+import random
 import shutil
 import statistics
 import sys
@@ -28,16 +28,16 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
-from pepperrun.consensus import messages
+from pepperrun.consensus import codec
 from pepperrun.consensus.register import Register
-from pepperrun.consensus.values import Memory, RamStore, beginning
+from pepperrun.consensus.state import DurableState, InMemoryStore, initial_proposal
 from pepperrun.control import changes, validation
 from pepperrun.distribution.book import NewsBook
 from pepperrun.distribution.digests import Sums
 from pepperrun.distribution.publisher import Publisher
 from pepperrun.foundation.netstring import Decoder, encode, length
 from pepperrun.simulation.narrow_links import route
-from pepperrun.storage.store import FILE, DiskStore
+from pepperrun.storage.store import DATA_FILE, DiskStore
 
 CONTACTS = ["10.0.0.1", "10.0.0.2", "10.0.0.3"]
 DISK_MB = 256.0
@@ -83,14 +83,14 @@
         self.now, self.sizes = 1, list[int]()
         self.voters: dict[str, Register] = {}
         self.disk = DiskStore(str(folder), DISK_MB)
-        first = beginning(CONTACTS)
+        first = initial_proposal(CONTACTS)
         for ip in CONTACTS:
             if ip == CONTACTS[0]:
                 memory, store = self.disk.begin("core-0", ip, CONTACTS), self.disk
-                self.voters[ip] = Register(ip, memory, store, changes.apply, 1, 0)
+                self.voters[ip] = Register(ip, memory, store, changes.apply, seed=1, now=0)
             else:
-                memory = Memory("first", 1, accepted=first, chosen=first)
-                self.voters[ip] = Register(ip, memory, RamStore(), changes.apply, 1, 0)
+                memory = DurableState("first", 1, accepted=first, chosen=first)
+                self.voters[ip] = Register(ip, memory, InMemoryStore(), changes.apply, seed=1, now=0)
         self.items = [route(self.rng, at) for at in range(routes)]
         self.book, self.port = NewsBook(), Port()
         self.publisher = Publisher(self, lambda due: None)
@@ -111,12 +111,12 @@
 
     @property
     def number(self) -> int:
-        held = self.first.memory.chosen
-        return held.value.number if held else 0
+        held = self.first.state.chosen
+        return held.value.version if held else 0
 
     @property
     def state(self) -> dict[str, Any] | None:
-        held = self.first.memory.chosen
+        held = self.first.state.chosen
         return held.body if held and held.body else None
 
     def age_ms(self, now: int) -> float | None:
@@ -135,12 +135,12 @@
             moved = False
             for ip, one in self.voters.items():
                 one.flush()
-                sent, one.out = one.out, []
+                sent, one.outbox = one.outbox, []
                 for to, message in sent:
-                    frame = encode({"k": "queen", "m": message})
+                    frame = encode({"k": "queen", "m": codec.encode(message)})
                     self.sizes.append(length(frame))
                     moved = True
-                    self.voters[to].take(ip, messages.read(Decoder().feed(frame)[0]["m"]), self.now)
+                    self.voters[to].receive(ip, codec.decode(Decoder().feed(frame)[0]["m"]), self.now)
 
     def change(self, long: bool) -> None:
         """An operator's next configuration, at one machine after the other."""
@@ -148,14 +148,14 @@
         self.now += 1_000_000_000
         op = self.whole() if long else self.amendment()
         one = self.voters[CONTACTS[self.edition % 3]]
-        held = one.memory.chosen
-        one.latest = max(other.latest for other in self.voters.values())
-        one.wish(changes.lean(held.body if held and held.body else None, op), 1 << 62)
-        one.begin(self.now)
+        held = one.state.chosen
+        one.highest_ballot = max(other.highest_ballot for other in self.voters.values())
+        one.submit(changes.lean(held.body if held and held.body else None, op), 1 << 62)
+        one.start_round(self.now)
         self.settle()
         one.results.clear()
         for other in self.voters.values():
-            other.flush(lazy=True)  # that it was chosen is kept, too
+            other.flush(include_deferred=True)  # that it was chosen is kept, too
         self.tell()
 
     def whole(self) -> dict[str, Any]:
@@ -179,7 +179,7 @@
         for other in self.voters.values():
             for change in other.changes:
                 if other is self.first:
-                    known = (change.base, change.op) if change.op is not None else None
+                    known = (change.base_version, change.operation) if change.operation is not None else None
                     self.publisher.agreed(known, self.now)
             other.changes.clear()
         take(self.book, self.port)
@@ -189,20 +189,20 @@
 
     # Who comes back.
 
-    def back(self, memory: Memory, store: Any) -> tuple[int, float]:
+    def back(self, memory: DurableState, store: Any) -> tuple[int, float]:
         """A machine asks what is chosen: bytes of the answer, and ms until it is synced."""
         began = time.perf_counter()
-        one = Register("10.0.0.9", memory, store, changes.apply, 1, self.now)
-        one.ask_news(CONTACTS[0])
+        one = Register("10.0.0.9", memory, store, changes.apply, seed=1, now=self.now)
+        one.request_catch_up(CONTACTS[0])
         one.flush()
-        ((_, question),) = one.out
-        self.first.take("10.0.0.9", messages.read(json.loads(json.dumps(question))), self.now)
-        ((_, answer),) = self.first.out
-        self.first.out.clear()
-        frame = encode({"k": "queen", "m": answer})
-        one.take(CONTACTS[0], messages.read(Decoder().feed(frame)[0]["m"]), self.now)
-        one.flush(lazy=True)
-        assert one.memory.chosen == self.first.memory.chosen
+        ((_, question),) = one.outbox
+        self.first.receive("10.0.0.9", codec.decode(json.loads(json.dumps(codec.encode(question)))), self.now)
+        ((_, answer),) = self.first.outbox
+        self.first.outbox.clear()
+        frame = encode({"k": "queen", "m": codec.encode(answer)})
+        one.receive(CONTACTS[0], codec.decode(Decoder().feed(frame)[0]["m"]), self.now)
+        one.flush(include_deferred=True)
+        assert one.state.chosen == self.first.state.chosen
         return length(frame), (time.perf_counter() - began) * 1000
 
     def returns(self, older: Path, spare: Path) -> dict[str, tuple[int, float]]:
@@ -250,13 +250,13 @@
             shutil.copytree(folder / "disk", folder / "older")
         if at in points:
             gc.collect()
-            records = core.disk.env.stat() if core.disk.env else {}
+            records = core.disk._environment.stat() if core.disk._environment else {}
             used = records["psize"] * sum(
                 records[name] for name in ("branch_pages", "leaf_pages", "overflow_pages")
             )
             row = Row(
                 at,
-                (folder / "disk" / FILE).stat().st_size,
+                (folder / "disk" / DATA_FILE).stat().st_size,
                 used,
                 len(gc.get_objects()),
                 resident_mb(),
--- a/benchmarks/planner_days.py
+++ b/benchmarks/planner_days.py
@@ -18,9 +18,9 @@
 from pepperrun.bench.replay import replay  # noqa: E402
 from pepperrun.capture.edit import merge, scale  # noqa: E402
 from pepperrun.capture.format import Class, Plan, read, write  # noqa: E402
+from pepperrun.model.day import Fault, load_of  # noqa: E402
 from pepperrun.model.fleet import Fleet, read_fleet, resized  # noqa: E402
 from pepperrun.model.load import LoadSpec, draw  # noqa: E402
-from pepperrun.model.day import Fault, load_of  # noqa: E402
 from pepperrun.planner.fit import fit  # noqa: E402
 from pepperrun.planner.plan import Question, interval, play  # noqa: E402
 
--- a/benchmarks/planner_goal.py
+++ b/benchmarks/planner_goal.py
@@ -17,9 +17,9 @@
 
 from pepperrun.bench.replay import replay  # noqa: E402
 from pepperrun.capture.format import Capture, Header  # noqa: E402
+from pepperrun.model.day import load_of  # noqa: E402
 from pepperrun.model.fleet import read_fleet, resized  # noqa: E402
 from pepperrun.model.load import LoadSpec, draw  # noqa: E402
-from pepperrun.model.day import load_of  # noqa: E402
 from pepperrun.planner.plan import Planner  # noqa: E402
 
 UNDER = 0.05  # the goal, under what plenty of nodes reach
--- a/features/playing.py
+++ b/features/playing.py
@@ -14,12 +14,22 @@
 from itertools import count
 from pathlib import Path
 
+from pepperrun.consensus.replica import Replica
+from pepperrun.consensus.state import (
+    FIRST_DISK_ID,
+    Ballot,
+    DurableState,
+    InMemoryStore,
+    Proposal,
+    digest_of,
+    initial_proposal,
+)
 from pepperrun.control import changes
 from pepperrun.control.cells import Beat, Cells
-from pepperrun.control.validation import read_amend, read_replace
+from pepperrun.control.configuration import Sender
 from pepperrun.control.hub import Hub
 from pepperrun.control.records import READY, UNLOADING, GatewayRecord, Worker
-from pepperrun.control.configuration import Sender
+from pepperrun.control.validation import read_amend, read_replace
 from pepperrun.core.gateway import Gateway
 from pepperrun.core.interface import (
     AttemptEnded,
@@ -33,19 +43,17 @@
     TellPeer,
     TimerFired,
 )
-from pepperrun.dataplane.peer_messages import PeerMessages, Peers
 from pepperrun.dataplane.numbering import Ledger, number_of
+from pepperrun.dataplane.peer_messages import PeerMessages, Peers
+from pepperrun.distribution.book import NewsBook
+from pepperrun.distribution.follower import Follower
+from pepperrun.distribution.publisher import Publisher
+from pepperrun.distribution.service import _Down
 from pepperrun.foundation.link import Link
 from pepperrun.foundation.netstring import Decoder, encode
 from pepperrun.foundation.settings import Bounds, parse
 from pepperrun.gateway_node import Program
-from pepperrun.consensus.replica import Replica
-from pepperrun.consensus.values import FIRST_LIFE, Ballot, Held, Memory, RamStore, beginning, digest_of
 from pepperrun.membership.gateway_prober import GatewayProber
-from pepperrun.distribution.book import NewsBook
-from pepperrun.distribution.follower import Follower
-from pepperrun.distribution.publisher import Publisher
-from pepperrun.distribution.service import _Down
 from pepperrun.storage.store import DiskStore
 
 MS = 1_000_000
@@ -213,10 +221,10 @@
         self.now, self.events, self.turn, self.over, self.log = START, [], count(), over, []
         self.replicas, self.told = {}, {}
         for at, (ip, zone) in enumerate(zip(CORES, ZONES, strict=True)):
-            memory = Memory(FIRST_LIFE)
-            memory.accepted = memory.chosen = beginning(CORES)
-            how = {"zone": zone, "regions": ZONES, "most": 3, "seed": at, "now": self.now}
-            self.replicas[ip] = Replica(ip, memory, RamStore(), changes.apply, **how)
+            memory = DurableState(FIRST_DISK_ID)
+            memory.accepted = memory.chosen = initial_proposal(CORES)
+            how = {"zone": zone, "regions": ZONES, "max_voters": 3, "seed": at, "now": self.now}
+            self.replicas[ip] = Replica(ip, memory, InMemoryStore(), changes.apply, **how)
         for ip, replica in self.replicas.items():
             for other, zone in zip(CORES, ZONES, strict=True):
                 if other != ip:
@@ -228,7 +236,7 @@
 
     def pump(self):
         for ip, replica in self.replicas.items():
-            for to, message in replica.take_out():
+            for to, message in replica.take_messages():
                 self.log.append(message)
                 wire = json.loads(json.dumps(message))
                 heapq.heappush(self.events, (self.now + 5 * MS, next(self.turn), ip, to, wire))
@@ -240,7 +248,7 @@
         end = self.now + int(ms * MS)
         while True:
             self.pump()
-            due = min(replica.due() for replica in self.replicas.values())
+            due = min(replica.next_tick_at() for replica in self.replicas.values())
             at = min(due, self.events[0][0]) if self.events else due
             if at > end:
                 self.now = end
@@ -250,7 +258,7 @@
                 _, _, sender, to, message = heapq.heappop(self.events)
                 self.replicas[to].receive(sender, self.over(sender, message), self.now)
             for replica in self.replicas.values():
-                if replica.due() <= self.now:
+                if replica.next_tick_at() <= self.now:
                     replica.tick(self.now)
 
 
@@ -354,9 +362,9 @@
     rows = [worker("w1"), worker("w2", state=UNLOADING)], [gateway_record("g2")]
 
     async def ask():
-        memory = Memory(FIRST_LIFE)
-        memory.accepted = memory.chosen = beginning(CORES[:1])
-        hub = Hub(settings("sorting"), memory, RamStore(), 1, lambda: START)
+        memory = DurableState(FIRST_DISK_ID)
+        memory.accepted = memory.chosen = initial_proposal(CORES[:1])
+        hub = Hub(settings("sorting"), memory, InMemoryStore(), 1, lambda: START)
         hub.merge(*rows, START)
         program = Program(settings("counter"), None)
         program.news.book.take_agreed(1, state)
@@ -378,8 +386,8 @@
     disk = DiskStore(str(folder), 1)
     memory = disk.begin("s1", CORES[0], CORES)
     first, _ = changes.apply(None, read_replace(body(configuration()), 0))
-    value = replace(memory.chosen.value, number=1, digest=digest_of(first))
-    memory.promised, memory.accepted = Ballot(3, "s1#1"), Held(Ballot(3, "s1#1"), value, first)
+    value = replace(memory.chosen.value, version=1, digest=digest_of(first))
+    memory.promised, memory.accepted = Ballot(3, "s1#1"), Proposal(Ballot(3, "s1#1"), value, first)
     disk.save(memory)
     disk.close()
     return base64.b64encode(zlib.compress((Path(folder) / "data.mdb").read_bytes(), 9)).decode()
--- a/features/record.py
+++ b/features/record.py
@@ -29,7 +29,7 @@
     trio = playing.Trio()
     trio.propose(playing.CORES[0], playing.read_replace(playing.body(playing.configuration()), 0))
     trio.run(3000)
-    trio.replicas[playing.CORES[0]].retire(trio.now)
+    trio.replicas[playing.CORES[0]].request_stop(trio.now)
     trio.run(500)
     link = playing.link(playing.Told())
     with tempfile.TemporaryDirectory() as folder:
--- a/features/steps/operators.py
+++ b/features/steps/operators.py
@@ -7,11 +7,11 @@
 from behave import given, then, when
 from playing import CORES
 
-from pepperrun.operator import problems
 from pepperrun.control.cells import Cells
 from pepperrun.control.handlers import Control
 from pepperrun.control.matchers import Call, answer_to
 from pepperrun.foundation.settings import Settings, parse
+from pepperrun.operator import problems
 
 
 class Machine:
@@ -30,7 +30,7 @@
         return self.trio.now
 
     def minority(self):
-        return self.trio.replicas[self.ip].minority
+        return self.trio.replicas[self.ip].lacks_quorum
 
     def order(self, op, patience):
         future = asyncio.get_running_loop().create_future()
--- a/features/steps/versions.py
+++ b/features/steps/versions.py
@@ -7,13 +7,13 @@
 from behave import given, then, when
 from playing import CORES, MS, SIDING, START
 
-from pepperrun.operator import inspection
+from pepperrun.consensus import codec
+from pepperrun.consensus.state import Ballot
 from pepperrun.core import gossip
 from pepperrun.dataplane import peer_messages
 from pepperrun.foundation.errors import PepperrunError
 from pepperrun.foundation.netstring import Decoder, encode
-from pepperrun.consensus import messages
-from pepperrun.consensus.values import Ballot
+from pepperrun.operator import inspection
 from pepperrun.storage import formats, store
 
 OPTIONAL = {"tick": ("g",), "tock": ("cores",), "ask": ("parts", "of"), "cells": ("of",)}
@@ -67,10 +67,10 @@
     held.take_out(START)
     held.receive(CORES[1], odd, START)
     replica = trio.replicas[CORES[0]]
-    replica.take_out()
+    replica.take_messages()
     replica.receive(CORES[1], {"t": "smoke"}, trio.now)
     context.ears = [news.up, news.down]
-    context.answers = [news.up.take(), news.down.take(), held.take_out(START), replica.take_out()]
+    context.answers = [news.up.take(), news.down.take(), held.take_out(START), replica.take_messages()]
 
 
 @then("nobody is told anything and no link ends")
@@ -230,7 +230,9 @@
 @then("all three hold edition 5")
 def all_hold(context):
     assert [replica.body["edition"] for replica in context.trio.replicas.values()] == [5, 5, 5]
-    assert all(context.trio.now - replica.fresh_at < 1000 * MS for replica in context.trio.replicas.values())
+    assert all(
+        context.trio.now - replica.confirmed_at < 1000 * MS for replica in context.trio.replicas.values()
+    )
 
 
 @then("each of its messages of the agreement is read, and this version says the same kinds")
@@ -238,12 +240,13 @@
     trio = playing.Trio()
     trio.propose(CORES[0], playing.read_replace(playing.body(playing.configuration()), 0))
     trio.run(3000)
+    trio.replicas[CORES[0]].request_stop(trio.now)
+    trio.run(500)
     said = {}
     for one in trio.log:
         said.setdefault(one["t"], []).append(one)
     for old in context.said["queen"]:
-        made = messages.read(old)
-        assert made["t"] == old["t"] and set(made) == set(old)
+        assert json.loads(json.dumps(codec.encode(codec.decode(old)))) == old
         assert any(set(old) <= set(one) for one in said.get(old["t"], ())) or "q" in old, old
 
 
@@ -335,11 +338,11 @@
     context.memory = store.DiskStore(str(context.folder), 1).begin("s1", CORES[0], [])
 
 
-@then("it remembers its life, its promise and what it had taken, and counts one start more")
+@then("it remembers its disk id, its promise and what it had taken, and counts one start more")
 def remembers(context):
     memory = context.memory
-    assert (memory.life, memory.starts, memory.promised) == ("first", 2, Ballot(3, "s1#1"))
-    assert memory.accepted.body["edition"] == 5 and memory.chosen.value.number == 0
+    assert (memory.disk_id, memory.starts, memory.promised) == ("first", 2, Ballot(3, "s1#1"))
+    assert memory.accepted.body["edition"] == 5 and memory.chosen.value.version == 0
 
 
 @when("a core machine starts on a disk of a later format")
--- a/features/versions.feature
+++ b/features/versions.feature
@@ -13,6 +13,7 @@
       | version   |
       | first     |
       | landing-6 |
+      | landing-8 |
 
   Scenario: Kinds that are not known are passed over on every link
     When a kind that is not known comes to a gatekeeper, to a publisher, to cells and to the agreement
@@ -27,6 +28,7 @@
       | version   |
       | first     |
       | landing-6 |
+      | landing-8 |
 
   Scenario Outline: A gatekeeper of this version follows a core machine of the version before
     Given what version "<version>" said
@@ -38,6 +40,7 @@
       | version   |
       | first     |
       | landing-6 |
+      | landing-8 |
 
   Scenario Outline: News go through where one side is of another version
     When a gatekeeper and a core machine talk while <what>
@@ -59,6 +62,7 @@
       | version   |
       | first     |
       | landing-6 |
+      | landing-8 |
 
   Scenario Outline: Core machines of two versions agree
     Given three core machines of which one <how>
@@ -78,6 +82,7 @@
       | version   |
       | first     |
       | landing-6 |
+      | landing-8 |
 
   Scenario Outline: GatewayProbes of two versions find each other
     Given what version "<version>" said
@@ -89,29 +94,31 @@
       | version   |
       | first     |
       | landing-6 |
+      | landing-8 |
 
   Scenario Outline: The disk of the version before is read
     Given what version "<version>" said
     When a core machine starts on its disk
-    Then it remembers its life, its promise and what it had taken, and counts one start more
+    Then it remembers its disk id, its promise and what it had taken, and counts one start more
 
     Examples:
       | version   |
       | first     |
       | landing-6 |
+      | landing-8 |
 
   Scenario: A disk of a later version is left as it is
     When a core machine starts on a disk of a later format
     Then it refuses to start, and the disk is as it was
 
   Scenario: Gatekeepers of two versions tell each other what tenants have used
-    Given what version "landing-6" said
+    Given what version "landing-8" said
     When a gatekeeper hears the counts of the version before
     Then it leaves less of the tenant's quota than one that hears nothing
     And those counts are the same, byte by byte, when read and written again
 
   Scenario: An operator's tools and processes of two versions
-    Given what version "landing-6" said
+    Given what version "landing-8" said
     When an operator of this version is shown what its processes hold
     Then the text names each process, its number and its workers
     And this version's processes show every field that those did
--- a/pepperrun/assembly.py
+++ b/pepperrun/assembly.py
@@ -3,12 +3,12 @@
 from __future__ import annotations
 
 import asyncio
+import os
 import random
 import re
 import resource
 import socket
 import stat
-import os
 from collections.abc import Callable, Iterator, Mapping
 from pathlib import Path
 from typing import TYPE_CHECKING, Any
@@ -16,12 +16,12 @@
 from pepperrun.admin.calls import Calls, Figure
 from pepperrun.admin.figures import figures
 from pepperrun.admin.server import Server as AdminServer
-from pepperrun.core.clock import SECOND
 from pepperrun.config import Address, AuthConfig, Config, Listing, UnusableError
+from pepperrun.core.clock import SECOND
+from pepperrun.core.interface import ListKind, Settings
 from pepperrun.fronts.forward_auth import AuthService, ForwardAuth, auth_judge
 from pepperrun.fronts.platform import Platform
 from pepperrun.gatekeeper import Clock, Gatekeeper
-from pepperrun.core.interface import ListKind, Settings
 from pepperrun.handover.channel import path_of
 from pepperrun.handover.predecessor import Predecessor
 from pepperrun.handover.successor import Successor
@@ -32,8 +32,8 @@
 from pepperrun.net.discovery import Discovery
 from pepperrun.net.listener import Listener
 from pepperrun.net.peers import Peers, open_peers
-from pepperrun.net.stream import Budget
 from pepperrun.net.server_side import ServerSide, platform_judge
+from pepperrun.net.stream import Budget
 
 if TYPE_CHECKING:
     from pepperrun.membership.config import MembersConfig
--- a/pepperrun/bench/idle.py
+++ b/pepperrun/bench/idle.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from pepperrun.bench.idle_clients import descriptors
-from pepperrun.bench.rig import HOST, Child, RigError, Rig, Usage, kernel_bytes
+from pepperrun.bench.rig import HOST, Child, Rig, RigError, Usage, kernel_bytes
 
 PER_PROCESS = 17_000  # connections that one process of clients holds
 OPENERS = 4  # processes that open at once at least
--- a/pepperrun/bench/replay.py
+++ b/pepperrun/bench/replay.py
@@ -20,9 +20,9 @@
 
 from pepperrun.bench.rig import HOST, ROOT, Child, RigError, pin
 from pepperrun.capture.format import Class, Plan
+from pepperrun.model.day import Fault, Request, settings_of
 from pepperrun.model.fleet import Fleet, speeds
 from pepperrun.model.service import Ask, service
-from pepperrun.model.day import Fault, Request, settings_of
 
 LEAD_S = 1.0  # between the last process's start and the day's
 BUSY_MS = 250.0  # the players were so late at worst: the machine was too busy, and the day says little
--- a/pepperrun/capture/recorder.py
+++ b/pepperrun/capture/recorder.py
@@ -14,8 +14,8 @@
 
 from pepperrun.capture import format as capture_format
 from pepperrun.capture.format import Attempt, Block, Class, Entry, Footer, Header, Plan, Worker
-from pepperrun.exchange import Exchange
 from pepperrun.core.interface import Settings
+from pepperrun.exchange import Exchange
 from pepperrun.log import say
 
 BATCH = 128  # packed at a time: the writer holds the interpreter for half a millisecond
--- a/pepperrun/cli/bench.py
+++ b/pepperrun/cli/bench.py
@@ -123,8 +123,8 @@
     from pepperrun.bench.replay import replay as played
     from pepperrun.bench.rig import RigError
     from pepperrun.cli.capture import load
-    from pepperrun.model.fleet import read_fleet
     from pepperrun.model.day import load_of, read_fault
+    from pepperrun.model.fleet import read_fleet
     from pepperrun.model.simulate import Run
 
     captured = load(capture)
--- /dev/null
+++ b/pepperrun/consensus/acceptor.py
@@ -0,0 +1,165 @@
+"""The acceptor: promises, accepts and keeps its word over losses of power. No I/O but `StateStore.save`.
+
+A promise or an acceptance is synced before it is said: `flush` saves, and what is to be sent goes out after
+it. Replies of a node to itself are held back until then as well.
+"""
+
+from __future__ import annotations
+
+from pepperrun.consensus.learner import Learner
+from pepperrun.consensus.messages import (
+    Accept,
+    Accepted,
+    BodyDelta,
+    BodyNeeded,
+    BodyRequest,
+    CatchUpRequest,
+    Chosen,
+    Message,
+    Prepare,
+    Promise,
+    Rejected,
+)
+from pepperrun.consensus.state import Ballot, Proposal
+from pepperrun.foundation.errors import StorageError
+from pepperrun.foundation.logs import event, trouble
+
+
+class Acceptor(Learner):
+    """One node as an acceptor and learner."""
+
+    def receive(self, ip: str, message: Message, now: int) -> None:
+        """Handle a message of the node `ip`, which may be this one.
+
+        Raises
+        ------
+        RemoteProtocolError
+            A body is not the one that its value names.
+        """
+        self.now = now
+        self._observe_ballots(message)
+        match message:
+            case Prepare():
+                self._on_prepare(ip, message)
+            case Accept():
+                self._on_accept(ip, message)
+            case Chosen():
+                self._on_chosen(ip, message)
+            case CatchUpRequest():
+                self._on_catch_up_request(ip, message)
+            case BodyRequest():
+                self._on_body_request(ip, message)
+            case _:
+                self._on_reply(ip, message)
+
+    def _observe_ballots(self, message: Message) -> None:
+        """Keep the highest ballot, so that a round of this node begins above it."""
+        match message:
+            case Prepare() | Accept() | Accepted() | BodyNeeded() | Chosen():
+                self.highest_ballot = max(self.highest_ballot, message.ballot)
+            case Promise():
+                accepted_ballot = message.accepted_ballot or message.ballot
+                self.highest_ballot = max(self.highest_ballot, message.ballot, accepted_ballot)
+            case Rejected():
+                self.highest_ballot = max(self.highest_ballot, message.ballot, message.promised)
+
+    def _on_reply(self, ip: str, message: Message) -> None:
+        """Handle a reply to a round of this node: the proposer's part."""
+
+    # A reply carries the sender's incarnation; who counts replies looks whether that one votes.
+
+    def _on_prepare(self, ip: str, message: Prepare) -> None:
+        state = self.state
+        if self.disk_failed:
+            return
+        if self._reject_if_below_promise(ip, message.ballot):
+            return
+        if message.ballot > state.promised:
+            state.promised = message.ballot
+            self.must_sync = True
+        if state.accepted is None:
+            self._send(ip, Promise(message.ballot, state.disk_id))
+        else:
+            accepted = state.accepted
+            self._send(ip, Promise(message.ballot, state.disk_id, accepted.ballot, accepted.value))
+
+    def _on_accept(self, ip: str, message: Accept) -> None:
+        if not any(self.incarnation in group for group in message.value.voter_groups):
+            return
+        if self.disk_failed:
+            self._remember_unsaved(message)
+            return
+        if self._reject_if_below_promise(ip, message.ballot):
+            return
+        self.must_sync |= self.may_sync_later
+        if self.accepted_ballot < message.ballot:
+            body = self._resolve_body(message)
+            if body is None:
+                self._send(ip, BodyNeeded(message.ballot))
+                return
+            self.state.promised = message.ballot
+            self.state.accepted = Proposal(message.ballot, message.value, body)
+            self.must_sync = True
+            self.deltas = {message.ballot: message.delta or BodyDelta("", [])}
+        self._send(ip, Accepted(message.ballot, self.state.disk_id))
+
+    def _reject_if_below_promise(self, ip: str, ballot: Ballot) -> bool:
+        if ballot >= self.state.promised:
+            return False
+        self._send(ip, Rejected(ballot, self.state.promised))
+        return True
+
+    def _remember_unsaved(self, message: Accept) -> None:
+        """Keep a proposal that can't be accepted: should it be chosen, its ballot alone tells this node."""
+        body = self._resolve_body(message)
+        if body is not None:
+            self.unsaved_proposal = Proposal(message.ballot, message.value, body)
+            self.unsaved_delta = message.delta
+
+    # Syncing.
+
+    def flush(self, *, include_deferred: bool = False) -> None:
+        """Sync what messages rest on, then handle those of this node to itself, until nothing is left.
+
+        Where the disk fails, what rests on it is not said, and nothing as an acceptor until a flush with
+        `include_deferred` finds the disk well again.
+
+        Parameters
+        ----------
+        include_deferred : bool
+            Sync also what may be synced later.
+        """
+        while True:
+            required = self.must_sync and not self.disk_failed
+            deferred = include_deferred and (self.may_sync_later or self.disk_failed)
+            if required or deferred:
+                self._save()
+            if not self.loopback:
+                return
+            loopback = self.loopback
+            self.loopback = []
+            for message in loopback:
+                self.receive(self.own_ip, message, self.now)
+
+    def _save(self) -> None:
+        try:
+            self.store.save(self.state)
+        except StorageError as error:
+            self._on_disk_failure(error)
+            return
+        if self.disk_failed:
+            event("disk-recovered", ip=self.own_ip)  # all was written anew: this node votes again
+        self.must_sync = False
+        self.may_sync_later = False
+        self.disk_failed = False
+        self.unsaved_proposal = None
+        self.unsaved_delta = None
+
+    def _on_disk_failure(self, error: StorageError) -> None:
+        if not self.disk_failed:
+            trouble(error)
+        self.disk_failed = True
+        self.loopback = []
+        self.outbox = [
+            outgoing for outgoing in self.outbox if not isinstance(outgoing.message, Promise | Accepted)
+        ]
--- a/pepperrun/consensus/recent_changes.py
+++ b/pepperrun/consensus/recent_changes.py
@@ -1,9 +1,9 @@
 """The last changes of the chosen body, as operations: what a machine that was away for a short time lacks.
 
 There is no log. A machine keeps the newest body, and here the operations that led to it, as far as they are
-few and short. Whoever holds a body on that way is sent the operations after it, anybody else the whole body.
-So a whole body that took longer on its way than the time between two changes is followed by what came
-meanwhile, and not by another whole body.
+few and short. Who holds a body of that sequence is sent the operations after it, anybody else the full body.
+So a full body that took longer on its way than the time between two changes is followed by the changes since,
+and not by another full body.
 """
 
 from __future__ import annotations
@@ -12,76 +12,75 @@
 from collections.abc import Collection
 from typing import Any, NamedTuple
 
-from pepperrun.consensus.messages import MOST_OPS
-from pepperrun.consensus.values import Op
+from pepperrun.consensus.codec import MAX_OPERATIONS
+from pepperrun.consensus.messages import BodyDelta
+from pepperrun.consensus.state import Operation
 
-MOST_SIZE = 128 * 1024  # of all operations that are kept, in characters, about
-ITEM_SIZE = 8  # of a number, a name's quotes and the like
+MAX_SIZE = 128 * 1024  # of all operations that are kept, in characters, about
+ITEM_SIZE = 8  # of a number, the quotes of a name and the like, in characters
 
 
 class RecentChange(NamedTuple):
-    """One step from a body to the next, both told by their digests."""
+    """A step from the body with `base_digest` to the one with `digest`; `size` in characters, about."""
 
-    base: str
-    ops: list[Op]
+    base_digest: str
+    operations: list[Operation]
     digest: str
     size: int
 
 
-class Bridge(NamedTuple):
-    """Operations that lead from the body with digest `base` to the newest one."""
-
-    base: str
-    ops: list[Op]
-
-
 class RecentChanges:
-    """An unbroken row of changes up to the newest body, of bounded length and size."""
+    """An unbroken sequence of changes up to the newest body, bounded in length and size."""
 
     def __init__(self) -> None:
-        self.row: deque[RecentChange] = deque()
-        self.size = self.ops = 0
+        self.changes: deque[RecentChange] = deque()
+        self.size = 0
+        self.operation_count = 0
 
-    def add(self, base: str, ops: list[Op], digest: str) -> None:
-        """The body went on. Another `base` than the last digest breaks the row, which then begins anew."""
-        if self.row and self.row[-1].digest != base:
+    def add(self, base_digest: str, operations: list[Operation], digest: str) -> None:
+        """Append a change. A base other than the last digest breaks the sequence, which begins anew."""
+        if self.changes and self.changes[-1].digest != base_digest:
             self.clear()
-        size = size_of(ops, MOST_SIZE)
-        self.row.append(RecentChange(base, ops, digest, size))
+        size = json_size(operations, MAX_SIZE)
+        self.changes.append(RecentChange(base_digest, operations, digest, size))
         self.size += size
-        self.ops += len(ops)
-        while self.row and (self.size > MOST_SIZE or self.ops > MOST_OPS):
-            first = self.row.popleft()
-            self.size -= first.size
-            self.ops -= len(first.ops)
+        self.operation_count += len(operations)
+        while self.changes and (self.size > MAX_SIZE or self.operation_count > MAX_OPERATIONS):
+            oldest = self.changes.popleft()
+            self.size -= oldest.size
+            self.operation_count -= len(oldest.operations)
 
     def copy(self) -> RecentChanges:
-        """Another one that holds the same and goes its own way."""
+        """Return another one that holds the same and changes apart from this one."""
         other = RecentChanges()
-        other.row, other.size, other.ops = self.row.copy(), self.size, self.ops
+        other.changes = self.changes.copy()
+        other.size = self.size
+        other.operation_count = self.operation_count
         return other
 
     def clear(self) -> None:
-        """Nothing is known of how the newest body came about."""
-        self.row.clear()
-        self.size = self.ops = 0
-
-    def bridge(self, held: Collection[str], digest: str) -> Bridge | None:
-        """The shortest way from one of the `held` bodies to the one with `digest`, the newest here."""
-        if not self.row or self.row[-1].digest != digest:
+        """Forget all changes: how the newest body came about is not known."""
+        self.changes.clear()
+        self.size = 0
+        self.operation_count = 0
+
+    def delta(self, held_digests: Collection[str], digest: str) -> BodyDelta | None:
+        """Return the shortest delta from a held body to the one with `digest`, the newest here."""
+        if not self.changes or self.changes[-1].digest != digest:
             return None
-        ops: list[Op] = []
-        for change in reversed(self.row):
-            ops = [*change.ops, *ops]
-            if change.base in held:
-                return Bridge(change.base, ops)
+        operations: list[Operation] = []
+        for change in reversed(self.changes):
+            operations = [*change.operations, *operations]
+            if change.base_digest in held_digests:
+                return BodyDelta(change.base_digest, operations)
         return None
 
 
-def size_of(data: Any, most: int) -> int:
-    """About how many characters it takes as JSON; counting ends soon after `most`."""
-    total, waiting = 0, [data]
-    while waiting and total <= most:
+def json_size(data: Any, limit: int) -> int:
+    """About how many characters `data` takes as JSON; counting ends soon after `limit`."""
+    total = 0
+    waiting = [data]
+    while waiting and total <= limit:
         part = waiting.pop()
         total += ITEM_SIZE
         if isinstance(part, str):
--- a/pepperrun/consensus/register.py
+++ b/pepperrun/consensus/register.py
@@ -1,309 +1,424 @@
-"""One value that a majority of the voters agrees on, changed in rounds. No leader, no I/O, no wall clock.
+"""A register that a majority of the voters agrees on (Rystsov's CASPaxos): no log, no leader, no I/O.
 
-Each change is a round of its own (Lamport's Synod, as a register: Rystsov's CASPaxos): ask a majority what it
-has taken, change that, put it to a majority. Rounds are ordered by ballots; who has promised a later one
-refuses an earlier. What was promised and taken is synced before it is said.
+Each change is a round of Lamport's Synod: prepare learns from a majority what was accepted, the proposer
+applies the change to that, accept puts the result to a majority. Ballots order the rounds; who has promised
+a higher one rejects a lower. What is promised and accepted is synced before it is said.
 
-| phase of a round | event | next |
+| phase of a round | event | next phase |
 | --- | --- | --- |
-| IDLE | something is wanted | ASKING |
-| ASKING | those that decide on the latest value have promised; it was chosen and stays as it is | IDLE |
-| ASKING | the same, and it is to be changed, or nobody knows whether it was chosen | PUTTING |
-| PUTTING | those that decide on the new value have taken it: it is chosen, all are told | IDLE |
-| ASKING, PUTTING | refused, or nothing for `pace.round` | WAITING |
-| WAITING | its time is over | IDLE |
-
-Voters are lives of machines: who comes with an empty disk is another. They are changed in two steps. A value
-that was taken by some and never chosen may be what a next round starts from, and two such values may name
-voters whose majorities have nobody in common. So first comes a value that names both the voters and those
-before (`was`); while it holds, a majority of each decides. Only when it is known as chosen does the next
-drop those before. So the majorities that decide on neighbouring values always have a life in common, however
-old the knowledge of who begins a round; whoever it hears of meanwhile it asks, too.
+| IDLE | a change is pending | PREPARING |
+| PREPARING | a quorum of the latest value has promised; it is chosen and stays as it is | IDLE |
+| PREPARING | the same, but it is to be changed, or it is not known whether it was chosen | ACCEPTING |
+| ACCEPTING | a quorum of the new value has accepted: it is chosen, all are notified | IDLE |
+| PREPARING, ACCEPTING | rejected, or nothing for `timeouts.phase_ns` | BACKING_OFF |
+| BACKING_OFF | its time is over | IDLE |
+
+Voters are incarnations of machines: a machine with an empty disk is another voter. They are changed in two
+steps, as by the joint consensus of Raft. A value that some accepted and that was never chosen may be what a
+next round starts from, and two such values may name voters whose majorities have nobody in common. So a value
+first names both the voters and the outgoing voters, and a majority of each has to accept. Only when it is
+known as chosen does the next value drop the outgoing ones. So quorums of neighbouring values always have an
+incarnation in common, however old the knowledge of the proposer is; voters that it learns of in a round are
+prepared too.
 """
 
 from __future__ import annotations
 
 import enum
 import random
-from collections.abc import Callable
+from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field, replace
 from typing import Any, NamedTuple
 
-from pepperrun.consensus.messages import Message, wire
-from pepperrun.consensus.values import NONE, Ballot, Body, Held, Life, Memory, Op, Store, Value, digest_of
-from pepperrun.consensus.voter import Apply, Pace, Steps, Voter
-
-MOST_DOUBLED = 4
-MOST_OPS = 4  # in one round: each may be a whole configuration
-
-# The same value with other voters or another keeper, or itself. Told whether it is known as chosen.
-Plan = Callable[[Value, bool], Value]
-
-
-class Result(NamedTuple):
-    """What became of a change. `verdict` None: nothing is certain (`why`: "minority" or "patience")."""
+from pepperrun.consensus.acceptor import Acceptor
+from pepperrun.consensus.messages import (
+    Accept,
+    Accepted,
+    BodyDelta,
+    BodyNeeded,
+    BodyReply,
+    BodyRequest,
+    Chosen,
+    Message,
+    Prepare,
+    Promise,
+    Rejected,
+)
+from pepperrun.consensus.state import (
+    NO_BALLOT,
+    Apply,
+    Ballot,
+    Body,
+    DurableState,
+    Incarnation,
+    Operation,
+    Proposal,
+    StateStore,
+    Value,
+    digest_of,
+)
+from pepperrun.consensus.timeouts import Timeouts
+
+MAX_BACKOFF_DOUBLINGS = 4
+MAX_OPERATIONS_PER_ROUND = 4  # each may be a whole configuration
+
+# Returns the value with other voters or another coordinator, or itself; told whether it is known as chosen.
+VoterPlan = Callable[[Value, bool], Value]
+
+
+class FailureReason(enum.Enum):
+    """Why it is not known what became of a change."""
+
+    NO_QUORUM = "no-quorum"
+    TIMED_OUT = "timed-out"
+
+
+class ChangeResult(NamedTuple):
+    """What became of a change.
+
+    Attributes
+    ----------
+    token : int
+        As `Register.submit` returned it.
+    verdict : any JSON, or None
+        Of the operation; None where it may have been applied or not, for the reason `failure`.
+    version : int
+        Of the body with the change, or that refused it.
+    failure : FailureReason or None
+        Set where nothing is certain.
+    """
 
     token: int
     verdict: Any
-    number: int
-    why: str = ""
+    version: int
+    failure: FailureReason | None = None
 
 
 class Phase(enum.Enum):
-    """Of a round of its own."""
+    """Phase of the round of this node."""
 
     IDLE = "idle"
-    ASKING = "asking"
-    PUTTING = "putting"
-    WAITING = "waiting"
+    PREPARING = "preparing"
+    ACCEPTING = "accepting"
+    BACKING_OFF = "backing off"
 
 
-class Promise(NamedTuple):
-    """Of one machine in this round."""
+@dataclass(slots=True)
+class PendingChange:
+    """An operator's change that waits for its round until `deadline`."""
 
-    life: str
-    at: Ballot
-    value: Value | None
+    token: int
+    operation: Operation
+    deadline: int
 
 
-@dataclass(slots=True)
-class Wish:
-    """An operator's change that waits for its round, until `until`."""
+class ReceivedPromise(NamedTuple):
+    """A promise of one node in the round; `value` is None where it has accepted nothing."""
 
-    token: int
-    op: Op
-    until: int
+    disk_id: str
+    accepted_ballot: Ballot
+    value: Value | None
 
 
 @dataclass(slots=True)
 class Round:
-    """One that this machine has begun."""
+    """A round that this node proposes.
+
+    Attributes
+    ----------
+    ballot : Ballot
+        Of the round.
+    last_token : int
+        Last token that was given when it began: later changes are not settled by its promises.
+    prepare_sent : set of str
+        Ips that were asked to promise.
+    promises : dict of str to ReceivedPromise
+        By ip.
+    fetching_digest, fetched_body
+        A body that was asked for, and what came.
+    proposal, base_digest, operations
+        What was proposed, from which body, by which operations.
+    evaluated : list of ChangeResult
+        Results that become certain when the round ends well.
+    accept_sent : set of str
+        Ips that were asked to accept.
+    accepted_by : set of Incarnation
+        Those that have the proposal on their disks.
+    """
 
     ballot: Ballot
-    wished: int = 0  # the last token given before it began
-    asked: set[str] = field(default_factory=set)
-    promises: dict[str, Promise] = field(default_factory=dict)
-    fetching: str = ""  # the digest of a body that is on its way
-    fetched: Body | None = None
-    put: Held | None = None
-    base: str = ""  # the digest of the body before
-    ops: list[Op] = field(default_factory=list)
-    judged: list[Result] = field(default_factory=list)
-    sent_to: set[str] = field(default_factory=set)
-    taken: set[Life] = field(default_factory=set)
-
-
-def _unchanged(value: Value, known: bool) -> Value:
+    last_token: int = 0
+    prepare_sent: set[str] = field(default_factory=set)
+    promises: dict[str, ReceivedPromise] = field(default_factory=dict)
+    fetching_digest: str = ""
+    fetched_body: Body | None = None
+    proposal: Proposal | None = None
+    base_digest: str = ""
+    operations: list[Operation] = field(default_factory=list)
+    evaluated: list[ChangeResult] = field(default_factory=list)
+    accept_sent: set[str] = field(default_factory=set)
+    accepted_by: set[Incarnation] = field(default_factory=set)
+
+    def promised_by(self) -> list[Incarnation]:
+        """Incarnations that have promised."""
+        return [Incarnation(ip, promise.disk_id) for ip, promise in self.promises.items()]
+
+    def accepted_at(self, ballot: Ballot) -> list[Incarnation]:
+        """Incarnations whose promise tells that they accepted `ballot` last."""
+        return [
+            Incarnation(ip, promise.disk_id)
+            for ip, promise in self.promises.items()
+            if promise.accepted_ballot == ballot
+        ]
+
+    def delta(self) -> BodyDelta:
+        """How the body of the proposal came about."""
+        return BodyDelta(self.base_digest, self.operations)
+
+
+class _Latest(NamedTuple):
+    """The latest value that this node knows of, and the ballot under which it was accepted."""
+
+    ballot: Ballot
+    value: Value
+
+
+def _keep_voters(value: Value, is_chosen: bool) -> Value:
     return value
 
 
-class Register(Voter):
-    """One machine's part. Give it messages, the time and wishes; `flush`, then send `out`, read `results`.
+class Register(Acceptor):
+    """One node of the register: proposer, acceptor and learner.
 
-    `plan` may be replaced; it must not depend on anything but what this machine knows.
+    Submit changes, give it messages and the time; `flush`, then send `outbox` and read `results`.
+    `plan_voters` may be replaced; it must depend on nothing but what this node knows.
     """
 
     def __init__(
         self,
-        me: str,
-        memory: Memory,
-        store: Store,
+        own_ip: str,
+        state: DurableState,
+        store: StateStore,
         apply: Apply,
+        *,
         seed: int,
         now: int,
-        pace: Pace | None = None,
+        timeouts: Timeouts | None = None,
     ) -> None:
-        super().__init__(me, memory, store, apply, now, pace or Pace())
+        super().__init__(own_ip, state, store, apply, now, timeouts or Timeouts())
         self.rng = random.Random(seed)
-        self.by = f"{me}/{memory.life}/{memory.starts}"
-        self.plan: Plan = _unchanged
-        self.phase, self.round, self.until, self.refusals = Phase.IDLE, Round(NONE), now, 0
-        self.wishes: list[Wish] = []
-        self.tokens = 0
-        self.others: set[str] = set()  # machines that are told what is chosen, beside the voters
-        self.results: list[Result] = []
-
-    def due(self) -> int | None:
+        self.proposer_id = f"{own_ip}/{state.disk_id}/{state.starts}"
+        self.plan_voters: VoterPlan = _keep_voters
+        self.phase = Phase.IDLE
+        self.phase_ends_at = now
+        self.round = Round(NO_BALLOT)
+        self.rejections = 0
+        self.pending: list[PendingChange] = []
+        self.last_token = 0
+        self.observers: set[str] = set()  # ips that are notified of what is chosen, beside the voters
+        self.results: list[ChangeResult] = []
+
+    # Changes and time.
+
+    def submit(self, operation: Operation, deadline: int) -> int:
+        """Add a change for the next round; return the token under which its result is reported."""
+        self.last_token += 1
+        self.pending.append(PendingChange(self.last_token, operation, deadline))
+        return self.last_token
+
+    def fail_pending(self, failure: FailureReason) -> None:
+        """Fail all pending changes. One that a round is under way for may be chosen or not."""
+        self._fail(self.pending, failure)
+        self.pending = []
+
+    def _fail(self, changes: Iterable[PendingChange], failure: FailureReason) -> None:
+        version = self.state.chosen.value.version if self.state.chosen else -1
+        self.results += [ChangeResult(change.token, None, version, failure) for change in changes]
+
+    def next_tick_at(self) -> int | None:
         """When `tick` is to be called at the latest; None while nothing is to be done."""
-        dues = [wish.until for wish in self.wishes]
+        times = [change.deadline for change in self.pending]
         if self.phase is not Phase.IDLE:
-            dues.append(self.until)
-        return min(dues, default=None)
-
-    # Wishes and time.
-
-    def wish(self, op: Op, until: int) -> int:
-        """A change that is to be judged in the next round; its token."""
-        self.tokens += 1
-        self.wishes.append(Wish(self.tokens, op, until))
-        return self.tokens
-
-    def give_up(self, why: str) -> None:
-        """All that waits fails: what is under way may be chosen or not."""
-        number = self.memory.chosen.value.number if self.memory.chosen else -1
-        self.results += [Result(wish.token, None, number, why) for wish in self.wishes]
-        self.wishes.clear()
+            times.append(self.phase_ends_at)
+        return min(times, default=None)
 
     def tick(self, now: int) -> None:
-        """Does what is due."""
+        """Fail changes past their deadline and end a phase that takes too long."""
         self.now = now
-        late = [wish for wish in self.wishes if wish.until <= now]
-        if late:
-            rest = [wish for wish in self.wishes if wish.until > now]
-            self.wishes = late
-            self.give_up("patience")
-            self.wishes = rest
-        if self.phase is Phase.IDLE or now < self.until:
+        expired = [change for change in self.pending if change.deadline <= now]
+        if expired:
+            self.pending = [change for change in self.pending if change.deadline > now]
+            self._fail(expired, FailureReason.TIMED_OUT)
+        if self.phase is Phase.IDLE or now < self.phase_ends_at:
             return
-        if self.phase is Phase.WAITING:
+        if self.phase is Phase.BACKING_OFF:
             self.phase = Phase.IDLE
         else:
-            self._wait()
+            self._back_off()
 
-    def begin(self, now: int) -> None:
-        """Starts a round, where none is under way and a value is known to start from."""
+    # The proposer's phases.
+
+    def start_round(self, now: int) -> None:
+        """Start a round, where none is under way and a value is known to start from."""
         self.now = now
-        chosen, accepted = self.memory.chosen, self.memory.accepted
-        if self.phase is not Phase.IDLE or (chosen is None and accepted is None):
+        known = [proposal for proposal in (self.state.chosen, self.state.accepted) if proposal is not None]
+        if self.phase is not Phase.IDLE or not known:
             return
-        self.latest = Ballot(max(self.latest.round, self.memory.promised.round) + 1, self.by)
-        self.round = Round(self.latest, self.tokens)
-        self.phase, self.until = Phase.ASKING, now + self.pace.round
-        for held in (chosen, accepted):
-            if held is not None:
-                self._ask(held.value)
-
-    def _ask(self, value: Value) -> None:
-        for ip in sorted(value.ips - self.round.asked):
-            self.round.asked.add(ip)
-            self._send(ip, {"t": "ask", "b": self.round.ballot})
-
-    def _answered(self, ip: str, message: Message) -> None:
-        kind = message["t"]
-        if kind == "body":
-            self._fetched(message["d"], message["w"])
-        elif message["b"] != self.round.ballot:
-            return  # the answer to a round that is over
-        elif kind == "refuse" and self.phase in (Phase.ASKING, Phase.PUTTING) and message["a"] > message["b"]:
-            self._wait()
-        elif kind == "promise" and self.phase is Phase.ASKING:
-            self._promised(ip, Promise(message["l"], message.get("a", NONE), message.get("v")))
-        elif kind == "need" and self.phase is Phase.PUTTING and self.round.put is not None:
-            whole = {"t": "put", "b": self.round.ballot, "v": wire(self.round.put.value)}
-            self._send(ip, whole | {"w": self.round.put.body})
-        elif kind == "taken" and self.phase is Phase.PUTTING:
-            self.round.taken.add(Life(ip, message["l"]))
-            self._counted()
+        round_number = max(self.highest_ballot.round, self.state.promised.round) + 1
+        self.highest_ballot = Ballot(round_number, self.proposer_id)
+        self.round = Round(self.highest_ballot, self.last_token)
+        self.phase = Phase.PREPARING
+        self.phase_ends_at = now + self.timeouts.phase_ns
+        for proposal in known:
+            self._send_prepare(proposal.value)
+
+    def _send_prepare(self, value: Value) -> None:
+        for ip in sorted(value.voter_ips - self.round.prepare_sent):
+            self.round.prepare_sent.add(ip)
+            self._send(ip, Prepare(self.round.ballot))
+
+    def _on_reply(self, ip: str, message: Message) -> None:
+        match message:
+            case BodyReply():
+                self._on_body_reply(message)
+            case Promise() | Accepted() | BodyNeeded() | Rejected() if message.ballot == self.round.ballot:
+                self._on_round_reply(ip, message)
+
+    def _on_round_reply(self, ip: str, message: Promise | Accepted | BodyNeeded | Rejected) -> None:
+        match message:
+            case Rejected():
+                under_way = self.phase in (Phase.PREPARING, Phase.ACCEPTING)
+                if under_way and message.promised > message.ballot:
+                    self._back_off()
+            case Promise() if self.phase is Phase.PREPARING:
+                self._on_promise(ip, message)
+            case BodyNeeded() if self.phase is Phase.ACCEPTING and self.round.proposal is not None:
+                proposal = self.round.proposal
+                self._send(ip, Accept(proposal.ballot, proposal.value, full_body=proposal.body))
+            case Accepted() if self.phase is Phase.ACCEPTING:
+                self.round.accepted_by.add(Incarnation(ip, message.disk_id))
+                self._choose_if_quorum_accepted()
 
     def body_of(self, digest: str) -> Body | None:
-        """A body that is here, or that this round has fetched."""
+        """Return the body with this digest, where it is here or was fetched in this round."""
         body = super().body_of(digest)
-        return self.round.fetched if body is None and self.round.fetching == digest else body
-
-    # A round of its own.
+        if body is None and self.round.fetching_digest == digest:
+            return self.round.fetched_body
+        return body
 
-    def _promised(self, ip: str, promise: Promise) -> None:
+    def _on_promise(self, ip: str, message: Promise) -> None:
+        accepted_ballot = NO_BALLOT if message.accepted_ballot is None else message.accepted_ballot
+        promise = ReceivedPromise(message.disk_id, accepted_ballot, message.accepted_value)
         self.round.promises[ip] = promise
         if promise.value is not None:
-            self._ask(promise.value)
-        self._go_on()
+            self._send_prepare(promise.value)
+        self._propose_if_quorum_promised()
 
-    def _base(self) -> Held | Promise | None:
-        """The latest value that any promise tells of, or that is known here."""
-        best: Held | Promise | None = self.memory.chosen
+    def _latest(self) -> _Latest | None:
+        """The latest value that a promise tells of or that is known as chosen here."""
+        chosen = self.state.chosen
+        latest = None if chosen is None else _Latest(chosen.ballot, chosen.value)
         for promise in self.round.promises.values():
-            if promise.value is not None and (best is None or promise.at > _at(best)):
-                best = promise
-        return best
-
-    def _go_on(self) -> None:
-        """Have those that decide on the latest value promised? Then it is changed."""
-        best = self._base()
-        if best is None or best.value is None:
-            return
-        at, value, promises = _at(best), best.value, self.round.promises
-        if not value.quorum(Life(ip, one.life) for ip, one in promises.items()):
+            if promise.value is None:
+                continue
+            if latest is None or promise.accepted_ballot > latest.ballot:
+                latest = _Latest(promise.accepted_ballot, promise.value)
+        return latest
+
+    def _propose_if_quorum_promised(self) -> None:
+        """Go on to accept once a quorum of the latest value has promised and its body is here."""
+        latest = self._latest()
+        if latest is None or not latest.value.has_quorum(self.round.promised_by()):
             return
-        known = at <= self.chosen_at or value.quorum(
-            Life(ip, one.life) for ip, one in promises.items() if one.at == at
-        )
-        body = self.body_of(value.digest)
+        holders = self.round.accepted_at(latest.ballot)
+        is_chosen = latest.ballot <= self.chosen_ballot or latest.value.has_quorum(holders)
+        body = self.body_of(latest.value.digest)
         if body is not None:
-            self._judge(Held(at, value, body), known)
-        elif self.round.fetching != value.digest:
-            self.round.fetching = value.digest
-            self._send(
-                next(ip for ip, one in promises.items() if one.at == at), {"t": "want", "d": value.digest}
-            )
-
-    def _fetched(self, digest: str, body: Body) -> None:
-        if self.phase is not Phase.ASKING or self.round.fetching != digest or digest_of(body) != digest:
+            self._evaluate(Proposal(latest.ballot, latest.value, body), is_chosen)
+        elif self.round.fetching_digest != latest.value.digest:
+            self.round.fetching_digest = latest.value.digest
+            self._send(holders[0].ip, BodyRequest(latest.value.digest))
+
+    def _on_body_reply(self, message: BodyReply) -> None:
+        if self.phase is not Phase.PREPARING or self.round.fetching_digest != message.digest:
             return
-        best = self._base()
-        if best is not None and best.value is not None and best.value.digest == digest:
-            self.round.fetched = body
-            self._go_on()
-
-    def _judge(self, base: Held, known: bool) -> None:
-        """What becomes of the value before, by what waits and by the plan for its voters."""
-        round, body, number = self.round, base.body, base.value.number
-        for wish in self.wishes[:MOST_OPS]:
-            new, verdict = self.apply(body, wish.op)
-            if new is not None:
-                body, number = new, number + 1
-                round.ops.append(wish.op)
-            round.judged.append(Result(wish.token, verdict, number))
-        value = self.plan(base.value, known)
-        if round.ops:
-            value = replace(value, number=number, digest=digest_of(body))
-        if known and value == base.value:
-            if base.ballot > self.chosen_at:
-                self._choose(base, self.steps.get(base.ballot))
-                self._tell({"t": "chosen", "b": base.ballot}, self.round.asked)
-            # Promises may be older than a wish that came meanwhile: it is judged by the next round.
-            round.judged = [one for one in round.judged if one.token <= round.wished]
-            self._settle()
+        if digest_of(message.body) != message.digest:
             return
-        round.put, round.base = Held(round.ballot, value, body), base.value.digest
-        round.sent_to = value.ips
-        self.phase, self.until = Phase.PUTTING, self.now + self.pace.round
-        self._tell(self._step("put"), round.sent_to)
-
-    def _step(self, kind: str) -> Message:
-        put = self.round.put
-        assert put is not None
-        return {"t": kind, "b": put.ballot, "v": wire(put.value), "f": self.round.base, "o": self.round.ops}
-
-    def _tell(self, message: Message, ips: set[str]) -> None:
+        latest = self._latest()
+        if latest is not None and latest.value.digest == message.digest:
+            self.round.fetched_body = message.body
+            self._propose_if_quorum_promised()
+
+    def _evaluate(self, base: Proposal, is_chosen: bool) -> None:
+        """Apply pending changes and the plan for the voters to the latest value; propose the result."""
+        body = self._evaluate_pending(base)
+        value = self.plan_voters(base.value, is_chosen)
+        if self.round.operations:
+            version = base.value.version + len(self.round.operations)
+            value = replace(value, version=version, digest=digest_of(body))
+        if is_chosen and value == base.value:
+            self._finish_unchanged(base)
+        else:
+            self._propose(Proposal(self.round.ballot, value, body), base.value.digest)
+
+    def _evaluate_pending(self, base: Proposal) -> Body:
+        """Evaluate the first pending changes one after the other; return the body after them."""
+        body = base.body
+        for change in self.pending[:MAX_OPERATIONS_PER_ROUND]:
+            evaluation = self.apply(body, change.operation)
+            if evaluation.body is not None:
+                body = evaluation.body
+                self.round.operations.append(change.operation)
+            version = base.value.version + len(self.round.operations)
+            self.round.evaluated.append(ChangeResult(change.token, evaluation.verdict, version))
+        return body
+
+    def _finish_unchanged(self, base: Proposal) -> None:
+        """End the round after its first phase: the latest value is chosen and stays."""
+        if base.ballot > self.chosen_ballot:
+            self._learn_chosen(base, self.deltas.get(base.ballot))
+            self._broadcast(Chosen(base.ballot), self.round.prepare_sent)
+        # Promises may be older than a change that came meanwhile: that one is evaluated by the next round.
+        last_token = self.round.last_token
+        self.round.evaluated = [result for result in self.round.evaluated if result.token <= last_token]
+        self._finish_round()
+
+    def _propose(self, proposal: Proposal, base_digest: str) -> None:
+        self.round.proposal = proposal
+        self.round.base_digest = base_digest
+        self.round.accept_sent = proposal.value.voter_ips
+        self.phase = Phase.ACCEPTING
+        self.phase_ends_at = self.now + self.timeouts.phase_ns
+        accept = Accept(proposal.ballot, proposal.value, self.round.delta())
+        self._broadcast(accept, self.round.accept_sent)
+
+    def _choose_if_quorum_accepted(self) -> None:
+        proposal = self.round.proposal
+        if proposal is None or not proposal.value.has_quorum(self.round.accepted_by):
+            return
+        delta = self.round.delta()
+        self._learn_chosen(proposal, delta)
+        accept_sent = self.round.accept_sent - {self.own_ip}
+        self._broadcast(Chosen(proposal.ballot), accept_sent)
+        others = (self.observers | self.round.prepare_sent) - accept_sent - {self.own_ip}
+        self._broadcast(Chosen(proposal.ballot, proposal.value, delta), others)
+        self._finish_round()
+
+    def _finish_round(self) -> None:
+        """The round is over and what it evaluated is certain."""
+        self.phase = Phase.IDLE
+        self.rejections = 0
+        pending = {change.token for change in self.pending}
+        self.results += [result for result in self.round.evaluated if result.token in pending]
+        settled = {result.token for result in self.round.evaluated}
+        self.pending = [change for change in self.pending if change.token not in settled]
+
+    def _back_off(self) -> None:
+        self.phase = Phase.BACKING_OFF
+        shortest = self.timeouts.backoff_ns << min(MAX_BACKOFF_DOUBLINGS, self.rejections)
+        self.rejections += 1
+        self.phase_ends_at = self.now + shortest + int(shortest * self.rng.random())
+
+    def _broadcast(self, message: Message, ips: Iterable[str]) -> None:
         for ip in sorted(ips):
             self._send(ip, message)
-
-    def _counted(self) -> None:
-        put = self.round.put
-        if put is None or not put.value.quorum(self.round.taken):
-            return
-        self._choose(put, Steps(self.round.base, self.round.ops))
-        there = self.round.sent_to - {self.me}
-        self._tell({"t": "chosen", "b": put.ballot}, there)
-        rest = (self.others | self.round.asked) - there - {self.me}
-        if rest:
-            self._tell(self._step("chosen"), rest)
-        self._settle()
-
-    def _settle(self) -> None:
-        """The round is over, what it judged is certain."""
-        self.phase, self.refusals = Phase.IDLE, 0
-        waits = {wish.token for wish in self.wishes}
-        self.results += [one for one in self.round.judged if one.token in waits]
-        done = {one.token for one in self.round.judged}
-        self.wishes = [wish for wish in self.wishes if wish.token not in done]
-
-    def _wait(self) -> None:
-        self.phase = Phase.WAITING
-        longest = self.pace.wait << min(MOST_DOUBLED, self.refusals)
-        self.refusals += 1
-        self.until = self.now + longest + int(longest * self.rng.random())
-
-
-def _at(one: Held | Promise) -> Ballot:
-    return one.ballot if isinstance(one, Held) else one.at
--- a/pepperrun/consensus/replica.py
+++ b/pepperrun/consensus/replica.py
@@ -1,414 +1,455 @@
-"""The agreement of one core machine: register, freshness of what is known, upkeep of the voters. No I/O.
+"""The consensus of one control node: register, quorum reads and upkeep of the voters. No I/O.
 
 Messages, links and the time come in; messages, results and changes are taken out, after what they rest on is
-synced. Nobody leads: any machine runs the rounds of the changes that it was given. One duty is one machine's,
-the keeper's: it changes the voters, so that no two do it at once. The keeper is part of what is agreed on. It
-names its successor when it stops; where a majority of the voters has not heard it for `pace.silent`, the next
-in order takes over by a round.
-
-Freshness: each `pace.read` each machine asks the voters whether they have taken anything later than what it
-knows as chosen. If those that decide have not, then what it knew was the newest when it asked: whatever is
-chosen, a majority has taken. No leases, no clocks of others.
+synced. Nobody leads: each node proposes the changes that it was given (`register`). Each node reads at
+intervals whether what it knows is the newest (`quorum_reads`). One node, the coordinator, changes the voters
+(`voter_maintenance`).
 """
 
 from __future__ import annotations
 
 from collections.abc import Mapping
-from dataclasses import dataclass, field, replace
-
-from pepperrun.consensus import messages
-from pepperrun.consensus.liveness import Hearing, Opinion
-from pepperrun.consensus.messages import Message
-from pepperrun.consensus.register import Phase, Register, Result
-from pepperrun.consensus.voter_selection import successors, wanted
-from pepperrun.consensus.values import NONE, Ballot, Body, Life, Memory, Op, Store, Value
-from pepperrun.consensus.voter import Apply, Change, Pace
-
-__all__ = ["Apply", "Change", "Pace", "Replica", "Result"]
-
-MOST_ASKED = 4  # read rounds whose answers still count
-
-
-@dataclass(slots=True)
-class Reading:
-    """A read round: when it was asked, and what the voters had taken by then or later."""
-
-    sent_at: int
-    taken: dict[Life, Ballot] = field(default_factory=dict)
+from typing import Any
+
+from pepperrun.consensus import codec
+from pepperrun.consensus.codec import WireMessage
+from pepperrun.consensus.learner import BodyChange, OutgoingMessage
+from pepperrun.consensus.messages import (
+    Accepted,
+    Message,
+    Promise,
+    QuorumRead,
+    QuorumReadReply,
+    StoppingNotice,
+)
+from pepperrun.consensus.peer_liveness import PeerLiveness, Suspicion
+from pepperrun.consensus.quorum_reads import QuorumReadRound, QuorumReads
+from pepperrun.consensus.register import ChangeResult, FailureReason, Phase, Register
+from pepperrun.consensus.state import (
+    NO_BALLOT,
+    Apply,
+    Ballot,
+    Body,
+    DurableState,
+    Incarnation,
+    Operation,
+    StateStore,
+    Value,
+)
+from pepperrun.consensus.timeouts import Timeouts
+from pepperrun.consensus.voter_maintenance import VoterMaintenance
+
+_WITH_DISK_ID = (Promise, Accepted, QuorumRead, QuorumReadReply, StoppingNotice)
+
+
+def _disk_id_of(message: Message) -> str | None:
+    """Disk id of the sender, where the message carries it."""
+    return message.disk_id if isinstance(message, _WITH_DISK_ID) else None
 
 
 class Replica:
-    """One core machine, `me` by its ip. After each call take out what is there: messages, results, changes.
-
-    `memory` comes from the disk (`storage.DiskStore.begin`) and `store.save` syncs it before messages are
-    given out. `regions`: the region of each zone. `most`: voters at most (odd).
+    """One control node. After each call take out what is there: messages, results, changes.
+
+    Parameters
+    ----------
+    own_ip : str
+        Names this node.
+    state : DurableState
+        From the disk (`storage.DiskStore.begin`).
+    store : StateStore
+        Saves the state before messages are given out.
+    regions : mapping of str to str
+        Region of each zone.
+    max_voters : int
+        Odd.
     """
 
     def __init__(
         self,
-        me: str,
-        memory: Memory,
-        store: Store,
+        own_ip: str,
+        state: DurableState,
+        store: StateStore,
         apply: Apply,
         *,
         zone: str,
         regions: Mapping[str, str],
-        most: int,
+        max_voters: int,
         seed: int,
         now: int,
-        pace: Pace | None = None,
+        timeouts: Timeouts | None = None,
     ) -> None:
-        self.me, self.regions, self.most, self.pace = me, regions, most, pace or Pace()
-        self.register = Register(me, memory, store, apply, seed, now, self.pace)
-        self.register.plan = self._plan
-        self.hearing = Hearing(me, memory.life, zone, now)
-        self.now = self.read_at = self.ticked = now
-        self.stamp = 0
-        self.readings: dict[int, Reading] = {}
-        self.fresh: int | None = None
-        self.later, self.later_since = NONE, now  # taken by somebody, and not known as chosen
-        self.look = False  # at whether the voters are as they should be
-        self.stopping, self.stopped_at = False, now
-        self.next_keeper = ""  # who should be the keeper instead of the one there is
-        self.left_at: dict[str, int] = {}  # machines that stop, and when they said so last
+        self.own_ip = own_ip
+        self.timeouts = timeouts or Timeouts()
+        self.liveness = PeerLiveness(own_ip, state.disk_id, zone, now)
+        self.reads = QuorumReads()
+        self.voter_maintenance = VoterMaintenance(
+            own_ip, self.liveness, self.timeouts, regions, max_voters, now
+        )
+        self.register = Register(own_ip, state, store, apply, seed=seed, now=now, timeouts=self.timeouts)
+        self.register.plan_voters = self._plan_voters
+        self.now = now
+        self.next_read_at = now
+        self.last_tick_at = now
+        # The highest ballot that somebody has accepted and that is not known as chosen, and since when.
+        self.unconfirmed_ballot = NO_BALLOT
+        self.unconfirmed_since = now
 
     # What is held.
 
     @property
-    def number(self) -> int:
-        """Of the newest body known as chosen; -1 while none is known."""
-        chosen = self.register.memory.chosen
-        return chosen.value.number if chosen else -1
+    def version(self) -> int:
+        """Version of the newest body known as chosen; -1 while none is known."""
+        chosen = self.register.state.chosen
+        return chosen.value.version if chosen else -1
 
     @property
     def body(self) -> Body:
         """The newest body known as chosen (not to be changed); empty while none is known."""
-        chosen = self.register.memory.chosen
+        chosen = self.register.state.chosen
         return chosen.body if chosen else {}
 
     @property
     def value(self) -> Value | None:
         """The newest value known as chosen."""
-        chosen = self.register.memory.chosen
+        chosen = self.register.state.chosen
         return chosen.value if chosen else None
 
     @property
-    def fresh_at(self) -> int | None:
+    def confirmed_at(self) -> int | None:
         """Steady ns at which `body` was surely the newest; None: not known in this life of the process."""
-        return self.fresh
+        return self.reads.confirmed_at
 
     @property
-    def voters(self) -> set[str]:
+    def voter_ips(self) -> set[str]:
         """Ips of the machines that vote: links to them are wanted."""
-        return set(self._known.ips) if self._known else set()
+        return self._known_value.voter_ips if self._known_value else set()
 
     @property
-    def votes(self) -> bool:
-        """Does this life of this machine vote?"""
-        return self.value is not None and self.register.life in self.value.voters
+    def is_voter(self) -> bool:
+        """Whether this incarnation votes."""
+        return self.value is not None and self.register.incarnation in self.value.voters
 
     @property
-    def keeper(self) -> str:
-        """Ip of the machine that sees to the voters; empty while not known."""
-        return self.value.keeper if self.value else ""
+    def coordinator(self) -> str:
+        """Ip of the node that changes the voters; empty while not known."""
+        return self.value.coordinator if self.value else ""
 
     @property
-    def minority(self) -> bool:
-        """Are fewer up than decide? Then changes fail at once."""
-        return not self._decides()
+    def lacks_quorum(self) -> bool:
+        """Whether fewer voters than a quorum are reachable: changes fail at once then."""
+        return not self._has_reachable_quorum()
 
     @property
-    def leaving(self) -> set[str]:
-        """Machines that were told to stop, and have not started anew since."""
-        return set(self.left_at)
+    def stopping_peers(self) -> set[str]:
+        """Nodes that were told to stop, and have not started anew since."""
+        return set(self.voter_maintenance.stopping_peers)
 
     @property
-    def released(self) -> bool:
-        """May this machine, which is to stop, end for good with no vote and no duty left behind?
+    def stop_requested_at(self) -> int:
+        """When this process was told to stop; its start before."""
+        return self.voter_maintenance.stop_requested_at
 
-        True as well where nobody is there to take its place: then it stays named, as a machine that is down.
-        """
-        value, accepted = self.value, self.register.memory.accepted
+    @property
+    def safe_to_stop(self) -> bool:
+        """Whether this node, told to stop, may end with no vote and no role left behind."""
+        value = self.value
         if value is None:
             return True
-        heirs = set(self._up()) - self.leaving - {self.me}
-        if value.keeper == self.me and heirs & value.ips:
-            return False
-        if value.was or (accepted is not None and accepted.ballot > self.register.chosen_at):
-            return False  # a change is under way, and may concern this machine
-        if self.me in value.ips:
-            return not heirs - value.ips
-        # An older value may name it not, and a newer one that it has not heard of name it.
-        return not heirs or (self.fresh is not None and self.fresh >= self.stopped_at)
+        return self.voter_maintenance.safe_to_stop(
+            value,
+            change_in_flight=self.register.accepted_ballot > self.register.chosen_ballot,
+            confirmed_at=self.confirmed_at,
+            now=self.now,
+        )
 
     @property
-    def _known(self) -> Value | None:
-        """What is chosen, else what was taken: who votes, as far as is known here."""
-        accepted = self.register.memory.accepted
+    def _known_value(self) -> Value | None:
+        """The value that is chosen, else the accepted one: who votes, as far as is known here."""
+        accepted = self.register.state.accepted
         return self.value or (accepted.value if accepted else None)
 
-    def _up(self) -> dict[str, str]:
-        return self.hearing.up(self.now, self.pace.up)
-
-    def _decides(self) -> bool:
-        value = self._known
+    def _has_reachable_quorum(self) -> bool:
+        value = self._known_value
         if value is None:
             return False
-        up = self.hearing.reached(self.now, self.pace.up)
-        # Who is linked and has not told its life yet may well be the one that votes.
-        return value.quorum(
-            one for group in value.sets for one in group if one.ip in up and up[one.ip] in ("", one.life)
+        reachable = self.liveness.reachable(self.now, self.timeouts.liveness_ns)
+        # A linked node that has not given its disk id yet may well be the incarnation that votes.
+        return value.has_quorum(
+            voter
+            for group in value.voter_groups
+            for voter in group
+            if voter.ip in reachable and reachable[voter.ip] in ("", voter.disk_id)
         )
 
     # Events.
 
-    def _at(self, now: int) -> None:
-        """The time goes on. A process that stood still can't say who was silent meanwhile."""
-        if now - max(self.ticked, self.read_at) > 2 * self.pace.read:
-            self.hearing.thawed(now)
-            self.ticked = now
+    def _advance(self, now: int) -> None:
+        """Set the time. A process that was suspended can't say who was silent meanwhile."""
+        if now - max(self.last_tick_at, self.next_read_at) > 2 * self.timeouts.read_interval_ns:
+            self.liveness.resumed(now)
+            self.last_tick_at = now
         self.now = now
 
     def connected(self, ip: str, zone: str, now: int) -> None:
-        """A link to another core machine is up (after its hello)."""
-        if ip == self.me:
+        """Handle a new link to another control node (after its hello)."""
+        if ip == self.own_ip:
             return
-        self._at(now)
-        self.hearing.connected(ip, zone, now)
-        self.hearing.lives.pop(ip, None)  # its disk may be another than on the link before
-        self.left_at.pop(ip, None)
-        self.register.others = set(self.hearing.links)
-        if self.value is None or ip in self.value.ips:
-            self.read_at = min(self.read_at, now + self.pace.read // 8)
+        self._advance(now)
+        self.liveness.connected(ip, zone, now)
+        self.voter_maintenance.peer_restarted(ip)
+        self.register.observers = set(self.liveness.links)
+        if self.value is None or ip in self.value.voter_ips:
+            self._read_soon()
 
     def disconnected(self, ip: str, now: int) -> None:
-        """The last link to it is gone."""
-        self._at(now)
-        self.hearing.disconnected(ip)
-        self.register.others = set(self.hearing.links)
+        """Handle the loss of the last link to a node."""
+        self._advance(now)
+        self.liveness.disconnected(ip)
+        self.register.observers = set(self.liveness.links)
 
-    def receive(self, ip: str, message: Message, now: int) -> None:
-        """A message (`m`) of another core machine; PepperrunError, and nothing done, where it can't be meant.
+    def receive(self, ip: str, data: Any, now: int) -> None:
+        """Handle a wire message of another control node.
 
-        Kinds of a later version are passed over, so that its machines and this one can agree meanwhile.
+        Kinds of a later version are passed over, so that its nodes and this one can agree meanwhile.
+
+        Raises
+        ------
+        RemoteProtocolError
+            The message is not allowed; nothing was done.
         """
-        if not messages.known(message):
+        if not codec.is_known(data):
             return
-        made = messages.read(message)
-        if ip == self.me:
+        message = codec.decode(data)
+        if ip == self.own_ip:
             return
-        self._at(now)
-        kind = made["t"]
-        self.hearing.message(ip, made.get("l"), now)
-        if kind == "read":
-            if now - self.left_at.get(ip, now) > self.pace.up:
-                del self.left_at[ip]  # it says no more that it stops
-            self._asked(ip, made)
-        elif kind == "leave":
-            self.look |= ip not in self.left_at
-            self.left_at[ip] = now
-        elif kind == "seen":
-            self._seen(ip, made)
-        else:
-            chosen = self.register.chosen_at
-            self.register.take(ip, made, now)
-            self.look = self.register.chosen_at != chosen
-            if self.look and self.fresh is None:  # the first word of it: is that the newest?
-                self.read_at = min(self.read_at, now + self.pace.read // 8)
-        self._start()
-
-    def propose(self, op: Op, now: int, patience: int | None = None) -> int:
-        """An operator's change; the token under which its result will be told. `patience`: ns."""
-        self._at(now)
-        token = self.register.wish(op, now + (self.pace.patience if patience is None else patience))
-        self._start()
+        self._advance(now)
+        self.liveness.record_message(ip, _disk_id_of(message), now)
+        review_voters = self._dispatch(ip, message, now)
+        self._start_round_if_needed(review_voters=review_voters)
+
+    def _dispatch(self, ip: str, message: Message, now: int) -> bool:
+        """Handle a message; return whether the voters should be reviewed after it."""
+        match message:
+            case QuorumRead():
+                self.voter_maintenance.peer_reads(ip, now)
+                self._on_quorum_read(ip, message)
+                return False
+            case QuorumReadReply():
+                self._on_quorum_read_reply(ip, message)
+                return False
+            case StoppingNotice():
+                is_new = ip not in self.voter_maintenance.stopping_peers
+                self.voter_maintenance.peer_stops(ip, now)
+                return is_new
+            case _:
+                return self._on_register_message(ip, message, now)
+
+    def _on_register_message(self, ip: str, message: Message, now: int) -> bool:
+        chosen_ballot = self.register.chosen_ballot
+        self.register.receive(ip, message, now)
+        is_new = self.register.chosen_ballot != chosen_ballot
+        if is_new and self.confirmed_at is None:
+            self._read_soon()  # the first value that is known: is it the newest?
+        return is_new
+
+    def propose(self, operation: Operation, now: int, timeout_ns: int | None = None) -> int:
+        """Propose an operator's change; return the token under which its result is reported."""
+        self._advance(now)
+        timeout_ns = self.timeouts.change_ns if timeout_ns is None else timeout_ns
+        token = self.register.submit(operation, now + timeout_ns)
+        self._start_round_if_needed()
         return token
 
-    def retire(self, now: int) -> None:
-        """This process is to stop: its duty and its vote go to others. Goes on otherwise until it ends.
+    def request_stop(self, now: int) -> None:
+        """Prepare a graceful shutdown: the role and the vote of this node go to others.
 
-        It should end when it is `released`, or when its time is over.
+        The node goes on otherwise. It should end when it is `safe_to_stop`, or when its time is over.
         """
-        self._at(now)
-        self.stopping = self.look = True
-        self.stopped_at = now  # voters that answer a later read have heard of it
-        self._tell_leave()
-        self._succession(self._up())
-        self._start()
-
-    def due(self) -> int:
+        self._advance(now)
+        self.voter_maintenance.request_stop(now)
+        self._announce_stop()
+        self._review_coordinator()
+        self._start_round_if_needed(review_voters=True)
+
+    def next_tick_at(self) -> int:
         """When `tick` is to be called at the latest (steady ns)."""
-        due = self.register.due()
-        return self.read_at if due is None else min(due, self.read_at)
+        register_tick_at = self.register.next_tick_at()
+        return self.next_read_at if register_tick_at is None else min(register_tick_at, self.next_read_at)
 
     def tick(self, now: int) -> None:
-        """Does what is due."""
-        self._at(now)
-        self.ticked = now
+        """Do what is due."""
+        self._advance(now)
+        self.last_tick_at = now
         self.register.tick(now)
-        if now >= self.read_at:
-            self.read_at = now + self.pace.read
-            self._read()
-            self._succession(self._up())
-            self.look = True
-            self.register.flush(self.register.broken or now - self.register.chosen_when >= self.pace.lazy)
-        self._start()
-
-    # SharedOutcomes.
-
-    def _start(self) -> None:
-        """Begins a round where there is need of one, fails what waits where none can succeed."""
-        register, value = self.register, self.value
-        if value is not None and value.keeper == self.next_keeper:
-            self.next_keeper = ""
-        look = self.look and value is not None and (bool(self.next_keeper) or self.me == value.keeper)
-        self.look = False
-        if not (register.wishes or look or self.later > register.chosen_at):
+        reads = now >= self.next_read_at
+        if reads:
+            self.next_read_at = now + self.timeouts.read_interval_ns
+            self._start_quorum_read()
+            self._review_coordinator()
+            overdue = now - self.register.chosen_since >= self.timeouts.deferred_sync_ns
+            self.register.flush(include_deferred=self.register.disk_failed or overdue)
+        self._start_round_if_needed(review_voters=reads)
+
+    # Rounds.
+
+    def _start_round_if_needed(self, *, review_voters: bool = False) -> None:
+        """Start a round where there is need of one; fail pending changes where none can succeed."""
+        register = self.register
+        review_voters = self._may_change_voters(review_voters)
+        unconfirmed = self.unconfirmed_ballot > register.chosen_ballot
+        if not (register.pending or review_voters or unconfirmed):
             return
-        if not self._decides():
-            if register.wishes:
-                register.give_up("minority")
+        if not self._has_reachable_quorum():
+            if register.pending:
+                register.fail_pending(FailureReason.NO_QUORUM)
             return
         if register.phase is not Phase.IDLE:
             return
-        if self.later > register.chosen_at and self.now - self.later_since >= self._patience():
-            self.later_since = self.now
-        elif not register.wishes and not (look and value is not None and self._plan(value, True) != value):
+        if unconfirmed and self.now - self.unconfirmed_since >= self._completion_delay_ns():
+            self.unconfirmed_since = self.now
+        elif not register.pending and not (review_voters and self._voters_need_change()):
             return
-        register.begin(self.now)
-
-    def _patience(self) -> int:
-        """How long another may take to finish its round: their places keep voters from doing it at once."""
-        order = sorted(self.voters)
-        place = order.index(self.me) if self.me in order else len(order)
-        longest = 0 if self.fresh is None else self.pace.read  # just started: nobody's round is under way
-        return longest + place * self.pace.round // 2
-
-    def _plan(self, value: Value, known: bool) -> Value:
-        """What should be changed of who votes and who keeps."""
-        if value.was and known:
-            value = replace(value, was=())
-        if self.next_keeper and self.value is not None and self.value.keeper == value.keeper:
-            value = replace(value, keeper=self.next_keeper)
-        if value.keeper != self.me or value.was or self.stopping:
-            return value
-        up = {ip: life for ip, life in self._up().items() if ip not in self.leaving}
-        lost = {one.ip for one in value.voters if self.hearing.silence(one.ip, self.now) > self.pace.lost}
-        lost |= self.leaving
-        places = {ip: (self.regions.get(zone, ""), zone) for ip, zone in self.hearing.zones.items()}
-        voters = wanted(value, up, lost, places, self.most)
-        return value if voters == value.voters else replace(value, voters=voters, was=value.voters)
-
-    def _succession(self, up: Mapping[str, str]) -> None:
-        """Should another be the keeper? The one there is says who, or a majority finds it silent."""
-        self.next_keeper, value = "", self.value
+        register.start_round(self.now)
+
+    def _may_change_voters(self, review_voters: bool) -> bool:
+        """Whether a review is due and this node coordinates or is to."""
+        value = self.value
         if value is None:
-            return  # no chosen value, no keeper
-        order = [ip for ip in successors(value, set(up) - self.leaving) if ip != value.keeper]
-        if value.keeper == self.me:
-            if self.stopping and order:
-                self.next_keeper = order[0]
-            return
-        silence = self.hearing.silence(value.keeper, self.now)
-        if silence < self.pace.silent or self.me not in order or self.stopping:
-            return
-        if not self.hearing.agreed_silent(value, self.votes, self.now, self.pace.up):
-            return
-        if silence >= self.pace.silent + order.index(self.me) * self.pace.round * 2:
-            self.next_keeper = self.me
+            return False
+        self.voter_maintenance.coordinator_changed(value)
+        coordinates = bool(self.voter_maintenance.next_coordinator) or self.own_ip == value.coordinator
+        return review_voters and coordinates
+
+    def _voters_need_change(self) -> bool:
+        value = self.value
+        return value is not None and self._plan_voters(value, True) != value
+
+    def _completion_delay_ns(self) -> int:
+        """How long another may take to finish its round: their order keeps voters from doing it at once."""
+        order = sorted(self.voter_ips)
+        rank = order.index(self.own_ip) if self.own_ip in order else len(order)
+        # Just started: nobody's round is under way.
+        round_ns = 0 if self.confirmed_at is None else self.timeouts.read_interval_ns
+        return round_ns + rank * self.timeouts.phase_ns // 2
+
+    def _plan_voters(self, value: Value, is_chosen: bool) -> Value:
+        return self.voter_maintenance.plan(value, is_chosen=is_chosen, known=self.value, now=self.now)
+
+    def _review_coordinator(self) -> None:
+        if self.value is None:
+            self.voter_maintenance.next_coordinator = ""
+        else:
+            self.voter_maintenance.review_coordinator(self.value, is_voter=self.is_voter, now=self.now)
+
+    def _announce_stop(self) -> None:
+        """Notify all linked nodes, so that none of them names this one anew."""
+        notice = StoppingNotice(self.register.state.disk_id)
+        self.register.outbox += [OutgoingMessage(ip, notice) for ip in sorted(self.liveness.links)]
 
-    # Freshness.
+    # Quorum reads.
 
-    def _read(self) -> None:
-        """Asks the voters, or whoever there is while none is known."""
-        self.stamp += 1
-        self.readings[self.stamp] = Reading(self.now)
-        self.readings.pop(self.stamp - MOST_ASKED, None)
+    def _read_soon(self) -> None:
+        self.next_read_at = min(self.next_read_at, self.now + self.timeouts.read_interval_ns // 8)
+
+    def _start_quorum_read(self) -> None:
+        """Ask the voters, or all that are linked while no value is known."""
         register = self.register
-        ask = {"t": "read", "s": self.stamp, "c": register.chosen_at, "l": register.memory.life}
-        ips = self.voters | (self.hearing.links if self.value is None else set())
-        register.out += [(ip, ask) for ip in sorted(ips) if ip in self.hearing.links]
-        if self.stopping:
-            self._tell_leave()
-        self._weigh(self.stamp)
-
-    def _tell_leave(self) -> None:
-        """All that are linked are told, so that none of them names this machine anew."""
+        read_id = self.reads.start(self.now)
+        message = QuorumRead(read_id, register.chosen_ballot, register.state.disk_id)
+        ips = self.voter_ips | (self.liveness.links if self.value is None else set())
+        register.outbox += [OutgoingMessage(ip, message) for ip in sorted(ips) if ip in self.liveness.links]
+        if self.voter_maintenance.stopping:
+            self._announce_stop()
+        read = self.reads.get(read_id)
+        if read is not None:
+            self._evaluate_read(read)
+
+    def _on_quorum_read(self, ip: str, message: QuorumRead) -> None:
         register = self.register
-        leave = {"t": "leave", "l": register.memory.life}
-        register.out += [(ip, leave) for ip in sorted(self.hearing.links)]
-
-    def _asked(self, ip: str, message: Message) -> None:
-        register, theirs = self.register, message["c"]
-        answer: Message = {"t": "seen", "s": message["s"], "l": register.memory.life}
-        if register.broken:
-            answer["l"] = ""
-        if register.accepted_at != theirs:
-            answer["a"] = register.accepted_at
-        if register.chosen_at != theirs:
-            answer["c"] = register.chosen_at
-        if self.keeper and self.hearing.silence(self.keeper, self.now) >= self.pace.silent:
-            answer["q"] = self.keeper
-        register.out.append((ip, answer))
-        if theirs > register.chosen_at:
-            register.ask_news(ip)
-
-    def _seen(self, ip: str, message: Message) -> None:
-        register, reading = self.register, self.readings.get(message["s"])
-        if "q" in message:
-            self.hearing.opinions[ip] = Opinion(message["l"], message["q"], self.now)
-        else:
-            self.hearing.opinions.pop(ip, None)
-        if reading is None:
+        coordinator = self.coordinator
+        silent = bool(coordinator) and self.voter_maintenance.is_silent(coordinator, self.now)
+        reply = QuorumReadReply(
+            read_id=message.read_id,
+            disk_id="" if register.disk_failed else register.state.disk_id,
+            accepted_ballot=_unless_equal(register.accepted_ballot, message.chosen_ballot),
+            chosen_ballot=_unless_equal(register.chosen_ballot, message.chosen_ballot),
+            silent_coordinator=coordinator if silent else None,
+        )
+        register.outbox.append(OutgoingMessage(ip, reply))
+        if message.chosen_ballot > register.chosen_ballot:
+            register.request_catch_up(ip)
+
+    def _on_quorum_read_reply(self, ip: str, message: QuorumReadReply) -> None:
+        register = self.register
+        self._record_suspicion(ip, message)
+        read = self.reads.get(message.read_id)
+        if read is None:
             return
-        self.hearing.answer(ip, reading.sent_at)
-        if message.get("c", NONE) > register.chosen_at:
-            register.ask_news(ip)
-        # What is left out is the same as what was asked about, which this machine knows as chosen.
-        taken = message.get("a", NONE)
-        reading.taken[Life(ip, message["l"])] = taken
-        if taken > max(register.chosen_at, self.later):
-            self.later, self.later_since = taken, self.now
-        self._weigh(message["s"])
-
-    def _weigh(self, stamp: int) -> None:
-        """Have those that decide taken nothing later than what is known as chosen?"""
-        register, reading = self.register, self.readings[stamp]
-        register.learn(life for life, taken in reading.taken.items() if taken == register.accepted_at)
-        value = self.value
-        if value is None:
+        self.liveness.record_answer(ip, read.sent_at)
+        if message.chosen_ballot is not None and message.chosen_ballot > register.chosen_ballot:
+            register.request_catch_up(ip)
+        # What is left out is the same as what was asked about, which this node knows as chosen.
+        accepted_ballot = NO_BALLOT if message.accepted_ballot is None else message.accepted_ballot
+        read.accepted[Incarnation(ip, message.disk_id)] = accepted_ballot
+        self._note_unconfirmed(accepted_ballot)
+        self._evaluate_read(read)
+
+    def _record_suspicion(self, ip: str, message: QuorumReadReply) -> None:
+        if message.silent_coordinator is None:
+            self.liveness.suspicions.pop(ip, None)
+        else:
+            suspicion = Suspicion(message.disk_id, message.silent_coordinator, self.now)
+            self.liveness.suspicions[ip] = suspicion
+
+    def _note_unconfirmed(self, accepted_ballot: Ballot) -> None:
+        if accepted_ballot > max(self.register.chosen_ballot, self.unconfirmed_ballot):
+            self.unconfirmed_ballot = accepted_ballot
+            self.unconfirmed_since = self.now
+
+    def _evaluate_read(self, read: QuorumReadRound) -> None:
+        """Learn from the replies so far what is chosen, and whether that is the newest."""
+        register = self.register
+        register.learn_accepted_by(read.accepted_exactly(register.accepted_ballot))
+        if self.value is None:
             return
-        if register.accepted_at > max(register.chosen_at, self.later):
-            self.later, self.later_since = register.accepted_at, self.now
-        clean = [life for life, taken in reading.taken.items() if taken <= register.chosen_at]
-        if register.accepted_at <= register.chosen_at and not register.broken:
-            clean.append(register.life)
-        if value.quorum(clean) and (self.fresh is None or reading.sent_at > self.fresh):
-            self.fresh = reading.sent_at
-
-    # What is to be done. Each syncs first what it rests on.
-
-    def take_out(self) -> list[tuple[str, Message]]:
-        """Messages with the ips they go to."""
+        self._note_unconfirmed(register.accepted_ballot)
+        unchanged_at = read.accepted_at_most(register.chosen_ballot)
+        if register.accepted_ballot <= register.chosen_ballot and not register.disk_failed:
+            unchanged_at.append(register.incarnation)
+        self.reads.confirm(read, self.value, unchanged_at)
+
+    # What is taken out. Each call first syncs what it rests on.
+
+    def take_messages(self) -> list[tuple[str, WireMessage]]:
+        """Return wire messages with the ips they go to."""
         self._flush()
-        out, self.register.out = self.register.out, []
-        return out
+        outbox = self.register.outbox
+        self.register.outbox = []
+        return [(outgoing.ip, codec.encode(outgoing.message)) for outgoing in outbox]
 
-    def take_results(self) -> list[Result]:
-        """What became of changes."""
+    def take_results(self) -> list[ChangeResult]:
+        """Return what became of changes."""
         self._flush()
-        results, self.register.results = self.register.results, []
+        results = self.register.results
+        self.register.results = []
         return results
 
-    def take_changes(self) -> list[Change]:
-        """How `body` went on, in order."""
+    def take_changes(self) -> list[BodyChange]:
+        """Return how `body` changed, in order."""
         self._flush()
-        changes, self.register.changes = self.register.changes, []
+        changes = self.register.changes
+        self.register.changes = []
         return changes
 
     def _flush(self) -> None:
-        """Syncs; where that ends a round of its own, what waits goes on."""
-        self.register.flush()
-        while self.register.wishes and self.register.phase is Phase.IDLE and not self.minority:
-            self._start()
-            self.register.flush()
+        """Sync; where that ends a round of this node, pending changes go on."""
+        register = self.register
+        register.flush()
+        while register.pending and register.phase is Phase.IDLE and not self.lacks_quorum:
+            self._start_round_if_needed()
+            register.flush()
+
+
+def _unless_equal(ballot: Ballot, asked: Ballot) -> Ballot | None:
+    """A ballot of a reply, left out where it is the one that was asked about."""
+    return None if ballot == asked else ballot
--- a/pepperrun/consensus/voter_selection.py
+++ b/pepperrun/consensus/voter_selection.py
@@ -4,71 +4,97 @@
 
 from collections import Counter
 from collections.abc import Mapping, Set
+from typing import NamedTuple
 
-from pepperrun.consensus.values import Life, Value
+from pepperrun.consensus.state import Incarnation, Value
 
 
-def wanted(
-    value: Value, up: Mapping[str, str], lost: Set[str], places: Mapping[str, tuple[str, str]], most: int
-) -> tuple[Life, ...]:
-    """The voters as they should be, those of `value` where nothing is to be bettered.
+class FailureDomain(NamedTuple):
+    """Region and zone of a machine; both empty while not known."""
 
-    `up`: life by ip, empty while it has not told; `lost`: voters that have been silent for long; `places`:
-    region and zone by ip; `most`: voters at most. A machine with an empty disk comes in for its life before.
-    There are never fewer than before: who is lost stays named until another is there.
+    region: str
+    zone: str
+
+
+UNKNOWN_DOMAIN = FailureDomain("", "")
+
+Domains = Mapping[str, FailureDomain]  # by ip
+DiskIds = dict[str, str]  # by ip; empty while the machine has not given it
+
+
+def select_voters(
+    value: Value, alive: Mapping[str, str], lost: Set[str], domains: Domains, max_voters: int
+) -> tuple[Incarnation, ...]:
+    """Return the voters as they should be: those of `value`, the same object, where nothing is to be changed.
+
+    There are never fewer than before: a lost voter stays named until another machine is there. A machine with
+    an empty disk comes in for its former incarnation.
+
+    Parameters
+    ----------
+    alive : mapping of str to str
+        Disk id by ip, empty while not known.
+    lost : set of str
+        Ips of voters without a message for long.
+    max_voters : int
+        Odd.
     """
-    voters = {one.ip: one.life for one in value.voters}
-    stay = {ip: up.get(ip) or life for ip, life in voters.items() if ip in up or ip not in lost}
-    gone = {ip: life for ip, life in voters.items() if ip not in stay}
-    spare = {ip: life for ip, life in up.items() if life and ip not in voters}
-    size = max(len(voters), _odd(min(most, len(stay) + len(spare))))
+    voters = {voter.ip: voter.disk_id for voter in value.voters}
+    stay = {ip: alive.get(ip) or disk_id for ip, disk_id in voters.items() if ip in alive or ip not in lost}
+    gone = {ip: disk_id for ip, disk_id in voters.items() if ip not in stay}
+    spare = {ip: disk_id for ip, disk_id in alive.items() if disk_id and ip not in voters}
+    size = max(len(voters), _round_down_to_odd(min(max_voters, len(stay) + len(spare))))
     while len(stay) < size and spare:
-        ip = _emptiest(spare, stay, places)
+        ip = _least_crowded(spare, stay, domains)
         stay[ip] = spare.pop(ip)
     for ip in sorted(gone)[: size - len(stay)]:
         stay[ip] = gone[ip]
-    _even(stay, spare, value.keeper, places)
-    made = tuple(Life(ip, stay[ip]) for ip in sorted(stay))
-    return value.voters if set(made) == set(value.voters) else made
+    _balance_regions(stay, spare, value.coordinator, domains)
+    selected = tuple(Incarnation(ip, stay[ip]) for ip in sorted(stay))
+    return value.voters if set(selected) == set(value.voters) else selected
 
 
-def _odd(number: int) -> int:
+def _round_down_to_odd(count: int) -> int:
     """An even number of voters bears no more losses than one less."""
-    return number if number % 2 else number - 1
+    return count if count % 2 else count - 1
+
+
+def _domain(ip: str, domains: Domains) -> FailureDomain:
+    return domains.get(ip, UNKNOWN_DOMAIN)
 
 
-def _emptiest(
-    spare: Mapping[str, str], stay: Mapping[str, str], places: Mapping[str, tuple[str, str]]
-) -> str:
-    """The machine whose region, then whose zone, has the fewest voters."""
-    regions = Counter(places.get(ip, ("", ""))[0] for ip in stay)
-    zones = Counter(places.get(ip, ("", "")) for ip in stay)
-    return min(spare, key=lambda ip: (regions[_region(ip, places)], zones[places.get(ip, ("", ""))], ip))
+def _least_crowded(spare: Mapping[str, str], stay: Mapping[str, str], domains: Domains) -> str:
+    """Return the spare machine whose region, then whose zone, has the fewest voters."""
+    regions = Counter(_domain(ip, domains).region for ip in stay)
+    zones = Counter(_domain(ip, domains) for ip in stay)
 
+    def crowding(ip: str) -> tuple[int, int, str]:
+        domain = _domain(ip, domains)
+        return regions[domain.region], zones[domain], ip
 
-def _region(ip: str, places: Mapping[str, tuple[str, str]]) -> str:
-    return places.get(ip, ("", ""))[0]
+    return min(spare, key=crowding)
 
 
-def _even(
-    stay: dict[str, str], spare: Mapping[str, str], keeper: str, places: Mapping[str, tuple[str, str]]
-) -> None:
-    """No region that may be lost should hold a majority: one of its voters gives its place away."""
-    regions = Counter(_region(ip, places) for ip in stay)
-    full, count = regions.most_common(1)[0]
+def _balance_regions(stay: DiskIds, spare: Mapping[str, str], coordinator: str, domains: Domains) -> None:
+    """Move one voter out of a region that holds a majority, so that the loss of a region can be borne."""
+    regions = Counter(_domain(ip, domains).region for ip in stay)
+    fullest, count = regions.most_common(1)[0]
     if 2 * count <= len(stay):
         return
-    # Two regions alone can't be made even: then it would only be the other's majority, and so on for ever.
-    elsewhere = {ip: life for ip, life in spare.items() if regions[_region(ip, places)] + 1 < count}
-    out = [ip for ip in stay if _region(ip, places) == full and ip != keeper]
-    if elsewhere and out:
-        del stay[max(out)]
-        comes = _emptiest(elsewhere, stay, places)
-        stay[comes] = elsewhere[comes]
-
-
-def successors(value: Value, up: Set[str]) -> list[str]:
-    """Machines that vote and are up, in the order in which they follow the keeper."""
-    ips = sorted({one.ip for one in value.voters})
-    after = [ip for ip in ips if ip > value.keeper] + [ip for ip in ips if ip < value.keeper]
-    return [ip for ip in after if ip in up]
+    # Two regions alone can't be balanced: the other one would hold the majority then, and so on for ever.
+    elsewhere = {
+        ip: disk_id for ip, disk_id in spare.items() if regions[_domain(ip, domains).region] + 1 < count
+    }
+    movable = [ip for ip in stay if _domain(ip, domains).region == fullest and ip != coordinator]
+    if elsewhere and movable:
+        del stay[max(movable)]
+        incoming = _least_crowded(elsewhere, stay, domains)
+        stay[incoming] = elsewhere[incoming]
+
+
+def successors(value: Value, alive: Set[str]) -> list[str]:
+    """Return the ips of voters that are alive, in the order in which they succeed the coordinator."""
+    ips = sorted({voter.ip for voter in value.voters})
+    after = [ip for ip in ips if ip > value.coordinator]
+    before = [ip for ip in ips if ip < value.coordinator]
+    return [ip for ip in after + before if ip in alive]
--- a/pepperrun/control/cells.py
+++ b/pepperrun/control/cells.py
@@ -18,9 +18,9 @@
 
 from pepperrun.control.records import BOARDING, GONE, LOST, READY, UNLOADING, GatewayRecord, Worker
 from pepperrun.control.vouching import Vouching
-from pepperrun.foundation.netstring import Message
 from pepperrun.distribution import repair
 from pepperrun.distribution.digests import Record, Sums, newer, record_id
+from pepperrun.foundation.netstring import Message
 
 MS = 1_000_000
 SECOND = 1000 * MS
--- a/pepperrun/control/changes.py
+++ b/pepperrun/control/changes.py
@@ -17,6 +17,7 @@
 
 from typing import Any
 
+from pepperrun.consensus.state import Evaluation
 from pepperrun.control import evacuations, taken_orders
 from pepperrun.control.taken_orders import Known
 from pepperrun.control.validation import KINDS, Op, check_lines, check_stamps, refusal, table
@@ -38,35 +39,41 @@
     return {"do": "evacuate", "zone": zone, "begin": begin} | ({} if count is None else {"count": count})
 
 
-def apply(state: State | None, op: Op) -> tuple[State | None, Verdict]:
+def apply(state: State | None, op: Op) -> Evaluation:
     """The state after an operation, None where it stays as it is, and the verdict."""
     state = state or EMPTY
     if op["do"] == "evacuate":
         return evacuations.apply_order(state, op)
     if op["do"] == "seats":
         if op["instead"] != state.get("seats", 0) or op["count"] == op["instead"]:
-            return None, [412, "Another number of gatekeepers is held."]
-        return state | {"seats": op["count"]}, [200, f"{op['count']} gatekeepers are there."]
+            return Evaluation(None, [412, "Another number of gatekeepers is held."])
+        return Evaluation(state | {"seats": op["count"]}, [200, f"{op['count']} gatekeepers are there."])
     if op["do"] == "keepers":
         term = (state.get("keepers") or {}).get("term", 0)
         if op["instead"] != term:
-            return None, [412, "Other lists of keepers are held."]
-        return state | {"keepers": {"term": term + 1, "places": op["places"]}}, [200, "Keepers are listed."]
+            return Evaluation(None, [412, "Other lists of keepers are held."])
+        return Evaluation(
+            state | {"keepers": {"term": term + 1, "places": op["places"]}}, [200, "Keepers are listed."]
+        )
     if op["do"] == "settled":
         listed = state.get("keepers") or {}
         if op["term"] != listed.get("term") or listed.get("settled"):
-            return None, [412, "Other lists of keepers are held, or these are settled."]
-        return state | {"keepers": listed | {"settled": True}}, [200, "Keepers are settled."]
+            return Evaluation(None, [412, "Other lists of keepers are held, or these are settled."])
+        return Evaluation(state | {"keepers": listed | {"settled": True}}, [200, "Keepers are settled."])
     if op["do"] not in ("replace", "amend"):
-        return None, [400, "This operation is of a later version."]  # who learns of it asks for the whole
+        return Evaluation(
+            None, [400, "This operation is of a later version."]
+        )  # who learns of it asks for the whole
     # A repeat is known as one before anything of it is judged: what was taken once is refused for nothing.
     known = taken_orders.known(state, op)
     if known is Known.TAKEN:
-        return None, [200, f"Edition {op['edition']} has been taken already."]
+        return Evaluation(None, [200, f"Edition {op['edition']} has been taken already."])
     if known is Known.UNKNOWN:
-        return None, [503, f"Too long ago to be known: edition {state['edition']} is current.", "too-old"]
+        return Evaluation(
+            None, [503, f"Too long ago to be known: edition {state['edition']} is current.", "too-old"]
+        )
     if op["on"] != state["edition"]:
-        return None, [412, f"Edition {state['edition']} is current, not {op['on']}."]
+        return Evaluation(None, [412, f"Edition {state['edition']} is current, not {op['on']}."])
     try:
         if op["edition"] <= state["edition"]:
             raise refusal(
@@ -74,17 +81,17 @@
             )
         new = _replace(op) if op["do"] == "replace" else _amend(state, op)
     except PepperrunError as error:
-        return None, [400, error.detail, error.code]
+        return Evaluation(None, [400, error.detail, error.code])
     new["edition"], new["evacuated"] = op["edition"], state["evacuated"]
     new |= {key: state[key] for key in CARRIED if key in state}
     new.pop("older", None)
-    return new | taken_orders.remember(state, op), [200, f"Edition {op['edition']} is taken."]
+    return Evaluation(new | taken_orders.remember(state, op), [200, f"Edition {op['edition']} is taken."])
 
 
-def apply_at_gateway(state: State | None, op: Op) -> tuple[State | None, Verdict]:
+def apply_at_gateway(state: State | None, op: Op) -> Evaluation:
     """As `apply`, of the part of the state that gatekeepers hold."""
     new, verdict = apply(state, op)
-    return taken_orders.without_older(new) if new is not None else None, verdict
+    return Evaluation(taken_orders.without_older(new) if new is not None else None, verdict)
 
 
 def lean(state: State | None, op: Op) -> Op:
--- a/pepperrun/control/evacuations.py
+++ b/pepperrun/control/evacuations.py
@@ -18,10 +18,10 @@
 from dataclasses import asdict, dataclass, field, replace
 from typing import Any
 
+from pepperrun.consensus.state import Evaluation
 from pepperrun.control.validation import Op
 
 State = dict[str, Any]
-Outcome = tuple[State | None, list[Any]]  # the state after an operation or None, and the verdict
 
 MS = 1_000_000
 SECOND = 1000 * MS
@@ -54,7 +54,7 @@
         return self.begun if begin else self.finished
 
 
-def apply_order(state: State, op: Op) -> Outcome:
+def apply_order(state: State, op: Op) -> Evaluation:
     """What an `evacuate` operation makes of the agreed state. Pure.
 
     `zone`, `begin`; `call`: id of this one proposal, as a proposal may be judged twice; `sure`: by the clock
@@ -67,32 +67,32 @@
     if "call" not in op:
         return _apply_count(state, op)
     if op["call"] in orders.calls:
-        return None, [200, f"Zone {zone} is {'evacuated' if standing else 'in use'} already."]
+        return Evaluation(None, [200, f"Zone {zone} is {'evacuated' if standing else 'in use'} already."])
     if "lapse" in op:
         if op["lapse"] != [orders.begun, orders.finished] or not 0 < standing <= orders.doubted:
-            return None, [412, f"Orders for zone {zone} have come meanwhile."]
-        return _changed(state, op, orders, 0, 0), [200, f"Zone {zone} is in use again."]
+            return Evaluation(None, [412, f"Orders for zone {zone} have come meanwhile."])
+        return Evaluation(_changed(state, op, orders, 0, 0), [200, f"Zone {zone} is in use again."])
     sure = op["sure"] and op["seen"] == orders.serial(op["begin"])
     if op["begin"]:
         return _begin(state, op, orders, sure)
     return _finish(state, op, orders, sure)
 
 
-def _begin(state: State, op: Op, orders: ZoneOrders, sure: bool) -> Outcome:
+def _begin(state: State, op: Op, orders: ZoneOrders, sure: bool) -> Evaluation:
     zone, standing = op["zone"], state["evacuated"].count(op["zone"])
     # One doubted order covers all repeats; where only doubted ones stand, another keeps them from lapsing.
     counts = sure or orders.doubted in (0, standing)
     if standing >= MOST or not counts:
-        return None, [200, f"Zone {zone} is evacuated already."]
+        return Evaluation(None, [200, f"Zone {zone} is evacuated already."])
     doubted = orders.doubted + (0 if sure or orders.doubted or not standing else 1)
     new = _changed(state, op, orders, standing + 1, doubted)
-    return new, [200, f"Zone {zone} is evacuated{' already' if standing and not sure else ''}."]
+    return Evaluation(new, [200, f"Zone {zone} is evacuated{' already' if standing and not sure else ''}."])
 
 
-def _finish(state: State, op: Op, orders: ZoneOrders, sure: bool) -> Outcome:
+def _finish(state: State, op: Op, orders: ZoneOrders, sure: bool) -> Evaluation:
     zone, standing = op["zone"], state["evacuated"].count(op["zone"])
     if not standing:
-        return None, [200, f"Zone {zone} is in use already."]
+        return Evaluation(None, [200, f"Zone {zone} is in use already."])
     after = standing - 1 if sure else standing
     doubted = min(after, orders.doubted + (0 if sure else 1))
     said = "in use again"
@@ -100,21 +100,21 @@
         said = "still evacuated by another order" + (", or in use soon" if doubted == after else "")
     verdict = [200, f"Zone {zone} is {said}."]
     if not sure and doubted == orders.doubted:
-        return None, verdict
-    return _changed(state, op, orders, after, doubted), verdict
+        return Evaluation(None, verdict)
+    return Evaluation(_changed(state, op, orders, after, doubted), verdict)
 
 
-def _apply_count(state: State, op: Op) -> Outcome:
+def _apply_count(state: State, op: Op) -> Evaluation:
     """An operation of a version that knows only how many orders stand."""
     zone, begin, standing = op["zone"], op["begin"], state["evacuated"].count(op["zone"])
     count = op.get("count", max(1, standing) if begin else 0)
     if (standing >= count) if begin else (standing <= count):
-        return None, [200, f"Zone {zone} is {'evacuated' if standing else 'in use'} already."]
+        return Evaluation(None, [200, f"Zone {zone} is {'evacuated' if standing else 'in use'} already."])
     after = standing + 1 if begin else standing - 1
     orders = ZoneOrders.of(state, zone)
     said = "evacuated" if begin else "still evacuated by another order" if after else "in use again"
     new = _changed(state, op, orders, after, min(after, orders.doubted))
-    return new, [200, f"Zone {zone} is {said}."]
+    return Evaluation(new, [200, f"Zone {zone} is {said}."])
 
 
 def _changed(state: State, op: Op, orders: ZoneOrders, standing: int, doubted: int) -> State:
--- a/pepperrun/control/handlers.py
+++ b/pepperrun/control/handlers.py
@@ -9,10 +9,10 @@
 
 from pepperrun.control.cells import Beat, Cells
 from pepperrun.control.changes import Verdict, evacuation, written
-from pepperrun.control.validation import Op, parse, read_amend, read_replace, refusal
 from pepperrun.control.directory import choose
 from pepperrun.control.matchers import Answer, Call, Matcher, any_of, at, does, each, header, method
 from pepperrun.control.records import BOARDING, UNLOADING
+from pepperrun.control.validation import Op, parse, read_amend, read_replace, refusal
 from pepperrun.foundation.errors import PepperrunError
 from pepperrun.foundation.logs import event
 from pepperrun.foundation.settings import Settings
--- a/pepperrun/control/hub.py
+++ b/pepperrun/control/hub.py
@@ -10,23 +10,24 @@
 from collections.abc import Callable, Mapping
 from typing import Any
 
+from pepperrun.consensus.learner import BodyChange
+from pepperrun.consensus.replica import Replica
+from pepperrun.consensus.state import DurableState, StateStore
 from pepperrun.control.cells import Cells
 from pepperrun.control.changes import Verdict, apply, lean
-from pepperrun.control.validation import Op
 from pepperrun.control.evacuations import Evacuations
-from pepperrun.control.mesh import CORE, Mesh
-from pepperrun.control.records import GatewayRecord, Worker
-from pepperrun.control.quota_placement import QuotaPlacement
 from pepperrun.control.gateway_count import Seats
 from pepperrun.control.inspection import shown
+from pepperrun.control.mesh import CORE, Mesh
+from pepperrun.control.quota_placement import QuotaPlacement
+from pepperrun.control.records import GatewayRecord, Worker
+from pepperrun.control.validation import Op
+from pepperrun.distribution.digests import Sums
+from pepperrun.distribution.publisher import Publisher
 from pepperrun.foundation.link import OPERATOR, Link
 from pepperrun.foundation.logs import event
 from pepperrun.foundation.netstring import Message, encode
 from pepperrun.foundation.settings import Settings
-from pepperrun.consensus.replica import Change, Replica
-from pepperrun.consensus.values import Memory, Store
-from pepperrun.distribution.digests import Sums
-from pepperrun.distribution.publisher import Publisher
 
 MS = 1_000_000
 WATCH = 100 * MS  # between two counts of who is up: that needs 1,200 ms of silence (`consensus.voter.Pace`)
@@ -39,8 +40,8 @@
     def __init__(
         self,
         settings: Settings,
-        memory: Memory,
-        store: Store,
+        memory: DurableState,
+        store: StateStore,
         life: int,
         clock: Callable[[], int] = time.monotonic_ns,
     ) -> None:
@@ -52,7 +53,7 @@
             *(me.ip, memory, store, apply),
             zone=me.zone,
             regions=settings.network.zones,
-            most=2 * losses(settings) + 1,
+            max_voters=2 * losses(settings) + 1,
             seed=life,
             now=now,
         )
@@ -75,14 +76,14 @@
 
     def start(self) -> None:
         """Looks for the others."""
-        self.mesh.want(self.contacts | self.replica.voters, self.now())
+        self.mesh.want(self.contacts | self.replica.voter_ips, self.now())
         self.after()
 
     def resettle(self, settings: Settings) -> None:
         """The settings file has changed."""
         self.settings = settings
         self.contacts = {ip for ip, _ in settings.contacts()}
-        self.mesh.want(self.contacts | self.replica.voters, self.now())
+        self.mesh.want(self.contacts | self.replica.voter_ips, self.now())
 
     def hello(self) -> Message:
         """How this machine begins a link."""
@@ -151,7 +152,7 @@
 
     @property
     def number(self) -> int:
-        return max(0, self.replica.number)
+        return max(0, self.replica.version)
 
     @property
     def state(self) -> dict[str, Any] | None:
@@ -174,7 +175,7 @@
         return [[self.settings.me.ip, self.settings.me.zone], *self.mesh.cores()]
 
     def age_ms(self, now: int) -> float | None:
-        at = self.replica.fresh_at
+        at = self.replica.confirmed_at
         return None if at is None else max(0.0, (now - at) / MS)
 
     def beat(self, gateway: GatewayRecord, now: int) -> None:
@@ -187,11 +188,11 @@
 
     def minority(self) -> bool:
         """Is it not linked with a majority of those that decide?"""
-        return self.replica.minority
+        return self.replica.lacks_quorum
 
     def voters(self) -> int:
         """How many decide."""
-        return len(self.replica.voters)
+        return len(self.replica.voter_ips)
 
     def held(self, token: int) -> asyncio.Future[None]:
         """Done once enough core machines hold what the cells gave this token for."""
@@ -218,7 +219,7 @@
     def call_id(self) -> str:
         """Of one proposal of one start of one process."""
         self.calls += 1
-        return f"{self.replica.register.by}/{self.calls}"
+        return f"{self.replica.register.proposer_id}/{self.calls}"
 
     def fresh(self) -> asyncio.Future[None]:
         """Done once the held configuration is known to be at least as new as this call."""
@@ -257,7 +258,7 @@
         try:
             now = self.now()
             self.watch(now)
-            self.send(self.replica.take_out(), "queen")
+            self.send(self.replica.take_messages(), "queen")
             for change in self.replica.take_changes():
                 self.changed(change, now)
             for result in self.replica.take_results():
@@ -273,7 +274,7 @@
                 if wait is not None and not wait.done():
                     wait.set_result(None)
             if self.readers:
-                self.release(self.replica.fresh_at)
+                self.release(self.replica.confirmed_at)
         finally:
             self.inside = False
         self.set_timer()
@@ -283,7 +284,7 @@
         if now < self.watch_at:
             return
         self.watch_at = now + WATCH
-        alone = self.replica.minority
+        alone = self.replica.lacks_quorum
         if alone != self.alone:
             self.alone = alone
             event("majority", linked=int(not alone))
@@ -305,24 +306,24 @@
                 last, frame = message, encode({"k": kind, "m": message} if kind else message)
             self.mesh.write(ip, frame)
 
-    def changed(self, change: Change, now: int) -> None:
+    def changed(self, change: BodyChange, now: int) -> None:
         """The agreed state went on."""
         held = list(self.replica.body.get("evacuated", ()))
         for zone in set(self.evacuated) - set(held):
             self.cells.doubt(zone, now)
-        self.evacuations.note(self.replica.body, now, at_once=change.op is not None)
+        self.evacuations.note(self.replica.body, now, at_once=change.operation is not None)
         self.evacuated = held
-        known = (change.base, change.op) if change.op is not None else None
-        what = _told(change.op) if change.op is not None else {}
-        event("agreed", number=change.number, edition=self.replica.body.get("edition", 0), **what)
+        known = (change.base_version, change.operation) if change.operation is not None else None
+        what = _told(change.operation) if change.operation is not None else {}
+        event("agreed", number=change.version, edition=self.replica.body.get("edition", 0), **what)
         self.publisher.agreed(known, now)
-        wanted = self.contacts | self.replica.voters
+        wanted = self.contacts | self.replica.voter_ips
         if wanted - {self.settings.me.ip} != self.mesh.wanted:
             self.mesh.want(wanted, now)
 
     def set_timer(self) -> None:
         """One timer, for what is due first."""
-        due = min(self.replica.due(), self.cells.due())
+        due = min(self.replica.next_tick_at(), self.cells.due())
         if self.publish_at:
             due = min(due, self.publish_at)
         if self.timer is not None:
@@ -336,12 +337,12 @@
         """Something is due."""
         self.timer = None
         now = self.now()
-        if now >= self.replica.due():
+        if now >= self.replica.next_tick_at():
             self.replica.tick(now)
         if now >= self.cells.due():
             self.cells.tick(now)
             self.mesh.turn(now, tidy=True)
-            if self.replica.keeper == self.settings.me.ip and not self.replica.minority:
+            if self.replica.coordinator == self.settings.me.ip and not self.replica.lacks_quorum:
                 gateways, body, last = self.cells.gateways.values(), self.body(), self.cells.vouching.last
                 op = self.seats.wanted(gateways, body, now) or self.quota_placement.wanted(
                     gateways,
@@ -364,7 +365,7 @@
     def retire(self) -> None:
         """This process is to stop: its duty goes to another, the others are told."""
         self.retiring = True
-        self.replica.retire(self.now())
+        self.replica.request_stop(self.now())
         for ip, _ in self.mesh.cores():
             self.mesh.send(ip, {"k": "bye"})
         self.after()
--- a/pepperrun/control/inspection.py
+++ b/pepperrun/control/inspection.py
@@ -34,15 +34,17 @@
 def shown(core: CoreMachine, now: int) -> Message:
     """The answer to `show`: ages in ms, addresses as the settings have them. Nothing secret is in it."""
     me, replica, body = core.settings.me, core.replica, core.replica.body
-    value, memory, age = replica.value, replica.register.memory, core.age_ms(now)
+    value, memory, age = replica.value, replica.register.state, core.age_ms(now)
     return {
         **{"k": "shown", "class": "sorting", "station": me.station, "ip": me.ip, "zone": me.zone},
-        **{"region": me.region, "starts": core.life, "life": memory.life, "votes": replica.votes},
-        **{"number": replica.number, "edition": body.get("edition", 0), "seats": body.get("seats", 0)},
-        **{"age_ms": None if age is None else round(age), "majority": not replica.minority},
+        **{"region": me.region, "starts": core.life, "life": memory.disk_id, "votes": replica.is_voter},
+        **{"number": replica.version, "edition": body.get("edition", 0), "seats": body.get("seats", 0)},
+        **{"age_ms": None if age is None else round(age), "majority": not replica.lacks_quorum},
         "voters": [list(one) for one in value.voters] if value else [],
-        "leaving_voters": [list(one) for one in value.was if one not in value.voters] if value else [],
-        **{"keeper": replica.keeper, "stopping": core.retiring, "peers": core.mesh.cores()},
+        "leaving_voters": [list(one) for one in value.outgoing_voters if one not in value.voters]
+        if value
+        else [],
+        **{"keeper": replica.coordinator, "stopping": core.retiring, "peers": core.mesh.cores()},
         **{"evacuated": sorted(body.get("evacuated", ())), "cells": _cells(core, now)},
         "children": [
             {"station": port.name, "number": peer.number}
--- a/pepperrun/control_node.py
+++ b/pepperrun/control_node.py
@@ -9,13 +9,13 @@
 import signal
 import sys
 
+from pepperrun.consensus.state import DurableState, InMemoryStore, StateStore
 from pepperrun.control.handlers import Control
 from pepperrun.control.hub import Hub
 from pepperrun.control.server import Server
 from pepperrun.foundation import link, logs
 from pepperrun.foundation.errors import PepperrunError
 from pepperrun.foundation.settings import Settings, load
-from pepperrun.consensus.values import Memory, RamStore, Store
 from pepperrun.storage.store import DiskStore
 
 LOOK_S = 2.0  # between two looks whether the settings file has changed
@@ -77,7 +77,7 @@
         """Until nothing that the other core machines need rests on this one, or the time for it is over."""
         looks = int(HANDED_OVER_S / RELEASED_EACH_S)
         for _ in range(looks):
-            if self.hub.replica.released:
+            if self.hub.replica.safe_to_stop:
                 return
             await asyncio.sleep(RELEASED_EACH_S)
         logs.event("not-released", station=self.settings.me.station)
@@ -93,12 +93,12 @@
         self.hub.resettle(self.settings)
 
 
-def remembered(settings: Settings) -> tuple[Memory, Store]:
+def remembered(settings: Settings) -> tuple[DurableState, StateStore]:
     """What the disk remembers, and where to keep more; without a disk nothing outlives the process."""
     me = settings.me
     contacts = [ip for ip, _ in settings.contacts()] if me.first_run else []
     if me.store_dir is None:
-        return Memory(secrets.token_hex(8)), RamStore()
+        return DurableState(secrets.token_hex(8)), InMemoryStore()
     disk = DiskStore(me.store_dir, me.limits.disk_mb)
     return disk.begin(me.station, me.ip, contacts), disk
 
--- a/pepperrun/core/gateway.py
+++ b/pepperrun/core/gateway.py
@@ -12,11 +12,28 @@
 from pepperrun.core.clock import SECOND, Bucket, Seldom
 from pepperrun.core.escrow import short, spend, starved
 from pepperrun.core.fleet import NEWS_FOR
-from pepperrun.core.interface import AttemptEnded, BackendList, BackendState, Cancel, ClientLeft, Fail, Gate
-from pepperrun.core.interface import ListKind, Log, Outcome, PeerMessage, Refuse, Request, Send, Settings
-from pepperrun.core.interface import StreamStarted, TellPeer, Watch
-from pepperrun.core.quotas import TELL_EACH, Quotas
+from pepperrun.core.interface import (
+    AttemptEnded,
+    BackendList,
+    BackendState,
+    Cancel,
+    ClientLeft,
+    Fail,
+    Gate,
+    ListKind,
+    Log,
+    Outcome,
+    PeerMessage,
+    Refuse,
+    Request,
+    Send,
+    Settings,
+    StreamStarted,
+    TellPeer,
+    Watch,
+)
 from pepperrun.core.lanes import Lane
+from pepperrun.core.quotas import TELL_EACH, Quotas
 from pepperrun.core.state import Attempt, Server
 from pepperrun.core.turns import Held
 
--- a/pepperrun/dataplane/gate.py
+++ b/pepperrun/dataplane/gate.py
@@ -9,10 +9,10 @@
 from collections.abc import Callable
 
 from pepperrun.dataplane.cold import ColdShares
-from pepperrun.dataplane.workers import WorkerTable
-from pepperrun.dataplane.numbering import MS
 from pepperrun.dataplane.ejection import OutlierEjection
+from pepperrun.dataplane.numbering import MS
 from pepperrun.dataplane.routes import Lot, Table
+from pepperrun.dataplane.workers import WorkerTable
 from pepperrun.foundation.settings import Bounds
 
 SPARE_MS = 500  # before a removed key's time is over nothing is sent with a key
--- a/pepperrun/dataplane/inspection.py
+++ b/pepperrun/dataplane/inspection.py
@@ -9,10 +9,10 @@
 from pepperrun.control.records import BOARDING, GatewayRecord
 from pepperrun.core.clock import Bucket
 from pepperrun.dataplane.plane import Plane
-from pepperrun.foundation.netstring import Message
-from pepperrun.membership.gateway_probe_service import GatewayProbes
 from pepperrun.distribution.service import Subscriber
 from pepperrun.distribution.tree import parents
+from pepperrun.foundation.netstring import Message
+from pepperrun.membership.gateway_probe_service import GatewayProbes
 
 MS = 1_000_000
 DEEPEST = 64  # steps: more than any tree has
--- a/pepperrun/dataplane/outcomes.py
+++ b/pepperrun/dataplane/outcomes.py
@@ -15,11 +15,11 @@
 
 from pepperrun.control.records import BOARDING, READY, STARTING, GatewayRecord
 from pepperrun.core.interface import Outcome
-from pepperrun.exchange import Exchange
-from pepperrun.dataplane.workers import WorkerTable
-from pepperrun.dataplane.peer_messages import HEAD, PeerMessages
-from pepperrun.dataplane.numbering import MS, number_of
 from pepperrun.dataplane.ejection import Chart, Count, OutlierEjection
+from pepperrun.dataplane.numbering import MS, number_of
+from pepperrun.dataplane.peer_messages import HEAD, PeerMessages
+from pepperrun.dataplane.workers import WorkerTable
+from pepperrun.exchange import Exchange
 from pepperrun.foundation.logs import event
 from pepperrun.foundation.settings import Address
 from pepperrun.net.server_side import Ended, ServerSide
--- a/pepperrun/dataplane/plane.py
+++ b/pepperrun/dataplane/plane.py
@@ -13,15 +13,15 @@
 from pepperrun.core.quota_keepers import ABSENT, QuotaKeepers
 from pepperrun.core.standing import Standing
 from pepperrun.dataplane.cold import ColdShares
-from pepperrun.dataplane.workers import WorkerTable
 from pepperrun.dataplane.front import Front, FrontListener
 from pepperrun.dataplane.gate import Gate
-from pepperrun.dataplane.peer_messages import PeerMessages, Peers
 from pepperrun.dataplane.numbering import MS, Ledger
 from pepperrun.dataplane.outcomes import SharedOutcomes
+from pepperrun.dataplane.peer_messages import PeerMessages, Peers
 from pepperrun.dataplane.routes import Table
 from pepperrun.dataplane.trace import Trace
 from pepperrun.dataplane.wire import WorkerWire
+from pepperrun.dataplane.workers import WorkerTable
 from pepperrun.foundation.logs import event
 from pepperrun.foundation.settings import Settings
 from pepperrun.gatekeeper import Gatekeeper
--- a/pepperrun/dataplane/routes.py
+++ b/pepperrun/dataplane/routes.py
@@ -6,8 +6,8 @@
 from collections.abc import Callable
 from typing import Any, TypeVar
 
-from pepperrun.control.validation import known, plain, typed
 from pepperrun.control.configuration import SAFE, CarrierLine, Limits, Route, Sender
+from pepperrun.control.validation import known, plain, typed
 from pepperrun.dataplane.numbering import MS, Ledger, number_of
 from pepperrun.foundation.errors import PepperrunError
 from pepperrun.foundation.logs import trouble
--- a/pepperrun/dataplane/trace.py
+++ b/pepperrun/dataplane/trace.py
@@ -12,8 +12,8 @@
 from typing import TYPE_CHECKING, Any
 
 from pepperrun.core.interface import Outcome
-from pepperrun.exchange import End, Exchange, Final
 from pepperrun.dataplane.numbering import MS
+from pepperrun.exchange import End, Exchange, Final
 from pepperrun.foundation.logs import event
 
 if TYPE_CHECKING:
--- a/pepperrun/dataplane/wire.py
+++ b/pepperrun/dataplane/wire.py
@@ -6,10 +6,10 @@
 from collections.abc import Callable
 
 from pepperrun.core.interface import Outcome
-from pepperrun.dataplane.workers import WorkerTable
 from pepperrun.dataplane.gate import Gate
 from pepperrun.dataplane.numbering import MS
 from pepperrun.dataplane.routes import Lot
+from pepperrun.dataplane.workers import WorkerTable
 from pepperrun.net.connection import Attempt, Connection, Wire, write_asked
 from pepperrun.net.http1 import Response
 
--- a/pepperrun/distribution/publisher.py
+++ b/pepperrun/distribution/publisher.py
@@ -14,10 +14,10 @@
 
 from pepperrun.control.records import GatewayRecord, Worker
 from pepperrun.control.taken_orders import without_older
-from pepperrun.foundation.netstring import Message, encode, length
 from pepperrun.distribution import repair
 from pepperrun.distribution.digests import Record, record_id
 from pepperrun.distribution.messages import TICK, WANT, Agreed, Change, Tick, Tock, Want
+from pepperrun.foundation.netstring import Message, encode, length
 
 BATCH_MS = 15  # records that change together go together
 SILENT_NS = 5_000_000_000  # gatekeepers tick each 400 ms: one that is silent for so long is gone
--- a/pepperrun/distribution/repair.py
+++ b/pepperrun/distribution/repair.py
@@ -12,8 +12,8 @@
 from typing import Any, Protocol
 
 from pepperrun.control.records import GONE, GatewayRecord, Worker
-from pepperrun.foundation.netstring import Message
 from pepperrun.distribution.digests import EMPTY, Record, Sums, differing, newer, place, record_id
+from pepperrun.foundation.netstring import Message
 
 FEW = 48  # records: a range with no more is sent whole; splitting it further takes another round trip
 DEEPEST = 2  # digits
--- a/pepperrun/distribution/service.py
+++ b/pepperrun/distribution/service.py
@@ -8,14 +8,13 @@
 
 from pepperrun.control import changes
 from pepperrun.control.records import GatewayRecord
-from pepperrun.foundation.link import OPERATOR, Dialer, Link, listen
-from pepperrun.foundation.netstring import Message
-from pepperrun.foundation.settings import Address, Settings
 from pepperrun.distribution.follower import Follower
 from pepperrun.distribution.publisher import Publisher
 from pepperrun.distribution.relay import relay
 from pepperrun.distribution.tree import FAN_OUT
-
+from pepperrun.foundation.link import OPERATOR, Dialer, Link, listen
+from pepperrun.foundation.netstring import Message
+from pepperrun.foundation.settings import Address, Settings
 
 PASS_S = 0.1  # of the own link's time to pass a change on: answers wait behind it, with aims from 0.3 s on
 UP_S = 0.4  # for a link to come up: the first try at a machine that is just coming back is lost
--- a/pepperrun/fronts/forward_auth.py
+++ b/pepperrun/fronts/forward_auth.py
@@ -12,13 +12,13 @@
 from dataclasses import dataclass
 from typing import Any
 
-from pepperrun.core.clock import SECOND
 from pepperrun.config import AuthConfig
+from pepperrun.core.clock import SECOND
+from pepperrun.core.interface import Outcome
 from pepperrun.exchange import End, Exchange, Final
 from pepperrun.fronts.http_client import TEXT, Answer, Fields, HttpClient, passed_on
 from pepperrun.fronts.kept import Step
 from pepperrun.gatekeeper import Clock, Gatekeeper
-from pepperrun.core.interface import Outcome
 from pepperrun.net.http1 import Message, Request, Response
 from pepperrun.net.listener import Listener
 
--- a/pepperrun/fronts/http_client.py
+++ b/pepperrun/fronts/http_client.py
@@ -11,6 +11,7 @@
 
 from pepperrun.core.clock import SECOND
 from pepperrun.exchange import End, Final
+from pepperrun.fronts.kept import KeptClient, Step
 from pepperrun.net.buffer import unread
 from pepperrun.net.http1 import (
     LAST_CHUNK,
@@ -21,7 +22,6 @@
     write_head,
     write_response,
 )
-from pepperrun.fronts.kept import KeptClient, Step
 from pepperrun.net.stream import Stream
 
 Fields = list[tuple[bytes, bytes]]
--- a/pepperrun/fronts/platform.py
+++ b/pepperrun/fronts/platform.py
@@ -6,12 +6,12 @@
 from typing import Any
 
 from pepperrun.core.clock import SECOND
+from pepperrun.core.interface import Repeat, Settings
 from pepperrun.exchange import End, Exchange, Final
 from pepperrun.fronts.forward_auth import AuthService, Granted
 from pepperrun.fronts.http_client import TEXT, Answer, Fields, HttpClient, passed_on
 from pepperrun.fronts.kept import Step
 from pepperrun.gatekeeper import Clock, Gatekeeper
-from pepperrun.core.interface import Repeat, Settings
 from pepperrun.net.http1 import Request
 from pepperrun.net.listener import Listener
 from pepperrun.net.stream import Budget
--- a/pepperrun/gatekeeper.py
+++ b/pepperrun/gatekeeper.py
@@ -12,7 +12,6 @@
 from typing import Any, Protocol
 
 from pepperrun.core.clock import SECOND
-from pepperrun.exchange import End, Exchange, Final
 from pepperrun.core.gateway import Gateway
 from pepperrun.core.interface import (
     Action,
@@ -37,6 +36,7 @@
     TimerFired,
     Watch,
 )
+from pepperrun.exchange import End, Exchange, Final
 from pepperrun.log import say
 
 AnyExchange = Exchange[Any, Any]
--- a/pepperrun/gateway_node.py
+++ b/pepperrun/gateway_node.py
@@ -12,17 +12,17 @@
 from collections.abc import Awaitable, Callable
 from typing import Any
 
-from pepperrun.dataplane import inspection
 from pepperrun.control.records import LEAVING, READY, STARTING, GatewayRecord
-from pepperrun.dataplane.plane import Plane
+from pepperrun.dataplane import inspection
 from pepperrun.dataplane.draining import drain, ready_listener
+from pepperrun.dataplane.plane import Plane
 from pepperrun.dataplane.trace import VERBOSE
+from pepperrun.distribution.service import Subscriber
 from pepperrun.foundation import logs
 from pepperrun.foundation.errors import PepperrunError
 from pepperrun.foundation.settings import Address, Settings, load
 from pepperrun.membership.gateway_probe_service import GatewayProbes
 from pepperrun.membership.gateway_probe_wire import MARK
-from pepperrun.distribution.service import Subscriber
 
 LOOK_S, FIRST_LOOK_S = 0.2, 0.05  # between looks at whether this gatekeeper is ready; until it first is
 AGAIN_S = 0.3  # between tries for an address that an earlier process still has
--- a/pepperrun/lab/report.py
+++ b/pepperrun/lab/report.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from pepperrun.lab import checkers
-from pepperrun.lab.checkers import S, Broken
+from pepperrun.lab.checkers import Broken, S
 from pepperrun.lab.run import Seen
 from pepperrun.lab.verdict import by_second
 
--- a/pepperrun/lab/verdict.py
+++ b/pepperrun/lab/verdict.py
@@ -8,7 +8,7 @@
 from pepperrun.capture.format import Class
 from pepperrun.capture.format import Plan as CapturePlan
 from pepperrun.lab import checkers
-from pepperrun.lab.checkers import S, Broken
+from pepperrun.lab.checkers import Broken, S
 from pepperrun.lab.load import CLASSES
 from pepperrun.lab.run import Seen
 from pepperrun.lab.scenario import Plan, zone_of
--- a/pepperrun/membership/gateway_prober.py
+++ b/pepperrun/membership/gateway_prober.py
@@ -14,12 +14,12 @@
 from pepperrun.foundation.errors import PepperrunError
 from pepperrun.foundation.logs import event, trouble
 from pepperrun.foundation.settings import Address, address
+from pepperrun.membership.gateway_probe_wire import Learnt, id_of
 from pepperrun.membership.keys import Keys
 from pepperrun.membership.member import Member
 from pepperrun.membership.roster import Roster
 from pepperrun.membership.states import Config, Happened, Me
 from pepperrun.membership.wire import State
-from pepperrun.membership.gateway_probe_wire import Learnt, id_of
 
 PERIOD_NS = 400_000_000  # between two probes: a death is known to all in about two seconds
 SUSPECT_NS = 400_000_000  # a suspicion stands at least
--- a/pepperrun/membership/resume.py
+++ b/pepperrun/membership/resume.py
@@ -8,8 +8,8 @@
 from typing import Any
 
 from pepperrun.membership.member import Member
-from pepperrun.membership.states import Me
 from pepperrun.membership.records import Record
+from pepperrun.membership.states import Me
 from pepperrun.membership.views import View, digest_of
 from pepperrun.membership.wire import INCARNATIONS, LIVES, State
 
--- a/pepperrun/membership/service.py
+++ b/pepperrun/membership/service.py
@@ -18,9 +18,9 @@
 from pepperrun.log import say
 from pepperrun.membership.config import MembersConfig
 from pepperrun.membership.member import Member
-from pepperrun.membership.states import Config, Happened
 from pepperrun.membership.report import events_since, figures, line, report
 from pepperrun.membership.resume import JUMP, resume, state_of
+from pepperrun.membership.states import Config, Happened
 from pepperrun.membership.steps import Step, standing_of, step_of, until
 from pepperrun.membership.wire import MARK, MOST_MEMBERS
 
--- a/pepperrun/net/connection.py
+++ b/pepperrun/net/connection.py
@@ -12,10 +12,10 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from pepperrun.core.clock import SECOND
 from pepperrun.config import Address
-from pepperrun.exchange import Exchange
+from pepperrun.core.clock import SECOND
 from pepperrun.core.interface import Outcome
+from pepperrun.exchange import Exchange
 from pepperrun.log import say
 from pepperrun.net.buffer import Buffer, unread
 from pepperrun.net.http1 import (
--- a/pepperrun/net/listener.py
+++ b/pepperrun/net/listener.py
@@ -8,8 +8,8 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from pepperrun.core.clock import SECOND
 from pepperrun.config import Address
+from pepperrun.core.clock import SECOND
 from pepperrun.log import say
 
 SWEEP_S = 0.25
--- a/pepperrun/net/server_side.py
+++ b/pepperrun/net/server_side.py
@@ -13,8 +13,8 @@
 
 from pepperrun.config import Address
 from pepperrun.core.clock import SECOND
-from pepperrun.exchange import Exchange
 from pepperrun.core.interface import Outcome
+from pepperrun.exchange import Exchange
 from pepperrun.log import say
 from pepperrun.net.buffer import unread
 from pepperrun.net.connection import Attempt, Connection, Judge, Pool, Wear, Wire
--- a/pepperrun/operator/local_cluster.py
+++ b/pepperrun/operator/local_cluster.py
@@ -25,9 +25,9 @@
 
 import yaml
 
-from pepperrun.operator.calls import Caller
 from pepperrun.foundation.errors import PepperrunError
 from pepperrun.foundation.settings import Address
+from pepperrun.operator.calls import Caller
 
 STEP = "starting the local cluster"
 FIRST_HOST = 2  # 127.0.0.2: the first core machine
--- a/pepperrun/operator/page.py
+++ b/pepperrun/operator/page.py
@@ -9,10 +9,10 @@
 from pathlib import Path
 from typing import Any
 
+from pepperrun.foundation.errors import PepperrunError
 from pepperrun.operator import loss_accounting
-from pepperrun.operator.explain import change, changes
 from pepperrun.operator.event_log import Line
-from pepperrun.foundation.errors import PepperrunError
+from pepperrun.operator.explain import change, changes
 
 STYLE = "body{font:15px sans-serif;max-width:60em;margin:2em auto}pre{background:#f4f4f4}"
 
--- a/pepperrun/operator/state.py
+++ b/pepperrun/operator/state.py
@@ -22,11 +22,19 @@
 
 import lmdb
 
+from pepperrun.consensus.state import DurableState
 from pepperrun.control.changes import written
 from pepperrun.foundation.errors import PepperrunError
-from pepperrun.consensus.values import Memory
-from pepperrun.storage.records import BODY, faults, laid_out, opened, owner_of, put_together, recall
-from pepperrun.storage.store import FILE, DiskStore, new_life
+from pepperrun.storage.records import (
+    BODY_PREFIX,
+    from_records,
+    owner_of,
+    problems,
+    read_state,
+    to_records,
+    unseal,
+)
+from pepperrun.storage.store import DATA_FILE, DiskStore, new_disk_id
 
 KIND = "pepperrun-state"
 TRIES = 3  # of a look at a folder that a running process writes to
@@ -35,8 +43,8 @@
 
 def raw_records(folder: Path) -> dict[bytes, bytes]:
     """All records as they lie there; nothing is written. PepperrunError `no-state`, `disk-doubtful`."""
-    if not (folder / FILE).is_file():
-        raise PepperrunError("no-state", STEP, f"{folder}: there is no {FILE}")
+    if not (folder / DATA_FILE).is_file():
+        raise PepperrunError("no-state", STEP, f"{folder}: there is no {DATA_FILE}")
     try:
         with (
             lmdb.open(str(folder), readonly=True, lock=False, create=False) as env,
@@ -51,7 +59,7 @@
     """Records and faults. One that is in use may change under the look: faults count when they stay."""
     for _ in range(TRIES):
         raw = raw_records(folder)
-        found = faults(raw)
+        found = problems(raw)
         if not found:
             break
     return raw, found
@@ -59,7 +67,7 @@
 
 def in_use(folder: Path) -> list[int]:
     """Processes of this machine that have the file open, as far as this user may see them."""
-    wanted, found = (folder / FILE).resolve(), []
+    wanted, found = (folder / DATA_FILE).resolve(), []
     for one in Path("/proc").glob("[0-9]*"):
         with contextlib.suppress(OSError):
             if any(Path(os.readlink(fd)) == wanted for fd in (one / "fd").iterdir()):
@@ -70,30 +78,34 @@
 def summary(folder: Path) -> list[str]:
     """What `show` prints."""
     raw, found = look(folder)
-    size = (folder / FILE).stat().st_size
+    size = (folder / DATA_FILE).stat().st_size
     lines = [f"file: {size} bytes, {len(raw)} records of {sum(map(len, raw.values()))} bytes"]
     if found:
         return lines + [f"fault: {one}" for one in found]
-    life = opened(raw[b"life"], "life")
-    memory = recall(raw)
+    life = unseal(raw[b"life"], "life")
+    memory = read_state(raw)
     lines += [
         f"format: {life[0]}",
         f"machine: {owner_of(life) or 'none yet'}",
-        f"life: {memory.life}, starts {memory.starts}",
+        f"life: {memory.disk_id}, starts {memory.starts}",
     ]
-    lines.append(f"promised: round {memory.promised.round} by {memory.promised.by or 'nobody'}")
+    lines.append(f"promised: round {memory.promised.round} by {memory.promised.proposer or 'nobody'}")
     for name, held in (("taken", memory.accepted), ("chosen", memory.chosen)):
         if held is None:
             lines.append(f"{name}: nothing")
             continue
         value = held.value
-        text = f"number {value.number}, edition {held.body.get('edition', 0)}, body {value.digest}"
-        size = len(raw[(BODY + value.digest).encode()])
-        lines.append(f"{name}: {text} of {size} bytes, round {held.ballot.round} by {held.ballot.by or '-'}")
+        text = f"number {value.version}, edition {held.body.get('edition', 0)}, body {value.digest}"
+        size = len(raw[(BODY_PREFIX + value.digest).encode()])
+        lines.append(
+            f"{name}: {text} of {size} bytes, round {held.ballot.round} by {held.ballot.proposer or '-'}"
+        )
         lines.append("  voters: " + ", ".join(f"{ip} ({life})" for ip, life in value.voters))
-        if value.was:
-            lines.append("  leaving voters: " + ", ".join(f"{ip} ({life})" for ip, life in value.was))
-        lines.append(f"  keeper: {value.keeper}")
+        if value.outgoing_voters:
+            lines.append(
+                "  leaving voters: " + ", ".join(f"{ip} ({life})" for ip, life in value.outgoing_voters)
+            )
+        lines.append(f"  keeper: {value.coordinator}")
     return lines
 
 
@@ -105,9 +117,9 @@
     return hashlib.blake2b(text.encode(), digest_size=16).hexdigest()
 
 
-def write_file(path: Path, memory: Memory, owner: str, final: bool) -> None:
+def write_file(path: Path, memory: DurableState, owner: str, final: bool) -> None:
     """The export, synced, in the place of what was there; never half of it."""
-    records, bodies = laid_out(memory, owner)
+    records, bodies = to_records(memory, owner)
     content = {"kind": KIND, "final": final, "records": records, "bodies": bodies}
     content = json.loads(json.dumps(content))
     beside = path.with_name(path.name + ".new")
@@ -120,14 +132,14 @@
     _sync_folder(path.parent)
 
 
-def read_file(path: Path) -> tuple[Memory, str, bool]:
+def read_file(path: Path) -> tuple[DurableState, str, bool]:
     """The memory, its machine's ip, whether its life was ended there. Raises `bad-export`, `no-file`."""
     try:
         content = json.loads(path.read_text())
         told = content.pop("checksum")
         if told != _sum(content) or content["kind"] != KIND:
             raise PepperrunError("bad-export", STEP, f"{path}: the checksum is wrong")
-        memory = put_together(content["records"] | content["bodies"])
+        memory = from_records(content["records"] | content["bodies"])
         return memory, owner_of(content["records"]["life"]), content["final"] is True
     except OSError as error:
         raise PepperrunError("no-file", STEP, f"{path}: {error.strerror or error}") from None
@@ -151,7 +163,7 @@
     raw, found = look(folder)
     if found:
         raise PepperrunError("disk-doubtful", STEP, f"{folder}: {found[0]}")
-    memory, owner = recall(raw), owner_of(opened(raw[b"life"], "life"))
+    memory, owner = read_state(raw), owner_of(unseal(raw[b"life"], "life"))
     if retire and not owner:
         raise PepperrunError(
             "no-owner", STEP, f"{folder}: it names no machine yet; start it once with this version"
@@ -159,7 +171,7 @@
     write_file(path, memory, owner, False)
     if retire:
         # A power cut between any two of these steps leaves one life in one place, or none.
-        _fill(folder, Memory(new_life(str(folder)), 0), owner)
+        _fill(folder, DurableState(new_disk_id(str(folder)), 0), owner)
         write_file(path, memory, owner, True)
 
 
@@ -178,9 +190,9 @@
     if same_life:
         write_file(path, memory, owner, False)  # first: twice the same life must never be
         _fill(folder, memory, owner)
-        return f"{folder}: life {memory.life} goes on here, in the machine {owner} only"
-    life = new_life(str(path))
-    _fill(folder, Memory(life, 0), "")
+        return f"{folder}: life {memory.disk_id} goes on here, in the machine {owner} only"
+    life = new_disk_id(str(path))
+    _fill(folder, DurableState(life, 0), "")
     text = f"{folder}: new life {life}; it has no vote until the others let it in"
     if memory.chosen is None or "edition" not in memory.chosen.body:
         return text
@@ -190,12 +202,12 @@
     return f"{text}; the configuration lies in {beside.name}, for reading or for `put`"
 
 
-def _fill(folder: Path, memory: Memory, owner: str) -> None:
+def _fill(folder: Path, memory: DurableState, owner: str) -> None:
     disk = DiskStore(str(folder))
     disk.owner = owner
     try:
         disk.save(memory)
-        disk.sync_names()
+        disk.sync_file_names()
     finally:
         disk.close()
 
--- a/pepperrun/operator/toy_workers.py
+++ b/pepperrun/operator/toy_workers.py
@@ -15,9 +15,9 @@
 import sys
 from collections.abc import Iterable
 
-from pepperrun.operator.calls import Caller, addresses
 from pepperrun.foundation.errors import PepperrunError
 from pepperrun.foundation.settings import Address, address
+from pepperrun.operator.calls import Caller, addresses
 
 BEAT_PATIENCE_S = 1.5  # for one beat, over all addresses
 MOST_HEAD = 64 * 1024
--- a/pepperrun/operatorctl.py
+++ b/pepperrun/operatorctl.py
@@ -8,10 +8,10 @@
 import sys
 from collections.abc import Callable
 
-from pepperrun.operator import files, inspection, local_cluster, log_commands, problems, state
-from pepperrun.operator.calls import PATIENCE_S, Caller, Told, addresses
 from pepperrun.foundation.errors import PepperrunError
 from pepperrun.foundation.settings import address
+from pepperrun.operator import files, inspection, local_cluster, log_commands, problems, state
+from pepperrun.operator.calls import PATIENCE_S, Caller, Told, addresses
 
 GOOD, REFUSED, BAD, UNCERTAIN = 0, 1, 2, 3
 EXITS = "exit codes: 0 good, 1 refused or problems found, 2 a file, an address or the command is no good, "
--- a/pepperrun/parking/config.py
+++ b/pepperrun/parking/config.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass
 from typing import Any
 
-from pepperrun.core.clock import SECOND
 from pepperrun.config import get, json_object, known_keys
+from pepperrun.core.clock import SECOND
 
 KEYS = (
     "idle_s first_byte_s request_s most most_asking park_after_s give_way_after_s holders most_here turn_ms"
--- a/pepperrun/planner/plan.py
+++ b/pepperrun/planner/plan.py
@@ -13,8 +13,8 @@
 
 from pepperrun.capture.edit import scale
 from pepperrun.capture.format import Capture
-from pepperrun.model.fleet import Fleet, Work, resized
 from pepperrun.model.day import Fault, load_of
+from pepperrun.model.fleet import Fleet, Work, resized
 from pepperrun.model.simulate import Run
 
 LIMITS = {  # from where on a resource counts as exhausted
--- a/pepperrun/serve.py
+++ b/pepperrun/serve.py
@@ -16,7 +16,6 @@
 
 from pepperrun.admin.server import DESCRIPTORS
 from pepperrun.admin.server import Server as AdminServer
-from pepperrun.core.clock import SECOND
 from pepperrun.assembly import (
     Core,
     Part,
@@ -33,14 +32,15 @@
     wait_for_next,
 )
 from pepperrun.config import AuthConfig, Config, UnusableError, read_auth, read_config
-from pepperrun.gatekeeper import Clock
+from pepperrun.core.clock import SECOND
 from pepperrun.core.interface import ListKind, RequestClass
+from pepperrun.gatekeeper import Clock
 from pepperrun.log import json_lines, say
 from pepperrun.net.listener import Listener
 
 if TYPE_CHECKING:
-    from pepperrun.handover.predecessor import Predecessor
     from pepperrun.capture.recorder import Recorder
+    from pepperrun.handover.predecessor import Predecessor
     from pepperrun.membership.config import MembersConfig
     from pepperrun.metrics import MetricsConfig, Reporter, Sample
     from pepperrun.parking.config import ClientsConfig
--- a/pepperrun/simulation/bugs.py
+++ b/pepperrun/simulation/bugs.py
@@ -5,9 +5,9 @@
 from typing import Any
 
 from pepperrun.dataplane.plane import Plane
-from pepperrun.foundation.netstring import Message
 from pepperrun.distribution.publisher import Port
 from pepperrun.distribution.service import Subscriber
+from pepperrun.foundation.netstring import Message
 
 EMPTY_VOTES = "empty-votes"  # a voter with an empty disk goes on in its old life
 COLD_FOREVER = "cold-forever"  # a cold worker's share is not used up by what is sent
--- a/pepperrun/simulation/catch_up_days.py
+++ b/pepperrun/simulation/catch_up_days.py
@@ -18,14 +18,15 @@
 from collections.abc import Callable
 from typing import Any
 
-from pepperrun.consensus.messages import Message
+from pepperrun.consensus.codec import WireMessage
+from pepperrun.consensus.messages import Accept, Chosen
 from pepperrun.consensus.replica import Replica
-from pepperrun.consensus.values import Body
-from pepperrun.consensus.voter import MS
+from pepperrun.consensus.state import Body
+from pepperrun.consensus.timeouts import MS
 from pepperrun.foundation.errors import PepperrunError
 from pepperrun.simulation.consensus_world import World
+from pepperrun.storage.records import BODY_PREFIX
 from pepperrun.storage.store import DiskStore
-from pepperrun.storage.records import BODY
 
 CATCH_UP_MS = 4000
 MODES = ("disk", "empty", "new machine")
@@ -38,10 +39,10 @@
     """Makes one machine behave so."""
     register: Any = replica.register
     if bug == EARLY_READS:
-        replica.fresh = replica.now
+        replica.reads.confirmed_at = replica.now
     elif bug == HALF_BODY:
-        build: Callable[[Message], Body | None] = register._build
-        register._build = lambda message: message["w"] if "w" in message else build(message)
+        resolve: Callable[[Accept | Chosen], Body | None] = register._resolve_body
+        register._resolve_body = lambda message: message.full_body or resolve(message)
 
 
 class HoardingStore(DiskStore):
@@ -49,7 +50,9 @@
 
     def save(self, memory: Any) -> None:
         super().save(memory)
-        self.saved = {key: data for key, data in self.saved.items() if not key.startswith(BODY.encode())}
+        self._saved = {
+            key: data for key, data in self._saved.items() if not key.startswith(BODY_PREFIX.encode())
+        }
 
 
 class Day:
@@ -115,7 +118,7 @@
         put_in(self.bug, replica)
         receive = replica.receive
 
-        def damaged(ip: str, message: Message, now: int) -> None:
+        def damaged(ip: str, message: WireMessage, now: int) -> None:
             if "w" in message and self.rng.random() < 0.2:
                 self.torn += 1
                 message = message | {"w": dict(list(message["w"].items())[:-1])}
@@ -132,10 +135,10 @@
         """Has it caught up?"""
         world, replica = self.world, self.world.machines[self.back].replica
         assert replica is not None
-        newest = max(one.replica.number for one in world.machines.values() if one.replica)
-        if newest - replica.number > 1:
-            return f"{self.back} holds {replica.number} of {newest}, {CATCH_UP_MS} ms after its last trouble"
-        if replica.fresh_at is None or world.now - replica.fresh_at > 1500 * MS:
+        newest = max(one.replica.version for one in world.machines.values() if one.replica)
+        if newest - replica.version > 1:
+            return f"{self.back} holds {replica.version} of {newest}, {CATCH_UP_MS} ms after its last trouble"
+        if replica.confirmed_at is None or world.now - replica.confirmed_at > 1500 * MS:
             return f"{self.back} is not fresh"
         return ""
 
@@ -144,7 +147,7 @@
         self.world.rate = 0.0
         self.world.run(8000)
         replica = self.world.machines[self.back].replica
-        return self.world.settled() or ("" if replica and replica.votes else f"{self.back} does not vote")
+        return self.world.settled() or ("" if replica and replica.is_voter else f"{self.back} does not vote")
 
 
 def main() -> int:
--- a/pepperrun/simulation/consensus_days.py
+++ b/pepperrun/simulation/consensus_days.py
@@ -23,13 +23,13 @@
     values = [one.replica.value for one in world.machines.values() if one.replica and one.replica.value]
     if not values:
         return False
-    newest = max(values, key=lambda value: value.number)
+    newest = max(values, key=lambda value: value.version)
     holders = [value for value in values if value == newest]
-    if newest.was or 2 * len(holders) <= len(values):
+    if newest.outgoing_voters or 2 * len(holders) <= len(values):
         return False
     for voter in newest.voters:
         replica = world.machines[voter.ip].replica
-        if replica is None or replica.register.memory.life != voter.life:
+        if replica is None or replica.register.state.disk_id != voter.disk_id:
             return False
     return True
 
--- a/pepperrun/simulation/consensus_world.py
+++ b/pepperrun/simulation/consensus_world.py
@@ -15,19 +15,21 @@
 from typing import Any
 
 from pepperrun.consensus.replica import Replica
-from pepperrun.consensus.values import (
-    FIRST_LIFE,
-    NONE,
+from pepperrun.consensus.state import (
+    FIRST_DISK_ID,
+    NO_BALLOT,
+    Apply,
     Ballot,
     Body,
-    Life,
-    Memory,
-    Op,
+    DurableState,
+    Evaluation,
+    Incarnation,
+    Operation,
     Value,
-    beginning,
     digest_of,
+    initial_proposal,
 )
-from pepperrun.consensus.voter import MS, Apply, Pace
+from pepperrun.consensus.timeouts import MS, Timeouts
 from pepperrun.simulation.copies import Copies, deciding
 
 BREAKS = 2000 * MS  # unacknowledged for so long: a link is over
@@ -38,30 +40,31 @@
 Pair = tuple[str, str]
 
 
-def judge(body: Body, op: Op) -> tuple[Body | None, Any]:
+def judge(body: Body, op: Operation) -> Evaluation:
     """Changes as operators make them: each names the edition that it builds on, and is taken once."""
     taken = body.get("taken", [])
     if op["mark"] in taken:
-        return None, 200
+        return Evaluation(None, 200)
     if op["on"] != body.get("edition", 0):
-        return None, 412
-    return {
+        return Evaluation(None, 412)
+    new = {
         "edition": op["edition"],
         "taken": [*taken, op["mark"]],
         "fill": op["fill"] or body.get("fill", ""),
-    }, 200
+    }
+    return Evaluation(new, 200)
 
 
 class Disk:
     """Keeps what was synced. `late`: a bug put in on purpose, it says so before it is."""
 
     def __init__(self, late: bool = False) -> None:
-        self.synced: Memory | None = None
-        self.unsynced: Memory | None = None
+        self.synced: DurableState | None = None
+        self.unsynced: DurableState | None = None
         self.late = late
         self.saves = 0
 
-    def save(self, memory: Memory) -> None:
+    def save(self, memory: DurableState) -> None:
         self.saves += 1
         if self.late:
             self.synced = self.unsynced or self.synced
@@ -82,7 +85,7 @@
         super().__init__(late)
         self.ip, self.copies, self.wrong = ip, copies, ""
 
-    def save(self, memory: Memory) -> None:
+    def save(self, memory: DurableState) -> None:
         super().save(memory)
         if self.synced is not None:
             self.wrong = self.wrong or self.copies.saved(self.ip, self.synced)
@@ -104,14 +107,14 @@
     tick_at: int = -1
     gone: bool = False  # for good
     seen: Any = None  # what was looked at last
-    newest: Ballot = NONE  # known as chosen when that was looked at
+    newest: Ballot = NO_BALLOT  # known as chosen when that was looked at
 
 
 @dataclass
 class Try:
     """An operator's change, sent to one machine after the other until it has a clear answer."""
 
-    op: Op
+    op: Operation
     to: list[str]
     answer: Any = None
     answered_at: int = 0
@@ -129,7 +132,7 @@
         seed: int,
         most: int = 5,
         late_disks: bool = False,
-        pace: Pace | None = None,
+        pace: Timeouts | None = None,
         contacts: int = 3,
     ) -> None:
         self.rng, self.seed, self.most, self.late_disks = random.Random(seed), seed, most, late_disks
@@ -152,7 +155,7 @@
         for _ in range(count):
             self.add()
         self.contacts = sorted(self.machines)[:contacts]
-        self.copies.began(beginning(self.contacts))
+        self.copies.began(initial_proposal(self.contacts))
         for ip in list(self.machines):
             self.start(ip, first=True)
 
@@ -178,21 +181,26 @@
         if memory is None:
             machine.lives += 1
             begins = first and ip in self.contacts
-            memory = Memory(FIRST_LIFE if begins else f"{ip}#{machine.lives}", 0)
+            memory = DurableState(FIRST_DISK_ID if begins else f"{ip}#{machine.lives}", 0)
             if begins:
-                memory.accepted = memory.chosen = beginning(self.contacts)
+                memory.accepted = memory.chosen = initial_proposal(self.contacts)
         memory.starts += 1
         machine.disk.save(memory)
         machine.started, machine.started_at = machine.started + 1, self.now
-        machine.frozen, machine.waiting, machine.newest = False, [], NONE
+        machine.frozen, machine.waiting, machine.newest = False, [], NO_BALLOT
         seed = self.rng.randrange(1 << 30)
-        how: dict[str, Any] = {
-            "zone": machine.zone,
-            "regions": self.regions,
-            "most": self.most,
-            "pace": self.pace,
-        }
-        machine.replica = Replica(ip, memory, machine.disk, self.apply, seed=seed, now=self.now, **how)
+        machine.replica = Replica(
+            ip,
+            memory,
+            machine.disk,
+            self.apply,
+            zone=machine.zone,
+            regions=self.regions,
+            max_voters=self.most,
+            seed=seed,
+            now=self.now,
+            timeouts=self.pace,
+        )
         self._pump(machine)
         self._later(AGAIN, ("connect", ip))
 
@@ -222,10 +230,10 @@
         self.machines[ip].gone = True
         self.wipe(ip)
 
-    def present(self, running: bool = False) -> set[Life]:
+    def present(self, running: bool = False) -> set[Incarnation]:
         """Lives whose disk is there. `running`: and whose process runs and is not frozen."""
         return {
-            Life(ip, one.disk.synced.life)
+            Incarnation(ip, one.disk.synced.disk_id)
             for ip, one in self.machines.items()
             if one.disk.synced is not None
             and not one.gone
@@ -259,7 +267,7 @@
         """It is told to stop, and ends when it is released, half a second later at the earliest."""
         machine = self.machines[ip]
         if machine.replica is not None:
-            machine.replica.retire(self.now)
+            machine.replica.request_stop(self.now)
             self._pump(machine)
             ends = ENDS if self.waits_released else ENDS_AT_ONCE
             self._later(ends, ("end", ip, machine.started, self.now + HANDED_OVER))
@@ -349,7 +357,7 @@
         machine = self.machines[ip]
         if machine.started != started or machine.replica is None:
             return
-        if machine.replica.released or self.now >= latest or not self.waits_released:
+        if machine.replica.safe_to_stop or self.now >= latest or not self.waits_released:
             self.kill(ip)
         else:
             self._later(50 * MS, ("end", ip, started, latest))
@@ -410,7 +418,7 @@
         """Takes out what there is; looks whether it may be."""
         replica = machine.replica
         assert replica is not None
-        for ip, message in replica.take_out():
+        for ip, message in replica.take_messages():
             text = json.dumps(message)
             self.bytes += len(text) + 20
             pair = self._pair(machine.ip, ip)
@@ -427,7 +435,7 @@
                     self._told(one, result.verdict)
         replica.take_changes()
         self._look(machine)
-        due = max(replica.due(), self.now + MS)
+        due = max(replica.next_tick_at(), self.now + MS)
         if machine.tick_at != due and not machine.frozen:
             machine.tick_at = due
             self._later(due - self.now, ("tick", machine.ip))
@@ -448,25 +456,31 @@
     def _look(self, machine: Machine) -> None:
         replica = machine.replica
         assert replica is not None
-        held = replica.register.memory.chosen
+        held = replica.register.state.chosen
         if held is not None:
             wrong = _wrong(machine.disk) or self.copies.chose(held)
             self.wrong = self.wrong or (wrong if self.counts_copies else "")
-        seen = (replica.value, replica.fresh_at, self.answers)
+        seen = (replica.value, replica.confirmed_at, self.answers)
         if seen == machine.seen:
             return
         if replica.value is not None and (machine.seen is None or replica.value != machine.seen[0]):
             digest = digest_of(replica.body)
-            if self.bodies.setdefault(replica.number, digest) != digest:
-                self.wrong = f"two bodies of number {replica.number}, the second at {machine.ip}"
-            if replica.register.chosen_at < machine.newest:
-                self.wrong = f"{machine.ip} went back from {machine.newest} to {replica.register.chosen_at}"
-            machine.newest = replica.register.chosen_at
+            if self.bodies.setdefault(replica.version, digest) != digest:
+                self.wrong = f"two bodies of number {replica.version}, the second at {machine.ip}"
+            if replica.register.chosen_ballot < machine.newest:
+                self.wrong = (
+                    f"{machine.ip} went back from {machine.newest} to {replica.register.chosen_ballot}"
+                )
+            machine.newest = replica.register.chosen_ballot
         machine.seen = seen
-        if replica.fresh_at is not None:
+        if replica.confirmed_at is not None:
             taken = replica.body.get("taken", [])
             for one in self.tries:
-                if one.answer == 200 and one.answered_at < replica.fresh_at and one.op["mark"] not in taken:
+                if (
+                    one.answer == 200
+                    and one.answered_at < replica.confirmed_at
+                    and one.op["mark"] not in taken
+                ):
                     self.wrong = f"{machine.ip} says that {replica.body} was the newest, without {one.op}"
                 if one.answer == 412 and one.op["mark"] in taken:
                     self.wrong = f"{one.op} was refused and is in force"
@@ -476,11 +490,11 @@
         if self.wrong:
             return self.wrong
         replicas = [one.replica for one in self.machines.values() if one.replica is not None]
-        if len({replica.number for replica in replicas}) != 1:
-            return f"numbers differ: {[(replica.me, replica.number) for replica in replicas]}"
+        if len({replica.version for replica in replicas}) != 1:
+            return f"numbers differ: {[(replica.own_ip, replica.version) for replica in replicas]}"
         for replica in replicas:
-            if replica.fresh_at is None or self.now - replica.fresh_at > 1000 * MS:
-                return f"{replica.me} is not fresh: {replica.fresh_at} at {self.now}"
+            if replica.confirmed_at is None or self.now - replica.confirmed_at > 1000 * MS:
+                return f"{replica.own_ip} is not fresh: {replica.confirmed_at} at {self.now}"
         taken = replicas[0].body.get("taken", [])
         lost = [one.op for one in self.tries if one.answer == 200 and one.op["mark"] not in taken]
         return f"lost: {lost}" if lost else ""
--- a/pepperrun/simulation/control_bugs.py
+++ b/pepperrun/simulation/control_bugs.py
@@ -45,7 +45,7 @@
     elif bug == EARLY_ROUND:
         judge_late_orders(hub.replica.register)
     elif bug == HEARD_IS_REACHED:
-        hub.replica.hearing.reached = hub.replica.hearing.up  # type: ignore[method-assign]
+        hub.replica.liveness.reachable = hub.replica.liveness.alive  # type: ignore[method-assign]
 
 
 def _done(hub: Hub, result: T) -> asyncio.Future[T]:
@@ -67,7 +67,7 @@
 
 
 def _believe_early_answers(hub: Hub) -> None:
-    release, last = hub.release, [hub.replica.fresh_at]
+    release, last = hub.release, [hub.replica.confirmed_at]
 
     def release_all(fresh_at: int | None) -> None:
         moved, last[0] = fresh_at != last[0], fresh_at
@@ -78,10 +78,10 @@
 
 def judge_late_orders(register: Register) -> None:
     """Orders that came after a round began are settled by it, whatever its promises are of."""
-    begin = register.begin
+    begin = register.start_round
 
     def begin_late(now: int) -> None:
         begin(now)
-        register.round.wished = 1 << 62
+        register.round.last_token = 1 << 62
 
-    register.begin = begin_late  # type: ignore[method-assign]
+    register.start_round = begin_late  # type: ignore[method-assign]
--- a/pepperrun/simulation/conversations/__main__.py
+++ b/pepperrun/simulation/conversations/__main__.py
@@ -7,8 +7,8 @@
 import time
 
 from pepperrun.simulation.conversations.bugs import BUGS, put_in
-from pepperrun.simulation.conversations.play import Conversation
 from pepperrun.simulation.conversations.cuts import cuts
+from pepperrun.simulation.conversations.play import Conversation
 from pepperrun.simulation.conversations.scripts import draw_script
 
 EVERY = 1000  # conversations between two lines of progress
--- a/pepperrun/simulation/crashes.py
+++ b/pepperrun/simulation/crashes.py
@@ -27,9 +27,9 @@
 from functools import partial
 from pathlib import Path
 
+from pepperrun.consensus.state import Ballot, DurableState, Proposal, digest_of
 from pepperrun.foundation.errors import PepperrunError
-from pepperrun.consensus.values import Ballot, Held, Memory, digest_of
-from pepperrun.storage.store import FILE, DiskStore
+from pepperrun.storage.store import DATA_FILE, DiskStore
 
 ME, CONTACTS = "10.0.0.1", ["10.0.0.1", "10.0.0.2", "10.0.0.3"]
 PAGE, SECTOR, HEADS = 4096, 512, 2
@@ -40,19 +40,19 @@
 Image = bytes
 
 
-def step(memory: Memory, round: int, rng: random.Random) -> None:
+def step(memory: DurableState, round: int, rng: random.Random) -> None:
     """The next change of a made-up history: a promise, sometimes a value taken, sometimes it is chosen."""
     memory.promised = Ballot(round, "x")
     kind = rng.random()
     if kind < 0.5 and memory.chosen is not None:
         body = {"edition": round, "fill": "ž" * int(10 ** rng.uniform(0, 4.5))}
-        value = replace(memory.chosen.value, number=round, digest=digest_of(body))
-        memory.accepted = Held(memory.promised, value, body)
+        value = replace(memory.chosen.value, version=round, digest=digest_of(body))
+        memory.accepted = Proposal(memory.promised, value, body)
     elif kind < 0.8:
         memory.chosen = memory.accepted
 
 
-def history(folder: Path, seed: int) -> Iterator[tuple[DiskStore, Memory]]:
+def history(folder: Path, seed: int) -> Iterator[tuple[DiskStore, DurableState]]:
     """Saves one change after the other, for ever; `promised.round` counts them."""
     rng, disk = random.Random(seed), DiskStore(str(folder), 64)
     memory = disk.begin("s", ME, CONTACTS)
@@ -64,7 +64,7 @@
         disk.save(memory)
 
 
-def read(folder: Path) -> Memory | None:
+def read(folder: Path) -> DurableState | None:
     """What a start would find: None for nothing at all. PepperrunError where it is in doubt."""
     disk = DiskStore(str(folder), 64)
     try:
@@ -162,13 +162,13 @@
     return b"".join(out.get(at, bytes(PAGE)).ljust(PAGE, b"\0") for at in range(end)), moment
 
 
-def judged(folder: Path, image: Image, known: list[Memory], moment: str) -> str:
+def judged(folder: Path, image: Image, known: list[DurableState], moment: str) -> str:
     """A start on this file: `whole, before` or `whole, after` the save, `in doubt`, or what is wrong.
 
     `known`: the memories that were saved, oldest first; the last one by the save in which the power went.
     """
     folder.mkdir(exist_ok=True)
-    (folder / FILE).write_bytes(image)
+    (folder / DATA_FILE).write_bytes(image)
     try:
         found = read(folder)
     except PepperrunError as error:
@@ -200,9 +200,9 @@
 def cuts(runs: int, seed: int, folder: Path, unordered: bool = False, saves: int = 40) -> Counter[str]:
     """So many power cuts, drawn over the saves of one history, and one after each save."""
     rng, found, ram = random.Random(seed), Counter[str](), folder / "cut"
-    images: list[tuple[Image, Memory]] = []
+    images: list[tuple[Image, DurableState]] = []
     for disk, memory in history(folder / "history", seed):
-        images.append(((disk.folder / FILE).read_bytes(), replace(memory)))
+        images.append(((disk.folder / DATA_FILE).read_bytes(), replace(memory)))
         if len(images) > saves:
             disk.close()
             break
--- a/pepperrun/simulation/cutoff_days.py
+++ b/pepperrun/simulation/cutoff_days.py
@@ -193,7 +193,7 @@
     def _victim(self) -> str:
         """The keeper, the node that acknowledged last, the one that a gateway reads from, or any."""
         replicas = [core.hub.replica for core in self.cores.values() if core.hub is not None]
-        keeper = max(replicas, key=lambda one: one.number).keeper
+        keeper = max(replicas, key=lambda one: one.version).coordinator
         reader = self.gateways[0].news.follower.core.address[0] if self.gateways else ""
         choices = [ip for ip in (keeper, self.last_acknowledged, reader) if ip in self.cores]
         return self.rng.choice([*choices, self.rng.choice(list(self.cores))])
@@ -412,8 +412,8 @@
 def _refuses(hub: Hub) -> bool:
     """Is a round asking, for orders only that build on another edition?"""
     register, edition = hub.replica.register, hub.replica.body.get("edition", 0)
-    bases = [wish.op.get("on", edition) for wish in register.wishes]
-    return register.phase is Phase.ASKING and bool(bases) and edition not in bases
+    bases = [wish.operation.get("on", edition) for wish in register.pending]
+    return register.phase is Phase.PREPARING and bool(bases) and edition not in bases
 
 
 def _is_timer(item: tuple[Callable[..., None], tuple[Any, ...]]) -> bool:
--- a/pepperrun/simulation/days.py
+++ b/pepperrun/simulation/days.py
@@ -16,11 +16,11 @@
 from pepperrun.control.matchers import Answer, Call
 from pepperrun.foundation.settings import Bounds
 from pepperrun.simulation import actors
-from pepperrun.simulation.virtual_time import MS, Machine, World
 from pepperrun.simulation.judges import Judges
 from pepperrun.simulation.measures import Measures
 from pepperrun.simulation.nodes import Core, Gate, machines, settings_of
 from pepperrun.simulation.plans import ORDERS, Plan, Trouble
+from pepperrun.simulation.virtual_time import MS, Machine, World
 
 SECOND = 1000 * MS
 FIGURES: dict[str, Any] = {
--- a/pepperrun/simulation/distribution_world.py
+++ b/pepperrun/simulation/distribution_world.py
@@ -14,12 +14,12 @@
 from typing import Any
 
 from pepperrun.control.records import BOARDING, READY, GatewayRecord, Worker
-from pepperrun.foundation.netstring import Decoder, Message
-from pepperrun.foundation.settings import Address
 from pepperrun.distribution.book import NewsBook
 from pepperrun.distribution.follower import Follower
 from pepperrun.distribution.publisher import Publisher
 from pepperrun.distribution.relay import Held, publish, relay
+from pepperrun.foundation.netstring import Decoder, Message
+from pepperrun.foundation.settings import Address
 
 MS = 1_000_000
 PORT = 7600
--- a/pepperrun/simulation/measures.py
+++ b/pepperrun/simulation/measures.py
@@ -11,9 +11,9 @@
 from typing import TYPE_CHECKING, Any
 
 if TYPE_CHECKING:
-    from pepperrun.simulation.virtual_time import Loop, World
     from pepperrun.simulation.judges import Judges
     from pepperrun.simulation.plans import Route, Shape
+    from pepperrun.simulation.virtual_time import Loop, World
 
 MS = 1_000_000
 
--- a/pepperrun/simulation/narrow_links.py
+++ b/pepperrun/simulation/narrow_links.py
@@ -7,10 +7,10 @@
 from collections.abc import Callable
 from typing import Any
 
-from pepperrun.foundation.netstring import Decoder, length
-from pepperrun.simulation.distribution_world import MS, Gate, Node, Port, World
 from pepperrun.distribution.service import PASS_S
 from pepperrun.distribution.tree import FAN_OUT
+from pepperrun.foundation.netstring import Decoder, length
+from pepperrun.simulation.distribution_world import MS, Gate, Node, Port, World
 
 ZONES = {f"{region}{zone}": region for zone in range(3) for region in "abc"}
 CORES = [*ZONES, "a0", "b0", "c0"]
--- a/pepperrun/simulation/nodes.py
+++ b/pepperrun/simulation/nodes.py
@@ -11,26 +11,26 @@
 from dataclasses import replace
 from typing import Any
 
+from pepperrun.consensus.state import FIRST_DISK_ID, DurableState, initial_proposal
 from pepperrun.control.handlers import Control
 from pepperrun.control.hub import Hub
 from pepperrun.control.matchers import Answer, Call, Miss
 from pepperrun.control.records import LEAVING, READY, STARTING, GatewayRecord
 from pepperrun.core.interface import Outcome
-from pepperrun.exchange import Exchange
 from pepperrun.dataplane.plane import Plane
 from pepperrun.dataplane.routes import Lot
 from pepperrun.dataplane.trace import Trace
+from pepperrun.distribution.service import Subscriber
+from pepperrun.exchange import Exchange
 from pepperrun.foundation import link
 from pepperrun.foundation.settings import Settings, parse
-from pepperrun.net.http1 import Request, Response
-from pepperrun.consensus.values import FIRST_LIFE, Memory, beginning
 from pepperrun.membership.gateway_probe_service import GatewayProbes
 from pepperrun.membership.gateway_probe_wire import MARK
+from pepperrun.net.http1 import Request, Response
 from pepperrun.simulation import bugs, control_bugs
-from pepperrun.simulation.virtual_time import MS, Loop, Machine, World, spawn
-from pepperrun.simulation.measures import Measures
 from pepperrun.simulation.consensus_world import Disk
-from pepperrun.distribution.service import Subscriber
+from pepperrun.simulation.measures import Measures
+from pepperrun.simulation.virtual_time import MS, Loop, Machine, World, spawn
 
 PORT = 7600
 LOOK_S = 0.2
@@ -75,22 +75,22 @@
     def start(self, first: bool = False) -> None:
         """A process starts on what the disk keeps."""
         memory = replace(self.disk.synced) if self.disk.synced else self._fresh(first)
-        self.life, memory.starts = memory.life, memory.starts + 1
+        self.life, memory.starts = memory.disk_id, memory.starts + 1
         self.disk.save(memory)
         self.machine.boot().do(self._make, memory)
 
-    def _fresh(self, first: bool) -> Memory:
+    def _fresh(self, first: bool) -> DurableState:
         ip = self.machine.ip
         self.lives += 1
         begins = first and ip in self.contacts
         if self.bug == bugs.EMPTY_VOTES and self.life:
-            return Memory(self.life, 0)
-        memory = Memory(FIRST_LIFE if begins else f"{ip}#{self.lives}", 0)
+            return DurableState(self.life, 0)
+        memory = DurableState(FIRST_DISK_ID if begins else f"{ip}#{self.lives}", 0)
         if begins:
-            memory.accepted = memory.chosen = beginning(self.contacts)
+            memory.accepted = memory.chosen = initial_proposal(self.contacts)
         return memory
 
-    def _make(self, memory: Memory) -> None:
+    def _make(self, memory: DurableState) -> None:
         loop = self.machine.loop
         assert loop is not None
         self.hub = Hub(self.settings, memory, self.disk, memory.starts, loop.clock)
--- a/pepperrun/simulation/order_plans.py
+++ b/pepperrun/simulation/order_plans.py
@@ -4,36 +4,36 @@
 
 from collections.abc import Callable
 from dataclasses import replace
-from typing import Any
 
-from pepperrun.consensus.messages import Message
+from pepperrun.consensus.messages import Accept, BodyDelta, Chosen
 from pepperrun.consensus.register import Register
-from pepperrun.consensus.values import Body, Held, Life, Op, Value
-from pepperrun.consensus.voter import Steps
+from pepperrun.consensus.state import Body, Evaluation, Incarnation, Operation, Proposal, Value
 
-Plan = Callable[[tuple[Life, ...], Value, bool], Value]
+Plan = Callable[[tuple[Incarnation, ...], Value, bool], Value]
 
 
-def mark(body: Body, op: Op) -> tuple[Body | None, Any]:
-    """Changes that can be told from all others, and are made once."""
+def mark(body: Body, operation: Operation) -> Evaluation:
+    """Evaluate changes that can be told from all others, and are made once."""
     marks = body.get("m", [])
-    return (None, 200) if op["m"] in marks else ({"m": [*marks, op["m"]]}, 200)
+    if operation["m"] in marks:
+        return Evaluation(None, 200)
+    return Evaluation({"m": [*marks, operation["m"]]}, 200)
 
 
 def finish(value: Value, known: bool) -> Value:
     """Voters before that are on their way out leave when that is known as chosen."""
-    return replace(value, was=()) if value.was and known else value
+    return replace(value, outgoing_voters=()) if value.outgoing_voters and known else value
 
 
-def change(goal: tuple[Life, ...], value: Value, known: bool) -> Value:
+def change(goal: tuple[Incarnation, ...], value: Value, known: bool) -> Value:
     """These should vote."""
     value = finish(value, known)
-    if value.was or set(value.voters) == set(goal):
+    if value.outgoing_voters or set(value.voters) == set(goal):
         return value
-    return replace(value, voters=goal, was=value.voters)
+    return replace(value, voters=goal, outgoing_voters=value.voters)
 
 
-def change_hasty(goal: tuple[Life, ...], value: Value, known: bool) -> Value:
+def change_hasty(goal: tuple[Incarnation, ...], value: Value, known: bool) -> Value:
     """A bug put in on purpose: those that come decide on their coming, without those before."""
     return value if set(value.voters) == set(goal) else replace(value, voters=goal)
 
@@ -43,43 +43,45 @@
     return finish(value, True)
 
 
-def change_early(goal: tuple[Life, ...], value: Value, known: bool) -> Value:
+def change_early(goal: tuple[Incarnation, ...], value: Value, known: bool) -> Value:
     """The same bug."""
     return change(goal, value, True)
 
 
 class OneStep(Register):
-    """A bug put in on purpose: a majority of those before and one of those that come, without `was`."""
+    """A bug put in on purpose: majorities of the voters before and after, without `outgoing_voters`."""
 
     before: Value | None = None
 
-    def _judge(self, base: Held, known: bool) -> None:
+    def _evaluate(self, base: Proposal, is_chosen: bool) -> None:
         self.before = base.value
-        super()._judge(base, known)
+        super()._evaluate(base, is_chosen)
 
-    def _counted(self) -> None:
-        if self.before is not None and self.before.quorum(self.round.taken):
-            super()._counted()
+    def _choose_if_quorum_accepted(self) -> None:
+        if self.before is not None and self.before.has_quorum(self.round.accepted_by):
+            super()._choose_if_quorum_accepted()
 
 
 class OlderChosen(Register):
     """A bug put in on purpose: answers that come late bring back what an older ballot chose."""
 
-    def _choose(self, held: Held, steps: Steps | None) -> None:
-        if held.ballot <= self.chosen_at:
-            self.memory.chosen = held
-        super()._choose(held, steps)
+    def _learn_chosen(self, proposal: Proposal, delta: BodyDelta | None) -> None:
+        if proposal.ballot <= self.chosen_ballot:
+            self.state.chosen = proposal
+        super()._learn_chosen(proposal, delta)
 
 
 class Bodiless(Register):
     """A bug put in on purpose: who lacks the body of a value takes it all the same."""
 
-    def _build(self, message: Message) -> Body | None:
-        body = super()._build(message)
+    def _resolve_body(self, message: Accept | Chosen) -> Body | None:
+        body = super()._resolve_body(message)
         return {} if body is None else body
 
 
-def change_but(plan: Plan, void: frozenset[Life], goal: tuple[Life, ...], value: Value, known: bool) -> Value:
+def change_but(
+    plan: Plan, void: frozenset[Incarnation], goal: tuple[Incarnation, ...], value: Value, known: bool
+) -> Value:
     """A change to the goal, unless that names anew who was told to stop, or a life that is lost."""
     if any(life in void and life not in value.voters for life in goal):
         return finish(value, known)
@@ -88,7 +90,7 @@
 
 def hand_over(successor: str, value: Value, known: bool) -> Value:
     """The keeper, which is to stop, names another."""
-    return replace(finish(value, known), keeper=successor)
+    return replace(finish(value, known), coordinator=successor)
 
 
 CHANGES: dict[str, Plan] = {"hasty": change_hasty, "one-step": change_hasty, "early": change_early}
