--- a/pepperrun/simulation/orders.py
+++ b/pepperrun/simulation/orders.py
@@ -15,8 +15,8 @@
 from functools import partial
 
 from pepperrun.consensus.register import Phase
-from pepperrun.consensus.values import Life, Value
-from pepperrun.consensus.voter import MS
+from pepperrun.consensus.state import Incarnation, Value
+from pepperrun.consensus.timeouts import MS
 from pepperrun.simulation.explorer import Action, Found, Game
 from pepperrun.simulation.order_plans import BUGS, change
 from pepperrun.simulation.order_world import Rules, World, act, actions, begun
@@ -67,7 +67,7 @@
 
 def settle(world: World, rng: random.Random) -> str:
     """All that is on its way arrives, lost disks are let in: do all agree in the end on all that was told?"""
-    keeper = min(world.newest().value.ips & set(world.machines))
+    keeper = min(world.newest().value.voter_ips & set(world.machines))
     for _ in range(SETTLES_IN):
         if world.sent:
             wrong = act(world, ("deliver", rng.choice(sorted(world.sent))))
@@ -79,51 +79,55 @@
                 return f"acknowledged and lost: {lost}" if lost else ""
         if wrong:
             return wrong
-    held = [(ip, one.chosen_at, one.phase) for ip, one in world.machines.items()]
+    held = [(ip, one.chosen_ballot, one.phase) for ip, one in world.machines.items()]
     return f"no agreement after {SETTLES_IN} steps without a fault: {held}"
 
 
 def _go_on(world: World, keeper: str) -> str:
     """Nothing is on its way: rounds try again, who lacks what is chosen asks, the keeper lets in who came."""
     one = world.machines[keeper]
-    ahead = max(world.machines.values(), key=lambda two: two.chosen_at)
+    ahead = max(world.machines.values(), key=lambda two: two.chosen_ballot)
     for other in world.machines.values():
         if other.phase is not Phase.IDLE:
-            world.now = max(world.now, other.until)
+            world.now = max(world.now, other.phase_ends_at)
             other.tick(world.now)
-            if other.chosen_at < ahead.chosen_at:  # else it may ask for ever those who have gone
-                other.ask_news(ahead.me)
-            if other.wishes:
-                other.begin(world.now)
+            if other.chosen_ballot < ahead.chosen_ballot:  # else it may ask for ever those who have gone
+                other.request_catch_up(ahead.own_ip)
+            if other.pending:
+                other.start_round(world.now)
             return world.collect()
     world.now += 1000 * MS
     for other in world.machines.values():
-        if other.chosen_at < ahead.chosen_at:
+        if other.chosen_ballot < ahead.chosen_ballot:
             other.now = world.now
-            other.ask_news(ahead.me)
+            other.request_catch_up(ahead.own_ip)
             return world.collect()
-    assert one.memory.chosen is not None
-    value = one.memory.chosen.value
+    assert one.state.chosen is not None
+    value = one.state.chosen.value
     lives = _lives(world, value)
-    if lives != value.voters or value.was:
-        one.plan = partial(change, lives)
-        one.begin(world.now)
+    if lives != value.voters or value.outgoing_voters:
+        one.plan_voters = partial(change, lives)
+        one.start_round(world.now)
         return world.collect()
-    behind = [two for two in world.machines.values() if two.accepted_at > one.chosen_at and two.life in lives]
+    behind = [
+        two
+        for two in world.machines.values()
+        if two.accepted_ballot > one.chosen_ballot and two.incarnation in lives
+    ]
     if behind:
-        behind[0].begin(world.now)
+        behind[0].start_round(world.now)
         return world.collect()
     return "settled"
 
 
-def _lives(world: World, value: Value) -> tuple[Life, ...]:
+def _lives(world: World, value: Value) -> tuple[Incarnation, ...]:
     """The voters that there should be: present lives, a spare for who is gone, else who was named."""
-    spares = [one.life for ip, one in sorted(world.machines.items()) if ip not in value.ips]
+    spares = [one.incarnation for ip, one in sorted(world.machines.items()) if ip not in value.voter_ips]
     lives = []
     for voter in value.voters:
         machine = world.machines.get(voter.ip)
         if machine is not None:
-            lives.append(machine.life)
+            lives.append(machine.incarnation)
         else:
             lives.append(spares.pop() if spares else voter)
     return tuple(lives)
--- a/pepperrun/simulation/register_walks.py
+++ b/pepperrun/simulation/register_walks.py
@@ -15,9 +15,9 @@
 from collections import deque
 from typing import Any
 
-from pepperrun.consensus.messages import read
+from pepperrun.consensus.codec import decode, encode
 from pepperrun.consensus.register import Phase, Register
-from pepperrun.consensus.values import FIRST_LIFE, Memory, RamStore, beginning
+from pepperrun.consensus.state import FIRST_DISK_ID, DurableState, InMemoryStore, initial_proposal
 from pepperrun.simulation.consensus_world import judge as judge_order
 from pepperrun.simulation.control_bugs import EARLY_ROUND, judge_late_orders
 from pepperrun.simulation.histories import CallRecord, Replace
@@ -43,9 +43,9 @@
 
     @staticmethod
     def _node(ip: str, bug: str) -> Register:
-        memory = Memory(FIRST_LIFE)
-        memory.accepted = memory.chosen = beginning(NODES)
-        node = Register(ip, memory, RamStore(), judge_order, seed=1, now=0)
+        memory = DurableState(FIRST_DISK_ID)
+        memory.accepted = memory.chosen = initial_proposal(NODES)
+        node = Register(ip, memory, InMemoryStore(), judge_order, seed=1, now=0)
         if bug == EARLY_ROUND:
             judge_late_orders(node)
         return node
@@ -66,11 +66,11 @@
             self._deliver()
         elif kind == "order" and len(self.waiting) < OPERATORS:
             self._order(ip, max(0, self.newest - (self.rng.random() < 0.4)))
-        elif kind == "begin" and node.wishes:
-            if node.phase is Phase.WAITING:
+        elif kind == "begin" and node.pending:
+            if node.phase is Phase.BACKING_OFF:
                 node.tick(FOREVER - 1)
             if node.phase is Phase.IDLE:
-                node.begin(0)
+                node.start_round(0)
         elif kind == "late":
             node.tick(FOREVER - 1)
         for ip in NODES:
@@ -84,22 +84,22 @@
         if pairs:
             sender, receiver = self.rng.choice(pairs)
             message = self.links[sender, receiver].popleft()
-            self.nodes[receiver].take(sender, read(json.loads(json.dumps(message))), 0)
+            self.nodes[receiver].receive(sender, decode(json.loads(json.dumps(message))), 0)
 
     def _order(self, ip: str, on: int) -> None:
         mark, edition = f"m{len(self.records)}", on + 1 + self.rng.randrange(2)
         op = {"mark": mark, "on": on, "edition": edition, "fill": ""}
         record = CallRecord(0, ip, Replace(on, edition, frozenset([(mark, 1.0)])), self.step)
         self.records.append(record)
-        self.waiting[ip, self.nodes[ip].wish(op, FOREVER)] = record
+        self.waiting[ip, self.nodes[ip].submit(op, FOREVER)] = record
 
     def _collect(self, ip: str) -> None:
         """What a node sends, and what it tells its operators."""
         node = self.nodes[ip]
         node.flush()
-        for receiver, message in node.out:
-            self.links.setdefault((ip, receiver), deque()).append(message)
-        node.out.clear()
+        for receiver, message in node.outbox:
+            self.links.setdefault((ip, receiver), deque()).append(encode(message))
+        node.outbox.clear()
         for result in node.results:
             record = self.waiting.pop((ip, result.token))
             record.answered_at, record.status = self.step, result.verdict
@@ -110,7 +110,7 @@
 
     def _follow_up(self) -> None:
         """Who was told at once goes on, at a node whose round asks already."""
-        asking = [ip for ip, node in self.nodes.items() if node.phase is Phase.ASKING]
+        asking = [ip for ip, node in self.nodes.items() if node.phase is Phase.PREPARING]
         if asking and self.rng.random() < 0.5:
             self._order(self.rng.choice(asking), self.newest)
 
--- a/pepperrun/simulation/replacement_days.py
+++ b/pepperrun/simulation/replacement_days.py
@@ -20,7 +20,7 @@
 from dataclasses import dataclass, field, replace
 from itertools import combinations
 
-from pepperrun.consensus.voter import MS, Pace
+from pepperrun.consensus.timeouts import MS, Timeouts
 from pepperrun.simulation.consensus_world import World
 
 LOOK_MS = 10  # between two looks at a replacement
@@ -97,7 +97,7 @@
 
     def __init__(self, seed: int, site: Site = SMALL, bugs: Bugs | None = None) -> None:
         bugs = bugs or Bugs()
-        pace = Pace() if bugs.lost_ms is None else replace(Pace(), lost=bugs.lost_ms * MS)
+        pace = Timeouts() if bugs.lost_ms is None else replace(Timeouts(), voter_ns=bugs.lost_ms * MS)
         self.rng, self.site = random.Random(seed), site
         self.world = World(site.machines, seed, most=site.most, pace=pace)
         self.world.waits_released = not bugs.stays_named
@@ -160,12 +160,12 @@
             world.remove(old)
             world.run(self.site.catch_up_ms)
             return self._bears(f"{old} was killed while it handed over")
-        keeper = world.newest.keeper
+        keeper = world.newest.coordinator
         steps: dict[Step, Callable[[], bool]] = {
             Step.TOLD: lambda: True,
-            Step.KEEPER: lambda: keeper != old or world.newest.keeper != old,
-            Step.JOINT: lambda: bool(world.newest.was) or old not in world.newest.ips,
-            Step.AFTER: lambda: old not in world.newest.ips,
+            Step.KEEPER: lambda: keeper != old or world.newest.coordinator != old,
+            Step.JOINT: lambda: bool(world.newest.outgoing_voters) or old not in world.newest.voter_ips,
+            Step.AFTER: lambda: old not in world.newest.voter_ips,
         }
         if self.step in steps:
             return self._until(steps[self.step], f"{old} never came to: {self.step.value}")
@@ -198,7 +198,7 @@
         """Is there a loss that would take a majority of a set of voters, were all others there?"""
         value = self.world.newest
         for lost in self.losses():
-            for group in value.sets:
+            for group in value.voter_groups:
                 if 2 * sum(one.ip in lost for one in group) >= len(group):
                     return f"{sorted(lost)} have half of the voters of {value}"
         return ""
--- a/pepperrun/simulation/replays.py
+++ b/pepperrun/simulation/replays.py
@@ -21,11 +21,11 @@
 from pathlib import Path
 from typing import NamedTuple
 
+from pepperrun.consensus.state import DurableState
 from pepperrun.foundation.errors import PepperrunError
-from pepperrun.consensus.values import Memory
-from pepperrun.simulation.crashes import HEADS, PAGE, SECTOR, Image, apart, pages
 from pepperrun.simulation.consensus_world import Disk, World
-from pepperrun.storage.store import FILE, DiskStore
+from pepperrun.simulation.crashes import HEADS, PAGE, SECTOR, Image, apart, pages
+from pepperrun.storage.store import DATA_FILE, DiskStore
 
 CALM_MS, DOWN_MS, AFTER_MS = 3000, 200, 8000
 
@@ -35,8 +35,8 @@
 
     before: Image
     after: Image
-    was: Memory
-    now: Memory
+    was: DurableState
+    now: DurableState
 
 
 class Recorder(Disk):
@@ -45,25 +45,25 @@
     def __init__(self, world: World, ip: str, folder: Path, goes_on: bool) -> None:
         super().__init__()
         self.world, self.ip, self.goes_on = world, ip, goes_on
-        self.synced = replace(world.machines[ip].disk.synced or Memory(""))
+        self.synced = replace(world.machines[ip].disk.synced or DurableState(""))
         self.folder, self.disk = folder, DiskStore(str(folder), 64)
         self.disk.owner = ip
         self.disk.save(self.synced)
         self.saves_seen: list[Save] = []
         self.said: Counter[str] = Counter()
 
-    def save(self, memory: Memory) -> None:
+    def save(self, memory: DurableState) -> None:
         was, now = replace(self.synced or memory), replace(memory)
         for name, found in (("before", was), ("after", now)) if self.goes_on else ():
             text = apart(lambda found=found: self._power(found))  # type: ignore[misc]
             self.said[f"goes on from {name}: {text or 'agreed'}"] += 1
-        image = (self.folder / FILE).read_bytes()
+        image = (self.folder / DATA_FILE).read_bytes()
         self.disk.save(now)
-        self.saves_seen.append(Save(image, (self.folder / FILE).read_bytes(), was, now))
+        self.saves_seen.append(Save(image, (self.folder / DATA_FILE).read_bytes(), was, now))
         super().save(memory)
         self.world.copies.saved(self.ip, memory)
 
-    def _power(self, found: Memory) -> str:
+    def _power(self, found: DurableState) -> str:
         """In a child: power is lost now, with this on the disk. What is wrong in the end, or nothing."""
         world = self.world
         world.kill(self.ip, power=True)
@@ -132,7 +132,7 @@
 def started(folder: Path, image: Image, ip: str, save: Save, moment: str) -> str:
     """What a start on this file finds: `before`, `after`, or what is wrong."""
     folder.mkdir(exist_ok=True)
-    (folder / FILE).write_bytes(image)
+    (folder / DATA_FILE).write_bytes(image)
     disk = DiskStore(str(folder), 64)
     try:
         memory = disk.begin("s", ip, [])
--- a/pepperrun/storage/formats.py
+++ b/pepperrun/storage/formats.py
@@ -1,9 +1,9 @@
-"""Formats of the disk: steps from each older one to the next, so that any version's disk is read.
+"""Formats of the disk: one migration from each older format to the next, so that any version's disk is read.
 
-A new format gets its number in `FORMAT` and one step in `STEPS`, from the format before it. Records come and
-go by name, opened (as JSON data): `life` (its first item is the format), `promised`, `accepted`, `chosen`,
-and `body:DIGEST`. A step changes what its format changed and sets the format; it touches no life, starts or
-ballots: what was promised stays promised.
+A new format gets its number in `FORMAT` and one migration in `MIGRATIONS`, from the format before it. Records
+come and go by name, unsealed (as JSON data): `life` (its first item is the format), `promised`, `accepted`,
+`chosen`, and `body:DIGEST`. A migration changes what its format changed and sets the format; it touches no
+disk id, count of starts or ballot: what was promised stays promised.
 """
 
 from __future__ import annotations
@@ -11,30 +11,52 @@
 from collections.abc import Callable, Mapping
 from typing import Any
 
-from pepperrun.foundation.errors import PepperrunError
+from pepperrun.foundation.errors import CorruptStateError, NewerFormatError
 
 FORMAT = 1
+IDENTITY = "life"  # the record with format, disk id, starts and owner
 
 Records = dict[str, Any]
-Step = Callable[[Records], Records]
-
-STEPS: dict[int, Step] = {}  # by the format that a step starts from; format 1 is the first there was
-
-
-def to_present(records: Records, form: Any, steps: Mapping[int, Step] | None = None) -> Records:
-    """Records in the present format; raises `disk-newer` or `disk-doubtful` where no steps lead there."""
-    steps = STEPS if steps is None else steps
-    if type(form) is not int:
-        raise PepperrunError("disk-doubtful", "reading", f"format {form!r} is no number")
-    if form > FORMAT:
-        raise PepperrunError("disk-newer", "reading", f"it is of format {form}, {FORMAT} is known here")
-    while form < FORMAT:
-        step = steps.get(form)
-        if step is None:
-            raise PepperrunError("disk-doubtful", "reading", f"no step leads on from format {form}")
-        records, form = step(records), form + 1
-        if records["life"][0] != form:
-            raise PepperrunError(
-                "disk-doubtful", "reading", f"the step to format {form} left another one behind"
-            )
+Migration = Callable[[Records], Records]
+
+MIGRATIONS: dict[int, Migration] = {}  # by the format that a migration starts from; format 1 is the first
+
+
+def check_format(found: Any) -> int:
+    """Return a format that this version may read.
+
+    Raises
+    ------
+    CorruptStateError
+        It is no number.
+    NewerFormatError
+        It is of a later version.
+    """
+    if type(found) is not int:
+        raise CorruptStateError("reading", f"format {found!r} is no number")
+    if found > FORMAT:
+        raise NewerFormatError("reading", f"it is of format {found}, {FORMAT} is known here")
+    return found
+
+
+def migrate(records: Records, found: Any, migrations: Mapping[int, Migration] | None = None) -> Records:
+    """Return records of the format `found` in the present one.
+
+    Raises
+    ------
+    CorruptStateError
+        No migrations lead from `found` to the present format, or one left another format behind.
+    NewerFormatError
+        It is of a later version.
+    """
+    migrations = MIGRATIONS if migrations is None else migrations
+    current = check_format(found)
+    while current < FORMAT:
+        migration = migrations.get(current)
+        if migration is None:
+            raise CorruptStateError("reading", f"no migration leads on from format {current}")
+        records = migration(records)
+        current += 1
+        if records[IDENTITY][0] != current:
+            raise CorruptStateError("reading", f"the migration to format {current} left another one behind")
     return records
--- a/pepperrun/storage/records.py
+++ b/pepperrun/storage/records.py
@@ -1,4 +1,7 @@
-"""Records of the disk: sealed with checksums, opened, put together to a memory; what is wrong with them."""
+"""Records of the disk: sealed with checksums and unsealed, durable state to records and back, and checks.
+
+This module is the codec of the stored state; only it and `formats` know the names of the records.
+"""
 
 from __future__ import annotations
 
@@ -7,129 +10,177 @@
 from collections.abc import Mapping
 from typing import Any
 
-from pepperrun.foundation.errors import PepperrunError
-from pepperrun.consensus import messages
-from pepperrun.consensus.values import Body, Held, Memory, digest_of
+from pepperrun.consensus import codec
+from pepperrun.consensus.state import Body, DurableState, Proposal, digest_of
+from pepperrun.foundation.errors import CorruptStateError, PepperrunError, RemoteProtocolError
 from pepperrun.storage import formats
-from pepperrun.storage.formats import Records, Step, to_present
+from pepperrun.storage.formats import IDENTITY, Migration, Records, check_format, migrate
+
+CHECKSUM_BYTES = 16  # before each record
+PROMISED = "promised"
+ACCEPTED = "accepted"
+CHOSEN = "chosen"
+NAMES = (IDENTITY, PROMISED, ACCEPTED, CHOSEN)
+BODY_PREFIX = "body:"  # before the digest
 
-CHECK = 16  # bytes of the checksum before each record
-NAMES = ("life", "promised", "accepted", "chosen")
-BODY = "body:"
+SealedRecords = Mapping[bytes, bytes]
 
-Raw = Mapping[bytes, bytes]
 
+def seal(data: Any) -> bytes:
+    """Return the bytes of a record: checksum and JSON."""
+    return seal_text(json.dumps(data, separators=(",", ":"), ensure_ascii=False))
 
-def sealed(data: Any) -> bytes:
-    """A record's bytes."""
-    return sealed_text(json.dumps(data, separators=(",", ":"), ensure_ascii=False))
 
+def seal_text(text: str) -> bytes:
+    """As `seal`, of JSON that is encoded already."""
+    encoded = text.encode()
+    return hashlib.blake2b(encoded, digest_size=CHECKSUM_BYTES).digest() + encoded
 
-def sealed_text(written: str) -> bytes:
-    """As `sealed`, of JSON that is written already."""
-    text = written.encode()
-    return hashlib.blake2b(text, digest_size=CHECK).digest() + text
 
+def unseal(sealed: bytes, name: str) -> Any:
+    """Return the data of a record.
 
-def opened(data: bytes, name: str) -> Any:
-    """What a record holds; PepperrunError `disk-doubtful` where it is not what was sealed."""
-    if hashlib.blake2b(data[CHECK:], digest_size=CHECK).digest() != data[:CHECK]:
-        raise PepperrunError("disk-doubtful", "reading", f"the checksum of {name} is wrong")
+    Raises
+    ------
+    CorruptStateError
+        The checksum is wrong, or the text is no JSON.
+    """
+    checksum, text = sealed[:CHECKSUM_BYTES], sealed[CHECKSUM_BYTES:]
+    if hashlib.blake2b(text, digest_size=CHECKSUM_BYTES).digest() != checksum:
+        raise CorruptStateError("reading", f"the checksum of {name} is wrong")
     try:
-        return json.loads(data[CHECK:])
+        return json.loads(text)
     except ValueError as error:
-        raise PepperrunError("disk-doubtful", "reading", f"{name}: {error}") from None
+        raise CorruptStateError("reading", f"{name}: {error}") from None
 
 
-def laid_out(memory: Memory, owner: str) -> tuple[Records, dict[str, Body]]:
-    """The records of a memory in the present format, and its bodies by their records' names.
+def to_records(state: DurableState, owner: str) -> tuple[Records, dict[str, Body]]:
+    """Return the records of a state in the present format, and its bodies by their records' names.
 
-    `owner`: the ip of its machine, "" while it has none. Lives of the first contacts have one name, so a disk
-    in the wrong machine could vote as a life that promised other things.
+    Parameters
+    ----------
+    owner : str
+        Ip of the machine, empty while it has none. The disks of the first contacts have one id, so a disk in
+        the wrong machine could vote as an incarnation that promised other things.
     """
     records: Records = {
-        "life": [formats.FORMAT, memory.life, memory.starts, owner],
-        "promised": memory.promised,
-        "accepted": _named(memory.accepted),
-        "chosen": _named(memory.chosen),
+        IDENTITY: [formats.FORMAT, state.disk_id, state.starts, owner],
+        PROMISED: state.promised,
+        ACCEPTED: _proposal_record(state.accepted),
+        CHOSEN: _proposal_record(state.chosen),
+    }
+    proposals = (state.accepted, state.chosen)
+    bodies = {
+        BODY_PREFIX + proposal.value.digest: proposal.body for proposal in proposals if proposal is not None
     }
-    both = (memory.accepted, memory.chosen)
-    return records, {BODY + one.value.digest: one.body for one in both if one is not None}
+    return records, bodies
 
 
-def recall(raw: Raw, steps: Mapping[int, Step] | None = None) -> Memory:
-    """The memory that these records hold, of whatever format; raises `disk-doubtful` or `disk-newer`."""
+def read_state(sealed: SealedRecords, migrations: Mapping[int, Migration] | None = None) -> DurableState:
+    """Return the state that sealed records of any format hold.
+
+    Raises
+    ------
+    CorruptStateError
+        A record is missing or is not what was written.
+    NewerFormatError
+        A later version wrote them.
+    """
     try:
-        form, *_ = opened(raw[b"life"], "life")
-        if form != formats.FORMAT:
-            if isinstance(form, int) and form < formats.FORMAT:
-                records = {key.decode(): opened(data, key.decode()) for key, data in raw.items()}
-                return put_together(to_present(records, form, steps))
-            to_present({}, form)  # says so before anything else is read: a later one may seal otherwise
-        records = {name: opened(raw[name.encode()], name) for name in NAMES}
-        for name in ("accepted", "chosen"):
-            if records[name] is not None:
-                key = BODY + messages.value(records[name][1]).digest
-                records[key] = opened(raw[key.encode()], key)
-        return put_together(records)
-    except (KeyError, TypeError, ValueError) as error:
-        raise PepperrunError("disk-doubtful", "reading", f"{type(error).__name__}: {error}") from None
-
-
-def owner_of(life: Any) -> str:
-    """The ip that a record `life` names; "" where it names none (an earlier version wrote none)."""
-    return str(life[3]) if len(life) > 3 else ""
-
-
-def put_together(records: Records) -> Memory:
-    """The memory of opened records in the present format; PepperrunError or KeyError if it is none."""
-    _, life, starts, *_ = records["life"]
-    if not isinstance(life, str) or type(starts) is not int:
-        raise PepperrunError("disk-doubtful", "reading", "life: no name or no count")
-    accepted, chosen = (_held(records, name) for name in ("accepted", "chosen"))
-    return Memory(life, starts, messages.ballot(records["promised"]), accepted, chosen)
-
-
-def faults(raw: Raw) -> list[str]:
-    """What is wrong, one sentence each; nothing where a start would find its whole memory."""
-    found, records = [], {}
-    for name in NAMES:
-        if name.encode() not in raw:
-            found.append(f"The record {name} is missing.")
-    for key, data in sorted(raw.items()):
+        found, *_ = unseal(sealed[IDENTITY.encode()], IDENTITY)
+        # Checked before anything else is read: a later version may seal otherwise.
+        if check_format(found) < formats.FORMAT:
+            records = {key.decode(): unseal(data, key.decode()) for key, data in sealed.items()}
+            return from_records(migrate(records, found, migrations))
+        return from_records(_unseal_present(sealed))
+    except (KeyError, TypeError, ValueError, RemoteProtocolError) as error:
+        raise CorruptStateError("reading", f"{type(error).__name__}: {error}") from None
+
+
+def _unseal_present(sealed: SealedRecords) -> Records:
+    """Unseal the records of the present format and the bodies that they name."""
+    records = {name: unseal(sealed[name.encode()], name) for name in NAMES}
+    for name in (ACCEPTED, CHOSEN):
+        if records[name] is not None:
+            key = BODY_PREFIX + codec.decode_value(records[name][1]).digest
+            records[key] = unseal(sealed[key.encode()], key)
+    return records
+
+
+def owner_of(identity: Any) -> str:
+    """The ip that the identity record names; empty where it names none (an earlier version wrote none)."""
+    return str(identity[3]) if len(identity) > 3 else ""
+
+
+def from_records(records: Records) -> DurableState:
+    """Return the state of unsealed records in the present format.
+
+    Raises
+    ------
+    PepperrunError
+        A record holds something else.
+    KeyError
+        A record is missing.
+    """
+    _, disk_id, starts, *_ = records[IDENTITY]
+    if not isinstance(disk_id, str) or type(starts) is not int:
+        raise CorruptStateError("reading", f"{IDENTITY}: no disk id or no count of starts")
+    return DurableState(
+        disk_id=disk_id,
+        starts=starts,
+        promised=codec.decode_ballot(records[PROMISED]),
+        accepted=_proposal(records, ACCEPTED),
+        chosen=_proposal(records, CHOSEN),
+    )
+
+
+def problems(sealed: SealedRecords) -> list[str]:
+    """Return what is wrong, one sentence each; nothing where a start would find its complete state."""
+    found = [f"The record {name} is missing." for name in NAMES if name.encode() not in sealed]
+    records: Records = {}
+    for key, data in sorted(sealed.items()):
         name = key.decode("utf-8", "replace")
         try:
-            records[name] = opened(data, name)
+            records[name] = unseal(data, name)
         except PepperrunError as error:
             found.append(f"{error.detail[:1].upper()}{error.detail[1:]}.")
             continue
-        if name.startswith(BODY) and digest_of(records[name]) != name[len(BODY) :]:
+        if name.startswith(BODY_PREFIX) and digest_of(records[name]) != name.removeprefix(BODY_PREFIX):
             found.append(f"The record {name} holds a body of another digest.")
-    for name in ("accepted", "chosen"):
-        try:
-            digest = messages.value(records[name][1]).digest if records.get(name) else None
-        except (PepperrunError, LookupError, TypeError):
-            continue  # told below
-        if digest is not None and f"{BODY}{digest}".encode() not in raw:
-            found.append(f"The body {digest} that {name} names is missing.")
+    found += _missing_bodies(sealed, records)
     if not found:
         try:
-            recall(raw)
+            read_state(sealed)
         except PepperrunError as error:
-            found.append(f"It can't be read as a memory: {error.detail}.")
+            found.append(f"It can't be read as a durable state: {error.detail}.")
+    return found
+
+
+def _missing_bodies(sealed: SealedRecords, records: Records) -> list[str]:
+    """Sentences on bodies that a proposal names and that are not there."""
+    found = []
+    for name in (ACCEPTED, CHOSEN):
+        try:
+            digest = codec.decode_value(records[name][1]).digest if records.get(name) else None
+        except (PepperrunError, LookupError, TypeError):
+            continue  # `read_state` tells of it
+        if digest is not None and f"{BODY_PREFIX}{digest}".encode() not in sealed:
+            found.append(f"The body {digest} that {name} names is missing.")
     return found
 
 
-def _held(records: Records, name: str) -> Held | None:
+def _proposal(records: Records, name: str) -> Proposal | None:
     data = records[name]
     if data is None:
         return None
-    ballot, value = messages.ballot(data[0]), messages.value(data[1])
-    body: Body = records[BODY + value.digest]
+    ballot = codec.decode_ballot(data[0])
+    value = codec.decode_value(data[1])
+    body: Body = records[BODY_PREFIX + value.digest]
     if digest_of(body) != value.digest:
-        raise PepperrunError("disk-doubtful", "reading", f"{BODY}{value.digest} is of another digest")
-    return Held(ballot, value, body)
+        raise CorruptStateError("reading", f"{BODY_PREFIX}{value.digest} is of another digest")
+    return Proposal(ballot, value, body)
 
 
-def _named(held: Held | None) -> Any:
-    return None if held is None else [held.ballot, messages.wire(held.value)]
+def _proposal_record(proposal: Proposal | None) -> list[Any] | None:
+    """A proposal without its body, which has a record of its own."""
+    return None if proposal is None else [proposal.ballot, codec.encode_value(proposal.value)]
--- a/pepperrun/storage/store.py
+++ b/pepperrun/storage/store.py
@@ -1,4 +1,4 @@
-"""The disk of a core machine, on lmdb: what was promised, taken and chosen, each with a checksum.
+"""The disk of a control node, on lmdb: what was promised, accepted and chosen, each with a checksum.
 
 Bodies are kept by their digests, apart from what names them: a promise or a change of voters writes some
 hundred bytes, however long the configuration is. Each save is one transaction, synced when it returns.
@@ -12,156 +12,215 @@
 import os
 import secrets
 import time
-from collections.abc import Sequence
+from collections.abc import Iterator, Sequence
 from pathlib import Path
 from typing import Any
 
 import lmdb
 
-from pepperrun.foundation.errors import PepperrunError
+from pepperrun.consensus.canonical_json import CachedJsonEncoder
+from pepperrun.consensus.state import FIRST_DISK_ID, DurableState, initial_proposal
+from pepperrun.foundation.errors import (
+    CorruptStateError,
+    DiskUnavailableError,
+    ForeignDiskError,
+    NewerFormatError,
+    StorageError,
+)
 from pepperrun.foundation.logs import event, trouble
-from pepperrun.consensus.canonical_json import Texts
-from pepperrun.consensus.values import FIRST_LIFE, Memory, beginning
-from pepperrun.storage.records import BODY, laid_out, opened, owner_of, recall, sealed, sealed_text
+from pepperrun.storage.formats import IDENTITY
+from pepperrun.storage.records import BODY_PREFIX, owner_of, read_state, seal, seal_text, to_records, unseal
 
-MOST_MB = 64  # of the map: some dozens of bodies, and the pages of transactions
-FILE = "data.mdb"
-TROUBLE = [os.strerror(one) for one in (errno.EIO, errno.ENOSPC, errno.EROFS, errno.EACCES)]
+MAX_MAP_MB = 64  # of the map: some dozens of bodies, and the pages of transactions
+MB = 1024 * 1024  # bytes
+DISK_ID_BYTES = 8
+DATA_FILE = "data.mdb"
+_UNAVAILABLE = [os.strerror(code) for code in (errno.EIO, errno.ENOSPC, errno.EROFS, errno.EACCES)]
+_LMDB_FAILURES = (lmdb.Error, OSError)
 
 
-def in_trouble(error: Exception) -> bool:
-    """Is it the disk that refuses just now? Any other error at reading tells of damage to what lies there."""
-    return isinstance(error, lmdb.DiskError) or any(text in str(error) for text in TROUBLE)
+def is_unavailable(error: Exception) -> bool:
+    """Whether the disk refuses just now. Any other error at reading tells of damage to what lies there."""
+    return isinstance(error, lmdb.DiskError) or any(text in str(error) for text in _UNAVAILABLE)
+
+
+def _describe(error: Exception) -> str:
+    return f"{type(error).__name__}: {error}"
 
 
 class DiskStore:
-    """One folder. `disk_mb`: what the disk holds, 0 for no limit told."""
+    """The durable state in one folder.
+
+    Parameters
+    ----------
+    folder : str
+        Made where it is missing.
+    disk_mb : float
+        Size of the disk, MB; 0 where it is not known.
+    """
 
     def __init__(self, folder: str, disk_mb: float = 0) -> None:
         self.folder = Path(folder)
-        self.size = int(min(MOST_MB, disk_mb / 2 if disk_mb else MOST_MB) * 1024 * 1024)
-        self.owner = ""  # the ip of the machine whose memory this is
-        self.env: lmdb.Environment | None = None
-        self.saved: dict[bytes, Any] = {}  # by record, what it was made of
-        self.texts = Texts(sort=False)
-
-    def begin(self, station: str, me: str, first_contacts: Sequence[str]) -> Memory:
-        """What is remembered, one start counted, all synced. On an empty disk a new life begins.
-
-        `first_contacts`: ips, only where `first_run` is true, else none: who is among them, with an empty
-        disk, begins as one of the first voters. A disk in doubt is emptied, and its life is over. One that a
-        later version wrote, or another machine, is left alone (raises `disk-newer`, `disk-other`); likewise
-        one that can't be read just now (`disk-failed`).
+        self.map_bytes = int(min(MAX_MAP_MB, disk_mb / 2 if disk_mb else MAX_MAP_MB) * MB)
+        self.owner = ""  # the ip of the machine whose state this is
+        self._environment: lmdb.Environment | None = None
+        self._saved: dict[bytes, Any] = {}  # by record, what was saved of it last
+        self._encoder = CachedJsonEncoder(sort_keys=False)
+
+    def begin(self, node_name: str, own_ip: str, first_contacts: Sequence[str]) -> DurableState:
+        """Load the state, count one start and sync. An empty disk begins a new incarnation.
+
+        A disk with damaged state is emptied, and its incarnation is over.
+
+        Parameters
+        ----------
+        first_contacts : sequence of str
+            Ips, only at the first start of the system, else none: a node among them whose disk is empty
+            begins as one of the first voters.
+
+        Raises
+        ------
+        NewerFormatError, ForeignDiskError
+            A later version or another machine wrote it; it is left alone.
+        DiskUnavailableError
+            It can't be read or written now; it is left alone.
         """
-        doubtful = False
+        state, damaged = self._load_or_discard()
+        if state is None:
+            is_first = own_ip in first_contacts and not damaged
+            state = DurableState(FIRST_DISK_ID if is_first else new_disk_id(node_name), starts=0)
+            if is_first:
+                state.accepted = state.chosen = initial_proposal(first_contacts)
+            event("new-disk", node=node_name, disk_id=state.disk_id, damaged=damaged)
+        if self.owner not in ("", own_ip):
+            self.close()
+            raise ForeignDiskError("reading", f"it holds the state of {self.owner}, this is {own_ip}")
+        self.owner = own_ip
+        state.starts += 1
+        self.save(state)
+        self.sync_file_names()
+        return state
+
+    def _load_or_discard(self) -> tuple[DurableState | None, bool]:
+        """The state, None where there is none, and whether there was one that is damaged."""
         try:
-            memory = self.load()
-        except PepperrunError as error:
-            if error.code in ("disk-newer", "disk-failed"):
-                self.close()
-                raise
-            trouble(error)
-            memory, doubtful = None, True
-            self._empty()
-        if memory is None:
-            first = me in first_contacts and not doubtful
-            memory = Memory(FIRST_LIFE if first else new_life(station), 0)
-            if first:
-                memory.accepted = memory.chosen = beginning(first_contacts)
-            event("new-life", station=station, life=memory.life, doubtful=doubtful)
-        if self.owner not in ("", me):
+            return self.load(), False
+        except (NewerFormatError, DiskUnavailableError):
             self.close()
-            raise PepperrunError(
-                "disk-other", "reading", f"it holds the memory of {self.owner}, this is {me}"
-            )
-        self.owner = me
-        memory.starts += 1
-        self.save(memory)
-        self.sync_names()
-        return memory
+            raise
+        except StorageError as error:
+            trouble(error)
+            self._discard()
+            return None, True
+
+    def load(self) -> DurableState | None:
+        """Return what is there, or None where nothing ever was.
+
+        Raises
+        ------
+        CorruptStateError, NewerFormatError, DiskUnavailableError
+            See `begin`.
+        """
+        try:
+            self.folder.mkdir(parents=True, exist_ok=True)
+            with self._open().begin() as transaction:
+                sealed = {bytes(key): bytes(data) for key, data in transaction.cursor()}
+        except _LMDB_FAILURES as error:
+            kind = DiskUnavailableError if is_unavailable(error) else CorruptStateError
+            raise kind("opening", _describe(error)) from None
+        if not sealed:
+            return None  # nothing was ever synced, so nothing was ever said
+        state = read_state(sealed)
+        self.owner = owner_of(unseal(sealed[IDENTITY.encode()], IDENTITY))
+        return state
 
-    def save(self, memory: Memory) -> None:
-        """Syncs what differs from what was saved last; PepperrunError `disk-failed`.
+    def save(self, state: DurableState) -> None:
+        """Sync what differs from what was saved last.
 
         After a failure nobody knows what the disk has: the next save opens it anew and writes all.
+
+        Raises
+        ------
+        DiskUnavailableError
+            It could not be written or synced.
         """
-        named, held = laid_out(memory, self.owner)
-        records = {name.encode(): data for name, data in named.items()}
-        bodies = {name.encode(): body for name, body in held.items()}
-        changed = {
-            key: data for key, data in records.items() if key not in self.saved or self.saved[key] != data
-        }
-        new = [key for key in bodies if key not in self.saved]
-        old = [key for key in self.saved if key.startswith(BODY.encode()) and key not in bodies]
-        if not changed and not new:
+        records, bodies = to_records(state, self.owner)
+        sealed_names = {name.encode(): data for name, data in records.items()}
+        body_names = {name.encode(): body for name, body in bodies.items()}
+        changed = {key: data for key, data in sealed_names.items() if self._differs(key, data)}
+        added = {key: body for key, body in body_names.items() if key not in self._saved}
+        if not changed and not added:
             return
         try:
             with self._open().begin(write=True) as transaction:
-                if not self.saved:  # what lies there is of an older format, or of a save that failed
-                    keys = [bytes(key) for key in transaction.cursor().iternext(values=False)]
-                    old = [key for key in keys if key not in records and key not in bodies]
-                for key in old:
+                for key in list(self._obsolete(transaction, {*sealed_names, *body_names})):
                     transaction.delete(key)
-                for key in new:
-                    transaction.put(key, sealed_text(self.texts.of(bodies[key])))
+                for key, body in added.items():
+                    transaction.put(key, seal_text(self._encoder.encode(body)))
                 for key, data in changed.items():
-                    transaction.put(key, sealed(data))
+                    transaction.put(key, seal(data))
             self._open().sync(True)
-        except (lmdb.Error, OSError) as error:
+        except _LMDB_FAILURES as error:
             self.close()
-            self.saved = {}
-            raise PepperrunError("disk-failed", "saving", f"{type(error).__name__}: {error}") from None
-        self.saved = records | dict.fromkeys(bodies, True)
+            self._saved = {}
+            raise DiskUnavailableError("saving", _describe(error)) from None
+        self._saved = sealed_names | dict.fromkeys(body_names, True)
+
+    def _differs(self, key: bytes, data: Any) -> bool:
+        return key not in self._saved or self._saved[key] != data
+
+    def _obsolete(self, transaction: lmdb.Transaction, kept: set[bytes]) -> Iterator[bytes]:
+        """Keys to delete: bodies that nothing names any more.
+
+        Where nothing was saved yet, whatever lies there is of an older format, or of a save that failed.
+        """
+        if self._saved:
+            prefix = BODY_PREFIX.encode()
+            return (key for key in self._saved if key.startswith(prefix) and key not in kept)
+        keys = (bytes(key) for key in transaction.cursor().iternext(values=False))
+        return (key for key in keys if key not in kept)
 
     def close(self) -> None:
-        """Ends the use of the folder."""
-        if self.env is not None:
-            self.env.close()
-            self.env = None
+        """End the use of the folder."""
+        if self._environment is not None:
+            self._environment.close()
+            self._environment = None
 
     def _open(self) -> lmdb.Environment:
-        if self.env is None:
+        if self._environment is None:
             # One process alone uses the folder, and locks do nothing on some disks. lmdb syncs the pages of a
             # commit and then writes which of them hold through a descriptor with O_DSYNC; not each disk heeds
             # that, so `save` syncs that write.
-            options: dict[str, Any] = {"lock": False, "readahead": False, "metasync": False}
-            self.env = lmdb.open(str(self.folder), map_size=self.size, **options)
-        return self.env
-
-    def load(self) -> Memory | None:
-        """What is there, or None where nothing ever was; PepperrunError where it is in doubt."""
-        try:
-            self.folder.mkdir(parents=True, exist_ok=True)
-            with self._open().begin() as transaction:
-                raw = {bytes(key): bytes(data) for key, data in transaction.cursor()}
-        except (lmdb.Error, OSError) as error:
-            code = "disk-failed" if in_trouble(error) else "disk-doubtful"
-            raise PepperrunError(code, "opening", f"{type(error).__name__}: {error}") from None
-        if not raw:
-            return None  # nothing was ever synced, so nothing was ever said
-        memory = recall(raw)
-        self.owner = owner_of(opened(raw[b"life"], "life"))
-        return memory
+            self._environment = lmdb.open(
+                str(self.folder), map_size=self.map_bytes, lock=False, readahead=False, metasync=False
+            )
+        return self._environment
 
-    def _empty(self) -> None:
+    def _discard(self) -> None:
         self.close()
         with contextlib.suppress(FileNotFoundError):
-            (self.folder / FILE).unlink()
+            (self.folder / DATA_FILE).unlink()
+
+    def sync_file_names(self) -> None:
+        """Sync file and folder: only then does a new file survive a loss of power.
 
-    def sync_names(self) -> None:
-        """A new file lasts once it and its folder have been synced."""
+        Raises
+        ------
+        DiskUnavailableError
+            One of them can't be synced.
+        """
         try:
-            for path in (self.folder / FILE, self.folder):
-                file = os.open(path, os.O_RDONLY)
+            for path in (self.folder / DATA_FILE, self.folder):
+                descriptor = os.open(path, os.O_RDONLY)
                 try:
-                    os.fsync(file)
+                    os.fsync(descriptor)
                 finally:
-                    os.close(file)
+                    os.close(descriptor)
         except OSError as error:
-            raise PepperrunError("disk-failed", "syncing names", str(error)) from None
+            raise DiskUnavailableError("syncing file names", str(error)) from None
 
 
-def new_life(station: str) -> str:
-    """No other has it: chance, and the clocks where chance is seeded alike at each start."""
-    text = f"{station}/{secrets.token_hex(16)}/{time.monotonic_ns()}/{time.time_ns()}/{os.getpid()}"
-    return hashlib.blake2b(text.encode(), digest_size=8).hexdigest()
+def new_disk_id(node_name: str) -> str:
+    """Return an id that no other disk has: chance, and clocks where chance is seeded alike at each start."""
+    text = f"{node_name}/{secrets.token_hex(16)}/{time.monotonic_ns()}/{time.time_ns()}/{os.getpid()}"
+    return hashlib.blake2b(text.encode(), digest_size=DISK_ID_BYTES).hexdigest()
--- a/pepperrun/wirehost.py
+++ b/pepperrun/wirehost.py
@@ -9,8 +9,8 @@
 import sys
 from typing import BinaryIO
 
-from pepperrun.core import interface as io
 from pepperrun.config import read_settings
+from pepperrun.core import interface as io
 from pepperrun.core.gateway import Gateway
 
 EVENT_SIZE = 48
--- a/tests/clusters.py
+++ b/tests/clusters.py
@@ -8,10 +8,9 @@
 from collections.abc import Callable
 from typing import Any
 
-
 from pepperrun.control.cells import Beat, Cells
-from pepperrun.control.validation import Op, read_amend, read_replace
 from pepperrun.control.records import GatewayRecord
+from pepperrun.control.validation import Op, read_amend, read_replace
 
 MS = 1_000_000
 SECOND = 1000 * MS
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -8,16 +8,16 @@
 from typing import Any
 
 from pepperrun.config import read_listing
+from pepperrun.core.interface import Group, ListKind, Outcome, Plan, Repeat, RequestClass, Settings
 from pepperrun.exchange import Exchange
 from pepperrun.fronts.forward_auth import AuthService
 from pepperrun.fronts.platform import Platform
 from pepperrun.gatekeeper import Clock, Gatekeeper
-from pepperrun.core.interface import Group, ListKind, Outcome, Plan, Repeat, RequestClass, Settings
 from pepperrun.net.directory import Directory
 from pepperrun.net.http1 import Request
 from pepperrun.net.listener import Listener
-from pepperrun.net.stream import Budget
 from pepperrun.net.server_side import ServerSide, platform_judge
+from pepperrun.net.stream import Budget
 
 MS = 1_000_000
 SECOND = 1_000_000_000
--- a/tests/test_catch_up.py
+++ b/tests/test_catch_up.py
@@ -12,15 +12,16 @@
 from test_state import apart, older
 from test_storage import CONTACTS, ME, filled
 
+from pepperrun.consensus.messages import BodyDelta, CatchUpRequest, Chosen
 from pepperrun.consensus.register import Register
-from pepperrun.consensus.values import Ballot, Held, digest_of
-from pepperrun.consensus.voter import MS
+from pepperrun.consensus.state import Ballot, Proposal, digest_of
+from pepperrun.consensus.timeouts import MS
 from pepperrun.foundation.errors import PepperrunError
 from pepperrun.foundation.netstring import Decoder, encode, packed
 from pepperrun.simulation.catch_up_days import EARLY_READS, HALF_BODY, Day, HoardingStore
 from pepperrun.simulation.order_plans import mark
 from pepperrun.storage import formats, records
-from pepperrun.storage.store import FILE, DiskStore
+from pepperrun.storage.store import DATA_FILE, DiskStore
 
 
 def test_drawn_days_of_a_machine_that_was_away() -> None:
@@ -53,13 +54,13 @@
 
 def test_one_machine_is_asked_at_a_time_and_another_where_it_says_nothing(tmp_path: Path) -> None:
     memory = filled(tmp_path)
-    one = Register(ME, memory, DiskStore(str(tmp_path), 64), mark, 1, 0)
+    one = Register(ME, memory, DiskStore(str(tmp_path), 64), mark, seed=1, now=0)
     asked: list[tuple[int, str]] = []
     for ms in range(0, 6000, 50):
         one.now = ms * MS
-        one.ask_news(CONTACTS[ms // 50 % 2 + 1])
-        asked += [(ms, ip) for ip, message in one.out if message["t"] == "news"]
-        one.out.clear()
+        one.request_catch_up(CONTACTS[ms // 50 % 2 + 1])
+        asked += [(ms, ip) for ip, message in one.outbox if isinstance(message, CatchUpRequest)]
+        one.outbox.clear()
     assert [ms for ms, _ in asked] == [0, 200, 600, 1400, 3000, 4600]
     assert {ip for _, ip in asked} <= set(CONTACTS[1:])
 
@@ -71,12 +72,12 @@
     assert memory.chosen is not None
     for number in range(1, saves + 1):
         body = {"number": number, "fill": "x" * dice.choice([500, 40_000, 40_300, 300_000])}
-        value = replace(memory.chosen.value, number=number, digest=digest_of(body))
-        memory.accepted = Held(Ballot(number, "x"), value, body)
+        value = replace(memory.chosen.value, version=number, digest=digest_of(body))
+        memory.accepted = Proposal(Ballot(number, "x"), value, body)
         if number % 3:
             memory.chosen = memory.accepted
         disk.save(memory)
-        sizes.append((folder / FILE).stat().st_size)
+        sizes.append((folder / DATA_FILE).stat().st_size)
     disk.close()
     return sizes
 
@@ -87,8 +88,8 @@
     kept = records.NAMES
     raw = DiskStore(str(tmp_path / "a"), 64)
     raw.load()
-    assert raw.env is not None
-    with raw.env.begin() as transaction:
+    assert raw._environment is not None
+    with raw._environment.begin() as transaction:
         names = [bytes(key).decode() for key, _ in transaction.cursor()]
     assert sorted(name for name in names if name in kept) == sorted(kept) and len(names) <= len(kept) + 2
 
@@ -105,8 +106,8 @@
     memory = disk.begin("s", ME, CONTACTS)
     body, ops = {"m": ["0"]}, [{"m": str(at)} for at in range(1, 40)]
     assert memory.chosen is not None
-    value = replace(memory.chosen.value, number=1, digest=digest_of(body))
-    memory.accepted = memory.chosen = Held(Ballot(1, "x"), value, body)
+    value = replace(memory.chosen.value, version=1, digest=digest_of(body))
+    memory.accepted = memory.chosen = Proposal(Ballot(1, "x"), value, body)
     memory.promised = Ballot(7, "y")
     disk.save(memory)
     disk.close()
@@ -116,17 +117,16 @@
             transaction.delete(key)
         for name, data in raw.items():
             transaction.put(name, data)
-    monkeypatch.setitem(formats.STEPS, 0, apart)
+    monkeypatch.setitem(formats.MIGRATIONS, 0, apart)
     disk = DiskStore(str(tmp_path), 64)
     back = disk.begin("s", ME, [])
-    assert back.life == memory.life and back.promised == Ballot(7, "y") and back.chosen == memory.chosen
-    one = Register(ME, back, disk, mark, 1, 0)
+    assert back.disk_id == memory.disk_id and back.promised == Ballot(7, "y") and back.chosen == memory.chosen
+    one = Register(ME, back, disk, mark, seed=1, now=0)
     new = {"m": [str(at) for at in range(40)]}
-    value = replace(value, number=40, digest=digest_of(new))
-    told = {"t": "chosen", "b": [40, "x"], "v": value, "f": digest_of(body), "o": ops}
-    one.take(CONTACTS[1], told | {"b": Ballot(40, "x")}, 1)
-    one.flush(lazy=True)
+    value = replace(value, version=40, digest=digest_of(new))
+    one.receive(CONTACTS[1], Chosen(Ballot(40, "x"), value, BodyDelta(digest_of(body), ops)), 1)
+    one.flush(include_deferred=True)
     disk.close()
     again = DiskStore(str(tmp_path), 64).begin("s", ME, [])
     assert again.chosen is not None and json.dumps(again.chosen.body) == json.dumps(new)
-    assert [change.number for change in one.changes] == [*range(2, 41)]
+    assert [change.version for change in one.changes] == [*range(2, 41)]
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -10,8 +10,8 @@
 from pepperrun.control.cells import GUARD_GONE, GUARD_SILENT
 from pepperrun.control.changes import apply
 from pepperrun.control.directory import choose
-from pepperrun.control.records import Worker
 from pepperrun.control.gateway_count import Seats
+from pepperrun.control.records import Worker
 
 MS = 1_000_000
 SECOND = 1000 * MS
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -9,15 +9,24 @@
 
 import pytest
 
-from pepperrun.foundation.errors import PepperrunError
-from pepperrun.consensus import messages
-from pepperrun.consensus.register import Register
-from pepperrun.consensus.voter_selection import wanted
-from pepperrun.consensus.values import Held, Life, Memory, RamStore, Value, beginning, digest_of
-from pepperrun.consensus.voter import MS
-from pepperrun.simulation.orders import Rules, search, walk
+from pepperrun.consensus import codec
+from pepperrun.consensus.messages import Rejected
+from pepperrun.consensus.register import FailureReason, Register
+from pepperrun.consensus.state import (
+    DurableState,
+    Incarnation,
+    InMemoryStore,
+    Proposal,
+    Value,
+    digest_of,
+    initial_proposal,
+)
+from pepperrun.consensus.timeouts import MS
+from pepperrun.consensus.voter_selection import FailureDomain, select_voters
+from pepperrun.foundation.errors import DiskUnavailableError, PepperrunError
 from pepperrun.simulation.consensus_days import Day, readmitted
 from pepperrun.simulation.consensus_world import Try, World, judge
+from pepperrun.simulation.orders import Rules, search, walk
 
 SEEDS = range(4)
 
@@ -27,7 +36,7 @@
     world = World(count, seed, **how)
     world.run(3000)
     assert not world.settled()
-    assert all(one.replica and one.replica.votes for one in list(world.machines.values())[:5])
+    assert all(one.replica and one.replica.is_voter for one in list(world.machines.values())[:5])
     return world
 
 
@@ -69,11 +78,13 @@
     if fault == "dark":  # a majority that has taken the same knows that it was chosen, without a round
         world.run(800)
         assert {
-            one.replica.register.chosen_at.by.split("/")[0] for one in world.machines.values() if one.replica
+            one.replica.register.chosen_ballot.proposer.split("/")[0]
+            for one in world.machines.values()
+            if one.replica
         } == {ips[seed]}
         assert not world.settled()
     ends_well(world)
-    assert all(one.replica and one.replica.votes for one in world.machines.values())
+    assert all(one.replica and one.replica.is_voter for one in world.machines.values())
 
 
 @pytest.mark.parametrize("fault", ["two disks, all dark", "region"])
@@ -84,7 +95,7 @@
     assert not world.settled()
     replica = world.machines[first(world)].replica
     assert replica is not None
-    voters = sorted(replica.voters)
+    voters = sorted(replica.voter_ips)
     region = {ip: world.regions[one.zone] for ip, one in world.machines.items()}
     shares = Counter(region[ip] for ip in voters)
     assert len(voters) == 7 and max(shares.values()) == 3
@@ -106,7 +117,7 @@
             world.start(ip)
     ends_well(world, 8000)
     newest = world.machines[voters[1]].replica
-    assert newest is not None and newest.number == 1 and len(newest.voters) == 7
+    assert newest is not None and newest.version == 1 and len(newest.voter_ips) == 7
 
 
 def test_a_roll_of_the_whole_core_holds_up_no_change_and_moves_no_vote() -> None:
@@ -122,10 +133,12 @@
         world.retire(ip)
         assert until(world, world.change(edition, edition + 1, others), 500) == 200
         world.run(200)  # it has not ended yet, and its duty is another's
-        held = [one.replica.keeper for other, one in world.machines.items() if one.replica and other != ip]
+        held = [
+            one.replica.coordinator for other, one in world.machines.items() if one.replica and other != ip
+        ]
         assert ip not in held and len(set(held)) == 1
         world.run(1000)
-        assert world.machines[ip].replica is None and ip not in world.newest.ips  # a spare has its vote
+        assert world.machines[ip].replica is None and ip not in world.newest.voter_ips  # a spare has its vote
         world.start(ip)
         world.run(500)
     ends_well(world)
@@ -158,12 +171,12 @@
     world.run(3000)
     replica = world.machines[frozen].replica
     assert replica is not None
-    old = replica.fresh_at
+    old = replica.confirmed_at
     world.thaw(frozen)
     # It has heard nobody for seconds, and lays that to nobody's charge.
-    assert replica.fresh_at == old and not replica.minority
+    assert replica.confirmed_at == old and not replica.lacks_quorum
     ends_well(world, 1500)
-    assert replica.number == 2 and world.machines[other].replica.keeper == first(world)  # type: ignore[union-attr]
+    assert replica.version == 2 and world.machines[other].replica.coordinator == first(world)  # type: ignore[union-attr]
 
 
 @pytest.mark.parametrize("seed", range(8))
@@ -190,14 +203,14 @@
     world.cut(ips[:2])
     world.run(2500)
     replica = world.machines[ips[0]].replica
-    assert replica is not None and replica.minority and replica.number == 1
+    assert replica is not None and replica.lacks_quorum and replica.version == 1
     token = replica.propose({"mark": "x", "on": 1, "edition": 2, "fill": ""}, world.now)
-    assert [(one.token, one.verdict, one.why) for one in replica.take_results()] == [
-        (token, None, "minority")
+    assert [(one.token, one.verdict, one.failure) for one in replica.take_results()] == [
+        (token, None, FailureReason.NO_QUORUM)
     ]
-    assert replica.fresh_at is not None and world.now - replica.fresh_at > 2000 * MS
+    assert replica.confirmed_at is not None and world.now - replica.confirmed_at > 2000 * MS
     # The others have a new keeper by then, and go on.
-    assert world.machines[ips[2]].replica.keeper in ips[2:]  # type: ignore[union-attr]
+    assert world.machines[ips[2]].replica.coordinator in ips[2:]  # type: ignore[union-attr]
     assert until(world, world.change(1, 3, ips[2:])) == 200
     world.heal()
     ends_well(world)
@@ -289,7 +302,7 @@
         one = world.change(edition, edition + 1, began[3:])  # while it is missing
         world.run(7000)
         assert one.answer == 200 and readmitted(world)
-        assert new in world.machines[began[4]].replica.voters  # type: ignore[union-attr]
+        assert new in world.machines[began[4]].replica.voter_ips  # type: ignore[union-attr]
     ends_well(world)
     for ip in world.machines:  # and all go dark: the new ones have it on their disks
         world.kill(ip, power=True)
@@ -312,8 +325,8 @@
         replica = world.machines[ips[4]].replica
         assert (
             replica is not None
-            and replica.votes
-            and replica.register.memory.life != Life(ips[4], "first").life
+            and replica.is_voter
+            and replica.register.state.disk_id != Incarnation(ips[4], "first").disk_id
         )
 
 
@@ -322,20 +335,20 @@
     ips = sorted(world.machines)
     world.retire(ips[0])
     world.run(400)
-    assert {one.replica.keeper for one in world.machines.values() if one.replica} == {ips[1]}
+    assert {one.replica.coordinator for one in world.machines.values() if one.replica} == {ips[1]}
     world.run(1000)
     world.cut([ips[1]], [ips[2], ips[3]])  # two do not hear it: the others do
     world.run(5000)
-    assert world.machines[ips[4]].replica.keeper == ips[1]  # type: ignore[union-attr]
+    assert world.machines[ips[4]].replica.coordinator == ips[1]  # type: ignore[union-attr]
     world.heal()
     world.run(1000)
     world.freeze(ips[1])
     world.run(3500)
-    assert world.machines[ips[2]].replica.keeper == ips[2]  # type: ignore[union-attr]
+    assert world.machines[ips[2]].replica.coordinator == ips[2]  # type: ignore[union-attr]
     world.thaw(ips[1])
     world.start(ips[0])
     ends_well(world)
-    assert world.machines[ips[1]].replica.keeper == ips[2]  # type: ignore[union-attr]
+    assert world.machines[ips[1]].replica.coordinator == ips[2]  # type: ignore[union-attr]
 
 
 def test_a_change_costs_its_own_length_not_the_configurations() -> None:
@@ -349,7 +362,7 @@
     world.run(1000)
     assert not world.settled() and world.bytes - before < 30_000
     replica = world.machines[ips[5]].replica  # it votes not, and got the change as well
-    assert replica is not None and not replica.votes and replica.body["fill"]
+    assert replica is not None and not replica.is_voter and replica.body["fill"]
     # One sync for the promise and one for the value at each voter, none where nothing is said.
     assert [one.disk.saves - was for one, was in zip(world.machines.values(), saved, strict=True)] == [
         2
@@ -372,8 +385,8 @@
     world.run(6000)
     world.thaw(ips[1])
     world.run(1500)
-    assert [(one.base, one.number) for one in told] == [(0, 1), (1, 2), (2, 3)]
-    assert [one.op["edition"] for one in told[:2] if one.op] == [1, 2]
+    assert [(one.base_version, one.version) for one in told] == [(0, 1), (1, 2), (2, 3)]
+    assert [one.operation["edition"] for one in told[:2] if one.operation] == [1, 2]
 
 
 def test_a_round_that_died_halfway_is_brought_to_an_end() -> None:
@@ -384,53 +397,59 @@
     world.kill(ips[4])  # not the keeper, whose successor would begin a round anyhow
     op = {"mark": "half", "on": 0, "edition": 1, "fill": ""}
     body = {"edition": 1, "taken": ["half"], "fill": ""}
-    new = messages.wire(replace(value, number=1, digest=digest_of(body)))
+    new = codec.encode_value(replace(value, version=1, digest=digest_of(body)))
     put = {"t": "put", "b": [50, f"{ips[4]}/first/1"], "v": new, "f": value.digest, "o": [op]}
     for ip in ips[1:3]:  # two of the four that are left: of these no majority has taken nothing later
         world.machines[ip].replica.receive(ips[4], put, world.now)  # type: ignore[union-attr]
     world.run(3000)
-    assert not world.settled() and world.machines[ips[0]].replica.number == 1  # type: ignore[union-attr]
+    assert not world.settled() and world.machines[ips[0]].replica.version == 1  # type: ignore[union-attr]
 
 
 def test_who_stood_still_calls_nobody_lost() -> None:
     world = calm(7, 6)
     ips = sorted(world.machines)
     keeper = world.machines[ips[0]].replica
-    assert keeper is not None and keeper.keeper == ips[0]
+    assert keeper is not None and keeper.coordinator == ips[0]
     later = world.now + 10_000 * MS
     for ip in (ips[5], ips[1], ips[2]):  # first come those of a majority, and of one that could vote instead
-        life = world.machines[ip].replica.register.memory.life  # type: ignore[union-attr]
-        read = {"t": "read", "s": 9, "c": list(keeper.register.chosen_at), "l": life}
+        life = world.machines[ip].replica.register.state.disk_id  # type: ignore[union-attr]
+        read = {"t": "read", "s": 9, "c": list(keeper.register.chosen_ballot), "l": life}
         keeper.receive(ip, read, later)
     keeper.tick(later)
-    assert {one["t"] for _, one in keeper.take_out()} == {"seen", "read"}
+    assert {one["t"] for _, one in keeper.take_messages()} == {"seen", "read"}
 
 
 def test_those_before_leave_only_when_that_is_known_as_chosen() -> None:
     world = calm(8)
     replica = world.machines[first(world)].replica
     assert replica is not None and replica.value is not None
-    joint = replace(replica.value, was=replica.value.voters[:3])
-    assert replica.register.plan(joint, False) == joint
-    assert replica.register.plan(joint, True) == replica.value
+    joint = replace(replica.value, outgoing_voters=replica.value.voters[:3])
+    assert replica.register.plan_voters(joint, False) == joint
+    assert replica.register.plan_voters(joint, True) == replica.value
 
 
 def test_what_is_learnt_is_promised_and_no_ballot_is_used_twice() -> None:
-    held = beginning(["a", "b", "c"])
+    held = initial_proposal(["a", "b", "c"])
     made = [
-        Register("b", Memory("x", starts, accepted=held, chosen=held), RamStore(), judge, 1, 0)
+        Register(
+            "b", DurableState("x", starts, accepted=held, chosen=held), InMemoryStore(), judge, seed=1, now=0
+        )
         for starts in (1, 2)
     ]
     one = made[0]
-    later = {"t": "chosen", "b": [5, "a/first/1"], "v": messages.wire(replace(held.value, keeper="c"))}
-    one.take("a", messages.read(later), 0)
-    stale = {"t": "put", "b": [3, "c/first/1"], "v": messages.wire(held.value)}
-    one.take("c", messages.read(stale | {"v": [0, [["b", "x"]], [], "a", held.value.digest]}), 0)
-    assert [message["t"] for _, message in one.out] == ["refuse"] and one.accepted_at.round == 5
+    later = {
+        "t": "chosen",
+        "b": [5, "a/first/1"],
+        "v": codec.encode_value(replace(held.value, coordinator="c")),
+    }
+    one.receive("a", codec.decode(later), 0)
+    stale = {"t": "put", "b": [3, "c/first/1"], "v": codec.encode_value(held.value)}
+    one.receive("c", codec.decode(stale | {"v": [0, [["b", "x"]], [], "a", held.value.digest]}), 0)
+    assert [type(message) for _, message in one.outbox] == [Rejected] and one.accepted_ballot.round == 5
     for two in made:  # not a voter: its disk does not know of its own rounds
-        two.memory.promised = held.ballot
-        two.latest = held.ballot
-        two.begin(0)
+        two.state.promised = held.ballot
+        two.highest_ballot = held.ballot
+        two.start_round(0)
     assert made[0].round.ballot != made[1].round.ballot
 
 
@@ -462,30 +481,35 @@
 
 
 def test_voters_are_spread_and_never_fewer() -> None:
-    places = {f"{at}": (f"r{at % 2}", f"z{at % 4}") for at in range(8)}
-    value = Value(0, tuple(Life(str(at), "x") for at in (0, 2, 4)), (), "0", "")
+    places = {f"{at}": FailureDomain(f"r{at % 2}", f"z{at % 4}") for at in range(8)}
+    value = Value(0, tuple(Incarnation(str(at), "x") for at in (0, 2, 4)), (), "0", "")
     up = {str(at): "x" for at in range(8)}
-    got = wanted(value, up, set(), places, 5)
+    got = select_voters(value, up, set(), places, 5)
     assert len(got) == 5 and sum(int(one.ip) % 2 for one in got) == 2
-    assert wanted(replace(value, voters=got), up, set(), places, 5) == got  # and so it stays
+    assert select_voters(replace(value, voters=got), up, set(), places, 5) == got  # and so it stays
     # No region holds a majority where that can be had.
-    assert sum(int(one.ip) % 2 for one in wanted(value, up, set(), places, 3)) == 1
+    assert sum(int(one.ip) % 2 for one in select_voters(value, up, set(), places, 3)) == 1
     # Lost and nobody there instead: it stays named. A new life comes in for the one before.
     few = {"0": "x", "2": "y"}
-    assert wanted(value, few, {"4"}, places, 5) == (Life("0", "x"), Life("2", "y"), Life("4", "x"))
-    assert wanted(value, few | {"5": ""}, {"4"}, places, 5)[2] == Life("4", "x")  # it has not told its life
+    assert select_voters(value, few, {"4"}, places, 5) == (
+        Incarnation("0", "x"),
+        Incarnation("2", "y"),
+        Incarnation("4", "x"),
+    )
+    not_told = few | {"5": ""}  # its disk id is not known yet
+    assert select_voters(value, not_told, {"4"}, places, 5)[2] == Incarnation("4", "x")
 
 
 def test_messages_that_cant_be_meant() -> None:
     good = {"t": "put", "b": [3, "a"], "v": [1, [["a", "first"]], [], "a", "d"], "f": "e", "o": [{}]}
-    assert messages.wire(messages.read(good)["v"]) == good["v"]
+    assert json.loads(json.dumps(codec.encode(codec.decode(good)))) == good
     for bad in (
         *({"t": "put", "b": [3, "a"]}, {"t": "ask", "b": [True, "a"]}, {"t": "ask", "b": [1 << 60, "a"]}),
         *([], {"t": "x"}, good | {"v": [1, [], [], "a", "d"]}, good | {"o": [3]}, good | {"w": []}),
         *({"t": "promise", "b": [1, "a"], "l": "x", "a": [1, "a"]}, {"t": "seen", "s": "1", "l": "x"}),
     ):
         with pytest.raises(PepperrunError):
-            messages.read(json.loads(json.dumps(bad)))
+            codec.decode(json.loads(json.dumps(bad)))
 
 
 def test_a_machine_whose_disk_fails_says_nothing_that_rests_on_it() -> None:
@@ -495,28 +519,30 @@
     replica, save = machine.replica, machine.disk.save
     assert replica is not None
 
-    def fail(memory: Memory) -> None:
-        raise PepperrunError("disk-failed", "saving")
+    def fail(memory: DurableState) -> None:
+        raise DiskUnavailableError("saving", "refused")
 
     machine.disk.save = fail  # type: ignore[method-assign]
     replica.receive(ips[2], {"t": "ask", "b": [99, ips[2]]}, world.now)
-    assert not [one for _, one in replica.take_out() if one["t"] == "promise"]
+    assert not [one for _, one in replica.take_messages() if one["t"] == "promise"]
     replica.receive(ips[2], {"t": "ask", "b": [100, ips[2]]}, world.now)
     world.run(1000)
-    assert replica.register.broken and machine.disk.synced and machine.disk.synced.promised.round < 99
+    assert replica.register.disk_failed and machine.disk.synced and machine.disk.synced.promised.round < 99
     assert until(world, world.change(0, 1, [ips[1]])) == 200  # the others decide
-    asked = replica.register.news_asked, replica.register.news_at
+    asked = replace(replica.register.catch_up)
     for edition in (2, 3):  # and in quick succession it follows them, without asking for the whole each time
         assert until(world, world.change(edition - 1, edition, [ips[2]])) == 200
     world.run(50)
-    assert replica.body["edition"] == 3 and (replica.register.news_asked, replica.register.news_at) == asked
+    assert replica.body["edition"] == 3 and replica.register.catch_up == asked
     machine.disk.save = save  # type: ignore[method-assign]
     ends_well(world)
-    assert not replica.register.broken and machine.disk.synced.promised.round >= 99
-    assert machine.disk.synced.accepted and machine.disk.synced.accepted.value.number == 3
+    assert not replica.register.disk_failed and machine.disk.synced.promised.round >= 99
+    assert machine.disk.synced.accepted and machine.disk.synced.accepted.value.version == 3
 
 
 def test_the_first_value_is_the_same_wherever_it_is_made() -> None:
-    assert beginning(["b", "a"]) == beginning(["a", "b", "a"])
-    held = beginning(["a"])
-    assert held == Held(held.ballot, replace(held.value, number=0), {}) and held.value.digest == digest_of({})
+    assert initial_proposal(["b", "a"]) == initial_proposal(["a", "b", "a"])
+    held = initial_proposal(["a"])
+    assert held == Proposal(
+        held.ballot, replace(held.value, version=0), {}
+    ) and held.value.digest == digest_of({})
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -11,18 +11,18 @@
 import pytest
 from clusters import LINES, ROUTES, SENDERS, A, World, amend, beat, cell, gateway, put, whole
 
+from pepperrun.consensus.state import digest_of
 from pepperrun.control import validation
 from pepperrun.control.cells import BATCH, ROUND, Cells
 from pepperrun.control.changes import apply, evacuation, lean, written
-from pepperrun.control.validation import Op, read_replace, timetable
 from pepperrun.control.handlers import Control, read_beat
 from pepperrun.control.hub import losses
 from pepperrun.control.matchers import Answer, Call, answer_to, parse_target
 from pepperrun.control.mesh import FORGET, Mesh
 from pepperrun.control.server import Caller, Server
+from pepperrun.control.validation import Op, read_replace, timetable
 from pepperrun.foundation.errors import PepperrunError
 from pepperrun.foundation.settings import parse
-from pepperrun.consensus.values import digest_of
 
 MS = 1_000_000
 SECOND = 1000 * MS
--- a/tests/test_cutoff.py
+++ b/tests/test_cutoff.py
@@ -9,10 +9,10 @@
 
 import pytest
 
-from pepperrun.consensus.liveness import Hearing
-from pepperrun.consensus.messages import read
-from pepperrun.consensus.register import Register, Result
-from pepperrun.consensus.values import FIRST_LIFE, Memory, RamStore, beginning
+from pepperrun.consensus.codec import decode, encode
+from pepperrun.consensus.peer_liveness import PeerLiveness
+from pepperrun.consensus.register import ChangeResult, Register
+from pepperrun.consensus.state import FIRST_DISK_ID, DurableState, InMemoryStore, initial_proposal
 from pepperrun.control.changes import apply
 from pepperrun.control.matchers import Answer, Call
 from pepperrun.control.records import GatewayRecord
@@ -32,21 +32,23 @@
     def __init__(self) -> None:
         self.nodes = {ip: self._node(ip) for ip in NODES}
         self.held: list[tuple[str, str, dict[str, Any]]] = []
-        self.results: dict[str, list[Result]] = {ip: [] for ip in NODES}
+        self.results: dict[str, list[ChangeResult]] = {ip: [] for ip in NODES}
 
     @staticmethod
     def _node(ip: str) -> Register:
-        memory = Memory(FIRST_LIFE)
-        memory.accepted = memory.chosen = beginning(NODES)
-        return Register(ip, memory, RamStore(), judge, seed=1, now=0)
+        memory = DurableState(FIRST_DISK_ID)
+        memory.accepted = memory.chosen = initial_proposal(NODES)
+        return Register(ip, memory, InMemoryStore(), judge, seed=1, now=0)
 
     def deliver(self, where: Callable[[str, str], bool]) -> None:
         """Messages go over, and those that follow from them, while there are any that may."""
         while True:
             for ip, node in self.nodes.items():
                 node.flush()
-                self.held += [(ip, to, json.loads(json.dumps(message))) for to, message in node.out]
-                node.out.clear()
+                self.held += [
+                    (ip, to, json.loads(json.dumps(encode(message)))) for to, message in node.outbox
+                ]
+                node.outbox.clear()
                 self.results[ip] += node.results
                 node.results.clear()
             going = [one for one in self.held if where(one[0], one[1])]
@@ -54,7 +56,7 @@
                 return
             self.held = [one for one in self.held if one not in going]
             for sender, receiver, message in going:
-                self.nodes[receiver].take(sender, read(message), 0)
+                self.nodes[receiver].receive(sender, decode(message), 0)
 
 
 def order(on: int, edition: int) -> dict[str, Any]:
@@ -63,20 +65,20 @@
 
 def test_an_order_is_not_judged_on_promises_older_than_its_call() -> None:
     world, (a, b, c) = Registers(), NODES
-    stale = world.nodes[a].wish(order(9, 10), 1 << 62)
-    world.nodes[a].begin(0)
+    stale = world.nodes[a].submit(order(9, 10), 1 << 62)
+    world.nodes[a].start_round(0)
     world.deliver(lambda sender, receiver: (sender, receiver) == (a, b))  # b's promise is on its way to a
-    world.nodes[c].wish(order(0, 5), 1 << 62)
-    world.nodes[c].begin(0)
+    world.nodes[c].submit(order(0, 5), 1 << 62)
+    world.nodes[c].start_round(0)
     world.deliver(lambda sender, receiver: a not in (sender, receiver))
     assert [one.verdict for one in world.results[c]] == [200]
-    late = world.nodes[a].wish(order(5, 6), 1 << 62)  # by an operator who was told of 5
+    late = world.nodes[a].submit(order(5, 6), 1 << 62)  # by an operator who was told of 5
     world.deliver(lambda sender, receiver: (sender, receiver) == (b, a))
     # It is refused before anything, or by the next round: never on what was promised before the call.
     assert all(one.token == stale for one in world.results[a])
     world.nodes[a].tick(1 << 60)
     world.nodes[a].tick(1 << 61)
-    world.nodes[a].begin(0)
+    world.nodes[a].start_round(0)
     world.deliver(lambda sender, receiver: True)
     assert {one.token: one.verdict for one in world.results[a]} == {stale: 412, late: 200}
 
@@ -119,20 +121,20 @@
 
 
 def test_who_is_heard_is_reached_only_once_it_has_answered() -> None:
-    hearing, within = Hearing("a", "1", "z0", 0), 1200 * MS
+    hearing, within = PeerLiveness("a", "1", "z0", 0), 1200 * MS
     hearing.connected("b", "z1", 0)
-    hearing.message("b", "2", 100 * MS)
-    assert hearing.up(100 * MS, within) == {"a": "1", "b": "2"}
-    assert hearing.reached(100 * MS, within) == {"a": "1"}
-    hearing.answer("b", 200 * MS)
-    assert hearing.reached(1300 * MS, within) == {"a": "1", "b": "2"}
-    hearing.message("b", "2", 1900 * MS)  # it still speaks and answers nothing
-    assert "b" in hearing.up(2000 * MS, within) and hearing.reached(2000 * MS, within) == {"a": "1"}
-    hearing.thawed(60 * SECOND)  # nobody can be said to have been silent
-    assert hearing.reached(60 * SECOND, within) == {"a": "1", "b": "2"}
+    hearing.record_message("b", "2", 100 * MS)
+    assert hearing.alive(100 * MS, within) == {"a": "1", "b": "2"}
+    assert hearing.reachable(100 * MS, within) == {"a": "1"}
+    hearing.record_answer("b", 200 * MS)
+    assert hearing.reachable(1300 * MS, within) == {"a": "1", "b": "2"}
+    hearing.record_message("b", "2", 1900 * MS)  # it still speaks and answers nothing
+    assert "b" in hearing.alive(2000 * MS, within) and hearing.reachable(2000 * MS, within) == {"a": "1"}
+    hearing.resumed(60 * SECOND)  # nobody can be said to have been silent
+    assert hearing.reachable(60 * SECOND, within) == {"a": "1", "b": "2"}
     hearing.disconnected("b")
     hearing.connected("b", "z1", 61 * SECOND)  # an answer on an earlier link says nothing of this one
-    assert hearing.reached(61 * SECOND, within) == {"a": "1"}
+    assert hearing.reachable(61 * SECOND, within) == {"a": "1"}
 
 
 # One trouble on an otherwise calm day, in virtual time.
--- a/tests/test_cutoff_sockets.py
+++ b/tests/test_cutoff_sockets.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from pepperrun.consensus.values import FIRST_LIFE, Memory, RamStore, beginning
+from pepperrun.consensus.state import FIRST_DISK_ID, DurableState, InMemoryStore, initial_proposal
 from pepperrun.control.handlers import Control
 from pepperrun.control.hub import Hub
 from pepperrun.control.matchers import Answer, Call
@@ -129,9 +129,9 @@
             boxes = {"control_port": f"{ip}:{self.control_port}"}
             network = {"sidings": [self.port, self.port], "first_contacts": contacts}
             settings = parse({"self": me, "network": network | {"postboxes": boxes, "zones": zones}})
-            memory = Memory(FIRST_LIFE)
-            memory.accepted = memory.chosen = beginning(NODES)
-            hub = self.hubs[ip] = Hub(settings, memory, RamStore(), 1)
+            memory = DurableState(FIRST_DISK_ID)
+            memory.accepted = memory.chosen = initial_proposal(NODES)
+            hub = self.hubs[ip] = Hub(settings, memory, InMemoryStore(), 1)
             ports = {one: await self.network.way(ip, one, self.port) for one in NODES if one != ip}
             hub.mesh.dial = self._dialer(ip, ports)
             server = Server(Control(hub).tree())
--- a/tests/test_dataplane.py
+++ b/tests/test_dataplane.py
@@ -11,18 +11,18 @@
 import pytest
 from standins import HOST, MS, SECOND, Client, StandIn, answer, cut_short, going, reset, wait_then
 
-from pepperrun.control.validation import read_replace
-from pepperrun.control.records import READY, GatewayRecord, Worker
 from pepperrun.control.configuration import Sender
+from pepperrun.control.records import READY, GatewayRecord, Worker
+from pepperrun.control.validation import read_replace
 from pepperrun.core.gateway import Gateway
 from pepperrun.core.interface import Backend, BackendList, ListKind, Refuse, Send, SetTimer, TimerFired
 from pepperrun.core.interface import Request as CoreRequest
 from pepperrun.dataplane.cold import ColdShares, chosen, spacing
-from pepperrun.dataplane.peer_messages import Peers
+from pepperrun.dataplane.draining import drain
 from pepperrun.dataplane.numbering import Ledger
+from pepperrun.dataplane.peer_messages import Peers
 from pepperrun.dataplane.plane import Plane
 from pepperrun.dataplane.routes import Lot, Table, host_of
-from pepperrun.dataplane.draining import drain
 from pepperrun.foundation.settings import Bounds, Settings, parse
 from pepperrun.gateway_node import main
 
--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -12,18 +12,18 @@
 
 from pepperrun.control import changes
 from pepperrun.control.records import GatewayRecord, Worker
-from pepperrun.foundation.link import Link
-from pepperrun.foundation.netstring import MOST, Decoder, encode
-from pepperrun.simulation.narrow_links import ZONES as NARROW
-from pepperrun.simulation.narrow_links import Narrow, told
-from pepperrun.simulation.distribution_days import CORES, ZONES, Day
-from pepperrun.simulation.distribution_world import MS, World
 from pepperrun.distribution import messages, repair
 from pepperrun.distribution.book import NewsBook
 from pepperrun.distribution.digests import Sums
 from pepperrun.distribution.follower import Follower
 from pepperrun.distribution.publisher import Publisher, seal
 from pepperrun.distribution.tree import FAN_OUT, key
+from pepperrun.foundation.link import Link
+from pepperrun.foundation.netstring import MOST, Decoder, encode
+from pepperrun.simulation.distribution_days import CORES, ZONES, Day
+from pepperrun.simulation.distribution_world import MS, World
+from pepperrun.simulation.narrow_links import ZONES as NARROW
+from pepperrun.simulation.narrow_links import Narrow, told
 
 
 def fleet(seed, counts, zones=ZONES, cores=CORES, start_ms=3000):
--- a/tests/test_ejection.py
+++ b/tests/test_ejection.py
@@ -14,9 +14,9 @@
 
 from pepperrun.control.records import READY, GatewayRecord
 from pepperrun.core.interface import Outcome
-from pepperrun.dataplane.peer_messages import HEAD
 from pepperrun.dataplane.ejection import BAD, ILL, OUT_NS, Count, OutlierEjection
 from pepperrun.dataplane.outcomes import MARK, ToldWear, pack, unpack
+from pepperrun.dataplane.peer_messages import HEAD
 
 MS = 1_000_000
 
--- a/tests/test_gatekeeper.py
+++ b/tests/test_gatekeeper.py
@@ -10,8 +10,6 @@
 from hypothesis import strategies as st
 from standins import MS, SETTINGS
 
-from pepperrun.exchange import End, Exchange, Final
-from pepperrun.gatekeeper import Gatekeeper
 from pepperrun.core.interface import (
     Action,
     AttemptEnded,
@@ -28,6 +26,8 @@
     TellPeer,
     TimerFired,
 )
+from pepperrun.exchange import End, Exchange, Final
+from pepperrun.gatekeeper import Gatekeeper
 
 
 class Handle:
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -23,8 +23,6 @@
 from pepperrun.core import gossip
 from pepperrun.core.bound import Bound
 from pepperrun.core.gateway import Gateway
-from pepperrun.core.turns import Held, Turns
-from pepperrun.core.quotas import Account, Quotas
 from pepperrun.core.interface import (
     AttemptEnded,
     Backend,
@@ -44,6 +42,8 @@
     TellPeer,
     TimerFired,
 )
+from pepperrun.core.quotas import Account, Quotas
+from pepperrun.core.turns import Held, Turns
 
 
 def sends(actions: list) -> list[Send]:  # type: ignore[type-arg]
--- a/tests/test_gateway_probes.py
+++ b/tests/test_gateway_probes.py
@@ -7,9 +7,9 @@
 import pytest
 
 from pepperrun.control.records import GONE, READY, GatewayRecord
-from pepperrun.membership.wire import MOST, Datagram, Kind, Row, Rumour, State
-from pepperrun.membership.gateway_prober import GatewayProber
 from pepperrun.membership.gateway_probe_wire import ALL, Learnt
+from pepperrun.membership.gateway_prober import GatewayProber
+from pepperrun.membership.wire import MOST, Datagram, Kind, Row, Rumour, State
 
 MS = 1_000_000
 REGIONS = ("a", "b", "c")
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -20,9 +20,9 @@
 from standins import HOST, Client, StandIn, going, line, ok, wait_then
 from test_main import ROOT, SETTINGS, built, config
 
+from pepperrun.core.interface import Outcome, Refuse, Send
 from pepperrun.handover import state, wire
 from pepperrun.handover.channel import Channel, door, knock, path_of
-from pepperrun.core.interface import Outcome, Refuse, Send
 
 __all__ = ["built"]  # the fixture that runs the deploy file's build
 
--- a/tests/test_long_running.py
+++ b/tests/test_long_running.py
@@ -7,7 +7,6 @@
 
 from pepperrun.core import gossip
 from pepperrun.core.gateway import Gateway
-from pepperrun.core.quotas import Account, Quotas
 from pepperrun.core.interface import (
     AttemptEnded,
     Backend,
@@ -21,6 +20,7 @@
     TellPeer,
     TimerFired,
 )
+from pepperrun.core.quotas import Account, Quotas
 from pepperrun.net.directory import Directory
 
 
--- a/tests/test_many_changes.py
+++ b/tests/test_many_changes.py
@@ -10,30 +10,31 @@
 
 import pytest
 
-from pepperrun.foundation.errors import PepperrunError
-from pepperrun.consensus import messages
-from pepperrun.consensus.messages import Message
-from pepperrun.consensus.recent_changes import MOST_SIZE, RecentChanges, size_of
+from pepperrun.consensus import codec
+from pepperrun.consensus.codec import WireMessage
+from pepperrun.consensus.messages import Chosen
+from pepperrun.consensus.recent_changes import MAX_SIZE, RecentChanges, json_size
 from pepperrun.consensus.register import Register
-from pepperrun.consensus.values import Held, Memory, RamStore, beginning, digest_of
-from pepperrun.consensus.voter import MS
+from pepperrun.consensus.state import DurableState, InMemoryStore, Proposal, digest_of, initial_proposal
+from pepperrun.consensus.timeouts import MS
+from pepperrun.foundation.errors import PepperrunError
 from pepperrun.simulation.consensus_world import World
 from pepperrun.simulation.order_plans import mark
 from pepperrun.simulation.orders import Rules, walk
 
-Hold = Callable[[str, str, Message], bool]
+Hold = Callable[[str, str, WireMessage], bool]
 
 
 class Trio:
     """Three registers; messages go over except where they are held up."""
 
     def __init__(self) -> None:
-        first = beginning("abc")
+        first = initial_proposal("abc")
         self.all: dict[str, Register] = {}
-        self.waiting: list[tuple[str, str, Message]] = []
+        self.waiting: list[tuple[str, str, WireMessage]] = []
         for ip in "abc":
-            memory = Memory("first", 1, accepted=first, chosen=first)
-            self.all[ip] = Register(ip, memory, RamStore(), mark, 1, 0)
+            memory = DurableState("first", 1, accepted=first, chosen=first)
+            self.all[ip] = Register(ip, memory, InMemoryStore(), mark, seed=1, now=0)
 
     def settle(self, held_up: Hold = lambda *_: False) -> None:
         """All that may goes over, until nothing moves."""
@@ -41,20 +42,22 @@
         while moved:
             for ip, one in self.all.items():
                 one.flush()
-                self.waiting += [(ip, to, json.loads(json.dumps(message))) for to, message in one.out]
-                one.out.clear()
+                self.waiting += [
+                    (ip, to, json.loads(json.dumps(codec.encode(message)))) for to, message in one.outbox
+                ]
+                one.outbox.clear()
             moved = False
             for sent in [sent for sent in self.waiting if not held_up(*sent)]:
                 self.waiting.remove(sent)
                 moved = True
-                self.all[sent[1]].take(sent[0], messages.read(sent[2]), 0)
+                self.all[sent[1]].receive(sent[0], codec.decode(sent[2]), 0)
 
     def change(self, ip: str, name: str, held_up: Hold = lambda *_: False) -> None:
         """One machine brings a change to its end, as far as messages go over."""
         one = self.all[ip]
-        one.latest = max(other.latest for other in self.all.values())
-        one.wish({"m": name}, 1 << 60)
-        one.begin(0)
+        one.highest_ballot = max(other.highest_ballot for other in self.all.values())
+        one.submit({"m": name}, 1 << 60)
+        one.start_round(0)
         self.settle(held_up)
 
 
@@ -63,10 +66,10 @@
     trio.change("a", "1", held := lambda _, to, message: message["t"] == "taken" and to == "a")
     trio.change("b", "2", held)
     one = trio.all["a"]
-    newest = one.memory.chosen
+    newest = one.state.chosen
     assert newest is not None and newest.body == {"m": ["1", "2"]}
     trio.settle()  # now they come, and say that the first change was chosen, too
-    assert one.memory.chosen == newest and one.results and one.results[0].verdict == 200
+    assert one.state.chosen == newest and one.results and one.results[0].verdict == 200
 
 
 def test_the_same_as_a_bug_put_in_on_purpose_is_found_by_walks() -> None:
@@ -78,33 +81,34 @@
     trio = Trio()
     for name in "123":
         trio.change("b", name)
-    one, newest = trio.all["a"], trio.all["a"].memory.chosen
+    one, newest = trio.all["a"], trio.all["a"].state.chosen
     assert newest is not None
-    first = beginning("abc")
-    late = {"t": "chosen", "b": first.ballot, "v": messages.wire(first.value), "w": {}}
-    one.take("c", messages.read(json.loads(json.dumps(late))), 1)
-    assert one.memory.chosen == newest
-    later = replace(newest.value, number=4, digest=digest_of({"m": ["1", "2", "3", "4"]}))
-    torn = {"t": "chosen", "b": [99, "x"], "v": messages.wire(later), "w": {"m": ["1", "2"]}}
+    first = initial_proposal("abc")
+    late = {"t": "chosen", "b": first.ballot, "v": codec.encode_value(first.value), "w": {}}
+    one.receive("c", codec.decode(json.loads(json.dumps(late))), 1)
+    assert one.state.chosen == newest
+    later = replace(newest.value, version=4, digest=digest_of({"m": ["1", "2", "3", "4"]}))
+    torn = {"t": "chosen", "b": [99, "x"], "v": codec.encode_value(later), "w": {"m": ["1", "2"]}}
     with pytest.raises(PepperrunError, match="wrong-body"):
-        one.take("c", messages.read(json.loads(json.dumps(torn))), 1)
-    assert one.memory.chosen == newest
+        one.receive("c", codec.decode(json.loads(json.dumps(torn))), 1)
+    assert one.state.chosen == newest
 
 
 def test_recent_changes_are_few_short_and_unbroken() -> None:
     recent = RecentChanges()
     for at in range(500):
         recent.add(f"d{at}", [{"at": at}], f"d{at + 1}")
-        assert recent.ops <= messages.MOST_OPS and recent.size <= MOST_SIZE
-    way = recent.bridge(["d1", "d480"], "d500")
-    assert way is not None and way.base == "d480" and [op["at"] for op in way.ops] == [*range(480, 500)]
-    assert recent.bridge(["d1"], "d500") is None and recent.bridge(["d490"], "d499") is None
-    recent.add("d500", [{"fill": "x" * MOST_SIZE}], "d501")
-    assert not recent.row and recent.size == recent.ops == 0  # too long to be sent again
+        assert recent.operation_count <= codec.MAX_OPERATIONS and recent.size <= MAX_SIZE
+    way = recent.delta(["d1", "d480"], "d500")
+    assert way is not None and way.base_digest == "d480"
+    assert [op["at"] for op in way.operations] == [*range(480, 500)]
+    assert recent.delta(["d1"], "d500") is None and recent.delta(["d490"], "d499") is None
+    recent.add("d500", [{"fill": "x" * MAX_SIZE}], "d501")
+    assert not recent.changes and recent.size == recent.operation_count == 0  # too long to be sent again
     recent.add("d501", [{}], "d502")
     recent.add("elsewhere", [{}], "d503")
-    assert recent.bridge(["d501"], "d503") is None and recent.bridge(["elsewhere"], "d503") is not None
-    assert size_of(["x" * 100] * 1_000_000, 1000) < 1200  # ends early
+    assert recent.delta(["d501"], "d503") is None and recent.delta(["elsewhere"], "d503") is not None
+    assert json_size(["x" * 100] * 1_000_000, 1000) < 1200  # ends early
 
 
 def test_operations_that_lead_nowhere_are_followed_by_the_whole() -> None:
@@ -112,15 +116,16 @@
     trio = Trio()
     for name in "12":
         trio.change("b", name)
-    teller, chosen = trio.all["b"], trio.all["b"].memory.chosen
+    teller, chosen = trio.all["b"], trio.all["b"].state.chosen
     assert chosen is not None
-    for expected in ("o", "w"):
-        teller.take("z", messages.read({"t": "news", "c": [0, ""], "h": [digest_of({})]}), 1)
+    for expects_delta in (True, False):
+        teller.receive("z", codec.decode({"t": "news", "c": [0, ""], "h": [digest_of({})]}), 1)
         teller.flush()
-        ((_, answer),) = teller.out
-        teller.out.clear()
-        assert expected in answer and ("o" in answer) != ("w" in answer)
-    assert answer["w"] == chosen.body
+        ((_, answer),) = teller.outbox
+        teller.outbox.clear()
+        assert isinstance(answer, Chosen)
+        assert (answer.delta is not None) == expects_delta and (answer.full_body is None) == expects_delta
+    assert answer.full_body == chosen.body
 
 
 class Away:
@@ -153,7 +158,7 @@
         replica: Any = self.world.machines[self.back].replica
         receive = replica.receive
 
-        def count(ip: str, message: Message, now: int) -> None:
+        def count(ip: str, message: WireMessage, now: int) -> None:
             self.kinds[message["t"] + (" whole" if "w" in message else "")] += 1
             receive(ip, message, now)
 
@@ -166,10 +171,10 @@
     away = Away(3, changes, wiped)
     replica = away.start()
     away.world.run(1000)
-    assert replica.number == changes + 1 and replica.fresh_at is not None
+    assert replica.version == changes + 1 and replica.confirmed_at is not None
     assert away.kinds["chosen whole"] == wholes and not away.kinds["put whole"]
     away.world.run(2000)
-    assert replica.votes and not away.world.settled()
+    assert replica.is_voter and not away.world.settled()
 
 
 @pytest.mark.parametrize("wiped", [False, True])
@@ -182,8 +187,8 @@
     while world.now < end:
         away.change()
         world.run(100)
-    behind = max(one.replica.number for one in world.machines.values() if one.replica) - replica.number
-    assert behind <= 1 and replica.fresh_at is not None and world.now - replica.fresh_at < 1000 * MS
+    behind = max(one.replica.version for one in world.machines.values() if one.replica) - replica.version
+    assert behind <= 1 and replica.confirmed_at is not None and world.now - replica.confirmed_at < 1000 * MS
     assert away.kinds["chosen whole"] + away.kinds["put whole"] <= 6
     world.rate = 0.0
     world.run(4000)
@@ -197,13 +202,13 @@
     for _ in range(6):
         away.change()
         world.run(120)
-    old: Held = world.machines[lagging].replica.register.memory.chosen  # type: ignore[union-attr]
+    old: Proposal = world.machines[lagging].replica.register.state.chosen  # type: ignore[union-attr]
     world.cut([away.back], [ip for ip in away.ips if ip not in (lagging, away.back)])
     world.cuts.discard(frozenset((lagging, away.back)))
     replica = away.start()
     world.run(3000)
-    assert replica.number == old.value.number < away.edition
-    assert replica.fresh_at is None and not replica.votes and replica.minority
+    assert replica.version == old.value.version < away.edition
+    assert replica.confirmed_at is None and not replica.is_voter and replica.lacks_quorum
     world.heal()
     world.run(4000)
-    assert replica.number == away.edition and replica.votes and not world.settled()
+    assert replica.version == away.edition and replica.is_voter and not world.settled()
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -13,13 +13,13 @@
 from hypothesis import strategies as some
 
 from pepperrun.core.clock import SECOND
-from pepperrun.core.quotas import Account, Quotas
 from pepperrun.core.interface import Plan, Request, Send
+from pepperrun.core.quotas import Account, Quotas
 from pepperrun.core.standing import Standing
 from pepperrun.lab.virtual import KEYS, MS, Members, Path
 from pepperrun.membership.keys import Keys, new_key_file, read_keys
-from pepperrun.membership.states import Me, Window
 from pepperrun.membership.resume import resume, state_of
+from pepperrun.membership.states import Me, Window
 from pepperrun.membership.steps import Quota, Step, quota_error, restart_error, standing_of, step_of
 from pepperrun.membership.views import HOLD_NS, LOOK_NS, SETTLE_NS, Side, Views, side_of
 from pepperrun.membership.wire import MOST, Datagram, Kind, Row, Rumour, State, pack, room, rows_room, unpack
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -12,11 +12,11 @@
 
 from pepperrun.__main__ import main
 from pepperrun.capture.format import Capture, Class, Header, Plan, Worker, write
+from pepperrun.model.day import Fault, load_of, read_fault
 from pepperrun.model.fleet import read_fleet, resized
 from pepperrun.model.load import LoadSpec, draw
 from pepperrun.model.node import Kind, Node, Taken
 from pepperrun.model.service import Ask, inside_quota, service
-from pepperrun.model.day import Fault, load_of, read_fault
 from pepperrun.model.simulate import Run
 from pepperrun.planner.fit import fit
 from pepperrun.planner.result import PlanResult
--- a/tests/test_narrow_catch_up.py
+++ b/tests/test_narrow_catch_up.py
@@ -6,8 +6,8 @@
 from types import SimpleNamespace
 from typing import Any
 
-from pepperrun.consensus.messages import Message
-from pepperrun.consensus.voter import MS
+from pepperrun.consensus.codec import WireMessage
+from pepperrun.consensus.timeouts import MS
 from pepperrun.distribution.digests import Sums
 from pepperrun.distribution.publisher import HISTORY, Publisher
 from pepperrun.foundation.netstring import Decoder
@@ -19,7 +19,7 @@
     name = "gate"
 
     def __init__(self) -> None:
-        self.frames: list[Message] = []
+        self.frames: list[WireMessage] = []
 
     def write(self, frame: bytes) -> None:
         self.frames += [one for one in Decoder().feed(frame) if one["k"] != "tock"]
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -13,12 +13,11 @@
 import pytest
 import yaml
 
-from pepperrun.operator import inspection
 from pepperrun import operatorctl
-from pepperrun.operator import problems
+from pepperrun.foundation.errors import PepperrunError
+from pepperrun.operator import inspection, problems
 from pepperrun.operator.calls import Caller
 from pepperrun.operator.local_cluster import LocalCluster, Sizes
-from pepperrun.foundation.errors import PepperrunError
 
 
 @contextmanager
--- a/tests/test_orders_again.py
+++ b/tests/test_orders_again.py
@@ -11,7 +11,7 @@
 import pytest
 from clusters import amend, put, whole
 
-from pepperrun.consensus.values import NONE, Ballot, Held, Value, digest_of
+from pepperrun.consensus.state import NO_BALLOT, Ballot, Evaluation, Proposal, Value, digest_of
 from pepperrun.control import changes, taken_orders
 from pepperrun.control.changes import apply, apply_at_gateway, lean
 from pepperrun.control.taken_orders import PAGE, RECENT, REMEMBERED
@@ -80,39 +80,39 @@
 
 def test_a_restart_from_disk_knows_them_and_each_change_writes_one_page(tmp_path: Path) -> None:
     state, _ = chain(first(), 700)
-    texts = digest_of.__globals__["SORTED"]
+    texts = digest_of.__globals__["_sorted_encoder"]
     digest_of(state)
-    before = texts.written
+    before = texts.encoded_items
     state, _ = chain(state, 1)
     digest = digest_of(state)
-    assert texts.written - before <= 3 and len(json.dumps(state["older"])) < 25 * 700
+    assert texts.encoded_items - before <= 3 and len(json.dumps(state["older"])) < 25 * 700
     disk = DiskStore(str(tmp_path), 64)
     memory = disk.begin("s", "10.0.0.1", ["10.0.0.1"])
     assert memory.chosen is not None
     value: Value = memory.chosen.value.__class__(9, memory.chosen.value.voters, (), "10.0.0.1", digest)
-    memory.accepted = memory.chosen = Held(Ballot(3, "x"), value, state)
+    memory.accepted = memory.chosen = Proposal(Ballot(3, "x"), value, state)
     disk.save(memory)
     disk.close()
     again = DiskStore(str(tmp_path), 64).begin("s", "10.0.0.1", [])
-    assert again.chosen is not None and again.chosen.ballot > NONE
+    assert again.chosen is not None and again.chosen.ballot > NO_BALLOT
     body = again.chosen.body
     assert body == state and digest_of(body) == digest and apply(body, put(whole()))[1][0] == 200
 
 
-def before(state: State | None, op: dict[str, Any]) -> tuple[State | None, list[Any]]:
+def before(state: State | None, op: dict[str, Any]) -> Evaluation:
     """What the version before makes of a configuration: it keeps 64 in one list, and no pages."""
     state = state or changes.EMPTY
     if [op["edition"], op["digest"]] in state["taken"]:
-        return None, [200, "Taken already."]
+        return Evaluation(None, [200, "Taken already."])
     if op["on"] != state["edition"]:
-        return None, [412, "Another is current."]
+        return Evaluation(None, [412, "Another is current."])
     new, verdict = apply(state, op)
     if new is not None:
         new["taken"] = [*state["taken"], [op["edition"], op["digest"]]][-64:]
         new.pop("older", None)
         if op["do"] == "amend" and "older" in state:
             new["older"] = state["older"]
-    return new, verdict
+    return Evaluation(new, verdict)
 
 
 @pytest.mark.parametrize("seed", range(6))
@@ -175,8 +175,8 @@
     def _look(self, machine: Machine) -> None:
         replica = machine.replica
         value = replica.value if replica is not None else None
-        if value is not None and self.bodies.setdefault(value.number, value.digest) != value.digest:
-            self.wrong = f"two bodies of number {value.number}"
+        if value is not None and self.bodies.setdefault(value.version, value.digest) != value.digest:
+            self.wrong = f"two bodies of number {value.version}"
         if replica is not None and replica.body.get("taken"):
             self.in_force.add(tuple(replica.body["taken"][-1]))
             self._look_at_refused()
@@ -242,7 +242,7 @@
         world.start(ip)
     world.run(15000)
     replica = world.machines[new].replica
-    assert replica is not None and new in replica.voters and ips[0] not in replica.voters
+    assert replica is not None and new in replica.voter_ips and ips[0] not in replica.voter_ips
     picked = [ops[0], ops[1], ops[10], ops[11], ops[-RECENT], ops[-1]]
     for ip in (new, ips[1]):
         assert world.answers_to(picked, [ip], 2000) == [200] * len(picked)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -22,9 +22,9 @@
     wait_then,
 )
 
+from pepperrun.core.interface import Request
 from pepperrun.exchange import End
 from pepperrun.fronts import kept
-from pepperrun.core.interface import Request
 from pepperrun.net import listener as listener_module
 from pepperrun.net.http1 import ROOM
 
--- a/tests/test_quota_keepers.py
+++ b/tests/test_quota_keepers.py
@@ -12,12 +12,23 @@
 import pytest
 
 from pepperrun.control.changes import apply
-from pepperrun.control.records import READY, GatewayRecord
-from pepperrun.control.quota_placement import CHANGE_NS, JOINS_NS, SILENT_NS, QuotaPlacement, crowded
 from pepperrun.control.configuration import Sender
+from pepperrun.control.quota_placement import CHANGE_NS, JOINS_NS, SILENT_NS, QuotaPlacement, crowded
+from pepperrun.control.records import READY, GatewayRecord
 from pepperrun.core.gateway import Gateway
-from pepperrun.core.interface import AttemptEnded, Backend, BackendList, ListKind, Outcome, PeerMessage
-from pepperrun.core.interface import Request, Send, SetTimer, TellPeer, TimerFired
+from pepperrun.core.interface import (
+    AttemptEnded,
+    Backend,
+    BackendList,
+    ListKind,
+    Outcome,
+    PeerMessage,
+    Request,
+    Send,
+    SetTimer,
+    TellPeer,
+    TimerFired,
+)
 from pepperrun.core.quota_keepers import ABSENT, GRANT_NS, QuotaKeepers, weight
 from pepperrun.dataplane.numbering import Ledger, number_of
 from pepperrun.foundation.settings import Bounds
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -11,11 +11,11 @@
 from pepperrun.foundation.errors import PepperrunError
 from pepperrun.foundation.settings import Bounds
 from pepperrun.simulation import experiments, results
-from pepperrun.simulation.virtual_time import Machine, World, spawn
 from pepperrun.simulation.days import Day
 from pepperrun.simulation.judges import Asked, Edition, Judges, Seen
 from pepperrun.simulation.plans import Plan, Trouble, drawn_plan
 from pepperrun.simulation.shrinking import shrunk
+from pepperrun.simulation.virtual_time import Machine, World, spawn
 
 SECOND = 1_000_000_000
 
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -13,15 +13,14 @@
 from test_dataplane import Cluster, ok, route
 from test_storage import CONTACTS, ME, filled
 
-from pepperrun.operator import loss_accounting
 from pepperrun import operatorctl
-from pepperrun.operator import explain, page, state
-from pepperrun.operator.event_log import pairs_of, read
+from pepperrun.consensus.state import FIRST_DISK_ID
 from pepperrun.core.interface import Outcome
 from pepperrun.dataplane.trace import Spigot, Trace
 from pepperrun.foundation import logs
 from pepperrun.foundation.errors import PepperrunError
-from pepperrun.consensus.values import FIRST_LIFE
+from pepperrun.operator import explain, loss_accounting, page, state
+from pepperrun.operator.event_log import pairs_of, read
 from pepperrun.simulation import crashes, replays
 from pepperrun.storage import formats, records
 from pepperrun.storage.store import DiskStore
@@ -32,12 +31,12 @@
     raw = state.raw_records(folder)
     out: dict[bytes, bytes] = {}
     for name in records.NAMES:
-        data = records.opened(raw[name.encode()], name)
+        data = records.unseal(raw[name.encode()], name)
         if name == "life":
             data = [0, *data[1:]]
         elif name != "promised":
-            data.append(records.opened(raw[f"body:{data[1][4]}".encode()], "body"))
-        out[name.encode()] = records.sealed(data)
+            data.append(records.unseal(raw[f"body:{data[1][4]}".encode()], "body"))
+        out[name.encode()] = records.seal(data)
     return out
 
 
@@ -55,23 +54,23 @@
 ) -> None:
     memory = filled(tmp_path, 2000)
     raw = older(tmp_path)
-    with pytest.raises(PepperrunError, match="no step leads on from format 0"):
-        records.recall(raw)
-    monkeypatch.setitem(formats.STEPS, 0, apart)
-    assert records.recall(raw) == memory
+    with pytest.raises(PepperrunError, match="no migration leads on from format 0"):
+        records.read_state(raw)
+    monkeypatch.setitem(formats.MIGRATIONS, 0, apart)
+    assert records.read_state(raw) == memory
     disk = DiskStore(str(tmp_path))
     with disk._open().begin(write=True) as transaction:
         for key in [bytes(key) for key in transaction.cursor().iternext(values=False)]:
             transaction.delete(key)
-        for key, data in (raw | {b"extra": records.sealed(1)}).items():
+        for key, data in (raw | {b"extra": records.seal(1)}).items():
             transaction.put(key, data)
     disk.close()
     assert DiskStore(str(tmp_path)).begin("s", ME, []) == replace(memory, starts=memory.starts + 1)
-    monkeypatch.delitem(formats.STEPS, 0)
+    monkeypatch.delitem(formats.MIGRATIONS, 0)
     again = state.raw_records(tmp_path)
-    assert not records.faults(again) and b"extra" not in again
+    assert not records.problems(again) and b"extra" not in again
     with pytest.raises(PepperrunError, match="disk-newer"):
-        records.recall({b"life": records.sealed([formats.FORMAT + 1])})
+        records.read_state({b"life": records.seal([formats.FORMAT + 1])})
 
 
 def test_a_copy_never_goes_on_as_the_same_life(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
@@ -86,7 +85,11 @@
     assert run("restore", tmp_path / "b", file) == 0
     made = DiskStore(str(tmp_path / "b")).begin("s", ME, CONTACTS)
     # Neither its votes nor what was chosen: both are for the others to say, even where first_run is true.
-    assert made.life not in (memory.life, FIRST_LIFE) and made.chosen is None and made.promised.round == -1
+    assert (
+        made.disk_id not in (memory.disk_id, FIRST_DISK_ID)
+        and made.chosen is None
+        and made.promised.round == -1
+    )
     # Retired, a life goes on once, and not where it was.
     assert run("export", tmp_path / "a", file, "--retire") == 0
     assert run("restore", tmp_path / "c", file, "--same-life") == 0
@@ -94,7 +97,10 @@
     with pytest.raises(PepperrunError, match="disk-other"):
         DiskStore(str(tmp_path / "c")).begin("s", "10.0.0.2", [])  # it, too, has a life named `first`
     assert DiskStore(str(tmp_path / "c")).begin("s", ME, []) == replace(memory, starts=memory.starts + 1)
-    assert DiskStore(str(tmp_path / "a")).begin("s", ME, CONTACTS).life not in (memory.life, FIRST_LIFE)
+    assert DiskStore(str(tmp_path / "a")).begin("s", ME, CONTACTS).disk_id not in (
+        memory.disk_id,
+        FIRST_DISK_ID,
+    )
     file.write_text(file.read_text().replace('"x"', '"y"', 1))
     assert run("restore", tmp_path / "e", file) == 2
 
@@ -107,9 +113,9 @@
     data[at : at + 2] = b"ab"
     file.write_bytes(data)
     raw = state.raw_records(tmp_path)
-    assert len(records.faults({**raw, b"chosen": b"x" * 40})) == 2
+    assert len(records.problems({**raw, b"chosen": b"x" * 40})) == 2
     del raw[b"promised"]
-    assert "The record promised is missing." in records.faults(raw)
+    assert "The record promised is missing." in records.problems(raw)
     assert operatorctl.main(["state", "check", str(tmp_path)]) == 1
     assert capsys.readouterr().out.count("The checksum of body:") == 1
     assert operatorctl.main(["state", "check", str(tmp_path / "none")]) == 2
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -11,23 +11,23 @@
 import lmdb
 import pytest
 
+from pepperrun.consensus.canonical_json import CachedJsonEncoder
+from pepperrun.consensus.state import FIRST_DISK_ID, Ballot, DurableState, Proposal, digest_of
 from pepperrun.foundation.errors import PepperrunError
-from pepperrun.consensus.canonical_json import Texts
-from pepperrun.consensus.values import FIRST_LIFE, Ballot, Held, Memory, digest_of
 from pepperrun.storage.store import DiskStore
 
 ME, CONTACTS = "10.0.0.1", ["10.0.0.1", "10.0.0.2", "10.0.0.3"]
 
 
-def filled(folder: Path, size: int = 300_000) -> Memory:
+def filled(folder: Path, size: int = 300_000) -> DurableState:
     """A machine that has taken a value, not known as chosen; its disk is closed."""
     disk = DiskStore(str(folder), 64)
     memory = disk.begin("s", ME, CONTACTS)
     assert memory.chosen is not None
     body = {"routes": "é" * (size // 2)}
-    value = replace(memory.chosen.value, number=1, digest=digest_of(body))
+    value = replace(memory.chosen.value, version=1, digest=digest_of(body))
     memory.promised = Ballot(3, "x")
-    memory.accepted = Held(Ballot(3, "x"), value, body)
+    memory.accepted = Proposal(Ballot(3, "x"), value, body)
     disk.save(memory)
     disk.close()
     return memory
@@ -46,15 +46,15 @@
         DiskStore(str(tmp_path / str(at))).begin("s", me, contacts)
         for at, (me, contacts) in enumerate([(ME, CONTACTS), ("10.0.0.4", CONTACTS), (ME, []), (ME, [])])
     ]
-    assert lives[0].life == FIRST_LIFE and lives[0].chosen == lives[0].accepted is not None
-    assert all(one.chosen is None and one.life != FIRST_LIFE for one in lives[1:])
-    assert len({one.life for one in lives}) == 4
+    assert lives[0].disk_id == FIRST_DISK_ID and lives[0].chosen == lives[0].accepted is not None
+    assert all(one.chosen is None and one.disk_id != FIRST_DISK_ID for one in lives[1:])
+    assert len({one.disk_id for one in lives}) == 4
 
 
 def test_a_file_that_never_got_its_first_record_is_an_empty_disk(tmp_path: Path) -> None:
     lmdb.open(str(tmp_path), lock=False).close()
     assert (tmp_path / "data.mdb").exists()
-    assert DiskStore(str(tmp_path)).begin("s", ME, CONTACTS).life == FIRST_LIFE
+    assert DiskStore(str(tmp_path)).begin("s", ME, CONTACTS).disk_id == FIRST_DISK_ID
 
 
 @pytest.mark.parametrize("where", ["head", "body", "record", "lost record"])
@@ -76,10 +76,10 @@
             transaction.delete(b"promised")
     disk = DiskStore(str(tmp_path), 64)
     again = disk.begin("s", ME, CONTACTS)
-    assert again.life not in (memory.life, FIRST_LIFE)
+    assert again.disk_id not in (memory.disk_id, FIRST_DISK_ID)
     assert again.chosen is None and again.accepted is None and again.starts == 1
     disk.close()
-    assert DiskStore(str(tmp_path), 64).begin("s", ME, []).life == again.life
+    assert DiskStore(str(tmp_path), 64).begin("s", ME, []).disk_id == again.disk_id
 
 
 def test_a_promise_does_not_write_the_body_again(tmp_path: Path) -> None:
@@ -87,16 +87,16 @@
     disk = DiskStore(str(tmp_path), 64)
     memory = disk.begin("s", ME, [])
     written: list[int] = []
-    seal = disk.saved.copy()
+    seal = disk._saved.copy()
     memory.promised, memory.chosen = Ballot(4, "y"), memory.accepted
     disk.save(memory)
-    env = disk.env
+    env = disk._environment
     assert env is not None
     with env.begin() as transaction:
         bodies = [key for key, _ in transaction.cursor() if bytes(key).startswith(b"body:")]
         written += [transaction.stat()["overflow_pages"]]
     # The first body went with the value that named it; the other stayed where it was.
-    assert len(bodies) == 1 and written[0] <= 300_000 // 4096 + 2 and seal != disk.saved
+    assert len(bodies) == 1 and written[0] <= 300_000 // 4096 + 2 and seal != disk._saved
     assert env.info()["map_size"] == 32 * 1024 * 1024
 
 
@@ -106,8 +106,8 @@
     assert memory.chosen is not None
     small = memory.accepted
     body = {"fill": "x" * 1_000_000}
-    memory.accepted = Held(
-        Ballot(1, "x"), replace(memory.chosen.value, number=1, digest=digest_of(body)), body
+    memory.accepted = Proposal(
+        Ballot(1, "x"), replace(memory.chosen.value, version=1, digest=digest_of(body)), body
     )
     with pytest.raises(PepperrunError, match="disk-failed"):
         disk.save(memory)
@@ -130,21 +130,23 @@
         patch.setattr(lmdb, "open", refuses)
         with pytest.raises(PepperrunError, match="disk-failed"):
             DiskStore(str(tmp_path), 64).begin("s", ME, [])
-    assert DiskStore(str(tmp_path), 64).begin("s", ME, []).life == memory.life
+    assert DiskStore(str(tmp_path), 64).begin("s", ME, []).disk_id == memory.disk_id
 
 
 def test_a_change_writes_the_text_of_what_it_changed() -> None:
     rng = random.Random(4)
-    texts = {True: Texts(True), False: Texts(False)}
+    texts = {True: CachedJsonEncoder(True), False: CachedJsonEncoder(False)}
     body: dict[str, Any] = {
         "routes": {f"r{at}": {"name": f"r{at}", "x": [at, '\u00e9"'], "a": {}} for at in range(500)},
         **{"edition": 1, "evacuated": ["b", "a"], "limits": {}, "zz": {"x": 1}, "senders": {}},
     }
     for turn in range(20):
         for sort, one in texts.items():
-            before = one.written
-            assert one.of(body) == json.dumps(body, separators=(",", ":"), sort_keys=sort, ensure_ascii=False)
-            assert one.written - before <= (2 if turn else 501)
+            before = one.encoded_items
+            assert one.encode(body) == json.dumps(
+                body, separators=(",", ":"), sort_keys=sort, ensure_ascii=False
+            )
+            assert one.encoded_items - before <= (2 if turn else 501)
         rows = dict(body["routes"])
         rows[f"r{rng.randrange(500)}"] = {"name": "other", "b": turn}
         rows[f"m{turn}"] = rows.pop(f"r{400 + turn}", {})  # the same object under another name
--- a/tests/test_voter_changes.py
+++ b/tests/test_voter_changes.py
@@ -9,8 +9,9 @@
 import pytest
 
 from pepperrun import control_node
-from pepperrun.consensus import messages
-from pepperrun.consensus.values import Life, Memory, beginning, digest_of
+from pepperrun.consensus import codec
+from pepperrun.consensus.messages import StoppingNotice
+from pepperrun.consensus.state import DurableState, Incarnation, digest_of, initial_proposal
 from pepperrun.simulation.consensus_world import World
 from pepperrun.simulation.copies import Copies, deciding
 from pepperrun.simulation.order_plans import change, change_but
@@ -21,7 +22,7 @@
 def settled(count: int, seed: int = 3, most: int = 5) -> World:
     world = World(count, seed, most=most)
     world.run(4000)
-    assert not world.settled() and len(world.newest.voters) == most and not world.newest.was
+    assert not world.settled() and len(world.newest.voters) == most and not world.newest.outgoing_voters
     return world
 
 
@@ -72,37 +73,37 @@
 
 def test_who_is_told_to_stop_ends_with_no_vote_and_no_duty_where_a_spare_is_there() -> None:
     world = settled(6)
-    keeper = world.newest.keeper
+    keeper = world.newest.coordinator
     replica = world.machines[keeper].replica
     assert replica is not None
     world.retire(keeper)
-    assert not replica.released
+    assert not replica.safe_to_stop
     world.run(500)
-    assert replica.released and world.machines[keeper].replica is None
-    assert keeper not in world.newest.ips and world.newest.keeper != keeper
-    assert len(world.newest.voters) == 5 and not world.newest.was
+    assert replica.safe_to_stop and world.machines[keeper].replica is None
+    assert keeper not in world.newest.voter_ips and world.newest.coordinator != keeper
+    assert len(world.newest.voters) == 5 and not world.newest.outgoing_voters
 
 
 def test_who_knows_an_old_value_that_names_it_not_is_not_released_by_that() -> None:
     world = settled(6)
-    spare = next(ip for ip in sorted(world.machines) if ip not in world.newest.ips)
+    spare = next(ip for ip in sorted(world.machines) if ip not in world.newest.voter_ips)
     replica = world.machines[spare].replica
-    assert replica is not None and replica.fresh_at is not None
-    replica.retire(world.now)
-    assert not replica.released  # a newer value may name it
+    assert replica is not None and replica.confirmed_at is not None
+    replica.request_stop(world.now)
+    assert not replica.safe_to_stop  # a newer value may name it
     world.run(600)  # a read round later
-    assert replica.released and replica.fresh_at >= replica.stopped_at
+    assert replica.safe_to_stop and replica.confirmed_at >= replica.stop_requested_at
 
 
 def test_where_nobody_is_there_instead_it_stays_named_and_ends_without_waiting() -> None:
     world = settled(5)
     voters = world.newest.voters
     told = world.now
-    ip = sorted(world.newest.ips - {world.newest.keeper})[0]
+    ip = sorted(world.newest.voter_ips - {world.newest.coordinator})[0]
     replica = world.machines[ip].replica
     assert replica is not None
     world.retire(ip)
-    assert replica.released  # at once
+    assert replica.safe_to_stop  # at once
     world.run(600)
     assert world.machines[ip].replica is None and world.now - told < 700_000_000
     world.run(5000)
@@ -114,26 +115,26 @@
 
 def test_a_leaver_that_is_cut_off_ends_when_its_time_is_over() -> None:
     world = settled(6)
-    ip = sorted(world.newest.ips - {world.newest.keeper})[0]
+    ip = sorted(world.newest.voter_ips - {world.newest.coordinator})[0]
     world.cut([ip])
     world.run(300)
     world.retire(ip)
     world.run(3200)
     assert world.machines[ip].replica is None
     world.run(1500)
-    assert ip not in world.newest.ips  # it was lost, so the spare votes
+    assert ip not in world.newest.voter_ips  # it was lost, so the spare votes
 
 
 def test_two_that_leave_at_once_don_t_name_each_other() -> None:
     world = settled(7)
-    order = sorted(world.newest.ips)
-    keeper = world.newest.keeper
+    order = sorted(world.newest.voter_ips)
+    keeper = world.newest.coordinator
     follows = order[(order.index(keeper) + 1) % len(order)]
     world.retire(follows)
     world.retire(keeper)
     world.run(1500)
-    assert not {keeper, follows} & world.newest.ips
-    assert world.newest.keeper not in (keeper, follows)
+    assert not {keeper, follows} & world.newest.voter_ips
+    assert world.newest.coordinator not in (keeper, follows)
     world.run(2000)
     assert not world.settled()
 
@@ -153,75 +154,79 @@
 
 def test_who_was_told_to_stop_and_is_back_may_vote_again() -> None:
     world = settled(6)
-    ip = sorted(world.newest.ips - {world.newest.keeper})[0]
+    ip = sorted(world.newest.voter_ips - {world.newest.coordinator})[0]
     world.retire(ip)
     world.run(1500)
     world.start(ip)
     world.run(1000)
-    assert ip not in world.newest.ips  # a spare
+    assert ip not in world.newest.voter_ips  # a spare
     for machine in world.machines.values():
-        assert machine.replica is not None and ip not in machine.replica.leaving
-    lost = sorted(world.newest.ips - {world.newest.keeper})[0]
+        assert machine.replica is not None and ip not in machine.replica.stopping_peers
+    lost = sorted(world.newest.voter_ips - {world.newest.coordinator})[0]
     world.remove(lost)
     world.run(3000)
-    assert ip in world.newest.ips and lost not in world.newest.ips
+    assert ip in world.newest.voter_ips and lost not in world.newest.voter_ips
 
 
 def test_who_leaves_is_a_leaver_between_two_words_of_it_and_until_it_says_so_no_more() -> None:
     world = settled(6)
-    keeper, other = sorted(world.newest.ips)[:2]
+    keeper, other = sorted(world.newest.voter_ips)[:2]
     replica = world.machines[keeper].replica
     assert replica is not None
     replica.receive(other, {"t": "leave", "l": "first"}, world.now)
     read = {"t": "read", "s": 1, "c": [0, ""], "l": "first"}
     replica.receive(other, read, world.now)
-    assert other in replica.leaving
-    replica.receive(other, read, world.now + 2 * replica.pace.up)
-    assert other not in replica.leaving
+    assert other in replica.stopping_peers
+    replica.receive(other, read, world.now + 2 * replica.timeouts.liveness_ns)
+    assert other not in replica.stopping_peers
     replica.receive(other, {"t": "leave", "l": "first"}, world.now)
     replica.connected(other, "z1", world.now)
-    assert not replica.leaving
+    assert not replica.stopping_peers
 
 
 def test_a_keeper_killed_while_it_hands_over_is_followed_within_the_time_to_be_in_touch() -> None:
     for after_ms in (0, 20, 40, 60, 90, 150, 300):
         world = settled(6, seed=after_ms)
-        keeper = world.newest.keeper
+        keeper = world.newest.coordinator
         world.retire(keeper)
         world.run(after_ms)
         world.remove(keeper)
         world.run(3200)
         value = world.newest
-        assert keeper not in value.ips and value.keeper != keeper and not value.was, after_ms
+        assert (
+            keeper not in value.voter_ips and value.coordinator != keeper and not value.outgoing_voters
+        ), after_ms
 
 
 def test_a_keeper_lets_in_no_life_that_it_heard_on_an_older_link() -> None:
     world = settled(5)
-    replica = world.machines[world.newest.keeper].replica
+    replica = world.machines[world.newest.coordinator].replica
     assert replica is not None
-    ip = sorted(world.newest.ips - {replica.me})[0]
-    voters = tuple(Life(one.ip, "later") if one.ip == ip else one for one in world.newest.voters)
+    ip = sorted(world.newest.voter_ips - {replica.own_ip})[0]
+    voters = tuple(Incarnation(one.ip, "later") if one.ip == ip else one for one in world.newest.voters)
     known = replace(world.newest, voters=voters)  # another keeper has let it in with an empty disk
     replica.disconnected(ip, world.now)
     replica.connected(ip, world.machines[ip].zone, world.now)
-    assert replica.register.plan(known, True) == known
+    assert replica.register.plan_voters(known, True) == known
 
 
 def test_copies_are_counted_on_disks() -> None:
-    first = beginning(["a", "b", "c"])
+    first = initial_proposal(["a", "b", "c"])
     later = first._replace(ballot=first.ballot._replace(round=1))
     copies = Copies()
     copies.began(first)
     assert not copies.chose(first) and copies.fewest == 3
-    memory = Memory("first", accepted=later)
+    memory = DurableState("first", accepted=later)
     assert not copies.saved("a", memory)
     assert "with 1 copies among 3" in copies.chose(later)
-    assert not copies.lacking({Life("a", "first"), Life("b", "first")})  # they are of two minds: no decision
-    assert "without a copy" in copies.lacking({Life("b", "first"), Life("c", "first")})
+    assert not copies.lacking(
+        {Incarnation("a", "first"), Incarnation("b", "first")}
+    )  # they are of two minds: no decision
+    assert "without a copy" in copies.lacking({Incarnation("b", "first"), Incarnation("c", "first")})
     body = {"m": 1}
     wrong = later._replace(value=replace(later.value, digest=digest_of(body)))
-    assert "without its body" in Copies().saved("a", Memory("first", accepted=wrong))
-    present = {Life(ip, "first") for ip in "abc"}
+    assert "without its body" in Copies().saved("a", DurableState("first", accepted=wrong))
+    present = {Incarnation(ip, "first") for ip in "abc"}
     some, most = frozenset("a"), frozenset("ab")
     assert deciding(first.value, present, [some, most]) == [most]
 
@@ -234,8 +239,9 @@
 
 
 def test_the_word_of_a_leaver_is_checked_and_passed_over_by_who_does_not_know_it() -> None:
-    assert messages.read({"t": "leave", "l": "first"}) == {"t": "leave", "l": "first"}
-    assert messages.known({"t": "leave"})
+    assert codec.decode({"t": "leave", "l": "first"}) == StoppingNotice("first")
+    assert codec.encode(StoppingNotice("first")) == {"t": "leave", "l": "first"}
+    assert codec.is_known({"t": "leave"})
 
 
 class Leaver:
@@ -249,7 +255,7 @@
         return self
 
     @property
-    def released(self) -> bool:
+    def safe_to_stop(self) -> bool:
         self.seen += 1
         return self.seen > self.looks
 
@@ -297,7 +303,7 @@
 
 
 def test_who_is_told_to_stop_is_not_named_anew_by_a_plan_under_way() -> None:
-    value = beginning(["a", "b", "c"]).value
-    goal = (Life("b", "first"), Life("c", "first"), Life("d", "d1"))
-    assert change_but(change, frozenset({Life("a", "first")}), goal, value, True).voters == goal
-    assert change_but(change, frozenset({Life("d", "d1")}), goal, value, True) == value
+    value = initial_proposal(["a", "b", "c"]).value
+    goal = (Incarnation("b", "first"), Incarnation("c", "first"), Incarnation("d", "d1"))
+    assert change_but(change, frozenset({Incarnation("a", "first")}), goal, value, True).voters == goal
+    assert change_but(change, frozenset({Incarnation("d", "d1")}), goal, value, True) == value
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -10,8 +10,8 @@
 
 import pytest
 
-from pepperrun.core import interface as api
 from pepperrun.config import read_settings
+from pepperrun.core import interface as api
 from pepperrun.wirehost import FrameError, Host, _Reply, serve
 
 PARAMS = {
