--- a/benchmarks/control_cost.py
+++ b/benchmarks/control_cost.py
@@ -29,8 +29,10 @@
 from pepperrun.foundation.netstring import Decoder, encode, packed
 from pepperrun.foundation.settings import Bounds
 from pepperrun.simulation import virtual_time
+from pepperrun.simulation.measures import Measures
 from pepperrun.simulation.narrow_links import ZONES, route
 from pepperrun.simulation.nodes import Core, Gate, machines, settings_of
+from pepperrun.simulation.plans import Shape
 from pepperrun.simulation.virtual_time import MS, World
 
 
@@ -93,8 +95,9 @@
         Core(one, settings_of(one, "sorting", contacts, ZONES, {}), contacts, "") for one in core_machines
     ]
     gate_machines = machines(world, gates, "gate", zones, ZONES, 2)
+    measures = Measures(Shape())
     gateways = [
-        Gate(one, settings_of(one, "counter", contacts, ZONES, {}), lambda *_: None, "")
+        Gate(one, settings_of(one, "counter", contacts, ZONES, {}), lambda *_: None, "", measures)
         for one in gate_machines
     ]
     places = machines(world, workers, "worker", zones, ZONES, 3)
--- a/features/playing.py
+++ b/features/playing.py
@@ -98,6 +98,7 @@
 
     def __init__(self, name=""):
         self.name, self.said, self.closed = name, [], False
+        self.send = lambda message: self.write(encode(message))  # as a link does
         self.decoder = Decoder()
 
     def write(self, frame):
@@ -373,7 +374,6 @@
         for ear, does in zip(
             ears, (hub.heard, _Down(program.news, program.news.publisher).heard), strict=True
         ):
-            ear.send = lambda message, ear=ear: ear.write(encode(message))
             does(ear, {"k": "show"})
         hub.close()
         return [one for ear in ears for one in ear.take()]
--- a/pepperrun/storage/store.py
+++ b/pepperrun/storage/store.py
@@ -186,6 +186,12 @@
             self._environment.close()
             self._environment = None
 
+    def used_bytes(self) -> int:
+        """Bytes of the pages that hold something now."""
+        statistics = self._open().stat()
+        pages = statistics["branch_pages"] + statistics["leaf_pages"] + statistics["overflow_pages"]
+        return int(pages * statistics["psize"])
+
     def _open(self) -> lmdb.Environment:
         if self._environment is None:
             # One process alone uses the folder, and locks do nothing on some disks. lmdb syncs the pages of a
--- /dev/null
+++ b/tests/test_benchmarks.py
@@ -0,0 +1,47 @@
+"""Each script under benchmarks/ runs once at its smallest size: a name that is gone there is found here."""
+
+from __future__ import annotations
+
+import subprocess
+import sys
+from pathlib import Path
+
+import pytest
+
+ROOT = Path(__file__).resolve().parent.parent
+TIMEOUT_S = 200
+SMALLEST = {
+    "capacity_control": ("--sizes", "20"),
+    "capacity_members": ("--sizes", "3", "--listed", "20", "--seconds", "1", "--warm", "1"),
+    "capacity_memory": ("--sizes", "500", "1000"),
+    "capacity_push": ("--sizes", "20"),
+    "capacity_target": (),
+    "capture_cost": ("--pairs", "1", "--rate", "50", "--seconds", "0.5"),
+    "capture_stall": ("--rate", "50", "--seconds", "0.5"),
+    "control_cost": ("--routes", "10", "--gates", "3", "--cores", "3", "--workers", "3", "--seconds", "1"),
+    "control_scale": ("--gates", "6", "--routes", "10"),
+    "fleet_turns": ("0.3",),
+    "hollow_gateways": ("--gates", "3", "--routes", "5", "--changes", "1", "--seconds", "0.5"),
+    "ill_workers": ("--seeds", "1", "--rate", "2"),
+    "many_changes": ("--changes", "60", "--routes", "5", "--long-each", "20"),
+    "members_options": ("--members", "3", "--loss", "0", "--faults", "1"),
+    "parking_options": ("20",),
+    "planner_days": ("--seconds", "1", "--lanes", "1"),
+    "planner_goal": ("--seconds", "1"),
+    "planner_scale": ("--most", "10"),
+    "request_cost": (str(ROOT), "--pairs", "1", "--rate", "50", "--seconds", "0.5"),
+    "start_time": (str(ROOT), "--pairs", "1"),
+}
+PARTS = {"capacity_common", "capacity_process"}  # imported by the others
+
+
+def test_every_script_is_listed() -> None:
+    assert {path.stem for path in (ROOT / "benchmarks").glob("*.py")} == SMALLEST.keys() | PARTS
+
+
+@pytest.mark.parametrize("script", SMALLEST)
+def test_a_script_runs_at_its_smallest_size(script: str) -> None:
+    command = [sys.executable, f"benchmarks/{script}.py", *SMALLEST[script]]
+    result = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, timeout=TIMEOUT_S, check=False)
+    assert result.returncode == 0, result.stderr[-2000:]
+    assert result.stdout.strip()
--- a/tests/test_parking.py
+++ b/tests/test_parking.py
@@ -17,6 +17,7 @@
 from test_main import config as main_config
 from test_main import line_with
 
+from pepperrun.fronts.http_client import HttpClient
 from pepperrun.net.listener import Listener
 from pepperrun.parking import lot as lot_module
 from pepperrun.parking.config import read_clients
@@ -93,6 +94,7 @@
             while not front.listener.clients:
                 await asyncio.sleep(0)
             (taken,) = front.listener.clients
+            assert isinstance(taken, HttpClient)
             assert taken.peer_address() == HOST.encode() and not taken.fresh()
             assert (await client.answer())[0] == 200
 
