--- a/benchmarks/capacity_common.py
+++ b/benchmarks/capacity_common.py
@@ -18,7 +18,7 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
-from pepperrun.control.records import READY, GatewayRecord, Worker
+from pepperrun.control.records import GatewayRecord, GatewayState, Worker
 from pepperrun.foundation.settings import Settings, parse
 
 REGIONS, ZONES_OF_REGION, SERVICES = 20, 3, 1500
@@ -71,7 +71,7 @@
             edition="v1",
             slots=6,
             serial=1,
-        ).wire(0)
+        ).to_row(0)
         for at in range(count)
     ]
 
@@ -83,9 +83,16 @@
     for at in range(count):
         ip, zone = address_of(at, 10), zones[at % len(zones)]
         record = GatewayRecord(
-            f"gate-{at}", zone, ZONES[zone], f"{ip}:80", f"{ip}:{PORT}", 1_700_000_000_000 + at, 1, READY
+            f"gate-{at}",
+            zone,
+            ZONES[zone],
+            f"{ip}:80",
+            f"{ip}:{PORT}",
+            1_700_000_000_000 + at,
+            1,
+            GatewayState.READY,
         )
-        rows.append(record.wire())
+        rows.append(record.to_row())
     return rows
 
 
--- a/benchmarks/capacity_control.py
+++ b/benchmarks/capacity_control.py
@@ -33,10 +33,10 @@
 from pepperrun.consensus.canonical_json import CachedJsonEncoder
 from pepperrun.consensus.state import INITIAL_BALLOT, Incarnation, Proposal, Value, digest_of
 from pepperrun.control import changes, validation
-from pepperrun.control.cells import Beat, Cells
-from pepperrun.control.handlers import read_beat
-from pepperrun.control.records import GatewayRecord, Worker
-from pepperrun.control.vouching import Vouching
+from pepperrun.control.endpoint_registry import EndpointRegistry, WorkerHeartbeat
+from pepperrun.control.handlers import read_heartbeat
+from pepperrun.control.liveness_reports import LivenessReports
+from pepperrun.control.records import GatewayRecord, Worker, WorkerState
 from pepperrun.dataplane.numbering import Ledger
 from pepperrun.dataplane.routes import Table
 from pepperrun.distribution import repair
@@ -105,13 +105,15 @@
 
 def beat_costs(size: int) -> Row:
     """One beat that changes nothing, one that does, and the second's look at everybody."""
-    cells = Cells("10.9.0.1", 1500, 0)
+    cells = EndpointRegistry("10.9.0.1", 1500, 0)
     cells.connected("10.9.0.2", "zone-1", 0)
-    cells.majority(True, 0)
+    cells.quorum_changed(has_quorum=True, now=0)
     rows = worker_rows(size)
     for id, line, address, zone, edition, berths, *_ in rows:
-        cells.beat(Beat(id, line, address, zone, edition, berths, "boarding", 0, 1), 0, SECOND)
-    cells.take_out(SECOND), cells.take_changed()
+        cells.heartbeat(
+            WorkerHeartbeat(id, line, address, zone, edition, berths, WorkerState.SERVING, 0, 1), 0, SECOND
+        )
+    cells.take_messages(SECOND), cells.take_changed()
     id, line, address, zone, edition, berths, *_ = rows[0]
     notice = {"line": line, "zone": zone, "edition": edition, "berths": berths}
     body = json.dumps(
@@ -121,35 +123,37 @@
     cells.peers = {f"10.9.0.{at}": f"zone-{at}" for at in range(32)}
 
     def beat() -> None:
-        cells.beat(read_beat(id, body), 0, SECOND)
-        cells.forward(id, zone, "zone-0", regions)
+        cells.heartbeat(read_heartbeat(id, body), 0, SECOND)
+        cells.forward_to(id, zone, "zone-0", regions)
 
     now = [SECOND]
 
     def look() -> None:
         now[0] += SECOND
-        for one in cells.vouching.seen:
-            cells.vouching.seen[one] = now[0]
+        for one in cells.liveness.seen_at:
+            cells.liveness.seen_at[one] = now[0]
         cells.tick(now[0])
 
     looked = best_ms(look)
-    marking = best_ms(lambda: [cells.vouching.seen.__setitem__(one, now[0]) for one in cells.vouching.seen])
+    marking = best_ms(
+        lambda: [cells.liveness.seen_at.__setitem__(one, now[0]) for one in cells.liveness.seen_at]
+    )
     return {"beat_us": each_us(beat), "look_ms": max(0.0, looked - marking)}
 
 
 def vouch_costs(size: int) -> Row:
     """Another core machine's word, each second, on the workers that it hears; all of them on a new link."""
-    vouching = Vouching(2 * SECOND, 0)
+    vouching = LivenessReports(2 * SECOND, 0)
     ids = ["w:" + row[0] for row in worker_rows(size)]
-    vouching.told("10.9.0.2", {"k": "vouch", "add": ids}, SECOND)
-    other = Vouching(2 * SECOND, 0)
+    vouching.on_report("10.9.0.2", {"k": "vouch", "add": ids}, SECOND)
+    other = LivenessReports(2 * SECOND, 0)
     for id in ids:
-        other.hear(id, SECOND)
+        other.record_heartbeat(id, SECOND)
     nothing = {"k": "vouch"}
     return {
-        "vouch_ms": best_ms(lambda: vouching.told("10.9.0.2", nothing, SECOND)),
-        "vouch_round_ms": best_ms(lambda: other.round(SECOND)),
-        "vouch_all_bytes": len(encode(other.all(SECOND))),
+        "vouch_ms": best_ms(lambda: vouching.on_report("10.9.0.2", nothing, SECOND)),
+        "vouch_round_ms": best_ms(lambda: other.periodic_report(SECOND)),
+        "vouch_all_bytes": len(encode(other.full_report(SECOND))),
     }
 
 
--- a/benchmarks/capacity_members.py
+++ b/benchmarks/capacity_members.py
@@ -20,10 +20,10 @@
 
 from capacity_common import ZONES, best_ms, each_us, gateway_rows, in_child, law, state
 
-from pepperrun.control.cells import Cells
 from pepperrun.control.changes import written
 from pepperrun.control.directory import choose
-from pepperrun.control.quota_placement import first
+from pepperrun.control.endpoint_registry import EndpointRegistry
+from pepperrun.control.quota_placement import first_places
 from pepperrun.control.records import GatewayRecord
 from pepperrun.core import gossip
 from pepperrun.core.quota_keepers import weight
@@ -39,12 +39,12 @@
 
 def probed(size: int, seconds: float, warm_s: float) -> dict[str, float]:
     """A group that has met, then is looked at."""
-    records = [GatewayRecord.read(row) for row in gateway_rows(size)]
-    probers = [GatewayProber(one.station, one.region, one.life, at, 1) for at, one in enumerate(records)]
+    records = [GatewayRecord.from_row(row) for row in gateway_rows(size)]
+    probers = [GatewayProber(one.name, one.region, one.incarnation, at, 1) for at, one in enumerate(records)]
     place: dict[Any, int] = {}
     for at, (prober, one) in enumerate(zip(probers, records, strict=True)):
         prober.take(records)
-        host, _, port = one.internal_port.rpartition(":")
+        host, _, port = one.internal_address.rpartition(":")
         place[host, int(port)] = at
     where = {at: address for address, at in place.items()}
     events: list[tuple[int, int, int, Any]] = [(at * MS // 7, at, at, None) for at in range(size)]
@@ -79,11 +79,11 @@
 
 def keepers_costs(size: int) -> dict[str, float]:
     """Agreed lists of keepers of so many gatekeepers; what a tenant's first request after a change takes."""
-    gateways = [GatewayRecord.read(row) for row in gateway_rows(size)]
-    places = first(gateways, frozenset(one.station for one in gateways))
+    gateways = [GatewayRecord.from_row(row) for row in gateway_rows(size)]
+    places = first_places(gateways, frozenset(one.name for one in gateways))
     all_regions = {one.region: [] for one in gateways}  # type: dict[str, list[str]]
     for one in gateways:
-        all_regions[one.region].append(one.station)
+        all_regions[one.region].append(one.name)
     largest = max(places.values(), key=len)
     return {
         "listed": sum(len(stations) for stations in places.values()),
@@ -95,9 +95,9 @@
 
 def resolve_costs(size: int) -> dict[str, float]:
     """One client's look-up at the directory."""
-    cells, seeds = Cells("10.9.0.1", 1500, 0), itertools.count()
+    cells, seeds = EndpointRegistry("10.9.0.1", 1500, 0), itertools.count()
     for row in gateway_rows(size):
-        cells.gateway(GatewayRecord.read(row), MS)
+        cells.gateway_heartbeat(GatewayRecord.from_row(row), MS)
 
     def asked() -> None:
         choose(cells.ready_gateways(MS), "zone-3", "region-1", ZONES, next(seeds))
--- a/benchmarks/capacity_memory.py
+++ b/benchmarks/capacity_memory.py
@@ -30,7 +30,8 @@
     worker_rows,
 )
 
-from pepperrun.control.cells import Beat, Cells
+from pepperrun.control.endpoint_registry import EndpointRegistry, WorkerHeartbeat
+from pepperrun.control.records import WorkerState
 from pepperrun.dataplane.plane import Plane
 from pepperrun.distribution import repair
 from pepperrun.distribution.book import NewsBook
@@ -85,17 +86,21 @@
 
 def core_grown(count: int) -> list[float]:
     """As `grown`, of a core machine's cells with so many workers that beat there."""
-    cells = Cells("10.9.0.1", 1500, 0)
+    cells = EndpointRegistry("10.9.0.1", 1500, 0)
     cells.connected("10.9.0.2", "zone-1", 0)
     rows = worker_rows(count)
     gc.collect()
     before, began = resident(), time.process_time()
     for at, (id, line, address, zone, edition, berths, *_) in enumerate(through_json(rows)):
-        cells.beat(Beat(id, line, address, zone, edition, berths, "boarding", 0, 1), 0, SECOND + at)
+        cells.heartbeat(
+            WorkerHeartbeat(id, line, address, zone, edition, berths, WorkerState.SERVING, 0, 1),
+            0,
+            SECOND + at,
+        )
         if at % PART == 0:
-            cells.tick(SECOND + at), cells.take_out(SECOND + at), cells.take_changed()
+            cells.tick(SECOND + at), cells.take_messages(SECOND + at), cells.take_changed()
     spent = time.process_time() - began
-    cells.tick(2 * SECOND), cells.take_out(2 * SECOND), cells.take_changed()
+    cells.tick(2 * SECOND), cells.take_messages(2 * SECOND), cells.take_changed()
     gc.collect()
     return [resident() - before, spent]
 
--- a/benchmarks/capacity_push.py
+++ b/benchmarks/capacity_push.py
@@ -21,7 +21,7 @@
 from capacity_common import each_us, gateway_rows, in_child, law, state, worker_rows
 from capacity_memory import book_with, plane_for
 
-from pepperrun.control.records import GONE, READY, GatewayRecord, Worker
+from pepperrun.control.records import GatewayRecord, GatewayState, Worker
 from pepperrun.distribution import tree
 from pepperrun.distribution.book import NewsBook
 from pepperrun.distribution.repair import FEW
@@ -68,24 +68,34 @@
 
     def push(serial: int) -> None:
         gone = serial % 2 == 0
-        life = one.life + (serial + 1) // 2
-        book.take_cells([], [replace(one, life=life, serial=serial, state=GONE if gone else READY)])
+        life = one.incarnation + (serial + 1) // 2
+        book.take_cells(
+            [],
+            [
+                replace(
+                    one,
+                    incarnation=life,
+                    serial=serial,
+                    state=GatewayState.GONE if gone else GatewayState.READY,
+                )
+            ],
+        )
 
     return each_ms(push)
 
 
 def parent_chosen(size: int) -> float:
     """The order of the own zone's gatekeepers, among all."""
-    gateways = [GatewayRecord.read(row) for row in gateway_rows(size)]
+    gateways = [GatewayRecord.from_row(row) for row in gateway_rows(size)]
     own = gateways[-1]
-    return each_ms(lambda _: tree.parents(own.station, own.zone, gateways))
+    return each_ms(lambda _: tree.parents(own.name, own.zone, gateways))
 
 
 def started(size: int) -> float:
     """All rows come in messages of so many, as after a start."""
     book = NewsBook()
     _plane = plane_for(book)  # it follows the book
-    records = [GatewayRecord.read(row) for row in gateway_rows(size)]
+    records = [GatewayRecord.from_row(row) for row in gateway_rows(size)]
     began = time.process_time()
     for at in range(0, size, FEW):
         book.take_cells([], records[at : at + FEW])
--- a/benchmarks/hollow_gateways.py
+++ b/benchmarks/hollow_gateways.py
@@ -26,7 +26,7 @@
 from capacity_common import process_cpu, resident, routes, services, tenants
 from capacity_process import BEAT_S, SIDING, beats, call, machine_settings, process_mb, started_core
 
-from pepperrun.control.records import READY, GatewayRecord
+from pepperrun.control.records import GatewayRecord, GatewayState
 from pepperrun.control.validation import table
 from pepperrun.distribution.service import Subscriber
 from pepperrun.foundation.link import Link
@@ -71,8 +71,10 @@
         settings = parse(machine_settings(f"gate-{at}", self.ip, names[at % len(names)], port, zones))
         me = settings.me
         where = f"{self.ip}:{port + 1}", f"{self.ip}:{port + SIDING}"
-        row = GatewayRecord(me.station, me.zone, me.region, *where, time.time_ns() // 1_000_000, 1, READY)
-        self.subscriber = Subscriber(settings, row.life, lambda: row)
+        row = GatewayRecord(
+            me.station, me.zone, me.region, *where, time.time_ns() // 1_000_000, 1, GatewayState.READY
+        )
+        self.subscriber = Subscriber(settings, row.incarnation, lambda: row)
         self.held_at: dict[int, float] = {}
         self.subscriber.book.on_agreed.append(self.holds)
 
--- a/benchmarks/many_changes.py
+++ b/benchmarks/many_changes.py
@@ -150,7 +150,7 @@
         one = self.voters[CONTACTS[self.edition % 3]]
         held = one.state.chosen
         one.highest_ballot = max(other.highest_ballot for other in self.voters.values())
-        one.submit(changes.lean(held.body if held and held.body else None, op), 1 << 62)
+        one.submit(changes.compact(held.body if held and held.body else None, op), 1 << 62)
         one.start_round(self.now)
         self.settle()
         one.results.clear()
--- a/features/playing.py
+++ b/features/playing.py
@@ -25,10 +25,10 @@
     initial_proposal,
 )
 from pepperrun.control import changes
-from pepperrun.control.cells import Beat, Cells
 from pepperrun.control.configuration import Sender
-from pepperrun.control.hub import Hub
-from pepperrun.control.records import READY, UNLOADING, GatewayRecord, Worker
+from pepperrun.control.endpoint_registry import EndpointRegistry, WorkerHeartbeat
+from pepperrun.control.node import ControlNode
+from pepperrun.control.records import GatewayRecord, GatewayState, Worker, WorkerState
 from pepperrun.control.validation import read_amend, read_replace
 from pepperrun.core.gateway import Gateway
 from pepperrun.core.interface import (
@@ -85,7 +85,14 @@
 
 def gateway_record(name, zone="a"):
     return GatewayRecord(
-        name, zone, ZONES[zone], f"10.1.0.{name[-1]}:80", f"10.1.0.{name[-1]}:{SIDING}", 7, 1, READY
+        name,
+        zone,
+        ZONES[zone],
+        f"10.1.0.{name[-1]}:80",
+        f"10.1.0.{name[-1]}:{SIDING}",
+        7,
+        1,
+        GatewayState.READY,
     )
 
 
@@ -123,7 +130,7 @@
         self.first, _ = changes.apply(None, read_replace(body(configuration()), 0))
         self.book.take_agreed(1, self.first)
         self.book.take_cells(
-            [worker("w1"), worker("w2", cold_until=START + 2000 * MS)], [gateway_record("g2")]
+            [worker("w1"), worker("w2", warming_until=START + 2000 * MS)], [gateway_record("g2")]
         )
         self.publisher = Publisher(self, lambda due: None)
 
@@ -147,7 +154,7 @@
         self.publisher.agreed((1, op), START)
 
     def release(self):
-        fresh = worker("w1", 9, state=UNLOADING)
+        fresh = worker("w1", 9, state=WorkerState.DRAINING)
         self.book.take_cells([fresh], [])
         self.publisher.changed([fresh], START)
         self.publisher.turn(START + 20 * MS)
@@ -192,24 +199,30 @@
 
 def cells_talk():
     """Two core machines' cells: links, beats, a leave that waits, two comparisons; who said what."""
-    cells = {ip: Cells(ip, 1500, START) for ip in CORES[:2]}
+    cells = {ip: EndpointRegistry(ip, 1500, START) for ip in CORES[:2]}
     one, two = CORES[:2]
-    cells[one].beat(Beat("w1", "ant", "10.2.0.9:80", "a", "v1", 2, "boarding", 0, 4), 0, START)
-    cells[one].gateway(gateway_record("g1"), START)
+    cells[one].heartbeat(
+        WorkerHeartbeat("w1", "ant", "10.2.0.9:80", "a", "v1", 2, WorkerState.SERVING, 0, 4), 0, START
+    )
+    cells[one].gateway_heartbeat(gateway_record("g1"), START)
     log, now = [], START
     for step in range(4):
         if step == 1:
             for ip, other in ((one, two), (two, one)):
-                cells[ip].majority(True, now)
+                cells[ip].quorum_changed(has_quorum=True, now=now)
                 cells[ip].connected(other, "b", now)
         if step == 2:
-            cells[one].beat(Beat("w2", "ant", "10.2.0.8:80", "a", "v1", 2, "boarding", 0, 1), 0, now)
-            cells[one].beat(Beat("w1", "ant", "10.2.0.9:80", "a", "v1", 2, "unloading", 0, 5), 1, now)
+            cells[one].heartbeat(
+                WorkerHeartbeat("w2", "ant", "10.2.0.8:80", "a", "v1", 2, WorkerState.SERVING, 0, 1), 0, now
+            )
+            cells[one].heartbeat(
+                WorkerHeartbeat("w1", "ant", "10.2.0.9:80", "a", "v1", 2, WorkerState.DRAINING, 0, 5), 1, now
+            )
         for _ in range(12):
             now += 100 * MS
             for ip in (one, two):
                 cells[ip].tick(now)
-                for to, message in cells[ip].take_out(now):
+                for to, message in cells[ip].take_messages(now):
                     log.append([ip, message])
                     cells[to].receive(ip, json.loads(json.dumps(message)), now)
     return cells, log
@@ -360,12 +373,12 @@
 def shown():
     """What an operator's link is answered by a core machine and by a gatekeeper: one message each."""
     state = Core().book.state
-    rows = [worker("w1"), worker("w2", state=UNLOADING)], [gateway_record("g2")]
+    rows = [worker("w1"), worker("w2", state=WorkerState.DRAINING)], [gateway_record("g2")]
 
     async def ask():
         memory = DurableState(FIRST_DISK_ID)
         memory.accepted = memory.chosen = initial_proposal(CORES[:1])
-        hub = Hub(settings("sorting"), memory, InMemoryStore(), 1, lambda: START)
+        hub = ControlNode(settings("sorting"), memory, InMemoryStore(), 1, lambda: START)
         hub.merge(*rows, START)
         program = Program(settings("counter"), None)
         program.news.book.take_agreed(1, state)
--- a/features/steps/operators.py
+++ b/features/steps/operators.py
@@ -7,7 +7,7 @@
 from behave import given, then, when
 from playing import CORES
 
-from pepperrun.control.cells import Cells
+from pepperrun.control.endpoint_registry import EndpointRegistry
 from pepperrun.control.handlers import Control
 from pepperrun.control.matchers import Call, answer_to
 from pepperrun.foundation.settings import Settings, parse
@@ -22,14 +22,15 @@
         me = {"station": "s", "role": "control_node", "ip": ip, "zone": "a", "region": "r1"}
         network = {"sidings": [7600, 7615], "first_contacts": [], "zones": playing.ZONES}
         self.settings: Settings = parse({"self": me, "network": network})
-        self.cells = Cells(ip, 1500, trio.now)
+        self.registry = EndpointRegistry(ip, 1500, trio.now)
         self.tree = Control(self).tree()
         self.waiting = []
 
     def now(self):
         return self.trio.now
 
-    def minority(self):
+    @property
+    def lacks_quorum(self):
         return self.trio.replicas[self.ip].lacks_quorum
 
     def order(self, op, patience):
@@ -37,7 +38,7 @@
         self.waiting.append((future, self.trio.propose(self.ip, op)))
         return future
 
-    def fresh(self):
+    def confirmed(self):
         future = asyncio.get_running_loop().create_future()
         future.set_result(None)
         return future
--- a/features/steps/versions.py
+++ b/features/steps/versions.py
@@ -64,13 +64,13 @@
     news.follower.heard(news.up, odd, START)
     news.core.publisher.heard(news.down, odd, START)
     held = cells[CORES[0]]
-    held.take_out(START)
+    held.take_messages(START)
     held.receive(CORES[1], odd, START)
     replica = trio.replicas[CORES[0]]
     replica.take_messages()
     replica.receive(CORES[1], {"t": "smoke"}, trio.now)
     context.ears = [news.up, news.down]
-    context.answers = [news.up.take(), news.down.take(), held.take_out(START), replica.take_messages()]
+    context.answers = [news.up.take(), news.down.take(), held.take_messages(START), replica.take_messages()]
 
 
 @then("nobody is told anything and no link ends")
@@ -178,7 +178,7 @@
 
 @when("its messages come to another core machine's cells")
 def old_cells(context):
-    context.cells = playing.Cells(CORES[2], 1500, START)
+    context.cells = playing.EndpointRegistry(CORES[2], 1500, START)
     context.cells.connected(CORES[0], "a", START)
     for message in context.said["cells"]:
         assert context.cells.receive(CORES[0], message, START), message
@@ -193,12 +193,12 @@
 @then("the rows of this version begin with the columns of that one")
 def rows_begin(context):
     for name, now in (
-        ("w", context.cells.workers["w1"].wire(START)),
-        ("g", playing.gateway_record("g1").wire()),
+        ("w", context.cells.workers["w1"].to_row(START)),
+        ("g", playing.gateway_record("g1").to_row()),
     ):
         old = next(one[name][0] for one in context.said["cells"] if name in one)
         assert [type(value) for value in now[: len(old)]] == [type(value) for value in old]
-    assert playing.gateway_record("g1").wire()[: len(old)] == old
+    assert playing.gateway_record("g1").to_row()[: len(old)] == old
 
 
 # Agreement.
--- a/pepperrun/consensus/replica.py
+++ b/pepperrun/consensus/replica.py
@@ -425,7 +425,12 @@
         self._flush()
         outbox = self.register.outbox
         self.register.outbox = []
-        return [(outgoing.ip, codec.encode(outgoing.message)) for outgoing in outbox]
+        # A message to several is encoded once: the same object goes to each of them.
+        encoded: dict[int, WireMessage] = {}
+        for outgoing in outbox:
+            if id(outgoing.message) not in encoded:
+                encoded[id(outgoing.message)] = codec.encode(outgoing.message)
+        return [(outgoing.ip, encoded[id(outgoing.message)]) for outgoing in outbox]
 
     def take_results(self) -> list[ChangeResult]:
         """Return what became of changes."""
--- a/pepperrun/control/changes.py
+++ b/pepperrun/control/changes.py
@@ -1,13 +1,13 @@
-"""Operations on the agreed state: what each makes of it, and the verdict. Pure, the same on every machine.
+"""Operations on the agreed state: what each makes of it, and the verdict. Pure, the same on every node.
 
-| operation | fields besides `on`, `edition`, `digest` | taken where |
+| operation | fields besides `on`, `edition`, `digest` | applied where |
 | --- | --- | --- |
 | `replace` | `routes`, `carrier_lines`, `senders`, `limits` | `on` is the current edition |
 | `amend` | `upsert`, `withdraw`, `limits` (if given) | likewise, and the result is valid |
 | `evacuate` | `zone`, `begin` and what `evacuations` adds (and none of these) | see there |
-| `seats` | `count`, `instead` (and none of these) | `instead` is the number held |
-| `keepers` | `places`, `instead` (and none of these) | `instead` is the term held |
-| `settled` | `term` (and none of these) | it is the term held, and is not settled |
+| `seats` (gateway count) | `count`, `instead` (and none of these) | `instead` is the agreed number |
+| `keepers` (quota owners) | `places`, `instead` (and none of these) | `instead` is the agreed term |
+| `settled` | `term` (and none of these) | it is the agreed term, and is not settled |
 
 A state is never changed in place, and a new one shares what did not change with the old one. Operations come
 from `validation.read_replace` and `validation.read_amend`, which have checked each item for itself.
@@ -18,105 +18,146 @@
 from typing import Any
 
 from pepperrun.consensus.state import Evaluation
-from pepperrun.control import evacuations, taken_orders
-from pepperrun.control.taken_orders import Known
+from pepperrun.control import evacuations, order_deduplication
+from pepperrun.control.order_deduplication import SeenOrder
 from pepperrun.control.validation import KINDS, Op, check_lines, check_stamps, refusal, table
+from pepperrun.control.verdict import Verdict
 from pepperrun.foundation.errors import PepperrunError
 
 State = dict[str, Any]
-Verdict = list[Any]  # HTTP status, a sentence
 
 EMPTY: State = {
     "edition": 0,
-    **{"routes": {}, "carrier_lines": {}, "limits": {}, "senders": {}},
-    **{"evacuated": [], "taken": []},
+    "routes": {},
+    "carrier_lines": {},
+    "limits": {},
+    "senders": {},
+    "evacuated": [],
+    "taken": [],
 }
-CARRIED = ("seats", "keepers", "evacuations")  # by every change of the configuration, where they are there
+# Parts of the state that a change of the configuration leaves as they are.
+CARRIED = ("seats", "keepers", "evacuations")
 
 
 def evacuation(zone: str, begin: bool, count: int | None = None) -> Op:
-    """The operation that empties a zone, or takes that back, as an operator asks for it."""
-    return {"do": "evacuate", "zone": zone, "begin": begin} | ({} if count is None else {"count": count})
+    """Return the operation that empties a zone, or takes that back, as an operator asks for it."""
+    op: Op = {"do": "evacuate", "zone": zone, "begin": begin}
+    return op if count is None else op | {"count": count}
 
 
 def apply(state: State | None, op: Op) -> Evaluation:
-    """The state after an operation, None where it stays as it is, and the verdict."""
+    """Evaluate an operation on the agreed state, None for the empty one."""
     state = state or EMPTY
-    if op["do"] == "evacuate":
-        return evacuations.apply_order(state, op)
-    if op["do"] == "seats":
-        if op["instead"] != state.get("seats", 0) or op["count"] == op["instead"]:
-            return Evaluation(None, [412, "Another number of gatekeepers is held."])
-        return Evaluation(state | {"seats": op["count"]}, [200, f"{op['count']} gatekeepers are there."])
-    if op["do"] == "keepers":
-        term = (state.get("keepers") or {}).get("term", 0)
-        if op["instead"] != term:
-            return Evaluation(None, [412, "Other lists of keepers are held."])
-        return Evaluation(
-            state | {"keepers": {"term": term + 1, "places": op["places"]}}, [200, "Keepers are listed."]
-        )
-    if op["do"] == "settled":
-        listed = state.get("keepers") or {}
-        if op["term"] != listed.get("term") or listed.get("settled"):
-            return Evaluation(None, [412, "Other lists of keepers are held, or these are settled."])
-        return Evaluation(state | {"keepers": listed | {"settled": True}}, [200, "Keepers are settled."])
-    if op["do"] not in ("replace", "amend"):
-        return Evaluation(
-            None, [400, "This operation is of a later version."]
-        )  # who learns of it asks for the whole
-    # A repeat is known as one before anything of it is judged: what was taken once is refused for nothing.
-    known = taken_orders.known(state, op)
-    if known is Known.TAKEN:
-        return Evaluation(None, [200, f"Edition {op['edition']} has been taken already."])
-    if known is Known.UNKNOWN:
-        return Evaluation(
-            None, [503, f"Too long ago to be known: edition {state['edition']} is current.", "too-old"]
-        )
+    match op["do"]:
+        case "evacuate":
+            return evacuations.apply_order(state, op)
+        case "seats":
+            return _set_gateway_count(state, op)
+        case "keepers":
+            return _set_quota_owners(state, op)
+        case "settled":
+            return _settle_quota_owners(state, op)
+        case "replace" | "amend":
+            return _change_configuration(state, op)
+        case _:  # who learns of it asks for the full state
+            return _refused(400, "This operation is of a later version.")
+
+
+def _refused(status: int, detail: str, code: str = "") -> Evaluation:
+    """The state stays as it is."""
+    return Evaluation(None, Verdict(status, detail, code))
+
+
+def _set_gateway_count(state: State, op: Op) -> Evaluation:
+    if op["instead"] != state.get("seats", 0) or op["count"] == op["instead"]:
+        return _refused(412, "Another number of gatekeepers is agreed.")
+    return Evaluation(state | {"seats": op["count"]}, Verdict(200, f"{op['count']} gatekeepers are there."))
+
+
+def _set_quota_owners(state: State, op: Op) -> Evaluation:
+    term = (state.get("keepers") or {}).get("term", 0)
+    if op["instead"] != term:
+        return _refused(412, "Other lists of quota owners are agreed.")
+    owners = {"term": term + 1, "places": op["places"]}
+    return Evaluation(state | {"keepers": owners}, Verdict(200, "Quota owners are listed."))
+
+
+def _settle_quota_owners(state: State, op: Op) -> Evaluation:
+    agreed = state.get("keepers") or {}
+    if op["term"] != agreed.get("term") or agreed.get("settled"):
+        return _refused(412, "Other lists of quota owners are agreed, or these are settled.")
+    return Evaluation(
+        state | {"keepers": agreed | {"settled": True}}, Verdict(200, "Quota owners are settled.")
+    )
+
+
+def _change_configuration(state: State, op: Op) -> Evaluation:
+    # Repeats are recognized before anything else is checked: what was applied once is refused for nothing.
+    seen = order_deduplication.lookup(state, op)
+    if seen is SeenOrder.APPLIED:
+        return _refused(200, f"Edition {op['edition']} has been taken already.")
+    if seen is SeenOrder.UNKNOWN:
+        detail = f"Too long ago to be known: edition {state['edition']} is current."
+        return _refused(503, detail, "too-old")
     if op["on"] != state["edition"]:
-        return Evaluation(None, [412, f"Edition {state['edition']} is current, not {op['on']}."])
+        return _refused(412, f"Edition {state['edition']} is current, not {op['on']}.")
     try:
-        if op["edition"] <= state["edition"]:
-            raise refusal(
-                "old-edition", f"Edition {op['edition']} is not above the current {state['edition']}."
-            )
-        new = _replace(op) if op["do"] == "replace" else _amend(state, op)
+        configuration = _configuration_after(state, op)
     except PepperrunError as error:
-        return Evaluation(None, [400, error.detail, error.code])
-    new["edition"], new["evacuated"] = op["edition"], state["evacuated"]
+        return _refused(400, error.detail, error.code)
+    new = configuration | {"edition": op["edition"], "evacuated": state["evacuated"]}
     new |= {key: state[key] for key in CARRIED if key in state}
     new.pop("older", None)
-    return Evaluation(new | taken_orders.remember(state, op), [200, f"Edition {op['edition']} is taken."])
+    new |= order_deduplication.record(state, op)
+    return Evaluation(new, Verdict(200, f"Edition {op['edition']} is taken."))
+
+
+def _configuration_after(state: State, op: Op) -> State:
+    """Return the configuration that an order asks for; raises PepperrunError where it is not valid."""
+    if op["edition"] <= state["edition"]:
+        detail = f"Edition {op['edition']} is not above the current {state['edition']}."
+        raise refusal("old-edition", detail)
+    return _replace(op) if op["do"] == "replace" else _amend(state, op)
 
 
 def apply_at_gateway(state: State | None, op: Op) -> Evaluation:
     """As `apply`, of the part of the state that gatekeepers hold."""
-    new, verdict = apply(state, op)
-    return Evaluation(taken_orders.without_older(new) if new is not None else None, verdict)
+    evaluation = apply(state, op)
+    if evaluation.body is None:
+        return evaluation
+    return evaluation._replace(body=order_deduplication.without_older(evaluation.body))
 
 
-def lean(state: State | None, op: Op) -> Op:
-    """The same change as an amendment of what differs, for a whole configuration on top of the edition held.
+def compact(state: State | None, op: Op) -> Op:
+    """Return the same change as an amendment of what differs, for a full configuration on top of the present.
 
-    It goes to the disks of the core and down to all gatekeepers: small changes then stay small there, however
-    they were sent, and what did not change stays the same objects. Another edition makes it fail as before.
+    It goes to the disks of the control nodes and down to all gatekeepers: small changes then stay small
+    there, however they were sent, and what did not change stays the same objects. Another edition makes it
+    fail as before.
     """
     state = state or EMPTY
     if op["do"] != "replace" or not state["edition"] or op["on"] != state["edition"]:
         return op
     if op.get("more") != state.get("more") or not state["limits"].keys() <= op["limits"].keys():
         return op  # an amendment takes nothing of these away
-    upsert, withdraw = {}, {}
+    upsert: dict[str, Any] = {}
+    withdraw: dict[str, Any] = {}
     for kind in KINDS:
-        held = state[kind]
-        put = {name: item for name, item in op[kind].items() if held.get(name) != item}
-        gone = [name for name in held if name not in op[kind]]
-        if put:
-            upsert[kind] = put
-        if gone:
-            withdraw[kind] = gone
+        present = state[kind]
+        changed = {name: item for name, item in op[kind].items() if present.get(name) != item}
+        removed = [name for name in present if name not in op[kind]]
+        if changed:
+            upsert[kind] = changed
+        if removed:
+            withdraw[kind] = removed
     return {
-        **{"do": "amend", "on": op["on"], "edition": op["edition"], "upsert": upsert, "withdraw": withdraw},
-        **{"limits": op["limits"], "digest": op["digest"]},
+        "do": "amend",
+        "on": op["on"],
+        "edition": op["edition"],
+        "upsert": upsert,
+        "withdraw": withdraw,
+        "limits": op["limits"],
+        "digest": op["digest"],
     }
 
 
@@ -125,15 +166,16 @@
 
 
 def _amend(state: State, op: Op) -> State:
-    """Looks at what is changed, and at the rest only as far as the change may touch it."""
+    """Change the items that are named, and check the rest only as far as the change may touch it."""
     new = dict(state)
-    upsert, withdraw = op["upsert"], op["withdraw"]
+    upsert = op["upsert"]
+    withdraw = op["withdraw"]
     for kind in KINDS:
         if upsert.get(kind) or withdraw.get(kind):
-            rows = dict(state[kind])
+            items = dict(state[kind])
             for name in withdraw.get(kind, ()):
-                rows.pop(name, None)
-            new[kind] = rows | upsert.get(kind, {})
+                items.pop(name, None)
+            new[kind] = items | upsert.get(kind, {})
     if "limits" in op:
         new["limits"] = state["limits"] | op["limits"]
     routes = upsert.get("routes", {})
@@ -146,7 +188,7 @@
 
 
 def written(state: State | None) -> dict[str, Any]:
-    """The configuration as operators put it."""
+    """Return the configuration as operators put it."""
     state = state or EMPTY
     tables = {kind: table(state[kind]) for kind in KINDS}
     return {"edition": state["edition"], **tables, "limits": state["limits"], **state.get("more", {})}
--- /dev/null
+++ b/pepperrun/control/coordinator_tasks.py
@@ -0,0 +1,48 @@
+"""What the coordinating control node proposes by itself, one operation at a time.
+
+The agreed number of gatekeepers, the lists of quota owners, and the end of doubted evacuations. Only the node
+that coordinates the voters proposes them, so that no two do it at once.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import Any
+
+from pepperrun.control.endpoint_registry import EndpointRegistry
+from pepperrun.control.evacuations import Evacuations
+from pepperrun.control.gateway_count import GatewayCount
+from pepperrun.control.quota_placement import QuotaPlacement
+from pepperrun.control.validation import Op
+from pepperrun.foundation.settings import Bounds
+
+
+class CoordinatorTasks:
+    """Decides which operation is to be proposed now."""
+
+    def __init__(
+        self, registry: EndpointRegistry, evacuations: Evacuations, next_call_id: Callable[[], str]
+    ) -> None:
+        self.registry = registry
+        self.evacuations = evacuations
+        self.next_call_id = next_call_id
+        self.gateway_count = GatewayCount()
+        self.quota_placement = QuotaPlacement()
+
+    def next_operation(self, body: dict[str, Any], bounds: Bounds, now: int) -> Op | None:
+        """Return the operation to propose, None where there is none."""
+        return (
+            self._change_gateway_count(body, now)
+            or self._place_quotas(body, bounds, now)
+            or self.evacuations.lapse(body, self.next_call_id, bounds.receipt_ms, now)
+        )
+
+    def _change_gateway_count(self, body: dict[str, Any], now: int) -> Op | None:
+        return self.gateway_count.next_operation(self.registry.gateways.values(), body or None, now)
+
+    def _place_quotas(self, body: dict[str, Any], bounds: Bounds, now: int) -> Op | None:
+        def silent_ns(name: str) -> int:
+            return self.registry.gateway_silent_ns(name, now)
+
+        gateways = self.registry.gateways.values()
+        return self.quota_placement.next_operation(gateways, body or None, silent_ns, bounds, now)
--- a/pepperrun/control/directory.py
+++ b/pepperrun/control/directory.py
@@ -1,4 +1,4 @@
-"""The directory: which gatekeepers a client is told, those of its region, each time begun at another one."""
+"""The directory: which gatekeepers a client is given, those near it, shuffled anew at each call. Pure."""
 
 from __future__ import annotations
 
@@ -7,28 +7,39 @@
 
 from pepperrun.control.records import GatewayRecord
 
-MOST = 64  # addresses that count
-ENOUGH = 2  # ready ones in a client's region before farther ones are told
+MAX_ADDRESSES = 64
+ENOUGH_NEAR = 2  # ready ones in a client's region; with fewer, farther ones are given too
 
 
 def choose(
     gateways: Iterable[GatewayRecord], zone: str, region: str, regions: Mapping[str, str], seed: int
 ) -> list[str]:
-    """Addresses for a client: of its region, the zone's first; of all where these are few.
+    """Return addresses for a client: of its region, its zone's first; of all where these are few.
 
-    Within each ring they are shuffled by `seed`. Clients pick by chance among all they are told. Zones have
-    unlike numbers of gatekeepers for much the same load; told only of their zone, a single one would carry
-    half of its region's, and need more than its part of every quota. Zones of a region are near each other.
+    Within each ring they are shuffled by `seed`. Clients pick by chance among all they are given. Zones have
+    unlike numbers of gatekeepers for much the same load; given only those of its zone, a single one would
+    carry half of its region's load, and need more than its share of every quota. Zones of a region are near
+    each other.
+
+    Parameters
+    ----------
+    zone, region : str
+        Of the client; empty where it does not say.
+    regions : mapping of str to str
+        Region of each zone.
     """
     region = region or regions.get(zone, "")
-    rings: tuple[list[str], list[str], list[str]] = ([], [], [])
-    for one in gateways:
-        rings[0 if one.zone == zone else 1 if one.region == region else 2].append(one.counter)
-    out: list[str] = []
-    mix = random.Random(seed)
-    for number, ring in enumerate(rings):
-        if number == 2 and len(out) >= ENOUGH:
-            break
-        mix.shuffle(ring)
-        out += ring
-    return out[:MOST]
+    in_zone: list[str] = []
+    in_region: list[str] = []
+    elsewhere: list[str] = []
+    for gateway in gateways:
+        ring = in_zone if gateway.zone == zone else in_region if gateway.region == region else elsewhere
+        ring.append(gateway.client_address)
+    shuffler = random.Random(seed)
+    shuffler.shuffle(in_zone)
+    shuffler.shuffle(in_region)
+    addresses = in_zone + in_region
+    if len(addresses) < ENOUGH_NEAR:
+        shuffler.shuffle(elsewhere)
+        addresses += elsewhere
+    return addresses[:MAX_ADDRESSES]
--- /dev/null
+++ b/pepperrun/control/endpoint_registry.py
@@ -0,0 +1,443 @@
+"""Endpoint registry: the workers and gatekeepers of each zone, replicated on every control node. No I/O.
+
+Heartbeats come in at any control node; what they change is pushed to the others, and copies are compared by
+digests over ranges each second (`distribution.repair`). That a heartbeat came and changed nothing is reported
+compactly (`control.liveness_reports`). Each control node that is linked with a quorum concludes for itself
+that a worker is lost which no node has reported for `LOST_HEARTBEATS` heartbeats and a second; a later
+heartbeat undoes it.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Iterable, Mapping
+from dataclasses import replace
+from typing import NamedTuple
+
+from bidict import bidict
+
+from pepperrun.control import peer_messages
+from pepperrun.control.heartbeat_routing import preferred_node
+from pepperrun.control.liveness_reports import LivenessReports
+from pepperrun.control.peer_messages import LivenessReport, RecordsReplicated
+from pepperrun.control.records import GatewayRecord, GatewayState, Worker, WorkerState
+from pepperrun.control.replication_waits import ReplicationWaits
+from pepperrun.distribution import repair
+from pepperrun.distribution.digests import Record, Sums, newer, record_id
+from pepperrun.foundation.netstring import Message
+
+MS = 1_000_000  # ns
+SECOND = 1000 * MS
+BATCH_NS = 50 * MS  # changes that need no haste go together
+ROUND_NS = SECOND  # between two liveness reports, and two comparisons of digests
+LOST_HEARTBEATS = 3
+REPORT_HEARTBEATS = 1.5  # without one for so long a worker is no longer reported as received here
+GATEWAY_SILENT_NS = 2 * SECOND  # a gatekeeper not seen for so long is not given to clients
+GATEWAY_GONE_NS = 60 * SECOND
+KEEP_GONE_NS = 60 * SECOND  # records of endpoints that are gone
+LOST_TO_GONE_NS = 600 * SECOND  # workers lost for so long are gone
+WARMING_TOLERANCE_NS = 250 * MS  # a warm-up that moves by less has not changed
+
+
+class WorkerHeartbeat(NamedTuple):
+    """What a worker says of itself; `warming_ns` is the rest of its warm-up."""
+
+    id: str
+    service: str
+    address: str
+    zone: str
+    edition: str
+    slots: int
+    state: WorkerState
+    warming_ns: int
+    serial: int
+
+
+class EndpointRegistry:
+    """One control node's copy. Times are steady ns; peers are other control nodes, by ip.
+
+    After each call `take_messages` gives messages with the ips they go to, `take_changed` the records that
+    changed, and `waits.take_completed` the tokens of `heartbeat` and `leave` that enough nodes hold by now.
+
+    Attributes
+    ----------
+    peers : dict of str to str
+        Zone by ip of the linked control nodes.
+    quorum_since : int or None
+        Since when this node is linked with a quorum.
+    address_owners : bidict of str to str
+        Id of the worker that has an address.
+    last_serials : dict of str to int
+        Serial of the last heartbeat received here, by worker.
+    ended_at : dict of str to int
+        Since when a worker's record is lost or gone.
+    """
+
+    def __init__(self, own_ip: str, heartbeat_ms: float, now: int) -> None:
+        self.own_ip = own_ip
+        self.worker_lost_ns = int(LOST_HEARTBEATS * heartbeat_ms * MS) + SECOND
+        self.workers: dict[str, Worker] = {}
+        self.gateways: dict[str, GatewayRecord] = {}
+        self.sums = Sums()
+        self.peers: dict[str, str] = {}
+        self.quorum_since: int | None = None
+        self.address_owners: bidict[str, str] = bidict()
+        self.last_serials: dict[str, int] = {}
+        self.ended_at: dict[str, int] = {}
+        self.liveness = LivenessReports(int(REPORT_HEARTBEATS * heartbeat_ms * MS), now)
+        self.waits = ReplicationWaits()
+        self.next_round_at = now + ROUND_NS
+        self.rounds = 0
+        self._urgent: dict[str, Record] = {}  # to be pushed at once
+        self._batch: dict[str, Record] = {}  # to be pushed within BATCH_NS
+        self._flush_at = 0  # when the batch goes; 0: nothing is there
+        self._changed: dict[str, Record] = {}
+        self._outbox: list[tuple[str, Message]] = []
+
+    # Control nodes.
+
+    def connected(self, ip: str, zone: str, now: int) -> None:
+        """Handle a new link: report who is received here, and ask for what differs."""
+        self.peers[ip] = zone
+        report = self.liveness.full_report(now)
+        self._outbox.append((ip, peer_messages.encode_report(report)))
+        self._outbox.append((ip, repair.ask(self)))
+
+    def disconnected(self, ip: str, now: int) -> None:
+        """Handle the loss of the last link to a node."""
+        self.peers.pop(ip, None)
+        self.liveness.disconnected(ip)
+
+    def stop_forwarding_to(self, ip: str) -> None:
+        """Forward no more heartbeats to a node that stops."""
+        self.peers.pop(ip, None)
+
+    def quorum_changed(self, *, has_quorum: bool, now: int) -> None:
+        """Note whether this node is linked with a quorum of the voters."""
+        if not has_quorum:
+            self.quorum_since = None
+        elif self.quorum_since is None:
+            self.quorum_since = now
+
+    def receive(self, ip: str, data: Message, now: int) -> bool:
+        """Handle a wire message of another node; return False where its kind is not one of the registry's."""
+        if repair.is_repair_message(data):
+            self._on_repair_message(ip, data, now)
+            return True
+        match peer_messages.decode(data):
+            case LivenessReport() as report:
+                self.liveness.on_report(ip, report, now)
+            case RecordsReplicated(token):
+                self.waits.confirm(ip, token)
+            case _:
+                return False
+        return True
+
+    def _on_repair_message(self, ip: str, data: Message, now: int) -> None:
+        self._outbox += [(ip, reply) for reply in repair.heard(self, self.merge, data, now)]
+        token = repair.replication_token(data)
+        if token is not None:
+            self._outbox.append((ip, peer_messages.encode_replicated(token)))
+
+    # Workers.
+
+    def heartbeat(self, heartbeat: WorkerHeartbeat, needed: int, now: int) -> int | None:
+        """Handle a heartbeat.
+
+        Parameters
+        ----------
+        needed : int
+            Other nodes that have to hold the record of a draining worker before it is acknowledged.
+
+        Returns
+        -------
+        int or None
+            Token of the wait, where there is one.
+        """
+        known = self.workers.get(heartbeat.id)
+        if known is None:
+            self._take_over_address(heartbeat, now)
+        elif known.is_gone:
+            return None
+        self._record_heartbeat(known, heartbeat, now)
+        if heartbeat.state is WorkerState.DRAINING and needed:
+            return self._replicate(heartbeat.id, needed, now)
+        return None
+
+    def _record_heartbeat(self, known: Worker | None, heartbeat: WorkerHeartbeat, now: int) -> None:
+        """Update the record, unless the heartbeat is older than one that came before."""
+        drains = heartbeat.state is WorkerState.DRAINING
+        known_serial = known.serial if known is not None else -1
+        last_serial = max(self.last_serials.get(heartbeat.id, -1), known_serial)
+        begins_draining = drains and (known is None or known.state is not WorkerState.DRAINING)
+        if known is not None and heartbeat.serial <= last_serial and not begins_draining:
+            return
+        self.last_serials[heartbeat.id] = max(last_serial, heartbeat.serial)
+        self._note_alive("w:" + heartbeat.id, now)
+        is_urgent = drains or known is None or known.state is WorkerState.LOST
+        self._update(self._merged(known, heartbeat, now), now, urgent=is_urgent)
+
+    def _note_alive(self, id_: str, now: int) -> None:
+        self.liveness.record_heartbeat(id_, now)
+        if self.liveness.unreported:
+            self._flush_at = self._flush_at or now + BATCH_NS
+
+    def _merged(self, known: Worker | None, heartbeat: WorkerHeartbeat, now: int) -> Worker:
+        """Return the record after a heartbeat; the known one, serial and all, where nothing has changed."""
+        still_drains = known is not None and known.state is WorkerState.DRAINING
+        merged = Worker(
+            id=heartbeat.id,
+            service=heartbeat.service,
+            address=heartbeat.address,
+            zone=heartbeat.zone,
+            edition=heartbeat.edition,
+            slots=heartbeat.slots,
+            serial=max(heartbeat.serial, known.serial if known is not None else 0),
+            state=WorkerState.DRAINING if still_drains else heartbeat.state,
+            warming_until=now + heartbeat.warming_ns if heartbeat.warming_ns > 0 else 0,
+        )
+        if known is None:
+            return merged
+        moved_ns = abs(max(known.warming_until, now) - max(merged.warming_until, now))
+        if moved_ns > WARMING_TOLERANCE_NS:
+            return merged
+        unchanged = replace(merged, serial=known.serial, warming_until=known.warming_until) == known
+        return known if unchanged else merged
+
+    def _take_over_address(self, heartbeat: WorkerHeartbeat, now: int) -> None:
+        """Give an address to its newest worker: the one that had it before has ended without a word."""
+        other = self.workers.get(self.address_owners.get(heartbeat.address, ""))
+        if other is not None and other.id != heartbeat.id and _is_live(other):
+            self._update(self._ended(other), now, urgent=True)
+        self.address_owners.forceput(heartbeat.address, heartbeat.id)
+
+    def _ended(self, worker: Worker) -> Worker:
+        """Return the record of a worker that ended without a word: lost, or gone where it was draining."""
+        state = WorkerState.LOST if worker.state is WorkerState.SERVING else WorkerState.GONE
+        return replace(worker, state=state, serial=self._last_serial(worker))
+
+    def _last_serial(self, worker: Worker) -> int:
+        return max(worker.serial, self.last_serials.get(worker.id, 0))
+
+    def leave(self, worker_id: str, needed: int, now: int) -> int | None:
+        """Handle the end of a worker; return a token as `heartbeat` does."""
+        known = self.workers.get(worker_id)
+        if known is None:
+            return None
+        if not known.is_gone:
+            gone = replace(known, state=WorkerState.GONE, serial=self._last_serial(known))
+            self._update(gone, now, urgent=True)
+        return self._replicate(worker_id, needed, now) if needed else None
+
+    def _replicate(self, worker_id: str, needed: int, now: int) -> int:
+        """Push a record to all nodes with a request to confirm that they hold it; return the token."""
+        token = self.waits.start(needed)
+        message = repair.rows([self.workers[worker_id]], now)
+        self._broadcast(repair.with_replication_token(message, token))
+        self._urgent.pop("w:" + worker_id, None)
+        return token
+
+    def doubt_zone(self, zone: str, now: int) -> None:
+        """Count a zone's workers as cold until their next heartbeats: they may have cooled down."""
+        for worker in list(self.workers.values()):
+            if worker.zone != zone or worker.state is not WorkerState.SERVING or worker.maybe_cold:
+                continue
+            doubted = replace(worker, maybe_cold=True, serial=self._last_serial(worker))
+            self._update(doubted, now, urgent=True)
+
+    def forward_to(self, worker_id: str, zone: str, own_zone: str, regions: Mapping[str, str]) -> str | None:
+        """Return the ip of the node that should get a worker's heartbeats, None for this one."""
+        nodes = {self.own_ip: own_zone} | self.peers
+        best = preferred_node(worker_id, zone, nodes, regions)
+        return None if best == self.own_ip else best
+
+    # Gatekeepers.
+
+    def gateway_heartbeat(self, record: GatewayRecord, now: int) -> None:
+        """Handle a gatekeeper's own record on its own link: one that was concluded gone is there again."""
+        self._note_alive("g:" + record.name, now)
+        known = self.gateways.get(record.name)
+        if known is not None and known.is_gone and _same_version(known, record):
+            record = replace(record, serial=record.serial + 1)
+        if newer(known, record):
+            self._update(record, now, urgent=True)
+
+    def ready_gateways(self, now: int) -> list[GatewayRecord]:
+        """Return the gatekeepers that clients may be sent to."""
+        return [
+            gateway
+            for name, gateway in self.gateways.items()
+            if gateway.state is GatewayState.READY and self.gateway_silent_ns(name, now) < GATEWAY_SILENT_NS
+        ]
+
+    def gateway_silent_ns(self, name: str, now: int) -> int:
+        """Nanoseconds since any node received something from a gatekeeper."""
+        return now - self.liveness.last_seen("g:" + name, now)
+
+    # Records.
+
+    def merge(self, workers: Iterable[Worker], gateways: Iterable[GatewayRecord], now: int) -> None:
+        """Take over the records of another copy that are newer."""
+        for worker in workers:
+            self._merge_worker(worker, now)
+        for gateway in gateways:
+            known = self.gateways.get(gateway.name)
+            is_new_and_gone = known is None and gateway.is_gone
+            if newer(known, gateway) and not is_new_and_gone:
+                self._put(gateway, now)
+
+    def _merge_worker(self, worker: Worker, now: int) -> None:
+        known = self.workers.get(worker.id)
+        is_new_and_gone = known is None and worker.is_gone
+        if not newer(known, worker) or is_new_and_gone:
+            return
+        self._put(worker, now)
+        self._reassert(worker, now)
+        if known is None and worker.state is not WorkerState.LOST:
+            self.address_owners.forceput(worker.address, worker.id)
+
+    def _reassert(self, worker: Worker, now: int) -> None:
+        """Contradict another node's conclusion that a worker is lost whose heartbeats come here."""
+        serial = self.last_serials.get(worker.id, -1)
+        is_received = self.liveness.receives("w:" + worker.id, now)
+        if worker.state is WorkerState.LOST and serial > worker.serial and is_received:
+            serving = replace(worker, state=WorkerState.SERVING, serial=serial)
+            self._update(serving, now, urgent=True)
+
+    def _record(self, id_: str) -> Record | None:
+        name = id_[2:]
+        return self.workers.get(name) if id_.startswith("w:") else self.gateways.get(name)
+
+    def _put(self, record: Record, now: int) -> None:
+        """Keep a record as this copy's, without telling the others."""
+        if isinstance(record, Worker):
+            self._put_worker(record, now)
+            is_present = _is_live(record)
+        else:
+            self.sums.swap(self.gateways.get(record.name), record)
+            self.gateways[record.name] = record
+            is_present = record.state not in (GatewayState.LOST, GatewayState.GONE)
+        id_ = record_id(record)
+        self._changed[id_] = record
+        self.liveness.record_update(id_, is_present=is_present, now=now)
+
+    def _put_worker(self, worker: Worker, now: int) -> None:
+        self.sums.swap(self.workers.get(worker.id), worker)
+        self.workers[worker.id] = worker
+        if _is_live(worker):
+            self.ended_at.pop(worker.id, None)
+            return
+        self.ended_at[worker.id] = now
+        if self.address_owners.inv.get(worker.id) is not None:
+            del self.address_owners.inv[worker.id]
+
+    def _update(self, record: Record, now: int, *, urgent: bool) -> None:
+        """Keep a change that began here, and push it to the others."""
+        id_ = record_id(record)
+        if self._record(id_) is record:
+            return
+        self._put(record, now)
+        if urgent:
+            self._batch.pop(id_, None)
+            self._urgent[id_] = record
+        elif id_ not in self._urgent:
+            self._batch[id_] = record
+            self._flush_at = self._flush_at or now + BATCH_NS
+
+    # Time.
+
+    def next_tick_at(self) -> int:
+        """When `tick` is to be called at the latest."""
+        return min(self.next_round_at, self._flush_at) if self._flush_at else self.next_round_at
+
+    def tick(self, now: int) -> None:
+        """Push the batch and begin a round where they are due."""
+        if self._flush_at and now >= self._flush_at:
+            self._push(self._batch, now)
+            if self.liveness.unreported:
+                self._broadcast(peer_messages.encode_report(self.liveness.added_report()))
+            self._flush_at = 0
+        if now >= self.next_round_at:
+            self._start_round(now)
+
+    def _start_round(self, now: int) -> None:
+        if now - self.next_round_at > SECOND and self.quorum_since is not None:
+            self.quorum_since = now  # this process was suspended: others may have sent something meanwhile
+        self.next_round_at = now + ROUND_NS
+        self.rounds += 1
+        self._broadcast(peer_messages.encode_report(self.liveness.periodic_report(now)))
+        self._expire_gateways(now)
+        self._expire_workers(now)
+        if self.peers:
+            peers = sorted(self.peers)
+            self._outbox.append((peers[self.rounds % len(peers)], repair.ask(self)))
+
+    def _expire_gateways(self, now: int) -> None:
+        """Conclude that silent gatekeepers are gone; forget those that have been gone for long."""
+        for name, gateway in list(self.gateways.items()):
+            silent_ns = self.gateway_silent_ns(name, now)
+            if gateway.is_gone:
+                if silent_ns > GATEWAY_GONE_NS + KEEP_GONE_NS:
+                    del self.gateways[name]
+                    self.liveness.forget("g:" + name)
+            elif silent_ns > GATEWAY_GONE_NS and self._has_quorum_for(GATEWAY_GONE_NS, now):
+                self._put(replace(gateway, state=GatewayState.GONE), now)
+
+    def _has_quorum_for(self, length_ns: int, now: int) -> bool:
+        return self.quorum_since is not None and now - self.quorum_since > length_ns
+
+    def _expire_workers(self, now: int) -> None:
+        """Conclude that silent workers are lost, then gone; forget those that have been gone for long."""
+        for worker in list(self.workers.values()):
+            ended_ns = now - self.ended_at.get(worker.id, now)
+            if _is_live(worker):
+                self._expire_live_worker(worker, now)
+            elif worker.state is WorkerState.LOST and ended_ns > LOST_TO_GONE_NS:
+                self._put(replace(worker, state=WorkerState.GONE), now)
+            elif worker.is_gone and ended_ns > KEEP_GONE_NS:
+                self._forget_worker(worker.id)
+
+    def _expire_live_worker(self, worker: Worker, now: int) -> None:
+        if self.quorum_since is None:
+            return
+        last_seen = self.liveness.last_seen("w:" + worker.id, now)
+        if now - max(last_seen, self.quorum_since) > self.worker_lost_ns:
+            state = WorkerState.LOST if worker.state is WorkerState.SERVING else WorkerState.GONE
+            self._put(replace(worker, state=state), now)
+
+    def _forget_worker(self, worker_id: str) -> None:
+        del self.workers[worker_id]
+        self.ended_at.pop(worker_id, None)
+        self.last_serials.pop(worker_id, None)
+        self.liveness.forget("w:" + worker_id)
+
+    # What is taken out.
+
+    def _broadcast(self, message: Message) -> None:
+        self._outbox.extend((ip, message) for ip in self.peers)
+
+    def _push(self, records: dict[str, Record], now: int) -> None:
+        if records:
+            self._broadcast(repair.rows(records.values(), now))
+            records.clear()
+
+    def take_messages(self, now: int) -> list[tuple[str, Message]]:
+        """Return messages with the ips they go to."""
+        self._push(self._urgent, now)
+        outbox = self._outbox
+        self._outbox = []
+        return outbox
+
+    def take_changed(self) -> list[Record]:
+        """Return the records that have changed since the last call."""
+        changed = list(self._changed.values())
+        self._changed = {}
+        return changed
+
+
+def _is_live(worker: Worker) -> bool:
+    """Whether a worker sends heartbeats, as far as is known."""
+    return worker.state in (WorkerState.SERVING, WorkerState.DRAINING)
+
+
+def _same_version(one: GatewayRecord, other: GatewayRecord) -> bool:
+    return (one.incarnation, one.serial) == (other.incarnation, other.serial)
--- a/pepperrun/control/evacuations.py
+++ b/pepperrun/control/evacuations.py
@@ -20,6 +20,7 @@
 
 from pepperrun.consensus.state import Evaluation
 from pepperrun.control.validation import Op
+from pepperrun.control.verdict import Verdict
 
 State = dict[str, Any]
 
@@ -67,11 +68,13 @@
     if "call" not in op:
         return _apply_count(state, op)
     if op["call"] in orders.calls:
-        return Evaluation(None, [200, f"Zone {zone} is {'evacuated' if standing else 'in use'} already."])
+        return Evaluation(
+            None, Verdict(200, f"Zone {zone} is {'evacuated' if standing else 'in use'} already.")
+        )
     if "lapse" in op:
         if op["lapse"] != [orders.begun, orders.finished] or not 0 < standing <= orders.doubted:
-            return Evaluation(None, [412, f"Orders for zone {zone} have come meanwhile."])
-        return Evaluation(_changed(state, op, orders, 0, 0), [200, f"Zone {zone} is in use again."])
+            return Evaluation(None, Verdict(412, f"Orders for zone {zone} have come meanwhile."))
+        return Evaluation(_changed(state, op, orders, 0, 0), Verdict(200, f"Zone {zone} is in use again."))
     sure = op["sure"] and op["seen"] == orders.serial(op["begin"])
     if op["begin"]:
         return _begin(state, op, orders, sure)
@@ -83,22 +86,24 @@
     # One doubted order covers all repeats; where only doubted ones stand, another keeps them from lapsing.
     counts = sure or orders.doubted in (0, standing)
     if standing >= MOST or not counts:
-        return Evaluation(None, [200, f"Zone {zone} is evacuated already."])
+        return Evaluation(None, Verdict(200, f"Zone {zone} is evacuated already."))
     doubted = orders.doubted + (0 if sure or orders.doubted or not standing else 1)
     new = _changed(state, op, orders, standing + 1, doubted)
-    return Evaluation(new, [200, f"Zone {zone} is evacuated{' already' if standing and not sure else ''}."])
+    return Evaluation(
+        new, Verdict(200, f"Zone {zone} is evacuated{' already' if standing and not sure else ''}.")
+    )
 
 
 def _finish(state: State, op: Op, orders: ZoneOrders, sure: bool) -> Evaluation:
     zone, standing = op["zone"], state["evacuated"].count(op["zone"])
     if not standing:
-        return Evaluation(None, [200, f"Zone {zone} is in use already."])
+        return Evaluation(None, Verdict(200, f"Zone {zone} is in use already."))
     after = standing - 1 if sure else standing
     doubted = min(after, orders.doubted + (0 if sure else 1))
     said = "in use again"
     if after:
         said = "still evacuated by another order" + (", or in use soon" if doubted == after else "")
-    verdict = [200, f"Zone {zone} is {said}."]
+    verdict = Verdict(200, f"Zone {zone} is {said}.")
     if not sure and doubted == orders.doubted:
         return Evaluation(None, verdict)
     return Evaluation(_changed(state, op, orders, after, doubted), verdict)
@@ -109,12 +114,14 @@
     zone, begin, standing = op["zone"], op["begin"], state["evacuated"].count(op["zone"])
     count = op.get("count", max(1, standing) if begin else 0)
     if (standing >= count) if begin else (standing <= count):
-        return Evaluation(None, [200, f"Zone {zone} is {'evacuated' if standing else 'in use'} already."])
+        return Evaluation(
+            None, Verdict(200, f"Zone {zone} is {'evacuated' if standing else 'in use'} already.")
+        )
     after = standing + 1 if begin else standing - 1
     orders = ZoneOrders.of(state, zone)
     said = "evacuated" if begin else "still evacuated by another order" if after else "in use again"
     new = _changed(state, op, orders, after, min(after, orders.doubted))
-    return Evaluation(new, [200, f"Zone {zone} is {said}."])
+    return Evaluation(new, Verdict(200, f"Zone {zone} is {said}."))
 
 
 def _changed(state: State, op: Op, orders: ZoneOrders, standing: int, doubted: int) -> State:
--- a/pepperrun/control/gateway_count.py
+++ b/pepperrun/control/gateway_count.py
@@ -1,9 +1,9 @@
-"""Seats: among how many gatekeepers what all may spend together is split. Agreed on: no restart forgets it.
+"""The agreed number of gatekeepers, among which what all may spend together is split. No I/O.
 
-A gatekeeper spends its part of each quota without asking anybody, so too small a number would let all of them
-together spend too much; records in memory are gone when the core restarts, the agreed state is not. The
-number grows as soon as more are there, and shrinks once fewer have been there for long: until then the part
-of those that are gone is left unspent, as one of them may only be cut off.
+A gatekeeper spends its share of each quota without asking anybody, so too small a number would let all of
+them together spend too much; records in memory are gone when the control nodes restart, the agreed state is
+not. The number grows as soon as more are there, and shrinks once fewer have been there for long: until then
+the shares of those that are gone are left unspent, as one of them may only be partitioned.
 """
 
 from __future__ import annotations
@@ -11,33 +11,37 @@
 from collections.abc import Iterable
 from typing import Any
 
-from pepperrun.control.records import GONE, GatewayRecord
+from pepperrun.control.records import GatewayRecord
 
-SECOND = 1_000_000_000
-SHRINK_NS = 30 * SECOND  # longer than any that is cut off may go on by what it holds
-AGAIN_NS = SECOND // 2  # between two proposals: one may still be under way
+SECOND = 1_000_000_000  # ns
+SHRINK_DELAY_NS = 30 * SECOND  # longer than a partitioned gatekeeper may go on by what it holds
+RETRY_NS = SECOND // 2  # between two proposals: one may still be under way
 
 
-class Seats:
-    """Decides when the agreed number is to change; asked by the machine whose duty that is."""
+class GatewayCount:
+    """Decides when the agreed number is to change; asked by the node that coordinates."""
 
     def __init__(self) -> None:
         self.fewer_since: int | None = None
-        self.asked_at = -AGAIN_NS
+        self.proposed_at = -RETRY_NS
 
-    def wanted(
-        self, gateways: Iterable[GatewayRecord], state: dict[str, Any] | None, now: int
+    def next_operation(
+        self, gateways: Iterable[GatewayRecord], body: dict[str, Any] | None, now: int
     ) -> dict[str, Any] | None:
-        """The operation to propose now, or None. Before there is a configuration nothing is split."""
-        if not state or not state.get("edition"):
+        """Return the operation to propose now, or None. Before there is a configuration nothing is split."""
+        if not body or not body.get("edition"):
             return None
-        count, seats = sum(gateway.state != GONE for gateway in gateways), state.get("seats", 0)
-        if count >= seats:
+        present = sum(not gateway.is_gone for gateway in gateways)
+        agreed = body.get("seats", 0)
+        if not self._should_change(present, agreed, now) or now - self.proposed_at < RETRY_NS:
+            return None
+        self.proposed_at = now
+        return {"do": "seats", "count": present, "instead": agreed}
+
+    def _should_change(self, present: int, agreed: int, now: int) -> bool:
+        if present >= agreed:
             self.fewer_since = None
         elif self.fewer_since is None:
             self.fewer_since = now
-        shrink = self.fewer_since is not None and now - self.fewer_since > SHRINK_NS and count > 0
-        if not (count > seats or shrink) or now - self.asked_at < AGAIN_NS:
-            return None
-        self.asked_at = now
-        return {"do": "seats", "count": count, "instead": seats}
+        shrinks = self.fewer_since is not None and now - self.fewer_since > SHRINK_DELAY_NS and present > 0
+        return present > agreed or shrinks
--- a/pepperrun/control/handlers.py
+++ b/pepperrun/control/handlers.py
@@ -1,4 +1,4 @@
-"""Control calls of workers and operators, and the directory's: a tree of matchers over the core's parts."""
+"""Control calls of workers and operators, and the directory's: matchers over a control node's parts."""
 
 from __future__ import annotations
 
@@ -7,91 +7,101 @@
 from collections.abc import Awaitable, Callable
 from typing import Any, Protocol
 
-from pepperrun.control.cells import Beat, Cells
-from pepperrun.control.changes import Verdict, evacuation, written
+from pepperrun.control.changes import evacuation, written
 from pepperrun.control.directory import choose
+from pepperrun.control.endpoint_registry import EndpointRegistry, WorkerHeartbeat
 from pepperrun.control.matchers import Answer, Call, Matcher, any_of, at, does, each, header, method
-from pepperrun.control.records import BOARDING, UNLOADING
+from pepperrun.control.records import WorkerState
 from pepperrun.control.validation import Op, parse, read_amend, read_replace, refusal
+from pepperrun.control.verdict import Verdict
 from pepperrun.foundation.errors import PepperrunError
 from pepperrun.foundation.logs import event
 from pepperrun.foundation.settings import Settings
 
-MS = 1_000_000
-SECOND = 1000 * MS
-HELD_S = 0.3  # for others to say that they hold what a worker is to be told is held
-PATIENCE = 850 * MS  # for an order: callers move on after a second of silence
-PER_KB = 2 * MS  # and for each KB of it, as long ones take longer to bring
-FRESH_S = 0.7  # for a read to be known to be the newest
-TTL_S = 2.0  # seconds for which clients keep what the directory told
-AGAIN_S = 0.2  # when to come back after a 503
+MS = 1_000_000  # ns
+REPLICATION_TIMEOUT_S = 0.3  # for others to confirm that they hold what a worker is told is held
+ORDER_TIMEOUT_NS = 850 * MS  # callers move on after a second of silence
+ORDER_TIMEOUT_NS_PER_KB = 2 * MS  # for each KB of the body, as long ones take longer to bring
+READ_TIMEOUT_S = 0.7  # for a read to be confirmed as the newest
+DIRECTORY_TTL_S = 2.0  # for which clients keep what the directory answered
+RETRY_AFTER_S = 0.2  # with a 503
+MAX_EDITION_DIGITS = 18
+MAX_PORT = 65535
 
-Awaited = Awaitable[Answer]
+AwaitedAnswer = Awaitable[Answer]
 
 
 class Core(Protocol):
-    """The parts of the running core machine that calls need. Times are steady ns."""
+    """The parts of the running control node that calls need. Times are steady ns."""
 
     settings: Settings
-    cells: Cells
+    registry: EndpointRegistry
     retiring: bool
 
-    def now(self) -> int: ...
+    def now(self) -> int:
+        """The steady clock."""
+        ...
 
-    def after(self) -> None:
-        """Something was told to a part: what follows is to be done."""
+    def process_pending(self) -> None:
+        """Carry out what follows from an event that a part was given."""
         ...
 
-    def minority(self) -> bool:
-        """Is it not linked with a majority of those that decide?"""
+    @property
+    def lacks_quorum(self) -> bool:
+        """Whether fewer voters than a quorum are reachable."""
         ...
 
-    def voters(self) -> int:
-        """How many decide."""
+    @property
+    def voter_count(self) -> int:
+        """How many machines vote."""
         ...
 
-    def held(self, token: int) -> asyncio.Future[None]:
-        """Done once enough core machines hold what the cells gave this token for."""
+    def replicated(self, token: int) -> asyncio.Future[None]:
+        """Return a future that is done once enough nodes hold what the registry gave this token for."""
         ...
 
-    def order(self, op: Op, patience: int) -> asyncio.Future[Verdict | None]:
-        """An operator's change; None where nothing is certain."""
+    def order(self, op: Op, timeout_ns: int) -> asyncio.Future[Verdict | None]:
+        """Propose an operator's change; the verdict is None where nothing is certain."""
         ...
 
-    def fresh(self) -> asyncio.Future[None]:
-        """Done once the held configuration is known to be at least as new as this call."""
+    def confirmed(self) -> asyncio.Future[None]:
+        """Return a future that is done once what is known is surely at least as new as this call."""
         ...
 
     def body(self) -> dict[str, Any] | None:
         """The agreed state, None while none is known."""
         ...
 
-    def other(self) -> str | None:
-        """The control address of a linked core machine."""
+    def other_node(self) -> str | None:
+        """Return the control address of a linked control node."""
         ...
 
-    def control_of(self, ip: str) -> str:
-        """The control address of a core machine."""
+    def control_address(self, ip: str) -> str:
+        """Return the control address of a control node."""
         ...
 
 
-def told(status: int, code: str, detail: str = "", again_s: float = 0.0) -> Answer:
-    """An answer that says in a sentence what is the matter."""
-    body = json.dumps({"code": code, "detail": detail} if detail else {"code": code}).encode()
-    return Answer(status, body, (("Retry-After", f"{again_s:g}"),) if again_s else ())
+# Answers.
+
 
+def explain(status: int, code: str, detail: str = "", retry_after_s: float = 0.0) -> Answer:
+    """Return an answer that says in a sentence what is the matter."""
+    content = {"code": code, "detail": detail} if detail else {"code": code}
+    headers = (("Retry-After", f"{retry_after_s:g}"),) if retry_after_s else ()
+    return Answer(status, json.dumps(content).encode(), headers)
 
-def not_now(code: str, detail: str = "") -> Answer:
-    """This machine can't; another may, or this one later."""
-    return told(503, code, detail, AGAIN_S)
 
+def unavailable(code: str, detail: str = "") -> Answer:
+    """Return the answer of a node that can't; another may, or this one later."""
+    return explain(503, code, detail, RETRY_AFTER_S)
 
-def _cut_off() -> Answer:
-    return not_now("minority", "This machine is not linked with a majority.")
 
+def _no_quorum() -> Answer:
+    return unavailable("minority", "This machine is not linked with a majority.")
 
-def _not_fresh() -> Answer:
-    return not_now("not-fresh", "It is not known whether what is held is the newest.")
+
+def _not_confirmed() -> Answer:
+    return unavailable("not-fresh", "It is not known whether what is held is the newest.")
 
 
 class Control:
@@ -99,10 +109,10 @@
 
     def __init__(self, core: Core) -> None:
         self.core = core
-        self.asked = 0  # directory calls, so that each begins elsewhere
+        self.directory_calls = 0  # so that each begins at another gatekeeper
 
     def tree(self) -> Matcher:
-        """What `control` speaks."""
+        """Return the matchers of the control port."""
         post = _poster
         return any_of(
             at("crew", each("id", at("beat", post(self.beat)), at("leave", post(self.leave)))),
@@ -116,122 +126,128 @@
         )
 
     def directory(self) -> Matcher:
-        """What `directory` speaks."""
+        """Return the matchers of the directory port."""
         return at("resolve", method("GET", does(self.resolve)))
 
     # Workers.
 
-    def beat(self, call: Call) -> Answer | Awaited:
-        """POST /crew/ID/beat"""
+    def beat(self, call: Call) -> Answer | AwaitedAnswer:
+        """POST /crew/ID/beat: a worker's heartbeat."""
         core = self.core
-        if core.minority():
-            return _cut_off()
+        if core.lacks_quorum:
+            return _no_quorum()
         try:
-            word = read_beat(call.values["id"], call.body)
+            heartbeat = read_heartbeat(call.values["id"], call.body)
         except PepperrunError as error:
-            return told(400, error.code, error.detail)
-        token = core.cells.beat(word, core.voters() // 2 if word.state == UNLOADING else 0, core.now())
-        core.after()
-        ip = core.cells.forward(word.id, word.zone, core.settings.me.zone, core.settings.network.zones)
-        body = json.dumps({"forward_to": core.control_of(ip)}).encode() if ip is not None else b"{}"
-        return Answer(200, body) if token is None else self._once_held(token, body)
-
-    def leave(self, call: Call) -> Answer | Awaited:
-        """POST /crew/ID/leave"""
+            return explain(400, error.code, error.detail)
+        drains = heartbeat.state is WorkerState.DRAINING
+        needed = core.voter_count // 2 if drains else 0
+        token = core.registry.heartbeat(heartbeat, needed, core.now())
+        core.process_pending()
+        body = self._forwarding(heartbeat)
+        return Answer(200, body) if token is None else self._once_replicated(token, body)
+
+    def _forwarding(self, heartbeat: WorkerHeartbeat) -> bytes:
+        """The body that names the node which should get a worker's heartbeats."""
         core = self.core
-        if core.minority():
-            return _cut_off()
-        token = core.cells.leave(call.values["id"], core.voters() // 2, core.now())
-        core.after()
-        return Answer(200, b"{}") if token is None else self._once_held(token, b"{}")
-
-    async def _once_held(self, token: int, body: bytes) -> Answer:
-        """Acknowledged once enough hold it that a loss does not undo it."""
+        zones = core.settings.network.zones
+        ip = core.registry.forward_to(heartbeat.id, heartbeat.zone, core.settings.me.zone, zones)
+        return json.dumps({"forward_to": core.control_address(ip)}).encode() if ip is not None else b"{}"
+
+    def leave(self, call: Call) -> Answer | AwaitedAnswer:
+        """POST /crew/ID/leave: a worker ends."""
+        core = self.core
+        if core.lacks_quorum:
+            return _no_quorum()
+        token = core.registry.leave(call.values["id"], core.voter_count // 2, core.now())
+        core.process_pending()
+        return Answer(200, b"{}") if token is None else self._once_replicated(token, b"{}")
+
+    async def _once_replicated(self, token: int, body: bytes) -> Answer:
+        """Acknowledge once so many nodes hold it that a loss does not undo it."""
         try:
-            async with asyncio.timeout(HELD_S):
-                await self.core.held(token)
+            async with asyncio.timeout(REPLICATION_TIMEOUT_S):
+                await self.core.replicated(token)
         except TimeoutError:
-            self.core.cells.give_up(token)
-            return not_now("not-held", "Too few other machines hold it.")
+            self.core.registry.waits.give_up(token)
+            return unavailable("not-held", "Too few other machines hold it.")
         return Answer(200, body)
 
     # The operator.
 
-    def change(self, read: Callable[[bytes, int], Op]) -> Callable[[Call], Answer | Awaited]:
-        """POST /timetable/replace and /timetable/amend"""
+    def change(self, read: Callable[[bytes, int], Op]) -> Callable[[Call], Answer | AwaitedAnswer]:
+        """Return the handler of POST /timetable/replace or /timetable/amend."""
 
-        def answer(call: Call) -> Answer | Awaited:
-            if self.core.minority():
-                return _cut_off()
+        def handle(call: Call) -> Answer | AwaitedAnswer:
+            if self.core.lacks_quorum:
+                return _no_quorum()
             try:
                 op = read(call.body, _based_on(call))
             except PepperrunError as error:
-                return self._refused(error)
-            return self.order(call, op, PATIENCE + len(call.body) * PER_KB // 1024)
+                return self._refuse(error)
+            timeout_ns = ORDER_TIMEOUT_NS + len(call.body) * ORDER_TIMEOUT_NS_PER_KB // 1024
+            return self.order(call, op, timeout_ns)
 
-        return answer
+        return handle
 
-    async def _refused(self, error: PepperrunError) -> Answer:
-        """What is invalid by itself: refused by a machine that has a majority, as any order is."""
-        if not await self._fresh():
-            return _not_fresh()
+    async def _refuse(self, error: PepperrunError) -> Answer:
+        """Refuse what is invalid by itself: by a node that has a quorum, as any order is."""
+        if not await self._is_confirmed():
+            return _not_confirmed()
         event("refused", code=error.code, detail=error.detail)
-        return told(400, error.code, error.detail)
+        return explain(400, error.code, error.detail)
 
-    def begin(self, call: Call) -> Answer | Awaited:
+    def begin(self, call: Call) -> Answer | AwaitedAnswer:
         """POST /evacuate/ZONE/begin"""
-        return self._evacuate(call, True)
+        return self._evacuate(call, begin=True)
 
-    def finish(self, call: Call) -> Answer | Awaited:
+    def finish(self, call: Call) -> Answer | AwaitedAnswer:
         """POST /evacuate/ZONE/finish"""
-        return self._evacuate(call, False)
+        return self._evacuate(call, begin=False)
 
-    def _evacuate(self, call: Call, begin: bool) -> Answer | Awaited:
+    def _evacuate(self, call: Call, *, begin: bool) -> Answer | AwaitedAnswer:
         zone = call.values["zone"]
-        # A zone that was emptied is known, also where this machine's settings are not of that day.
-        known = (self.core.body() or {}).get("evacuations", {})
-        if zone not in self.core.settings.network.zones and zone not in known:
-            return told(404, "unknown-zone", f"There is no zone {zone}.")
-        return self.order(call, evacuation(zone, begin), PATIENCE)
-
-    def order(self, call: Call, op: Op, patience: int) -> Answer | Awaited:
-        """An order goes to all that decide; who stops or can't reach them says so at once."""
+        # A zone that was evacuated is known, also where this node's settings are not of that day.
+        evacuated_before = (self.core.body() or {}).get("evacuations", {})
+        if zone not in self.core.settings.network.zones and zone not in evacuated_before:
+            return explain(404, "unknown-zone", f"There is no zone {zone}.")
+        return self.order(call, evacuation(zone, begin), ORDER_TIMEOUT_NS)
+
+    def order(self, call: Call, op: Op, timeout_ns: int) -> Answer | AwaitedAnswer:
+        """Propose an order; a node that stops or has no quorum says so at once."""
         core = self.core
-        other = core.other() if core.retiring else None
+        other = core.other_node() if core.retiring else None
         if other is not None:
             path = "/" + "/".join(call.path)
             return Answer(307, headers=(("Location", f"http://{other}{path}"),))
-        if core.minority() or core.retiring:
-            return _cut_off()
-        return self._ordered(op, patience)
+        if core.lacks_quorum or core.retiring:
+            return _no_quorum()
+        return self._ordered(op, timeout_ns)
 
-    async def _ordered(self, op: Op, patience: int) -> Answer:
-        begun = self.core.now()
-        verdict = await self.core.order(op, patience)
+    async def _ordered(self, op: Op, timeout_ns: int) -> Answer:
+        started_at = self.core.now()
+        verdict = await self.core.order(op, timeout_ns)
         if verdict is None:
-            return not_now("uncertain", "It may be taken or not: ask again.")
-        status, detail, *code = verdict
-        took = (self.core.now() - begun) // MS
-        where = {name: op[name] for name in ("zone", "begin") if name in op}
-        known = {"do": op["do"], "edition": op.get("edition", 0), **where}
-        event("order", **known, status=status, ms=took, detail=detail)
-        if status == 503:
-            return not_now(code[0], detail)
-        return told(status, code[0] if code else ("ok" if status == 200 else "stale-base"), detail)
+            return unavailable("uncertain", "It may be taken or not: ask again.")
+        _log_order(op, verdict, (self.core.now() - started_at) // MS)
+        if verdict.status == 503:
+            return unavailable(verdict.code, verdict.detail)
+        code = verdict.code or ("ok" if verdict.status == 200 else "stale-base")
+        return explain(verdict.status, code, verdict.detail)
 
     async def read(self, call: Call) -> Answer:
         """GET /timetable/read"""
-        if self.core.minority():
-            return _cut_off()
-        if not await self._fresh():
-            return _not_fresh()
+        if self.core.lacks_quorum:
+            return _no_quorum()
+        if not await self._is_confirmed():
+            return _not_confirmed()
         return Answer(200, json.dumps(written(self.core.body()), separators=(",", ":")).encode())
 
-    async def _fresh(self) -> bool:
-        """Has a majority answered a question that was asked after this call came?"""
+    async def _is_confirmed(self) -> bool:
+        """Whether a quorum answers a read that is sent after this call came."""
         try:
-            async with asyncio.timeout(FRESH_S):
-                await self.core.fresh()
+            async with asyncio.timeout(READ_TIMEOUT_S):
+                await self.core.confirmed()
         except TimeoutError:
             return False
         return True
@@ -239,46 +255,76 @@
     # Clients.
 
     def resolve(self, call: Call) -> Answer:
-        """GET /resolve"""
-        core, query = self.core, call.query
-        self.asked += 1
-        zone, region = query.get("zone", ""), query.get("region", "")
-        near = choose(
-            core.cells.ready_gateways(core.now()), zone, region, core.settings.network.zones, self.asked
+        """GET /resolve: gatekeepers for a client."""
+        core = self.core
+        self.directory_calls += 1
+        addresses = choose(
+            core.registry.ready_gateways(core.now()),
+            zone=call.query.get("zone", ""),
+            region=call.query.get("region", ""),
+            regions=core.settings.network.zones,
+            seed=self.directory_calls,
         )
-        if not near:
-            return not_now("no-gateway", "No gatekeeper is ready.")
-        ttl_s = min(TTL_S, core.settings.tariffs.bounds.ttl_max_s)
-        return Answer(200, json.dumps({"addresses": near, "ttl_s": ttl_s}).encode())
+        if not addresses:
+            return unavailable("no-gateway", "No gatekeeper is ready.")
+        ttl_s = min(DIRECTORY_TTL_S, core.settings.tariffs.bounds.ttl_max_s)
+        return Answer(200, json.dumps({"addresses": addresses, "ttl_s": ttl_s}).encode())
+
 
+def _log_order(op: Op, verdict: Verdict, took_ms: int) -> None:
+    fields = {name: op[name] for name in ("zone", "begin") if name in op}
+    known = {"do": op["do"], "edition": op.get("edition", 0), **fields}
+    event("order", **known, status=verdict.status, ms=took_ms, detail=verdict.detail)
 
-def _poster(handler: Callable[[Call], Answer | Awaited]) -> Matcher:
+
+def _poster(handler: Callable[[Call], Answer | AwaitedAnswer]) -> Matcher:
     return method("POST", does(handler))
 
 
 def _based_on(call: Call) -> int:
     text = call.values["based-on"].strip()
-    if not (text.isascii() and text.isdigit()) or len(text) > 18:
+    if not (text.isascii() and text.isdigit()) or len(text) > MAX_EDITION_DIGITS:
         raise refusal("bad-type", f"Based-On is no edition: {text:.40}.")
     return int(text)
 
 
-def read_beat(id: str, body: bytes) -> Beat:
-    """A beat's body; PepperrunError where it can't be meant."""
+def read_heartbeat(worker_id: str, body: bytes) -> WorkerHeartbeat:
+    """Return the heartbeat that the body of a call holds.
+
+    Raises
+    ------
+    PepperrunError
+        `bad-beat`: a field is missing or of the wrong type.
+    """
     word = parse(body)
-    notice: Any = word.get("notice")
-    tracking: Any = word.get("tracking")
-    address = word.get("address")
     try:
-        line, zone, state = notice["line"], notice["zone"], tracking["state"]
-        texts = (line, zone, address, state, notice.get("edition") or "")
-        if not all(isinstance(text, str) for text in texts) or state not in (BOARDING, UNLOADING):
-            raise ValueError("texts are wanted, and a state that is known")
-        host, _, port = str(address).rpartition(":")
-        if not host or not 0 < int(port) < 65536:
-            raise ValueError("no address")
-        cold = int(float(tracking.get("cold_ms") or 0) * MS)
-        numbers = int(notice.get("berths") or 1), int(tracking["serial"])
+        return _heartbeat_of(worker_id, word, word.get("notice"), word.get("tracking"))
     except (TypeError, KeyError, ValueError, OverflowError, AttributeError) as error:
-        raise PepperrunError("bad-beat", "reading a beat", f"{type(error).__name__}: {error}", id) from None
-    return Beat(id, line, str(address), zone, texts[4], numbers[0], state, cold, numbers[1])
+        detail = f"{type(error).__name__}: {error}"
+        raise PepperrunError("bad-beat", "reading a heartbeat", detail, worker_id) from None
+
+
+def _heartbeat_of(worker_id: str, word: dict[str, Any], notice: Any, tracking: Any) -> WorkerHeartbeat:
+    address = word.get("address")
+    service = notice["line"]
+    zone = notice["zone"]
+    state = tracking["state"]
+    edition = notice.get("edition") or ""
+    if not all(isinstance(text, str) for text in (service, zone, address, state, edition)):
+        raise ValueError("a field is no text")
+    if state not in (WorkerState.SERVING, WorkerState.DRAINING):
+        raise ValueError("the state is not known")
+    host, _, port = str(address).rpartition(":")
+    if not host or not 0 < int(port) <= MAX_PORT:
+        raise ValueError("no address")
+    return WorkerHeartbeat(
+        id=worker_id,
+        service=service,
+        address=str(address),
+        zone=zone,
+        edition=edition,
+        slots=int(notice.get("berths") or 1),
+        state=WorkerState(state),
+        warming_ns=int(float(tracking.get("cold_ms") or 0) * MS),
+        serial=int(tracking["serial"]),
+    )
--- /dev/null
+++ b/pepperrun/control/heartbeat_routing.py
@@ -0,0 +1,32 @@
+"""Which control node should get a worker's heartbeats. Pure."""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+from hashlib import blake2b
+
+HASH_BYTES = 8
+
+
+def preferred_node(worker_id: str, zone: str, nodes: Mapping[str, str], regions: Mapping[str, str]) -> str:
+    """Return the ip of the node that should get a worker's heartbeats.
+
+    Of the nodes in the worker's zone, else in its region, else of all: by rendezvous hashing, so that workers
+    spread evenly and stay where they are as nodes come and go.
+
+    Parameters
+    ----------
+    nodes : mapping of str to str
+        Zone by ip of the nodes that may be chosen; at least one.
+    regions : mapping of str to str
+        Region of each zone.
+    """
+    region_zones = [other for other, region in regions.items() if region == regions.get(zone)]
+    in_zone = [ip for ip, node_zone in nodes.items() if node_zone == zone]
+    in_region = [ip for ip, node_zone in nodes.items() if node_zone in region_zones]
+    candidates = in_zone or in_region or list(nodes)
+    return max(candidates, key=lambda ip: _hash(ip, worker_id))
+
+
+def _hash(ip: str, worker_id: str) -> bytes:
+    return blake2b(f"{ip} {worker_id}".encode(), digest_size=HASH_BYTES).digest()
--- a/pepperrun/control/inspection.py
+++ b/pepperrun/control/inspection.py
@@ -1,4 +1,4 @@
-"""Showing: what a running core machine holds, as one JSON object for whoever operates it."""
+"""What a running control node holds, as one JSON object for whoever operates it; its keys are the wire's."""
 
 from __future__ import annotations
 
@@ -6,67 +6,87 @@
 from typing import Any, Protocol
 
 from pepperrun.consensus.replica import Replica
-from pepperrun.control.cells import Cells
-from pepperrun.control.mesh import Mesh
-from pepperrun.control.records import GONE
+from pepperrun.control.endpoint_registry import EndpointRegistry
+from pepperrun.control.peer_links import CONTROL_CLASS, PeerLinks
 from pepperrun.distribution.publisher import Publisher
 from pepperrun.foundation.netstring import Message
 from pepperrun.foundation.settings import Settings
 
-MS = 1_000_000
+MS = 1_000_000  # ns
 
 
-class CoreMachine(Protocol):
-    """What `show` reads of a running core machine; `control.hub.Hub` is one."""
+class InspectedNode(Protocol):
+    """What `shown` reads of a running control node; `control.node.ControlNode` is one."""
 
     settings: Settings
-    life: int
+    incarnation: int
     replica: Replica
-    cells: Cells
-    mesh: Mesh
+    registry: EndpointRegistry
+    peer_links: PeerLinks
     publisher: Publisher
     retiring: bool
 
     def age_ms(self, now: int) -> float | None:
-        """How old what this machine knows may be; None where nothing is known."""
+        """How old what this node knows may be, ms; None where nothing is confirmed."""
 
 
-def shown(core: CoreMachine, now: int) -> Message:
-    """The answer to `show`: ages in ms, addresses as the settings have them. Nothing secret is in it."""
-    me, replica, body = core.settings.me, core.replica, core.replica.body
-    value, memory, age = replica.value, replica.register.state, core.age_ms(now)
+def shown(node: InspectedNode, now: int) -> Message:
+    """Return the answer to `show`: ages in ms, addresses as in the settings. Nothing secret is in it."""
+    me = node.settings.me
+    replica = node.replica
+    body = replica.body
+    value = replica.value
+    outgoing = [voter for voter in value.outgoing_voters if voter not in value.voters] if value else []
+    age_ms = node.age_ms(now)
     return {
-        **{"k": "shown", "class": "sorting", "station": me.station, "ip": me.ip, "zone": me.zone},
-        **{"region": me.region, "starts": core.life, "life": memory.disk_id, "votes": replica.is_voter},
-        **{"number": replica.version, "edition": body.get("edition", 0), "seats": body.get("seats", 0)},
-        **{"age_ms": None if age is None else round(age), "majority": not replica.lacks_quorum},
-        "voters": [list(one) for one in value.voters] if value else [],
-        "leaving_voters": [list(one) for one in value.outgoing_voters if one not in value.voters]
-        if value
-        else [],
-        **{"keeper": replica.coordinator, "stopping": core.retiring, "peers": core.mesh.cores()},
-        **{"evacuated": sorted(body.get("evacuated", ())), "cells": _cells(core, now)},
+        "k": "shown",
+        "class": CONTROL_CLASS,
+        "station": me.station,
+        "ip": me.ip,
+        "zone": me.zone,
+        "region": me.region,
+        "starts": node.incarnation,
+        "life": replica.register.state.disk_id,
+        "votes": replica.is_voter,
+        "number": replica.version,
+        "edition": body.get("edition", 0),
+        "seats": body.get("seats", 0),
+        "age_ms": None if age_ms is None else round(age_ms),
+        "majority": not replica.lacks_quorum,
+        "voters": [list(voter) for voter in value.voters] if value else [],
+        "leaving_voters": [list(voter) for voter in outgoing],
+        "keeper": replica.coordinator,
+        "stopping": node.retiring,
+        "peers": node.peer_links.cores(),
+        "evacuated": sorted(body.get("evacuated", ())),
+        "cells": _endpoints_by_zone(node, now),
         "children": [
             {"station": port.name, "number": peer.number}
-            for port, peer in core.publisher.peers.items()
+            for port, peer in node.publisher.peers.items()
             if peer.pushed
         ],
     }
 
 
-def _cells(core: CoreMachine, now: int) -> dict[str, Any]:
-    """By zone: workers by service and state, gatekeepers with their states and when they were last heard."""
-    cells = core.cells
-    out: dict[str, dict[str, Any]]
-    out = {zone: {"workers": {}, "guards": []} for zone in sorted(core.settings.network.zones)}
-    counted = Counter((one.zone, one.service, one.state) for one in cells.workers.values())
-    for (zone, service, state), count in sorted(counted.items()):
-        held = out.setdefault(zone, {"workers": {}, "guards": []})
-        held["workers"].setdefault(service, {})[state] = count
-    for one in sorted(cells.gateways.values(), key=lambda gateway: gateway.station):
-        held = out.setdefault(one.zone, {"workers": {}, "guards": []})
-        row: dict[str, Any] = {"station": one.station, "state": one.state, "counter": one.counter}
-        if one.state != GONE:
-            row["heard_ms"] = (now - cells.vouching.last("g:" + one.station, now)) // MS
-        held["guards"].append(row)
-    return out
+def _endpoints_by_zone(node: InspectedNode, now: int) -> dict[str, Any]:
+    """Workers by service and state, gatekeepers with their states and when they were last seen."""
+    registry = node.registry
+    zones: dict[str, dict[str, Any]] = {zone: _empty_zone() for zone in sorted(node.settings.network.zones)}
+    counts = Counter((worker.zone, worker.service, worker.state) for worker in registry.workers.values())
+    for (zone, service, state), count in sorted(counts.items()):
+        workers = zones.setdefault(zone, _empty_zone())["workers"]
+        workers.setdefault(service, {})[state] = count
+    for gateway in sorted(registry.gateways.values(), key=lambda gateway: gateway.name):
+        row: dict[str, Any] = {
+            "station": gateway.name,
+            "state": gateway.state,
+            "counter": gateway.client_address,
+        }
+        if not gateway.is_gone:
+            row["heard_ms"] = registry.gateway_silent_ns(gateway.name, now) // MS
+        zones.setdefault(gateway.zone, _empty_zone())["guards"].append(row)
+    return zones
+
+
+def _empty_zone() -> dict[str, Any]:
+    return {"workers": {}, "guards": []}
--- /dev/null
+++ b/pepperrun/control/node.py
@@ -0,0 +1,442 @@
+"""One running control node: it passes each event to the part that it concerns, and carries out what follows.
+
+Thin I/O around deciding parts: consensus (`consensus.replica`), endpoints (`control.endpoint_registry`),
+links to the other control nodes (`control.peer_links`), distribution to gatekeepers
+(`distribution.publisher`). After each event `process_pending` takes out what the parts have to say.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import time
+from collections.abc import Callable, Mapping
+from typing import Any
+
+from pepperrun.consensus.learner import BodyChange
+from pepperrun.consensus.replica import Replica
+from pepperrun.consensus.state import DurableState, StateStore
+from pepperrun.control import peer_messages
+from pepperrun.control.changes import apply, compact
+from pepperrun.control.coordinator_tasks import CoordinatorTasks
+from pepperrun.control.endpoint_registry import EndpointRegistry
+from pepperrun.control.evacuations import Evacuations
+from pepperrun.control.inspection import shown
+from pepperrun.control.peer_links import CONTROL_CLASS, PeerLinks
+from pepperrun.control.peer_messages import ConsensusMessage, KnownPeers, PeerStopping
+from pepperrun.control.pending_calls import PendingCalls
+from pepperrun.control.records import GatewayRecord, Worker
+from pepperrun.control.validation import Op
+from pepperrun.control.verdict import Verdict
+from pepperrun.distribution.digests import Sums
+from pepperrun.distribution.publisher import Publisher
+from pepperrun.foundation.link import OPERATOR, Link
+from pepperrun.foundation.logs import event
+from pepperrun.foundation.netstring import Message, encode
+from pepperrun.foundation.settings import Settings
+
+MS = 1_000_000  # ns
+NS_PER_S = 1e9
+QUORUM_CHECK_NS = 100 * MS  # between two checks; a peer is silent only after `Timeouts.liveness_ns`
+TASK_TIMEOUT_NS = 1500 * MS  # for an operation of the coordinator: then it is proposed anew
+
+
+class ControlNode:
+    """`Core` for the control calls, `Source` for the publisher, `User` of all links.
+
+    Parameters
+    ----------
+    state : DurableState
+        From the disk; `store` keeps it.
+    incarnation : int
+        Grows from one start of this process to the next.
+    clock : callable
+        Steady clock, ns.
+    """
+
+    def __init__(
+        self,
+        settings: Settings,
+        state: DurableState,
+        store: StateStore,
+        incarnation: int,
+        clock: Callable[[], int] = time.monotonic_ns,
+    ) -> None:
+        self.settings = settings
+        self.incarnation = incarnation
+        self.now = clock
+        self.loop = asyncio.get_running_loop()
+        me = settings.me
+        now = clock()
+        self.registry = EndpointRegistry(me.ip, settings.carrier.beat_ms, now)
+        self.replica = Replica(
+            me.ip,
+            state,
+            store,
+            apply,
+            zone=me.zone,
+            regions=settings.network.zones,
+            max_voters=2 * tolerated_losses(settings) + 1,
+            seed=incarnation,
+            now=now,
+        )
+        self.publisher = Publisher(self, self.schedule_publishing)
+        self.peer_links = PeerLinks(me.ip, settings.network.sidings[0], self, self, self.hello)
+        self.pending_calls = PendingCalls(self.loop)
+        self.evacuations = Evacuations(self.replica.body, now)
+        self.tasks = CoordinatorTasks(self.registry, self.evacuations, self.next_call_id)
+        self.retiring = False
+        self._evacuated_zones: set[str] = set(self.replica.body.get("evacuated", ()))
+        self._call_count = 0
+        self._first_contacts = {ip for ip, _ in settings.contacts()}
+        self._lacked_quorum = True
+        self._quorum_check_at = 0
+        self._publish_at = 0  # 0: nothing is to be published
+        self._timer: asyncio.TimerHandle | None = None
+        self._timer_at = 0
+        self._processing = False
+
+    def start(self) -> None:
+        """Connect to the other control nodes."""
+        self._connect_to_wanted_peers()
+        self.process_pending()
+
+    def reload(self, settings: Settings) -> None:
+        """Take over settings that have changed."""
+        self.settings = settings
+        self._first_contacts = {ip for ip, _ in settings.contacts()}
+        self._connect_to_wanted_peers()
+
+    def _connect_to_wanted_peers(self) -> None:
+        self.peer_links.want(self._first_contacts | self.replica.voter_ips, self.now())
+
+    def hello(self) -> Message:
+        """Return the message by which this node begins a link."""
+        me = self.settings.me
+        return {
+            "station": me.station,
+            "ip": me.ip,
+            "zone": me.zone,
+            "class": CONTROL_CLASS,
+            "life": self.incarnation,
+            "cores": self.cores,
+        }
+
+    # Links (`foundation.link.User`).
+
+    def opened(self, link: Link, hello: Message) -> None:
+        """Handle a new link by who is at its other end."""
+        now = self.now()
+        if hello["class"] == CONTROL_CLASS:
+            self.peer_links.opened(link, hello, now)
+        elif hello["class"] != OPERATOR:
+            self.publisher.joined(link, hello, now)
+        self.process_pending()
+
+    def heard(self, link: Link, message: Message) -> None:
+        """Handle a message of a control node, a gatekeeper or an operator's tool."""
+        now = self.now()
+        ip = self.peer_links.ip_of(link)
+        if message["k"] == "show":
+            link.send(shown(self, now))
+        elif ip is None:
+            self.publisher.heard(link, message, now)
+        else:
+            self._on_peer_message(ip, message, now)
+        self.process_pending()
+
+    def _on_peer_message(self, ip: str, data: Message, now: int) -> None:
+        """Handle a message of another control node; kinds of a later version are passed over."""
+        if self.registry.receive(ip, data, now):
+            return
+        match peer_messages.decode(data):
+            case ConsensusMessage() as message:
+                self.replica.receive(ip, message.content, now)
+            case KnownPeers() as message:
+                self.peer_links.learn(message.ips, now)
+            case PeerStopping():
+                self.registry.stop_forwarding_to(ip)
+
+    def closed(self, link: Link) -> None:
+        """Handle the end of a link."""
+        now = self.now()
+        if self.peer_links.ip_of(link) is not None:
+            self.peer_links.closed(link, now)
+        else:
+            self.publisher.left(link, now)
+        self.process_pending()
+
+    def peer_up(self, ip: str, zone: str) -> None:
+        """Handle the first link to a control node, and tell the others of that node."""
+        now = self.now()
+        event("peer-up", ip=ip, zone=zone)
+        self._quorum_check_at = 0
+        self.replica.connected(ip, zone, now)
+        self.registry.connected(ip, zone, now)
+        frame = encode(peer_messages.encode_known_peer(ip, zone))
+        for other, _ in self.peer_links.cores():
+            if other != ip:
+                self.peer_links.write(other, frame)
+
+    def peer_down(self, ip: str) -> None:
+        """Handle the loss of the last link to a control node."""
+        now = self.now()
+        event("peer-down", ip=ip)
+        self._quorum_check_at = 0
+        self.replica.disconnected(ip, now)
+        self.registry.disconnected(ip, now)
+
+    # Source of the publisher.
+
+    @property
+    def number(self) -> int:
+        """Version of the agreed state, 0 while none is known."""
+        return max(0, self.replica.version)
+
+    @property
+    def state(self) -> dict[str, Any] | None:
+        """The agreed state, None while none is known."""
+        return self.replica.body or None
+
+    @property
+    def workers(self) -> Mapping[str, Worker]:
+        """Records of workers by id."""
+        return self.registry.workers
+
+    @property
+    def gateways(self) -> Mapping[str, GatewayRecord]:
+        """Records of gatekeepers by name."""
+        return self.registry.gateways
+
+    @property
+    def sums(self) -> Sums:
+        """Digests of the records."""
+        return self.registry.sums
+
+    @property
+    def cores(self) -> list[list[str]]:
+        """[ip, zone] of this node and of the control nodes that it is linked with."""
+        return [[self.settings.me.ip, self.settings.me.zone], *self.peer_links.cores()]
+
+    def age_ms(self, now: int) -> float | None:
+        """How old what this node knows may be, ms; None where nothing is confirmed."""
+        confirmed_at = self.replica.confirmed_at
+        return None if confirmed_at is None else max(0.0, (now - confirmed_at) / MS)
+
+    def beat(self, gateway: GatewayRecord, now: int) -> None:
+        """Handle a gatekeeper's heartbeat on its own link."""
+        self.registry.gateway_heartbeat(gateway, now)
+
+    def merge(self, workers: list[Worker], gateways: list[GatewayRecord], now: int) -> None:
+        """Take over newer records that a gatekeeper holds."""
+        self.registry.merge(workers, gateways, now)
+
+    # What calls need (`control.handlers.Core`).
+
+    @property
+    def lacks_quorum(self) -> bool:
+        """Whether fewer voters than a quorum are reachable."""
+        return self.replica.lacks_quorum
+
+    @property
+    def voter_count(self) -> int:
+        """How many machines vote."""
+        return len(self.replica.voter_ips)
+
+    def replicated(self, token: int) -> asyncio.Future[None]:
+        """Return a future that is done once enough nodes hold what the registry gave this token for."""
+        if token in self.registry.waits:
+            return self.pending_calls.wait_for_replication(token)
+        future: asyncio.Future[None] = self.loop.create_future()
+        future.set_result(None)
+        return future
+
+    def order(self, op: Op, timeout_ns: int) -> asyncio.Future[Verdict | None]:
+        """Propose an operator's change; the future's verdict is None where nothing is certain."""
+        now = self.now()
+        op = compact(self.replica.body, op)
+        if op["do"] == "evacuate":
+            op = self._evacuation(op, now)
+        token = self.replica.propose(op, now, timeout_ns)
+        future = self.pending_calls.wait_for_verdict(token)
+        self.process_pending()
+        return future
+
+    def _evacuation(self, op: Op, now: int) -> Op:
+        """Return the operation for a call to evacuate: it may be a repeat."""
+        receipt_ms = self.settings.tariffs.bounds.receipt_ms
+        body = self.replica.body
+        return self.evacuations.order(op["zone"], op["begin"], body, self.next_call_id, receipt_ms, now)
+
+    def next_call_id(self) -> str:
+        """Return an id of one proposal of one start of one process."""
+        self._call_count += 1
+        return f"{self.replica.register.proposer_id}/{self._call_count}"
+
+    def confirmed(self) -> asyncio.Future[None]:
+        """Return a future that is done once what is known is surely at least as new as this call."""
+        future = self.pending_calls.wait_for_confirmation(self.now())
+        self.process_pending()
+        return future
+
+    def body(self) -> dict[str, Any] | None:
+        """The agreed state, None while none is known."""
+        return self.replica.body or None
+
+    def other_node(self) -> str | None:
+        """Return the control address of a linked control node."""
+        ip = next(iter(self.registry.peers), None)
+        return self.control_address(ip) if ip is not None else None
+
+    def control_address(self, ip: str) -> str:
+        """Return the control address of a control node: all machines use the same ports."""
+        own = self.settings.postbox("control_port")
+        return f"{ip}:{own[1]}" if own is not None else ip
+
+    # What follows from events.
+
+    def process_pending(self) -> None:
+        """Take out what the parts have to say, and carry it out. Calls from within are passed over."""
+        if self._processing:
+            return
+        self._processing = True
+        try:
+            now = self.now()
+            self._check_quorum(now)
+            self._process_consensus(now)
+            self._process_registry(now)
+            if self.pending_calls.has_readers:
+                self.pending_calls.settle_readers(self.replica.confirmed_at)
+        finally:
+            self._processing = False
+        self._set_timer()
+
+    def _check_quorum(self, now: int) -> None:
+        """Note whether there is a quorum: at once where a link has come or gone, else now and then."""
+        if now < self._quorum_check_at:
+            return
+        self._quorum_check_at = now + QUORUM_CHECK_NS
+        lacks_quorum = self.replica.lacks_quorum
+        if lacks_quorum != self._lacked_quorum:
+            self._lacked_quorum = lacks_quorum
+            event("quorum", reachable=int(not lacks_quorum))
+        self.registry.quorum_changed(has_quorum=not lacks_quorum, now=now)
+
+    def _process_consensus(self, now: int) -> None:
+        content: Any = None
+        frame = b""
+        for ip, wire_message in self.replica.take_messages():
+            if wire_message is not content:  # a message to several is encoded once
+                content = wire_message
+                frame = encode(peer_messages.encode_consensus(content))
+            self.peer_links.write(ip, frame)
+        for change in self.replica.take_changes():
+            self._on_change(change, now)
+        for result in self.replica.take_results():
+            self.pending_calls.settle_order(result)
+
+    def _process_registry(self, now: int) -> None:
+        records = self.registry.take_changed()
+        if records:
+            self.publisher.changed(records, now)
+        last: Message | None = None
+        frame = b""
+        for ip, message in self.registry.take_messages(now):
+            if message is not last:
+                last = message
+                frame = encode(message)
+            self.peer_links.write(ip, frame)
+        for token in self.registry.waits.take_completed():
+            self.pending_calls.settle_replication(token)
+
+    def _on_change(self, change: BodyChange, now: int) -> None:
+        """Handle a change of the agreed state."""
+        body = self.replica.body
+        evacuated_zones = set(body.get("evacuated", ()))
+        for zone in self._evacuated_zones - evacuated_zones:
+            self.registry.doubt_zone(zone, now)
+        self._evacuated_zones = evacuated_zones
+        self.evacuations.note(body, now, at_once=change.operation is not None)
+        self._log_change(change)
+        known = (change.base_version, change.operation) if change.operation is not None else None
+        self.publisher.agreed(known, now)
+        wanted = self._first_contacts | self.replica.voter_ips
+        if wanted - {self.settings.me.ip} != self.peer_links.wanted:
+            self.peer_links.want(wanted, now)
+
+    def _log_change(self, change: BodyChange) -> None:
+        fields: dict[str, Any] = {}
+        if change.operation is not None:
+            fields = {
+                name: change.operation[name] for name in ("do", "zone", "begin") if name in change.operation
+            }
+        edition = self.replica.body.get("edition", 0)
+        event("agreed", number=change.version, edition=edition, **fields)
+
+    # Time.
+
+    def schedule_publishing(self, at: int) -> None:
+        """Give the publisher a turn at this time at the latest."""
+        self._publish_at = min(self._publish_at, at) if self._publish_at else at
+        if not self._processing:
+            self._set_timer()
+
+    def _set_timer(self) -> None:
+        """Set the one timer to what is due first."""
+        due = min(self.replica.next_tick_at(), self.registry.next_tick_at())
+        if self._publish_at:
+            due = min(due, self._publish_at)
+        if self._timer is not None:
+            if self._timer_at <= due:
+                return  # it will be set again then
+            self._timer.cancel()
+        self._timer_at = due
+        self._timer = self.loop.call_at(due / NS_PER_S, self._tick)
+
+    def _tick(self) -> None:
+        self._timer = None
+        now = self.now()
+        if now >= self.replica.next_tick_at():
+            self.replica.tick(now)
+        if now >= self.registry.next_tick_at():
+            self.registry.tick(now)
+            self.peer_links.turn(now, tidy=True)
+            self._coordinate(now)
+        if self._publish_at and now >= self._publish_at:
+            self._publish_at = 0
+            self.publisher.turn(now)
+        self.process_pending()
+
+    def _coordinate(self, now: int) -> None:
+        """Propose what is due, where this node coordinates and a quorum is reachable."""
+        if self.replica.coordinator != self.settings.me.ip or self.replica.lacks_quorum:
+            return
+        op = self.tasks.next_operation(self.replica.body, self.settings.tariffs.bounds, now)
+        if op is not None:
+            self.replica.propose(op, now, TASK_TIMEOUT_NS)
+
+    # The end.
+
+    def request_stop(self) -> None:
+        """Prepare a graceful shutdown: the role goes to another node, and the others are told."""
+        self.retiring = True
+        self.replica.request_stop(self.now())
+        for ip, _ in self.peer_links.cores():
+            self.peer_links.send(ip, peer_messages.encode_stopping())
+        self.process_pending()
+
+    def close(self) -> None:
+        """End all links."""
+        if self._timer is not None:
+            self._timer.cancel()
+        self._processing = True
+        self.peer_links.close()
+
+
+def tolerated_losses(settings: Settings) -> int:
+    """How many control machines may be lost at once: a region may hold several zones, each with some."""
+    bear, zones = settings.tariffs.withstand, settings.network.zones
+    sizes: dict[str, int] = {}
+    for region in zones.values():
+        sizes[region] = sizes.get(region, 0) + 1
+    largest = sorted(sizes.values(), reverse=True)[: bear.regions]
+    return max(1, bear.vehicles, bear.zones, sum(largest))
--- /dev/null
+++ b/pepperrun/control/order_deduplication.py
@@ -0,0 +1,96 @@
+"""Order deduplication: which configurations were applied, so that a repeated order is idempotent. Pure.
+
+An order is identified by its edition and the digest of what was sent, `Based-On` included
+(`validation.digest`). Applied orders form a chain: each was based on the edition of the one before it. So, as
+long as the chain is known from some edition on, an order based on that edition or a later one was applied if
+and only if it is in the chain. Of an order with an older base nothing can be said.
+
+The newest `RECENT` are in the state's `taken` with their full digests, as every version of the program keeps
+them. What drops out there goes to `older`: pages by their first edition, never changed once they are full, so
+that a change writes the text of one page only (`consensus.canonical_json`). A node of a version that does not
+know `older` drops it, or leaves it as it is: `HEAD` tells whether it still joins on to `taken`.
+"""
+
+from __future__ import annotations
+
+import enum
+from typing import Any
+
+from pepperrun.control.validation import Op
+
+State = dict[str, Any]
+Page = dict[str, str]  # short digests by edition
+
+RECENT = 64  # orders in `taken`
+PAGE = 64  # orders on a page of `older`
+MAX_PAGES = 64
+REMEMBERED = RECENT + (MAX_PAGES - 1) * PAGE + 1  # orders at least, once there were so many
+SHORT_DIGEST = 12  # hex digits in `older`: 48 bits, compared under one edition only
+HEAD = "head"  # of `older`: {"from": edition, "next": edition}
+
+
+class SeenOrder(enum.Enum):
+    """What is known of an order."""
+
+    APPLIED = "applied"
+    NOT_APPLIED = "not applied"
+    UNKNOWN = "unknown"
+
+
+def lookup(state: State, op: Op) -> SeenOrder:
+    """Return whether this configuration was applied."""
+    if [op["edition"], op["digest"]] in state["taken"]:
+        return SeenOrder.APPLIED
+    edition = str(op["edition"])
+    short = op["digest"][:SHORT_DIGEST]
+    pages = (page for name, page in _continuous_pages(state).items() if name != HEAD)
+    if any(page.get(edition) == short for page in pages):
+        return SeenOrder.APPLIED
+    return SeenOrder.NOT_APPLIED if op["on"] >= known_since(state) else SeenOrder.UNKNOWN
+
+
+def known_since(state: State) -> int:
+    """Return the edition from which on it is known of orders based on it whether they were applied."""
+    older = _continuous_pages(state)
+    if older:
+        return int(older[HEAD]["from"])
+    taken = state["taken"]
+    return taken[0][0] if len(taken) >= RECENT else 0
+
+
+def record(before: State, op: Op) -> State:
+    """Return `taken` and `older` of the state after this order was applied on top of `before`."""
+    taken = [*before["taken"], [op["edition"], op["digest"]]]
+    older = _continuous_pages(before)
+    if not older and len(taken) == RECENT:
+        older = {HEAD: {"from": 0, "next": taken[0][0]}}  # nothing has been forgotten so far
+    while len(taken) > RECENT:
+        edition, digest = taken.pop(0)
+        older = _append(older or {HEAD: {"from": edition}}, edition, digest[:SHORT_DIGEST])
+        older[HEAD] = {"from": older[HEAD]["from"], "next": taken[0][0]}
+    return {"taken": taken, "older": older} if older else {"taken": taken}
+
+
+def without_older(state: State) -> State:
+    """Return what gatekeepers hold of a state: no operator asks them for a verdict."""
+    if "older" not in state:
+        return state
+    return {name: part for name, part in state.items() if name != "older"}
+
+
+def _continuous_pages(state: State) -> dict[str, Any]:
+    """Return `older` if it ends where `taken` begins, else {}: an older version was at work."""
+    older: dict[str, Any] = state.get("older") or {}
+    return older if older and older[HEAD]["next"] == state["taken"][0][0] else {}
+
+
+def _append(older: dict[str, Any], edition: int, short: str) -> dict[str, Any]:
+    """Return a copy of `older` with one more order, and without the oldest page where there are too many."""
+    names = sorted((name for name in older if name != HEAD), key=int)
+    if names and len(older[names[-1]]) < PAGE:
+        return older | {names[-1]: older[names[-1]] | {str(edition): short}}
+    older = older | {str(edition): {str(edition): short}}
+    if len(names) >= MAX_PAGES:
+        dropped: Page = older.pop(names[0])
+        older[HEAD] = {"from": max(map(int, dropped))}
+    return older
--- a/pepperrun/control/quota_placement.py
+++ b/pepperrun/control/quota_placement.py
@@ -1,12 +1,12 @@
-"""Quota placement: agreed lists of gatekeepers by place, for fleets too large to split quotas.
+"""Quota placement: agreed lists of gatekeepers by place, for fleets too large to split quotas. No I/O.
 
 Split among n gatekeepers a tenant's quota comes to buckets that hold no request where n is large. Then one
-gatekeeper of each place keeps a part of it (`core.quota_keepers`), chosen from these lists. A place is a
-region, or a zone where there is one region. Each change makes the tenants that it moves wait until who kept
-them has surely stopped, so changes are seldom: new gatekeepers come in together, who is silent is replaced
-only after long, and a place of which most are silent is cut off rather than gone: its list stays. Lists
-that were held for so long that whoever kept anything by earlier ones has stopped are marked as settled: a
-gatekeeper that starts anew need not wait for anybody else then.
+gatekeeper of each place owns a share of it (`core.quota_keepers`), chosen from these lists. A place is a
+region, or a zone where there is one region. Each change makes the tenants that it moves wait until the former
+owners have surely stopped, so changes are seldom: new gatekeepers come in together, a silent one is replaced
+only after long, and a place of which most are silent is partitioned rather than gone: its list stays. Lists
+that were agreed for so long that every owner by earlier ones has stopped are marked as settled: a gatekeeper
+that starts anew need not wait for anybody else then.
 """
 
 from __future__ import annotations
@@ -14,104 +14,139 @@
 from collections.abc import Callable, Iterable, Mapping
 from typing import Any
 
-from pepperrun.control.records import GONE, GatewayRecord
+from pepperrun.control.records import GatewayRecord
 from pepperrun.core.quota_keepers import GRANT_NS
 from pepperrun.foundation.settings import Bounds
 
-SECOND = 1_000_000_000
-SETTLED_NS = SECOND  # no gatekeeper came for so long: those that start together are in the first list
-JOINS_NS = 3 * SECOND  # later ones wait for others that come with them
-SILENT_NS = 9 * SECOND  # a process that was killed is back within some seconds, without a change
-HEARD_NS = 3 * SECOND  # who was heard since then is there: core machines tell each other each second
-CHANGE_NS = 10 * SECOND  # between two changes: those whom one moves have their quota again before the next
-AGAIN_NS = SECOND // 2  # between two proposals: one may still be under way
-LEAST = 2.0  # requests: a part that can't hold so many is too small to serve by
-MOST_PLACES = 3  # a quota's parts are to hold some requests each
+MS = 1_000_000  # ns
+SECOND = 1000 * MS
+QUIET_NS = SECOND  # no gatekeeper came for so long: those that start together are in the first list
+JOIN_BATCH_NS = 3 * SECOND  # later ones wait for others that come with them
+REPLACE_SILENT_NS = 9 * SECOND  # a process that was killed is back within some seconds, without a change
+PRESENT_NS = 3 * SECOND  # seen since then: control nodes report each second
+CHANGE_INTERVAL_NS = 10 * SECOND  # those whom one change moves have their quota again before the next
+RETRY_NS = SECOND // 2  # between two proposals: one may still be under way
+MIN_BUCKET = 2.0  # requests: a share that can't hold so many is too small to serve by
+MAX_PLACES = 3  # the shares of a quota are to hold some requests each
+
+Places = dict[str, list[str]]  # names of gatekeepers by place
+SilentFor = Callable[[str], int]  # ns without a message, by a gatekeeper's name
 
 
 class QuotaPlacement:
-    """Decides when the agreed lists are to change; asked by the machine whose duty that is."""
+    """Decides when the agreed lists are to change; asked by the node that coordinates."""
 
     def __init__(self) -> None:
-        self.there: frozenset[str] = frozenset()
-        self.since = self.asked_at = self.changed_at = -CHANGE_NS
+        self.present: frozenset[str] = frozenset()
+        self.joined_at = -CHANGE_INTERVAL_NS
+        self.proposed_at = -CHANGE_INTERVAL_NS
+        self.changed_at = -CHANGE_INTERVAL_NS
         self.term = 0
 
-    def wanted(
+    def next_operation(
         self,
         gateways: Iterable[GatewayRecord],
-        state: dict[str, Any] | None,
-        silent: Callable[[str], int],
+        body: dict[str, Any] | None,
+        silent_ns: SilentFor,
         bounds: Bounds,
         now: int,
     ) -> dict[str, Any] | None:
-        """The operation to propose now, or None. `silent`: for how long a station was not heard, ns."""
-        if not state or not state.get("edition"):
+        """Return the operation to propose now, or None."""
+        if not body or not body.get("edition"):
             return None
-        held = state.get("keepers") or {"term": 0, "places": {}}
-        if held["term"] != self.term:
-            self.term, self.changed_at = held["term"], now
-        known = {one.station: one for one in gateways if one.state != GONE}
-        there = frozenset(station for station in known if silent(station) <= HEARD_NS)
-        if there - self.there:
-            self.since = now
-        self.there = there
-        if now - self.asked_at < AGAIN_NS:
+        agreed = body.get("keepers") or {"term": 0, "places": {}}
+        known = {gateway.name: gateway for gateway in gateways if not gateway.is_gone}
+        self._observe(agreed["term"], known, silent_ns, now)
+        if now - self.proposed_at < RETRY_NS:
             return None
-        over = int(bounds.revoke_ms * 1_000_000) + GRANT_NS
-        if held["term"] and not held.get("settled") and now - self.changed_at > over:
-            self.asked_at = now
-            return {"do": "settled", "term": held["term"]}
-        if now - self.since < SETTLED_NS:
+        operation = self._settle(agreed, bounds, now) or self._replace(
+            agreed, body, known, silent_ns, bounds, now
+        )
+        if operation is not None:
+            self.proposed_at = now
+        return operation
+
+    def _observe(self, term: int, known: Iterable[str], silent_ns: SilentFor, now: int) -> None:
+        """Note when the lists changed and when a gatekeeper came."""
+        if term != self.term:
+            self.term = term
+            self.changed_at = now
+        present = frozenset(name for name in known if silent_ns(name) <= PRESENT_NS)
+        if present - self.present:
+            self.joined_at = now
+        self.present = present
+
+    def _settle(self, agreed: dict[str, Any], bounds: Bounds, now: int) -> dict[str, Any] | None:
+        """The operation that marks the lists as settled, once former owners have stopped."""
+        stopped_ns = int(bounds.revoke_ms * MS) + GRANT_NS
+        if agreed["term"] and not agreed.get("settled") and now - self.changed_at > stopped_ns:
+            return {"do": "settled", "term": agreed["term"]}
+        return None
+
+    def _replace(
+        self,
+        agreed: dict[str, Any],
+        body: dict[str, Any],
+        known: Mapping[str, GatewayRecord],
+        silent_ns: SilentFor,
+        bounds: Bounds,
+        now: int,
+    ) -> dict[str, Any] | None:
+        """The operation that agrees on other lists, where they should change now."""
+        if now - self.joined_at < QUIET_NS:
             return None
-        if not held["term"]:
-            places = first(known.values(), there)
-            if len(places) < 2 or not crowded(state, bounds, len(known)):
+        if not agreed["term"]:
+            places = first_places(known.values(), self.present)
+            if len(places) < 2 or not is_crowded(body, bounds, len(known)):
                 return None
         else:
-            if now - self.changed_at < CHANGE_NS or now - self.since < JOINS_NS:
+            if now - self.changed_at < CHANGE_INTERVAL_NS or now - self.joined_at < JOIN_BATCH_NS:
                 return None
-            places = after(held["places"], known, there, silent)
-            if places == held["places"]:
+            places = updated_places(agreed["places"], known, self.present, silent_ns)
+            if places == agreed["places"]:
                 return None
-        self.asked_at = now
-        return {"do": "keepers", "places": places, "instead": held["term"]}
-
-
-def crowded(state: Mapping[str, Any], bounds: Bounds, count: int) -> bool:
-    """Would the parts of most quotas be too small to serve by, split among so many?"""
-    excess, slack = bounds.quota_excess, bounds.quota_slack
-    senders = (state.get("senders") or {}).values()
-    limited = [one for one in senders if (one.get("rate_per_s") or 0) > 0]
-    deep = [float(one.get("surge") or 0) * (1 + excess) + slack for one in limited]
-    return 2 * sum(depth < LEAST * count for depth in deep) > len(deep)
-
-
-def first(gateways: Iterable[GatewayRecord], there: frozenset[str]) -> dict[str, list[str]]:
-    """Lists by place of those that are there."""
-    here = [one for one in gateways if one.station in there]
-    regions: dict[str, list[str]] = {}
-    zones: dict[str, list[str]] = {}
-    for one in here:
-        regions.setdefault(one.region, []).append(one.station)
-        zones.setdefault(one.zone, []).append(one.station)
+        return {"do": "keepers", "places": places, "instead": agreed["term"]}
+
+
+def is_crowded(body: Mapping[str, Any], bounds: Bounds, count: int) -> bool:
+    """Whether the shares of most quotas would be too small to serve by, split among `count`."""
+    tenants = (body.get("senders") or {}).values()
+    limited = [tenant for tenant in tenants if (tenant.get("rate_per_s") or 0) > 0]
+    buckets = [
+        float(tenant.get("surge") or 0) * (1 + bounds.quota_excess) + bounds.quota_slack for tenant in limited
+    ]
+    too_small = sum(bucket < MIN_BUCKET * count for bucket in buckets)
+    return 2 * too_small > len(buckets)
+
+
+def first_places(gateways: Iterable[GatewayRecord], present: frozenset[str]) -> Places:
+    """Return the first lists, of the gatekeepers that are present."""
+    regions: Places = {}
+    zones: Places = {}
+    for gateway in gateways:
+        if gateway.name in present:
+            regions.setdefault(gateway.region, []).append(gateway.name)
+            zones.setdefault(gateway.zone, []).append(gateway.name)
     places = regions if len(regions) > 1 else zones
-    largest = sorted(places, key=lambda name: (-len(places[name]), name))[:MOST_PLACES]
+    largest = sorted(places, key=lambda name: (-len(places[name]), name))[:MAX_PLACES]
     return {name: sorted(places[name]) for name in sorted(largest)}
 
 
-def after(
+def updated_places(
     places: Mapping[str, list[str]],
     known: Mapping[str, GatewayRecord],
-    there: frozenset[str],
-    silent: Callable[[str], int],
-) -> dict[str, list[str]]:
-    """The lists with who has come and without who was silent for long. No place comes or goes: the parts of a
-    quota stay as many as they are."""
-    out = {}
-    for place, held in places.items():
-        heard = [one for one in held if one in there]
-        gone = {one for one in held if silent(one) > SILENT_NS} if 2 * len(heard) > len(held) else set[str]()
-        come = {one for one in there if place in (known[one].region, known[one].zone)}
-        out[place] = sorted((set(held) - gone) | come)
-    return out
+    present: frozenset[str],
+    silent_ns: SilentFor,
+) -> Places:
+    """Return the lists with those that have come and without those that were silent for long.
+
+    No place comes or goes: a quota keeps its number of shares.
+    """
+    updated: Places = {}
+    for place, listed in places.items():
+        seen = [name for name in listed if name in present]
+        most_are_there = 2 * len(seen) > len(listed)
+        gone = {name for name in listed if most_are_there and silent_ns(name) > REPLACE_SILENT_NS}
+        come = {name for name in present if place in (known[name].region, known[name].zone)}
+        updated[place] = sorted((set(listed) - gone) | come)
+    return updated
--- a/pepperrun/control/records.py
+++ b/pepperrun/control/records.py
@@ -1,31 +1,55 @@
-"""What is kept of workers and gatekeepers: one record each, the newer of two copies wins.
+"""Records of endpoints, workers and gatekeepers: one each, and of two copies the newer wins.
 
-A record's `rank` orders its copies: by life, serial and then by how final its state is. Times on the wire are
-lengths (milliseconds still to run), each process counts them on its own steady clock, so a way that takes
-long makes a cold worker count as cold for longer, never for less. A row may have more columns in a later
-version; they are passed over.
+A record's `rank` orders its copies: by incarnation, serial and then by how final its state is. Times in rows
+are lengths (milliseconds still to run), and each process counts them on its own steady clock: a slow way
+makes a worker count as warming up for longer, never for less. A row may have more columns in a later version;
+they are passed over.
 """
 
 from __future__ import annotations
 
+import enum
 from dataclasses import dataclass
-from typing import Any, Literal
+from typing import Any
 
-BOARDING, UNLOADING, LOST, GONE = "boarding", "unloading", "lost", "gone"  # a worker's states
-FINAL = {BOARDING: 0, LOST: 1, UNLOADING: 2, GONE: 3}
-READY, STARTING, LEAVING = "ready", "starting", "leaving"  # a gatekeeper's, beside LOST and GONE
+MS = 1_000_000  # ns
 
-State = Literal["boarding", "unloading", "lost", "gone"]
+
+class WorkerState(enum.StrEnum):
+    """State of a worker, in the words of the wire."""
+
+    SERVING = "boarding"
+    DRAINING = "unloading"
+    LOST = "lost"  # concluded from silence; a later heartbeat undoes it
+    GONE = "gone"  # final
+
+
+class GatewayState(enum.StrEnum):
+    """State of a gatekeeper, in the words of the wire."""
+
+    STARTING = "starting"
+    READY = "ready"
+    DRAINING = "leaving"
+    LOST = "lost"
+    GONE = "gone"
+
+
+# How far a worker's state is from serving; of two copies with one serial the graver counts.
+GRAVITY = {WorkerState.SERVING: 0, WorkerState.LOST: 1, WorkerState.DRAINING: 2, WorkerState.GONE: 3}
 
 
 @dataclass(slots=True, frozen=True)
 class Worker:
-    """One life of a worker.
-
-    `serial` is that of the beat that last changed anything here, not of the last beat. `lost` is what the
-    core concludes from silence and a later beat undoes; `gone` is final. `cold_until`: own steady clock, ns,
-    0 for warm. `unsure`: it may have turned cold since it was last heard; it counts as cold until it says
-    more.
+    """One incarnation of a worker.
+
+    Attributes
+    ----------
+    serial : int
+        Of the heartbeat that last changed anything here, not of the last heartbeat.
+    warming_until : int
+        Steady ns, 0 for a worker that is warm.
+    maybe_cold : bool
+        It may have turned cold since its last heartbeat, and counts as cold until the next one.
     """
 
     id: str
@@ -35,66 +59,133 @@
     edition: str = ""
     slots: int = 1
     serial: int = 0
-    state: str = BOARDING
-    cold_until: int = 0
-    unsure: bool = False
+    state: WorkerState = WorkerState.SERVING
+    warming_until: int = 0
+    maybe_cold: bool = False
 
     @property
     def rank(self) -> tuple[int, int, int]:
-        """Unloading and gone are never undone; else the later beat wins, and at the same one the graver."""
-        final = FINAL[self.state]
-        return (final if final > 1 else 0), self.serial, final * 2 + (not self.unsure)
+        """Order of copies: draining and gone are never undone; else the later heartbeat, then the graver."""
+        gravity = GRAVITY[self.state]
+        is_final = gravity > GRAVITY[WorkerState.LOST]
+        return (gravity if is_final else 0), self.serial, gravity * 2 + (not self.maybe_cold)
 
-    def wire(self, now: int) -> list[Any]:
-        """For another process, or for a digest where `now` is 0."""
-        left = max(0, self.cold_until - now) // 1_000_000 if now else 0
+    @property
+    def is_gone(self) -> bool:
+        """Whether it has ended for good."""
+        return self.state is WorkerState.GONE
+
+    def to_row(self, now: int) -> list[Any]:
+        """Return the row for another process, or for a digest where `now` is 0."""
+        warming_ms = max(0, self.warming_until - now) // MS if now else 0
         return [
-            *(self.id, self.service, self.address, self.zone, self.edition, self.slots, self.serial),
-            *(self.state, left, self.unsure),
+            self.id,
+            self.service,
+            self.address,
+            self.zone,
+            self.edition,
+            self.slots,
+            self.serial,
+            self.state.value,
+            warming_ms,
+            self.maybe_cold,
         ]
 
     @classmethod
-    def read(cls, row: list[Any], now: int) -> Worker:
-        """From another process; ValueError or TypeError where it can't be meant."""
-        id, service, address, zone, edition, slots, serial, state, left, unsure, *_ = row
-        if state not in FINAL:
-            raise ValueError(f"a worker's state can't be {state!r}")
-        cold = now + int(left) * 1_000_000 if left else 0
-        return cls(id, service, address, zone, edition, int(slots), int(serial), state, cold, bool(unsure))
+    def from_row(cls, row: list[Any], now: int) -> Worker:
+        """Return the record of another process' row.
+
+        Raises
+        ------
+        ValueError, TypeError
+            The row is none of a worker.
+        """
+        id_, service, address, zone, edition, slots, serial, state, warming_ms, maybe_cold, *_ = row
+        return cls(
+            id=id_,
+            service=service,
+            address=address,
+            zone=zone,
+            edition=edition,
+            slots=int(slots),
+            serial=int(serial),
+            state=WorkerState(state),
+            warming_until=now + int(warming_ms) * MS if warming_ms else 0,
+            maybe_cold=bool(maybe_cold),
+        )
 
 
 @dataclass(slots=True, frozen=True)
 class GatewayRecord:
-    """One life of a gatekeeper. `life` grows from one start of its process to the next; `serial` within it.
-
-    `counter`: where clients reach it. `internal_port`: where own processes do, by TCP and UDP.
+    """One incarnation of a gatekeeper.
+
+    Attributes
+    ----------
+    client_address : str
+        Where clients reach it.
+    internal_address : str
+        Where processes of the system reach it, by TCP and UDP.
+    incarnation : int
+        Grows from one start of its process to the next.
+    serial : int
+        Grows within an incarnation.
     """
 
-    station: str
+    name: str
     zone: str
     region: str
-    counter: str
-    internal_port: str
-    life: int
+    client_address: str
+    internal_address: str
+    incarnation: int
     serial: int = 0
-    state: str = STARTING
+    state: GatewayState = GatewayState.STARTING
 
     @property
     def rank(self) -> tuple[int, int, int]:
-        """A later life, then a later word of it, then what others conclude from its silence."""
-        return self.life, self.serial, int(self.state in (LOST, GONE))
+        """Order of copies: a later incarnation, then its later record, then what others conclude."""
+        is_concluded = self.state in (GatewayState.LOST, GatewayState.GONE)
+        return self.incarnation, self.serial, int(is_concluded)
+
+    @property
+    def is_gone(self) -> bool:
+        """Whether it has ended for good."""
+        return self.state is GatewayState.GONE
+
+    @property
+    def is_running(self) -> bool:
+        """Whether it serves or is about to."""
+        return self.state in (GatewayState.READY, GatewayState.STARTING)
 
-    def wire(self) -> list[Any]:
-        """For another process."""
+    def to_row(self) -> list[Any]:
+        """Return the row for another process."""
         return [
-            *(self.station, self.zone, self.region, self.counter, self.internal_port, self.life, self.serial),
-            self.state,
+            self.name,
+            self.zone,
+            self.region,
+            self.client_address,
+            self.internal_address,
+            self.incarnation,
+            self.serial,
+            self.state.value,
         ]
 
     @classmethod
-    def read(cls, row: list[Any]) -> GatewayRecord:
-        """From another process."""
-        station, zone, region, counter, internal_port, life, serial, state, *_ = row
-        if state not in (READY, STARTING, LEAVING, LOST, GONE):
-            raise ValueError(f"a gatekeeper's state can't be {state!r}")
-        return cls(station, zone, region, counter, internal_port, int(life), int(serial), state)
+    def from_row(cls, row: list[Any]) -> GatewayRecord:
+        """Return the record of another process' row.
+
+        Raises
+        ------
+        ValueError, TypeError
+            The row is none of a gatekeeper.
+        """
+        name, zone, region, client_address, internal_address, incarnation, serial, state, *_ = row
+        return cls(
+            name=name,
+            zone=zone,
+            region=region,
+            client_address=client_address,
+            internal_address=internal_address,
+            incarnation=int(incarnation),
+            serial=int(serial),
+            state=GatewayState(state),
+        )
--- a/pepperrun/control_node.py
+++ b/pepperrun/control_node.py
@@ -11,7 +11,7 @@
 
 from pepperrun.consensus.state import DurableState, InMemoryStore, StateStore
 from pepperrun.control.handlers import Control
-from pepperrun.control.hub import Hub
+from pepperrun.control.node import ControlNode
 from pepperrun.control.server import Server
 from pepperrun.foundation import link, logs
 from pepperrun.foundation.errors import PepperrunError
@@ -25,7 +25,7 @@
 RELEASED_EACH_S = 0.05  # between two looks whether they are
 
 
-class ControlNode:
+class ControlProgram:
     """The running program."""
 
     def __init__(self, settings: Settings, path: str | None) -> None:
@@ -34,8 +34,8 @@
         self.looked = self.stamp()
         memory, store = remembered(settings)
         logs.event("starting", station=settings.me.station, ip=settings.me.ip, starts=memory.starts)
-        self.hub = Hub(settings, memory, store, memory.starts)
-        control = Control(self.hub)
+        self.node = ControlNode(settings, memory, store, memory.starts)
+        control = Control(self.node)
         self.servers = {"control_port": Server(control.tree()), "directory_port": Server(control.directory())}
 
     def stamp(self) -> int:
@@ -52,12 +52,12 @@
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, self.stop.set)
         loop.add_signal_handler(signal.SIGHUP, self.reread)
-        listener = await link.listen(self.settings.internal_port, self.hub, self.hub.hello)
+        listener = await link.listen(self.settings.internal_port, self.node, self.node.hello)
         for name, server in self.servers.items():
             where = self.settings.postbox(name)
             if where is not None:
                 await server.open(where)
-        self.hub.start()
+        self.node.start()
         while not self.stop.is_set():
             try:
                 async with asyncio.timeout(LOOK_S):
@@ -66,18 +66,18 @@
                 if self.stamp() != self.looked:
                     self.reread()
         logs.event("stopping", station=self.settings.me.station)
-        self.hub.retire()
+        self.node.request_stop()
         listener.close()
         closing = (server.close(ANSWERED_S) for server in self.servers.values())
         await asyncio.gather(self.handed_over(), *closing)
         await asyncio.sleep(SENT_S)
-        self.hub.close()
+        self.node.close()
 
     async def handed_over(self) -> None:
         """Until nothing that the other core machines need rests on this one, or the time for it is over."""
         looks = int(HANDED_OVER_S / RELEASED_EACH_S)
         for _ in range(looks):
-            if self.hub.replica.safe_to_stop:
+            if self.node.replica.safe_to_stop:
                 return
             await asyncio.sleep(RELEASED_EACH_S)
         logs.event("not-released", station=self.settings.me.station)
@@ -90,7 +90,7 @@
         except PepperrunError as error:
             logs.trouble(error)
             return
-        self.hub.resettle(self.settings)
+        self.node.reload(self.settings)
 
 
 def remembered(settings: Settings) -> tuple[DurableState, StateStore]:
@@ -130,7 +130,7 @@
 
 
 async def _run(settings: Settings, path: str | None) -> None:
-    await ControlNode(settings, path).run()
+    await ControlProgram(settings, path).run()
 
 
 if __name__ == "__main__":
--- a/pepperrun/dataplane/cold.py
+++ b/pepperrun/dataplane/cold.py
@@ -15,7 +15,7 @@
 import hashlib
 from collections.abc import Iterable, Mapping
 
-from pepperrun.control.records import READY, STARTING, GatewayRecord
+from pepperrun.control.records import GatewayRecord, GatewayState
 
 SECOND = 1_000_000_000
 CHOSEN = 3  # gatekeepers that serve one cold worker
@@ -38,11 +38,11 @@
     """The stations of the gatekeepers that serve a worker of this zone while it is cold."""
 
     def rank(gateway: GatewayRecord) -> tuple[bool, bool, bytes]:
-        lot = hashlib.blake2s(f"{worker} {gateway.station}".encode(), digest_size=8).digest()
+        lot = hashlib.blake2s(f"{worker} {gateway.name}".encode(), digest_size=8).digest()
         return gateway.zone != zone, gateway.region != zones.get(zone), lot
 
-    there = [gateway for gateway in gateways if gateway.state in (READY, STARTING)]
-    return [gateway.station for gateway in sorted(there, key=rank)[:CHOSEN]]
+    there = [gateway for gateway in gateways if gateway.state in (GatewayState.READY, GatewayState.STARTING)]
+    return [gateway.name for gateway in sorted(there, key=rank)[:CHOSEN]]
 
 
 class ColdShares:
@@ -58,8 +58,8 @@
     def take(self, gateways: Iterable[GatewayRecord]) -> None:
         """Gatekeepers have come, changed or gone."""
         for gateway in gateways:
-            old = self.gateways.get(gateway.station)
-            self.gateways[gateway.station] = gateway
+            old = self.gateways.get(gateway.name)
+            self.gateways[gateway.name] = gateway
             if old is None or (old.state, old.zone) != (gateway.state, gateway.zone):
                 self.views += 1
 
--- a/pepperrun/dataplane/inspection.py
+++ b/pepperrun/dataplane/inspection.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable
 from typing import Any
 
-from pepperrun.control.records import BOARDING, GatewayRecord
+from pepperrun.control.records import GatewayRecord, WorkerState
 from pepperrun.core.clock import Bucket
 from pepperrun.dataplane.plane import Plane
 from pepperrun.distribution.service import Subscriber
@@ -23,18 +23,18 @@
     book, follower, keeper, table = news.book, news.follower, plane.gatekeeper, plane.table
     core, parent = follower.core, follower.parent
     return {
-        **{"k": "shown", "class": "counter", "station": row.station, "zone": row.zone, "region": row.region},
+        **{"k": "shown", "class": "counter", "station": row.name, "zone": row.zone, "region": row.region},
         **{
-            "ip": row.internal_port.rpartition(":")[0],
-            "counter": row.counter,
+            "ip": row.internal_address.rpartition(":")[0],
+            "counter": row.client_address,
             "state": row.state,
-            "life": row.life,
+            "life": row.incarnation,
         },
         **{"ready": plane.ready(), "number": book.number, "edition": table.edition if table else 0},
         **{"age_ms": _age(book.fresh_at, now), "cells_age_ms": _age(book.cells_at, now)},
         "core": {"ip": core.address[0], "linked": core.port is not None},
         "parent": {"station": parent.station, "number": parent.number} if parent else None,
-        **{"root": follower.root, "depth": depth(row.station, row.zone, book.gateways.values())},
+        **{"root": follower.root, "depth": depth(row.name, row.zone, book.gateways.values())},
         "children": [
             {"station": port.name, "number": peer.number}
             for port, peer in news.publisher.peers.items()
@@ -62,7 +62,7 @@
     """How many links the news takes from the core to here, where each follows its first choice."""
     held, steps = list(gateways), 1
     while steps < DEEPEST and (above := parents(station, zone, held)):
-        station, steps = above[0].station, steps + 1
+        station, steps = above[0].name, steps + 1
     return steps
 
 
@@ -98,7 +98,7 @@
     for known in plane.workers.by_number.values():
         counted = out.setdefault(known.record.service, Counter())
         counted[known.record.state] += 1
-        if known.record.state == BOARDING:
+        if known.record.state == WorkerState.SERVING:
             counted["cold"] += plane.workers.cold(known, now)
             counted["astray"] += bool(known.astray)
             counted["ill"] += plane.rounds.ejection.out(known.number, now)
--- a/pepperrun/dataplane/outcomes.py
+++ b/pepperrun/dataplane/outcomes.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable, Iterable
 from typing import Any
 
-from pepperrun.control.records import BOARDING, READY, STARTING, GatewayRecord
+from pepperrun.control.records import GatewayRecord, GatewayState, WorkerState
 from pepperrun.core.interface import Outcome
 from pepperrun.dataplane.ejection import Chart, Count, OutlierEjection
 from pepperrun.dataplane.numbering import MS, number_of
@@ -113,7 +113,11 @@
 
     def meet(self, gateways: Iterable[GatewayRecord], station: str, zone: str) -> None:
         """The gatekeepers that there are: those of this zone share what they see."""
-        there = [one.station for one in gateways if one.zone == zone and one.state in (READY, STARTING)]
+        there = [
+            one.name
+            for one in gateways
+            if one.zone == zone and one.state in (GatewayState.READY, GatewayState.STARTING)
+        ]
         names = sorted({*there, station}, key=number_of)
         self.ejection.sharers = len(names)
         at = names.index(station)
@@ -129,7 +133,7 @@
             number
             for number, known in workers.by_number.items()
             if (known.service, known.region) == (one.service, one.region)
-            and known.record.state == BOARDING
+            and known.record.state == WorkerState.SERVING
             and not workers.cold(known, now)
             and workers.address(number) is not None
         ]
--- a/pepperrun/dataplane/peer_messages.py
+++ b/pepperrun/dataplane/peer_messages.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable, Iterable
 from typing import cast
 
-from pepperrun.control.records import GONE, LOST, GatewayRecord
+from pepperrun.control.records import GatewayRecord, GatewayState
 from pepperrun.dataplane.numbering import number_of
 from pepperrun.foundation.errors import PepperrunError
 from pepperrun.foundation.logs import trouble
@@ -42,30 +42,30 @@
         """Takes in records; True where that changes who is there."""
         before = self.members
         for gateway in gateways:
-            if gateway.station == self.station:
+            if gateway.name == self.station:
                 continue
-            life, number = self.lives.get(gateway.station, (-1, 0))
-            if gateway.life < life:
+            life, number = self.lives.get(gateway.name, (-1, 0))
+            if gateway.incarnation < life:
                 continue
-            there = gateway.state not in (LOST, GONE)
-            if number and (gateway.life > life or not there):
-                self._forget(gateway.station, life, number)
-            if there and gateway.station not in self.lives:
+            there = gateway.state not in (GatewayState.LOST, GatewayState.GONE)
+            if number and (gateway.incarnation > life or not there):
+                self._forget(gateway.name, life, number)
+            if there and gateway.name not in self.lives:
                 self._meet(gateway)
         return self.members != before
 
     def _meet(self, gateway: GatewayRecord) -> None:
         try:
-            where = address(gateway.internal_port)
+            where = address(gateway.internal_address)
         except PepperrunError as error:
-            trouble(error, station=gateway.station)
+            trouble(error, station=gateway.name)
             return
-        key = number_of(gateway.station), gateway.life
+        key = number_of(gateway.name), gateway.incarnation
         number = self.number_at.get(key)
         if number is None:
             self.given += 1
             number = self.number_at[key] = self.given
-        self.where[number], self.lives[gateway.station] = where, (gateway.life, number)
+        self.where[number], self.lives[gateway.name] = where, (gateway.incarnation, number)
 
     def _forget(self, station: str, life: int, number: int) -> None:
         """A life that is lost may be heard of again: it keeps its number until a later one comes."""
--- a/pepperrun/dataplane/workers.py
+++ b/pepperrun/dataplane/workers.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Iterable, Mapping
 
-from pepperrun.control.records import BOARDING, GONE, UNLOADING, Worker
+from pepperrun.control.records import Worker, WorkerState
 from pepperrun.core.interface import Backend, BackendList, BackendState, ListKind
 from pepperrun.dataplane.numbering import Ledger, number_of
 from pepperrun.foundation.errors import PepperrunError
@@ -56,7 +56,7 @@
         changed = []
         for worker in workers:
             number = self.id_of(worker.id)
-            if worker.state == GONE:
+            if worker.is_gone:
                 self.by_number.pop(number, None)
                 service = self.ledger.service(worker.service)
                 changed.append(
@@ -116,10 +116,10 @@
 
     def _row(self, known: KnownWorker) -> Backend:
         state = BackendState.GONE
-        if known.record.state == BOARDING:
+        if known.record.state == WorkerState.SERVING:
             closed = known.record.zone in self.evacuated or known.astray
             state = BackendState.DRAINING if closed else BackendState.READY
-        elif known.record.state == UNLOADING:
+        elif known.record.state == WorkerState.DRAINING:
             state = BackendState.DRAINING
         near = 1.0 if known.record.zone == self.zone else FAR_ZONE
         far = near if known.region == self.region else FAR_REGION
@@ -133,7 +133,7 @@
         known = self.by_number.get(backend)
         if known is None or known.astray:
             return None
-        if known.record.state != BOARDING or known.record.zone in self.evacuated:
+        if known.record.state != WorkerState.SERVING or known.record.zone in self.evacuated:
             return None
         return known.address
 
@@ -146,4 +146,4 @@
     def cold(self, known: KnownWorker, now: int) -> bool:
         """Is it cold, or may it be?"""
         worker = known.record
-        return worker.unsure or worker.cold_until > now or self.reopened.get(worker.zone, 0) > now
+        return worker.maybe_cold or worker.warming_until > now or self.reopened.get(worker.zone, 0) > now
--- a/pepperrun/distribution/book.py
+++ b/pepperrun/distribution/book.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Iterable
 from typing import Any
 
-from pepperrun.control.records import GONE, GatewayRecord, Worker
+from pepperrun.control.records import GatewayRecord, Worker
 from pepperrun.distribution.digests import Record, Sums, newer, record_id
 
 State = dict[str, Any]  # the agreed state, see docs/SYSTEM.md
@@ -62,9 +62,9 @@
                 self.sums.swap(old, worker)
                 fresh_workers.append(worker)
         for gateway in gateways:
-            held = self.gateways.get(gateway.station)
+            held = self.gateways.get(gateway.name)
             if newer(held, gateway):
-                self.gateways[gateway.station] = gateway
+                self.gateways[gateway.name] = gateway
                 self.sums.swap(held, gateway)
                 fresh_gateways.append(gateway)
         self._note_gone(fresh_workers, fresh_gateways)
@@ -79,7 +79,7 @@
     def _note_gone(self, workers: list[Worker], gateways: list[GatewayRecord]) -> None:
         records: list[Record] = [*workers]
         for record in records + [*gateways]:
-            if record.state == GONE:
+            if record.is_gone:
                 self.gone[record_id(record)] = self.sweeps
 
     def sweep(self) -> None:
@@ -88,5 +88,5 @@
         for id in [id for id, met in self.gone.items() if met < self.sweeps - 1]:
             del self.gone[id]
             table: dict[str, Any] = self.workers if id.startswith("w:") else self.gateways
-            if (held := table.get(id[2:])) is not None and held.state == GONE:
+            if (held := table.get(id[2:])) is not None and held.is_gone:
                 del table[id[2:]]
--- a/pepperrun/distribution/digests.py
+++ b/pepperrun/distribution/digests.py
@@ -12,7 +12,7 @@
 from hashlib import blake2b
 from typing import Any
 
-from pepperrun.control.records import GONE, GatewayRecord, Worker
+from pepperrun.control.records import GatewayRecord, Worker
 
 Record = Worker | GatewayRecord
 Digests = dict[str, str]  # range: digest
@@ -23,7 +23,7 @@
 
 def record_id(record: Record) -> str:
     """A worker's id or a gatekeeper's station; the two don't meet."""
-    return "w:" + record.id if isinstance(record, Worker) else "g:" + record.station
+    return "w:" + record.id if isinstance(record, Worker) else "g:" + record.name
 
 
 def place(id: str) -> str:
@@ -33,9 +33,9 @@
 
 def weight(record: Record) -> int:
     """What a record adds to its ranges' digests."""
-    if record.state == GONE:
+    if record.is_gone:
         return 0
-    row: list[Any] = record.wire(0) if isinstance(record, Worker) else record.wire()
+    row: list[Any] = record.to_row(0) if isinstance(record, Worker) else record.to_row()
     body = json.dumps(row, separators=(",", ":"), ensure_ascii=False)
     return int.from_bytes(blake2b(body.encode(), digest_size=8).digest(), "big")
 
@@ -48,7 +48,7 @@
         return one.rank < other.rank
     if one == other:
         return False  # as most that are told again
-    return one.state != GONE and (other.state == GONE or weight(one) < weight(other))
+    return not one.is_gone and (other.is_gone or weight(one) < weight(other))
 
 
 class Sums:
@@ -64,7 +64,7 @@
     def swap(self, old: Record | None, new: Record | None) -> None:
         """A record has taken the place of another of its id; None for none."""
         for record, sign in ((old, -1), (new, 1)):
-            if record is None or record.state == GONE:
+            if record is None or record.is_gone:
                 continue
             size, where = weight(record), place(record_id(record))
             self.total = (self.total + sign * size) & MASK
--- a/pepperrun/distribution/follower.py
+++ b/pepperrun/distribution/follower.py
@@ -212,7 +212,7 @@
         """Takes rows that came from anyone."""
         _, changed = self.book.take_cells(workers, gateways)
         if any(gateway.zone == self.zone for gateway in changed):
-            if any(gateway.station == self.station for gateway in changed):
+            if any(gateway.name == self.station for gateway in changed):
                 self.tell(now)
             self._choose_parent(now)
 
--- a/pepperrun/distribution/messages.py
+++ b/pepperrun/distribution/messages.py
@@ -28,14 +28,14 @@
         """For one frame."""
         message: Message = {"k": TICK, "t": self.sent_at, "n": self.number}
         if self.gateway is not None:
-            message["g"] = self.gateway.wire()
+            message["g"] = self.gateway.to_row()
         message["root"] = self.attaches
         return message
 
     @classmethod
     def read(cls, message: Message) -> Tick:
         """From a frame."""
-        gateway = GatewayRecord.read(message["g"]) if "g" in message else None
+        gateway = GatewayRecord.from_row(message["g"]) if "g" in message else None
         return cls(message["t"], int(message["n"]), bool(message.get("root")), gateway)
 
 
--- a/pepperrun/distribution/own_record.py
+++ b/pepperrun/distribution/own_record.py
@@ -24,15 +24,15 @@
         """
         row = self.row()
         held = book.gateways.get(self.station)
-        life, serial = max(self.ahead, (row.life, 0))
-        said = replace(row, life=life, serial=row.serial + serial)
+        life, serial = max(self.ahead, (row.incarnation, 0))
+        said = replace(row, incarnation=life, serial=row.serial + serial)
         if held is not None and held != said and held.rank >= said.rank:
-            if held.life > life:
-                life, serial = held.life + 1, 0
+            if held.incarnation > life:
+                life, serial = held.incarnation + 1, 0
             else:
                 serial += held.serial - said.serial + 1
         self.ahead = (life, serial)
-        row = replace(row, life=life, serial=row.serial + serial)
+        row = replace(row, incarnation=life, serial=row.serial + serial)
         if held != row:
             book.take_cells([], [row])
         return row
--- a/pepperrun/distribution/parent_selection.py
+++ b/pepperrun/distribution/parent_selection.py
@@ -27,8 +27,8 @@
     def best(self, gateways: Iterable[GatewayRecord], now: int) -> tuple[str, Address] | None:
         """Station and address; None where the pushes are to come from the core."""
         for gateway in parents(self.station, self.zone, gateways):
-            if self.shunned.get(gateway.station, 0) > now or not self.standing(gateway.station):
+            if self.shunned.get(gateway.name, 0) > now or not self.standing(gateway.name):
                 continue
-            host, _, port = gateway.internal_port.rpartition(":")
-            return gateway.station, (host, int(port))
+            host, _, port = gateway.internal_address.rpartition(":")
+            return gateway.name, (host, int(port))
         return None
--- a/pepperrun/distribution/publisher.py
+++ b/pepperrun/distribution/publisher.py
@@ -12,8 +12,8 @@
 from hashlib import blake2b
 from typing import Any, Protocol
 
+from pepperrun.control.order_deduplication import without_older
 from pepperrun.control.records import GatewayRecord, Worker
-from pepperrun.control.taken_orders import without_older
 from pepperrun.distribution import repair
 from pepperrun.distribution.digests import Record, record_id
 from pepperrun.distribution.messages import TICK, WANT, Agreed, Change, Tick, Tock, Want
--- a/pepperrun/distribution/repair.py
+++ b/pepperrun/distribution/repair.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable, Iterable, Mapping
 from typing import Any, Protocol
 
-from pepperrun.control.records import GONE, GatewayRecord, Worker
+from pepperrun.control.records import GatewayRecord, Worker
 from pepperrun.distribution.digests import EMPTY, Record, Sums, differing, newer, place, record_id
 from pepperrun.foundation.netstring import Message
 
@@ -35,15 +35,34 @@
 Merge = Callable[[list[Worker], list[GatewayRecord], int], object]
 
 
+REPAIR_KINDS = ("cells", "ask", "digests")
+TOKEN = "a"  # field of `cells` that asks for an acknowledgement
+
+
+def is_repair_message(message: Message) -> bool:
+    """Whether `heard` takes messages of this kind."""
+    return message["k"] in REPAIR_KINDS
+
+
+def with_replication_token(message: Message, token: int) -> Message:
+    """Return `cells` with a request to acknowledge that the records are held."""
+    return message | {TOKEN: token}
+
+
+def replication_token(message: Message) -> int | None:
+    """The token of that request, where there is one."""
+    return message.get(TOKEN)
+
+
 def rows(records: Iterable[Record], now: int) -> Message:
     """`cells` with these records."""
     workers: list[Any] = []
     gateways: list[Any] = []
     for record in records:
         if isinstance(record, Worker):
-            workers.append(record.wire(now))
+            workers.append(record.to_row(now))
         else:
-            gateways.append(record.wire())
+            gateways.append(record.to_row())
     message: Message = {"k": "cells"}
     if workers:
         message["w"] = workers
@@ -54,8 +73,8 @@
 
 def read(message: Message, now: int) -> tuple[list[Worker], list[GatewayRecord]]:
     """The records of `cells`; ValueError or TypeError where they can't be meant."""
-    workers = [Worker.read(row, now) for row in message.get("w", ())]
-    return workers, [GatewayRecord.read(row) for row in message.get("g", ())]
+    workers = [Worker.from_row(row, now) for row in message.get("w", ())]
+    return workers, [GatewayRecord.from_row(row) for row in message.get("g", ())]
 
 
 def ask(copy: Copy) -> Message:
@@ -119,7 +138,7 @@
         told |= {record_id(one): one for one in gateways}
         for record in inside(copy, message["of"]):
             other = told.get(record_id(record))
-            if record.state != GONE if other is None else newer(other, record):
+            if not record.is_gone if other is None else newer(other, record):
                 back.append(record)
     merge(workers, gateways, now)
     return [rows(back, now)] if back else []
--- a/pepperrun/distribution/tree.py
+++ b/pepperrun/distribution/tree.py
@@ -10,7 +10,7 @@
 from functools import lru_cache
 from hashlib import blake2b
 
-from pepperrun.control.records import READY, STARTING, GatewayRecord
+from pepperrun.control.records import GatewayRecord, GatewayState
 
 FAN_OUT = 4  # children of one relay: a hundred gatekeepers of a zone are 4 steps deep
 
@@ -32,9 +32,11 @@
     before = [
         gateway
         for gateway in gateways
-        if gateway.zone == zone and gateway.state in (READY, STARTING) and key(gateway.station) < mine
+        if gateway.zone == zone
+        and gateway.state in (GatewayState.READY, GatewayState.STARTING)
+        and key(gateway.name) < mine
     ]
-    before.sort(key=lambda gateway: key(gateway.station))
+    before.sort(key=lambda gateway: key(gateway.name))
     best = (
         len(before) - 1
     ) // FAN_OUT  # of the heap's i-th, counted from 0, the parent is (i - 1) // FAN_OUT
--- a/pepperrun/gateway_node.py
+++ b/pepperrun/gateway_node.py
@@ -12,7 +12,7 @@
 from collections.abc import Awaitable, Callable
 from typing import Any
 
-from pepperrun.control.records import LEAVING, READY, STARTING, GatewayRecord
+from pepperrun.control.records import GatewayRecord, GatewayState
 from pepperrun.dataplane import inspection
 from pepperrun.dataplane.draining import drain, ready_listener
 from pepperrun.dataplane.plane import Plane
@@ -33,7 +33,7 @@
 
     def __init__(self, settings: Settings, path: str | None, trace: float = 0) -> None:
         self.settings, self.path = settings, path
-        self.life, self.serial, self.state = time.time_ns() // 1_000_000, 0, STARTING
+        self.life, self.serial, self.state = time.time_ns() // 1_000_000, 0, GatewayState.STARTING
         self.news = Subscriber(settings, self.life, self.row)
         book = self.news.book
         self.plane = Plane(
@@ -90,9 +90,9 @@
     def known_life(self) -> int:
         """The life by which others know this one: the time of day may have been ahead in an earlier one."""
         held = self.news.book.gateways.get(self.settings.me.station)
-        return held.life if held is not None else self.life
+        return held.incarnation if held is not None else self.life
 
-    def say(self, state: str) -> None:
+    def say(self, state: GatewayState) -> None:
         """From now on this gatekeeper is in this state."""
         if state != self.state:
             self.state, self.serial = state, self.serial + 1
@@ -132,13 +132,13 @@
         logs.event("gateway", state=self.state, station=self.settings.me.station, life=self.life)
         while not self.stop.is_set():
             if plane.ready():
-                self.say(READY)
+                self.say(GatewayState.READY)
             try:
-                async with asyncio.timeout(LOOK_S if self.state == READY else FIRST_LOOK_S):
+                async with asyncio.timeout(LOOK_S if self.state == GatewayState.READY else FIRST_LOOK_S):
                     await self.stop.wait()
             except TimeoutError:
                 pass
-        self.say(LEAVING)
+        self.say(GatewayState.DRAINING)
         self.probes.leave()
         await drain(plane.listener, self.settings.tariffs.bounds.grace_s, plane.out_of_time)
         self.asked.close()
--- a/pepperrun/membership/gateway_prober.py
+++ b/pepperrun/membership/gateway_prober.py
@@ -10,7 +10,7 @@
 
 from collections.abc import Callable, Iterable
 
-from pepperrun.control.records import GONE, GatewayRecord
+from pepperrun.control.records import GatewayRecord, GatewayState
 from pepperrun.foundation.errors import PepperrunError
 from pepperrun.foundation.logs import event, trouble
 from pepperrun.foundation.settings import Address, address
@@ -55,25 +55,25 @@
     def take(self, gateways: Iterable[GatewayRecord]) -> None:
         """Records of gatekeepers that are new or have changed."""
         for gateway in gateways:
-            if gateway.station == self.station:
+            if gateway.name == self.station:
                 continue
-            if gateway.state == GONE:
-                self._drop(gateway.station)
+            if gateway.state == GatewayState.GONE:
+                self._drop(gateway.name)
             else:
                 self._meet(gateway)
 
     def _meet(self, gateway: GatewayRecord) -> None:
-        number = self.numbers.get(gateway.station)
+        number = self.numbers.get(gateway.name)
         if number is None:
-            taken = self.wire.number_of.get(id_of(gateway.station))
-            if len(self.numbers) >= MOST or (taken is not None and self.stations[taken] != gateway.station):
+            taken = self.wire.number_of.get(id_of(gateway.name))
+            if len(self.numbers) >= MOST or (taken is not None and self.stations[taken] != gateway.name):
                 return
-            number = self.numbers[gateway.station] = len(self.numbers)
-            self.stations[number] = gateway.station
+            number = self.numbers[gateway.name] = len(self.numbers)
+            self.stations[number] = gateway.name
         try:
-            where = address(gateway.internal_port)
+            where = address(gateway.internal_address)
         except PepperrunError as error:
-            trouble(error, station=gateway.station)
+            trouble(error, station=gateway.name)
             return
         if self.where.get(number) != where:
             self.from_ip.pop(self.where.get(number, where), None)
--- a/pepperrun/simulation/control_bugs.py
+++ b/pepperrun/simulation/control_bugs.py
@@ -6,9 +6,10 @@
 from typing import TypeVar
 
 from pepperrun.consensus.register import Register
-from pepperrun.control.changes import Verdict, apply
-from pepperrun.control.hub import Hub
+from pepperrun.control.changes import apply
+from pepperrun.control.node import ControlNode
 from pepperrun.control.validation import Op
+from pepperrun.control.verdict import Verdict
 
 READ_FROM_MEMORY = "read-from-memory"  # a read is answered from what is held, as if it were the newest
 LOCAL_REFUSAL = "local-refusal"  # an order is refused on what is held here, without a round
@@ -29,51 +30,62 @@
 )
 
 
-def put_in(bug: str, hub: Hub) -> None:
+class NeverLacksQuorum(ControlNode):
+    """A node that does not know that it is partitioned."""
+
+    @property
+    def lacks_quorum(self) -> bool:
+        """Always False."""
+        return False
+
+
+def put_in(bug: str, node: ControlNode) -> None:
     """Makes one control node behave so."""
     if bug == READ_FROM_MEMORY:
-        hub.fresh = lambda: _done(hub, None)  # type: ignore[method-assign]
+        node.confirmed = lambda: _done(node, None)  # type: ignore[method-assign]
     elif bug == LOCAL_REFUSAL:
-        _judge_locally(hub, (400, 412))
+        _judge_locally(node, (400, 412))
     elif bug == LOCAL_CONFIRMATION:
-        _judge_locally(hub, (200,))
+        _judge_locally(node, (200,))
     elif bug == MINORITY_REFUSES:
-        hub.minority = lambda: False  # type: ignore[method-assign]
-        _judge_locally(hub, (400, 412))
+        node.__class__ = NeverLacksQuorum
+        _judge_locally(node, (400, 412))
     elif bug == EARLY_QUESTION:
-        _believe_early_answers(hub)
+        _believe_early_answers(node)
     elif bug == EARLY_ROUND:
-        judge_late_orders(hub.replica.register)
+        judge_late_orders(node.replica.register)
     elif bug == HEARD_IS_REACHED:
-        hub.replica.liveness.reachable = hub.replica.liveness.alive  # type: ignore[method-assign]
+        node.replica.liveness.reachable = node.replica.liveness.alive  # type: ignore[method-assign]
 
 
-def _done(hub: Hub, result: T) -> asyncio.Future[T]:
-    future: asyncio.Future[T] = hub.loop.create_future()
+def _done(node: ControlNode, result: T) -> asyncio.Future[T]:
+    future: asyncio.Future[T] = node.loop.create_future()
     future.set_result(result)
     return future
 
 
-def _judge_locally(hub: Hub, statuses: tuple[int, ...]) -> None:
-    by_round = hub.order
+def _judge_locally(node: ControlNode, statuses: tuple[int, ...]) -> None:
+    by_round = node.order
 
-    def order(op: Op, patience: int) -> asyncio.Future[Verdict | None]:
-        changed, verdict = apply(hub.replica.body, op)
+    def order(op: Op, timeout_ns: int) -> asyncio.Future[Verdict | None]:
+        changed, verdict = apply(node.replica.body, op)
         if changed is None and verdict[0] in statuses:
-            return _done(hub, verdict)
-        return by_round(op, patience)
+            return _done(node, verdict)
+        return by_round(op, timeout_ns)
 
-    hub.order = order  # type: ignore[method-assign]
+    node.order = order  # type: ignore[method-assign]
 
 
-def _believe_early_answers(hub: Hub) -> None:
-    release, last = hub.release, [hub.replica.confirmed_at]
+def _believe_early_answers(node: ControlNode) -> None:
+    settle = node.pending_calls.settle_readers
+    last = [node.replica.confirmed_at]
 
-    def release_all(fresh_at: int | None) -> None:
-        moved, last[0] = fresh_at != last[0], fresh_at
-        release(hub.now() if moved else fresh_at)
+    def settle_all(confirmed_at: int | None) -> None:
+        moved = confirmed_at != last[0]
+        last[0] = confirmed_at
+        settle(node.now() if moved else confirmed_at)
 
-    hub.release = release_all  # type: ignore[method-assign]
+    node.pending_calls.settle_readers = settle_all  # type: ignore[method-assign]
 
 
 def judge_late_orders(register: Register) -> None:
--- a/pepperrun/simulation/conversations/play.py
+++ b/pepperrun/simulation/conversations/play.py
@@ -9,7 +9,7 @@
 from functools import cache
 from typing import Any
 
-from pepperrun.control.records import GONE, Worker
+from pepperrun.control.records import Worker, WorkerState
 from pepperrun.dataplane.draining import drain
 from pepperrun.dataplane.plane import Plane
 from pepperrun.foundation.settings import Settings, parse
@@ -106,7 +106,7 @@
         self.number += 1
         self.plane.on_agreed(self.number, self.state)
 
-    def _tell(self, worker: ScriptedWorker, zone: str, state: str = "boarding") -> None:
+    def _tell(self, worker: ScriptedWorker, zone: str, state: WorkerState = WorkerState.SERVING) -> None:
         assert self.plane is not None
         address = f"{own_address()}:{worker.port}"
         self.plane.on_workers([Worker(worker.id, worker.service, address, zone, state=state)])
@@ -166,7 +166,7 @@
         except OSError:  # another has taken the port meanwhile
             return
         await asyncio.sleep(happening.told_s)
-        self._in_plane(lambda: self._tell(old, place.zone, GONE))
+        self._in_plane(lambda: self._tell(old, place.zone, WorkerState.GONE))
 
     async def _go(self) -> None:
         for service, zone in (("one", "a"), ("one", "b"), ("two", "a")):
--- a/pepperrun/simulation/cutoff_days.py
+++ b/pepperrun/simulation/cutoff_days.py
@@ -25,9 +25,9 @@
 
 from pepperrun import log
 from pepperrun.consensus.register import Phase
-from pepperrun.control.hub import Hub
 from pepperrun.control.matchers import Answer, Call
-from pepperrun.control.records import READY, GatewayRecord
+from pepperrun.control.node import ControlNode
+from pepperrun.control.records import GatewayRecord, GatewayState
 from pepperrun.distribution.service import Subscriber
 from pepperrun.simulation import control_bugs
 from pepperrun.simulation.cutoff_operators import Operator, observed
@@ -151,7 +151,7 @@
 
         def answered(answer: Answer, came: int) -> None:
             self._check_answer(record, answer, came)
-            evacuated = list(core.hub.replica.body.get("evacuated", ())) if core.hub is not None else []
+            evacuated = list(core.node.replica.body.get("evacuated", ())) if core.node is not None else []
             if self.rng.random() >= LOST_ANSWERS:
                 world.at(world.now + world.delay(core.machine, caller), over, answer, evacuated)
 
@@ -192,7 +192,7 @@
 
     def _victim(self) -> str:
         """The keeper, the node that acknowledged last, the one that a gateway reads from, or any."""
-        replicas = [core.hub.replica for core in self.cores.values() if core.hub is not None]
+        replicas = [core.node.replica for core in self.cores.values() if core.node is not None]
         keeper = max(replicas, key=lambda one: one.version).coordinator
         reader = self.gateways[0].news.follower.core.address[0] if self.gateways else ""
         choices = [ip for ip in (keeper, self.last_acknowledged, reader) if ip in self.cores]
@@ -280,8 +280,8 @@
 
     def _freeze_in_round(self, victim: str, latest: int, until: int) -> None:
         """The worst moment: it has asked for promises, and will refuse the orders that it has."""
-        hub, now = self.cores[victim].hub, self.world.now
-        if now >= latest or (hub is not None and _refuses(hub)):
+        node, now = self.cores[victim].node, self.world.now
+        if now >= latest or (node is not None and _refuses(node)):
             self._freeze(victim, until)
         else:
             self.world.at(now + MS, self._freeze_in_round, victim, latest, until)
@@ -319,7 +319,7 @@
 
         def row() -> GatewayRecord:
             where = f"{machine.ip}:80", f"{machine.ip}:{PORT}"
-            return GatewayRecord(machine.name, zone, ZONES[zone], *where, 1, 1, READY)
+            return GatewayRecord(machine.name, zone, ZONES[zone], *where, 1, 1, GatewayState.READY)
 
         def make() -> None:
             news = Subscriber(settings, 1, row, loop.clock)
@@ -409,9 +409,9 @@
                 self._wrong(LINEARIZABLE, f"the history of {what} is {kind}:\n{worded(one.stuck)}")
 
 
-def _refuses(hub: Hub) -> bool:
+def _refuses(node: ControlNode) -> bool:
     """Is a round asking, for orders only that build on another edition?"""
-    register, edition = hub.replica.register, hub.replica.body.get("edition", 0)
+    register, edition = node.replica.register, node.replica.body.get("edition", 0)
     bases = [wish.operation.get("on", edition) for wish in register.pending]
     return register.phase is Phase.PREPARING and bool(bases) and edition not in bases
 
--- a/pepperrun/simulation/days.py
+++ b/pepperrun/simulation/days.py
@@ -161,7 +161,7 @@
             if not world.open(machine.ip, other.ip):
                 return
             world.carry("call", machine, other, len(call.body))
-            if other.loop is None or core.hub is None:
+            if other.loop is None or core.node is None:
                 back(None)
             else:
                 other.loop.do(core.answer, call, back)
--- a/pepperrun/simulation/distribution_days.py
+++ b/pepperrun/simulation/distribution_days.py
@@ -13,6 +13,7 @@
 import time
 from collections import Counter
 
+from pepperrun.control.records import WorkerState
 from pepperrun.simulation.distribution_world import World
 
 ZONES = {"a1": "a", "a2": "a", "b1": "b", "b2": "b", "c1": "c", "c2": "c"}
@@ -82,7 +83,7 @@
             world.restart(dice.choice(world.gates), dice.randrange(1, 1000))
         elif kind == "worker":
             self.serial += 1
-            state = dice.choice(["boarding", "boarding", "unloading"])
+            state = dice.choice([WorkerState.SERVING, WorkerState.SERVING, WorkerState.DRAINING])
             at = dice.choice(world.control_nodes)
             world.worker(f"w{dice.randrange(30)}", dice.choice(list(ZONES)), self.serial, state, at)
         elif any(map(world.majority, world.control_nodes)):
--- a/pepperrun/simulation/distribution_world.py
+++ b/pepperrun/simulation/distribution_world.py
@@ -13,7 +13,7 @@
 from itertools import count
 from typing import Any
 
-from pepperrun.control.records import BOARDING, READY, GatewayRecord, Worker
+from pepperrun.control.records import GatewayRecord, GatewayState, Worker, WorkerState
 from pepperrun.distribution.book import NewsBook
 from pepperrun.distribution.follower import Follower
 from pepperrun.distribution.publisher import Publisher
@@ -108,7 +108,9 @@
 
     def __init__(self, world: World, station: str, ip: str, zone: str, life: int) -> None:
         super().__init__(world, station, ip, zone)
-        row = GatewayRecord(station, zone, world.zones[zone], f"{ip}:80", f"{ip}:{PORT}", life, 0, READY)
+        row = GatewayRecord(
+            station, zone, world.zones[zone], f"{ip}:80", f"{ip}:{PORT}", life, 0, GatewayState.READY
+        )
         contacts = [(core, PORT) for core, _ in world.cores[:3]]
         own = (station, zone, (ip, PORT))
         self.follower = Follower(own, world.zones, contacts, lambda: row, apply, self.clock())
@@ -341,7 +343,12 @@
         return number
 
     def worker(
-        self, id: str, zone: str, serial: int = 1, state: str = BOARDING, at: ControlNode | None = None
+        self,
+        id: str,
+        zone: str,
+        serial: int = 1,
+        state: WorkerState = WorkerState.SERVING,
+        at: ControlNode | None = None,
     ) -> None:
         """A beat; at one core machine, or at all."""
         worker = Worker(id, "line", "10.9.0.1:80", zone, "v1", 2, serial, state)
--- a/pepperrun/simulation/nodes.py
+++ b/pepperrun/simulation/nodes.py
@@ -13,9 +13,9 @@
 
 from pepperrun.consensus.state import FIRST_DISK_ID, DurableState, initial_proposal
 from pepperrun.control.handlers import Control
-from pepperrun.control.hub import Hub
 from pepperrun.control.matchers import Answer, Call, Miss
-from pepperrun.control.records import LEAVING, READY, STARTING, GatewayRecord
+from pepperrun.control.node import ControlNode
+from pepperrun.control.records import GatewayRecord, GatewayState
 from pepperrun.core.interface import Outcome
 from pepperrun.dataplane.plane import Plane
 from pepperrun.dataplane.routes import Lot
@@ -69,7 +69,7 @@
     def __init__(self, machine: Machine, settings: Settings, contacts: list[str], bug: str) -> None:
         self.machine, self.settings, self.contacts, self.bug = machine, settings, contacts, bug
         self.disk, self.lives, self.life = Disk(), 0, ""
-        self.hub: Hub | None = None
+        self.node: ControlNode | None = None
         self.tree: Any = None
 
     def start(self, first: bool = False) -> None:
@@ -93,11 +93,11 @@
     def _make(self, memory: DurableState) -> None:
         loop = self.machine.loop
         assert loop is not None
-        self.hub = Hub(self.settings, memory, self.disk, memory.starts, loop.clock)
-        control_bugs.put_in(self.bug, self.hub)
-        self.tree = Control(self.hub).tree()
-        spawn(loop, link.listen(self.settings.internal_port, self.hub, self.hub.hello))
-        self.hub.start()
+        self.node = ControlNode(self.settings, memory, self.disk, memory.starts, loop.clock)
+        control_bugs.put_in(self.bug, self.node)
+        self.tree = Control(self.node).tree()
+        spawn(loop, link.listen(self.settings.internal_port, self.node, self.node.hello))
+        self.node.start()
 
     def stop(self, power: bool = False, wipe: bool = False) -> None:
         """The process ends."""
@@ -131,14 +131,14 @@
     ) -> None:
         self.machine, self.settings, self.attempt, self.bug = machine, settings, attempt, bug
         self.seen = seen
-        self.state, self.life, self.serial = STARTING, 0, 0
+        self.state, self.life, self.serial = GatewayState.STARTING, 0, 0
         self.starts = 0
 
     def start(self) -> None:
         """A process starts, with nothing."""
         world = self.machine.world
         self.starts += 1
-        self.life, self.serial, self.state = world.now // MS + 1, 0, STARTING
+        self.life, self.serial, self.state = world.now // MS + 1, 0, GatewayState.STARTING
         self.machine.boot().do(self._make, world.rng.getrandbits(32))
 
     def _make(self, seed: int) -> None:
@@ -187,22 +187,22 @@
 
     def _known_life(self) -> int:
         held = self.news.book.gateways.get(self.settings.me.station)
-        return held.life if held is not None else self.life
+        return held.incarnation if held is not None else self.life
 
     def _look(self) -> None:
         plane, bounds = self.plane, self.settings.tariffs.bounds
         fresh = plane.gate.fresh(self.loop.clock(), int(bounds.edition_ms * MS))
-        if self.state == STARTING and plane.table is not None and fresh:
-            self._say(READY)
+        if self.state == GatewayState.STARTING and plane.table is not None and fresh:
+            self._say(GatewayState.READY)
         self.loop.call_later(LOOK_S, self._look)
 
-    def _say(self, state: str) -> None:
+    def _say(self, state: GatewayState) -> None:
         self.state, self.serial = state, self.serial + 1
         self.news.tell()
 
     def leave(self) -> None:
         """It is told to stop; the day ends it later."""
-        self._say(LEAVING)
+        self._say(GatewayState.DRAINING)
         self.probes.leave()
 
     def take(self, asked: Request, done: Callable[[int], None]) -> None:
--- a/tests/clusters.py
+++ b/tests/clusters.py
@@ -8,8 +8,8 @@
 from collections.abc import Callable
 from typing import Any
 
-from pepperrun.control.cells import Beat, Cells
-from pepperrun.control.records import GatewayRecord
+from pepperrun.control.endpoint_registry import EndpointRegistry, WorkerHeartbeat
+from pepperrun.control.records import GatewayRecord, GatewayState, WorkerState
 from pepperrun.control.validation import Op, read_amend, read_replace
 
 MS = 1_000_000
@@ -65,18 +65,20 @@
 
     def __init__(self, count: int) -> None:
         self.now = 100 * SECOND
-        self.cells = {f"10.0.0.{n}": Cells(f"10.0.0.{n}", 1500, self.now) for n in range(count)}
+        self.cells = {f"10.0.0.{n}": EndpointRegistry(f"10.0.0.{n}", 1500, self.now) for n in range(count)}
         self.cut: set[frozenset[str]] = set()
         self.sent: list[tuple[str, str, dict[str, Any]]] = []
         for one, two in itertools.permutations(self.cells, 2):
             self.cells[one].connected(two, "z" + two[-1], self.now)
         for cells in self.cells.values():
-            cells.majority(True, self.now)
+            cells.quorum_changed(has_quorum=True, now=self.now)
         self.settle()
 
     def settle(self) -> None:
         """Messages go over until none is left."""
-        while moved := [(ip, *one) for ip, cells in self.cells.items() for one in cells.take_out(self.now)]:
+        while moved := [
+            (ip, *one) for ip, cells in self.cells.items() for one in cells.take_messages(self.now)
+        ]:
             for ip, to, message in moved:
                 if frozenset((ip, to)) not in self.cut:
                     self.sent.append((ip, to, message))
@@ -99,7 +101,7 @@
                 self.cut.add(frozenset((ip, other)))
                 self.cells[ip].disconnected(other, self.now)
                 self.cells[other].disconnected(ip, self.now)
-        self.cells[ip].majority(False, self.now)
+        self.cells[ip].quorum_changed(has_quorum=False, now=self.now)
 
     def join(self, ip: str) -> None:
         """It is back."""
@@ -108,7 +110,7 @@
             if other != ip:
                 self.cells[ip].connected(other, "z" + other[-1], self.now)
                 self.cells[other].connected(ip, "z" + ip[-1], self.now)
-        self.cells[ip].majority(True, self.now)
+        self.cells[ip].quorum_changed(has_quorum=True, now=self.now)
         self.settle()
 
     def states(self, id: str) -> set[Any]:
@@ -118,11 +120,15 @@
 
 def beat(
     id: str, serial: int, state: str = "boarding", cold: int = 0, address: str = "", zone: str = "z0"
-) -> Beat:
-    return Beat(id, "x", address or f"10.9.0.{id[1:]}:80", zone, "v1", 2, state, cold, serial)
+) -> WorkerHeartbeat:
+    return WorkerHeartbeat(
+        id, "x", address or f"10.9.0.{id[1:]}:80", zone, "v1", 2, WorkerState(state), cold, serial
+    )
 
 
 def gateway(
     station: str, zone: str = "z0", region: str = "r0", serial: int = 1, state: str = "ready"
 ) -> GatewayRecord:
-    return GatewayRecord(station, zone, region, f"{station}:80", f"{station}:76", 1, serial, state)
+    return GatewayRecord(
+        station, zone, region, f"{station}:80", f"{station}:76", 1, serial, GatewayState(state)
+    )
