--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -13,14 +13,15 @@
 
 from pepperrun.consensus.state import digest_of
 from pepperrun.control import validation
-from pepperrun.control.cells import BATCH, ROUND, Cells
-from pepperrun.control.changes import apply, evacuation, lean, written
-from pepperrun.control.handlers import Control, read_beat
-from pepperrun.control.hub import losses
+from pepperrun.control.changes import apply, compact, evacuation, written
+from pepperrun.control.endpoint_registry import BATCH_NS, ROUND_NS, EndpointRegistry
+from pepperrun.control.handlers import Control, read_heartbeat
 from pepperrun.control.matchers import Answer, Call, answer_to, parse_target
-from pepperrun.control.mesh import FORGET, Mesh
+from pepperrun.control.node import tolerated_losses
+from pepperrun.control.peer_links import FORGET_NS, PeerLinks
 from pepperrun.control.server import Caller, Server
 from pepperrun.control.validation import Op, read_replace, timetable
+from pepperrun.control.verdict import Verdict
 from pepperrun.foundation.errors import PepperrunError
 from pepperrun.foundation.settings import parse
 
@@ -95,7 +96,7 @@
     first, other = put(whole(3)), put(whole(3, limits={"dwell_ms": 9}))
     state, _ = apply(None, first)
     assert state is not None and apply(state, other)[1][0] == 412
-    assert apply(state, first) == (None, [200, "Edition 3 has been taken already."])
+    assert apply(state, first) == (None, Verdict(200, "Edition 3 has been taken already."))
     assert apply(state, put(whole(3), on=3))[1][2] == "old-edition"  # the same, but meant as a new one
     frozen = copy.deepcopy(state)
     new, verdict = apply(state, up := amend({"edition": 9, "upsert": {"routes": ROUTES}}, 3))
@@ -133,7 +134,7 @@
     state, _ = apply(None, put(whole()))
     begun, verdict = apply(state, evacuation("z1", True))
     assert begun and begun["evacuated"] == ["z1"] and verdict[0] == 200
-    assert apply(begun, evacuation("z1", True)) == (None, [200, "Zone z1 is evacuated already."])
+    assert apply(begun, evacuation("z1", True)) == (None, Verdict(200, "Zone z1 is evacuated already."))
     kept, _ = apply(begun, put(whole(5), on=3))
     assert kept and kept["evacuated"] == ["z1"]
     done, _ = apply(kept, evacuation("z1", False))
@@ -144,7 +145,9 @@
     """What the control calls need, played."""
 
     def __init__(self) -> None:
-        self.cells, self.alone, self.verdict = Cells(A, 1500, SECOND), False, [200, "Taken."]
+        self.registry = EndpointRegistry(A, 1500, SECOND)
+        self.alone = False
+        self.verdict: Verdict | None = Verdict(200, "Taken.")
         self.retiring, self.orders, self.held_now, self.time = False, [], True, SECOND  # type: ignore[var-annotated]
         self.emptied: dict[str, Any] = {}
         zones = {"z0": "r0", "z1": "r1"}
@@ -156,18 +159,20 @@
     def now(self) -> int:
         return self.time
 
-    def after(self) -> None: ...
+    def process_pending(self) -> None: ...
 
-    def minority(self) -> bool:
+    @property
+    def lacks_quorum(self) -> bool:
         return self.alone
 
-    def voters(self) -> int:
+    @property
+    def voter_count(self) -> int:
         return 3
 
-    def held(self, token: int) -> asyncio.Future[None]:
+    def replicated(self, token: int) -> asyncio.Future[None]:
         return self._future(None) if self.held_now else asyncio.get_running_loop().create_future()
 
-    def order(self, op: Op, patience: int) -> asyncio.Future[Any]:
+    def order(self, op: Op, timeout_ns: int) -> asyncio.Future[Any]:
         async def decide() -> Any:
             for _ in range(5):
                 await asyncio.sleep(0)
@@ -176,17 +181,17 @@
         self.orders.append(op)
         return asyncio.ensure_future(decide())
 
-    def fresh(self) -> asyncio.Future[None]:
+    def confirmed(self) -> asyncio.Future[None]:
         return self._future(None)
 
     def body(self) -> dict[str, Any] | None:
         state, _ = apply(None, put(whole()))
         return None if state is None else state | self.emptied
 
-    def other(self) -> str | None:
+    def other_node(self) -> str | None:
         return "10.0.0.9:81"
 
-    def control_of(self, ip: str) -> str:
+    def control_address(self, ip: str) -> str:
         return ip + ":81"
 
     @staticmethod
@@ -217,8 +222,12 @@
 def test_the_tree_of_matchers_finds_who_answers_or_says_what_is_missing() -> None:
     core = Core()
     based = {"based-on": "0"}
-    assert call(core, "POST", "/crew/i-7/beat", BEAT).status == 200 and core.cells.workers["i-7"].slots == 2
-    assert call(core, "POST", "/crew/i%2D7/leave").status == 200 and core.cells.workers["i-7"].state == "gone"
+    assert (
+        call(core, "POST", "/crew/i-7/beat", BEAT).status == 200 and core.registry.workers["i-7"].slots == 2
+    )
+    assert (
+        call(core, "POST", "/crew/i%2D7/leave").status == 200 and core.registry.workers["i-7"].state == "gone"
+    )
     assert call(core, "POST", "/timetable/replace", whole(), **based).status == 200
     assert call(core, "POST", "/timetable/replace", whole()).status == 400  # no Based-On
     assert call(core, "POST", "/timetable/amend", b'{"edition":', **based).status == 400
@@ -237,20 +246,20 @@
     core.alone = True
     for target in ("/crew/i-7/beat", "/crew/i-7/leave", "/evacuate/z1/begin"):
         assert call(core, "POST", target, BEAT).status == 503
-    assert not core.orders and not core.cells.workers
+    assert not core.orders and not core.registry.workers
     core.alone, core.retiring = False, True
     moved = call(core, "POST", "/evacuate/z1/begin")
     assert moved.status == 307 and moved.headers == (("Location", "http://10.0.0.9:81/evacuate/z1/begin"),)
     core.retiring, core.verdict = False, None  # type: ignore[assignment]
     assert call(core, "POST", "/evacuate/z1/begin").status == 503
-    core.verdict = [503, "Too long ago to be known.", "too-old"]
+    core.verdict = Verdict(503, "Too long ago to be known.", "too-old")
     unclear = call(core, "POST", "/timetable/replace", whole(), **{"based-on": "0"})
     assert unclear.status == 503 and unclear.headers and json.loads(unclear.body)["code"] == "too-old"
     core.emptied = {"evacuations": {"z7": {"begun": 1}}}  # a zone of other settings, which was emptied
-    core.verdict = [200, "Taken."]
+    core.verdict = Verdict(200, "Taken.")
     assert call(core, "POST", "/evacuate/z7/finish").status == 200
     assert call(core, "GET", "/resolve?name=n&region=r0&zone=z0").status == 503
-    core.cells.gateway(gateway("g1"), SECOND)
+    core.registry.gateway_heartbeat(gateway("g1"), SECOND)
     told = json.loads(call(core, "GET", "/resolve?name=n&region=r0&zone=z0").body)
     assert told == {"addresses": ["g1:80"], "ttl_s": 2.0}
 
@@ -259,7 +268,7 @@
 def test_a_beat_that_can_not_be_meant_is_refused(field: str) -> None:
     for value in (None, {}, "x", 7, []):
         with pytest.raises(PepperrunError):
-            read_beat("i-7", json.dumps(BEAT | {field: value}).encode())
+            read_heartbeat("i-7", json.dumps(BEAT | {field: value}).encode())
 
 
 class Wire(asyncio.Transport):
@@ -339,43 +348,45 @@
         def peer_down(self, ip: str) -> None:
             told.append(("down", ip))
 
-    mesh = Mesh("10.0.0.5", 7600, None, Told(), dict, Dial)  # type: ignore[arg-type]
+    mesh = PeerLinks("10.0.0.5", 7600, None, Told(), dict, Dial)  # type: ignore[arg-type]
     mesh.want(["10.0.0.1", "10.0.0.5"], SECOND)
-    assert [one.where for one in mesh.dialers.values()] == [("10.0.0.1", 7600)]
+    assert [one.where for one in mesh._dialers.values()] == [("10.0.0.1", 7600)]
     own, theirs = Plug(), Plug()
-    mesh.dialers["10.0.0.1"].link = own
+    mesh._dialers["10.0.0.1"].link = own
     hello = {"ip": "10.0.0.1", "zone": "z1", "cores": [["10.0.0.1", "z1"], ["10.0.0.7", "z2"]]}
     mesh.opened(own, hello, SECOND)  # type: ignore[arg-type]
     mesh.opened(theirs, hello, SECOND)  # type: ignore[arg-type]
-    assert told == [("up", "10.0.0.1")] and set(mesh.dialers) == {"10.0.0.1", "10.0.0.7"}
-    dialer = mesh.dialers["10.0.0.1"]
+    assert told == [("up", "10.0.0.1")] and set(mesh._dialers) == {"10.0.0.1", "10.0.0.7"}
+    dialer = mesh._dialers["10.0.0.1"]
     mesh.turn(2 * SECOND)
     assert dialer.open
     mesh.turn(2 * SECOND, tidy=True)  # the lower one dialled too: its link stays
-    assert not dialer.open and "10.0.0.1" not in mesh.dialers
+    assert not dialer.open and "10.0.0.1" not in mesh._dialers
     mesh.closed(own, 2 * SECOND)  # type: ignore[arg-type]
     assert len(told) == 1
     mesh.closed(theirs, 3 * SECOND)  # type: ignore[arg-type]
-    assert told[-1] == ("down", "10.0.0.1") and "10.0.0.1" in mesh.dialers
-    mesh.turn(FORGET + 4 * SECOND, tidy=True)
-    assert set(mesh.dialers) == {"10.0.0.1"}  # which is wanted; the other was only hearsay
+    assert told[-1] == ("down", "10.0.0.1") and "10.0.0.1" in mesh._dialers
+    mesh.turn(FORGET_NS + 4 * SECOND, tidy=True)
+    assert set(mesh._dialers) == {"10.0.0.1"}  # which is wanted; the other was only hearsay
 
 
 def test_small_changes_wait_a_moment_to_go_together() -> None:
     world = World(2)
     for n in range(20):
-        world.cells[A].beat(beat(f"w{n}", 1), 0, world.now)
+        world.cells[A].heartbeat(beat(f"w{n}", 1), 0, world.now)
     world.settle()
     world.sent.clear()
     for n in range(20):
-        world.cells[A].beat(beat(f"w{n}", 2, cold=3 * SECOND), 0, world.now)
+        world.cells[A].heartbeat(beat(f"w{n}", 2, cold=3 * SECOND), 0, world.now)
         world.settle()
-    assert not world.sent and world.cells[A].due() == min(world.now + BATCH, world.cells[A].round_at)
-    world.now += BATCH
+    assert not world.sent and world.cells[A].next_tick_at() == min(
+        world.now + BATCH_NS, world.cells[A].next_round_at
+    )
+    world.now += BATCH_NS
     world.cells[A].tick(world.now)
     world.settle()
     assert [len(message["w"]) for _, _, message in world.sent if "w" in message] == [20]
-    assert ROUND > BATCH
+    assert ROUND_NS > BATCH_NS
 
 
 def many(count: int, edition: int = 3) -> dict[str, Any]:
@@ -441,17 +452,17 @@
     body["routes"]["rows"].append(["new", *body["routes"]["rows"][4][1:]])
     body["limits"] = {"dwell_ms": 9, "parcel_bytes": 5}
     sent = put(body, 3)
-    less = lean(state, sent)
+    less = compact(state, sent)
     (new, verdict), (other, same) = apply(state, sent), apply(state, less)
     assert new is not None and other is not None and verdict == same
     assert digest_of(new) == digest_of(other) and other["routes"]["r20"] is state["routes"]["r20"]
     assert len(json.dumps(less)) < len(json.dumps(sent)) / 20
-    assert apply(other, less)[1] == apply(new, sent)[1] == [200, "Edition 7 has been taken already."]
-    assert lean(other, sent) is sent and lean(None, put(body)) == put(
+    assert apply(other, less)[1] == apply(new, sent)[1] == Verdict(200, "Edition 7 has been taken already.")
+    assert compact(other, sent) is sent and compact(None, put(body)) == put(
         body
     )  # on another edition: nothing to spare
     gone = put(whole(7, limits={}), 3)
-    assert lean(state, gone) is gone  # what an amendment can't take away
+    assert compact(state, gone) is gone  # what an amendment can't take away
 
 
 def test_as_many_vote_as_bear_the_losses_that_are_told() -> None:
@@ -464,4 +475,4 @@
         me = {"station": "s", "role": "control_node", "ip": "10.0.0.1", "zone": "a0", "region": "a"}
         network = {"sidings": [7600, 7610], "first_contacts": [], "postboxes": {}, "zones": zones}
         settings = parse({"self": me, "network": network, "tariffs": {"bounds": {}, "withstand": bear}})
-        assert 2 * losses(settings) + 1 == most
+        assert 2 * tolerated_losses(settings) + 1 == most
--- a/tests/test_cutoff_sockets.py
+++ b/tests/test_cutoff_sockets.py
@@ -14,8 +14,8 @@
 
 from pepperrun.consensus.state import FIRST_DISK_ID, DurableState, InMemoryStore, initial_proposal
 from pepperrun.control.handlers import Control
-from pepperrun.control.hub import Hub
 from pepperrun.control.matchers import Answer, Call
+from pepperrun.control.node import ControlNode
 from pepperrun.control.server import Server
 from pepperrun.foundation.link import Dialer, listen
 from pepperrun.foundation.settings import parse
@@ -115,7 +115,7 @@
 
     def __init__(self, seed: int) -> None:
         self.rng, self.records, self.working = random.Random(seed), list[CallRecord](), True
-        self.network, self.hubs = Network(), dict[str, Hub]()
+        self.network, self.hubs = Network(), dict[str, ControlNode]()
         self.servers: list[Server | asyncio.Server] = []
         self.control_port = self.port = 0
         self.calls: set[asyncio.Task[None]] = set()
@@ -131,15 +131,15 @@
             settings = parse({"self": me, "network": network | {"postboxes": boxes, "zones": zones}})
             memory = DurableState(FIRST_DISK_ID)
             memory.accepted = memory.chosen = initial_proposal(NODES)
-            hub = self.hubs[ip] = Hub(settings, memory, InMemoryStore(), 1)
+            hub = self.hubs[ip] = ControlNode(settings, memory, InMemoryStore(), 1)
             ports = {one: await self.network.way(ip, one, self.port) for one in NODES if one != ip}
-            hub.mesh.dial = self._dialer(ip, ports)
+            hub.peer_links.dial = self._dialer(ip, ports)
             server = Server(Control(hub).tree())
             await server.open((ip, self.control_port))
             self.servers += [server, await listen((ip, self.port), hub, hub.hello)]
         for hub in self.hubs.values():
             hub.start()
-        await until(lambda: not any(hub.minority() for hub in self.hubs.values()))
+        await until(lambda: not any(hub.lacks_quorum for hub in self.hubs.values()))
 
     @staticmethod
     def _dialer(ip: str, ports: dict[str, int]) -> Callable[..., Any]:
@@ -246,14 +246,14 @@
             begin(here.network, kind, victim)
             if kind != "reset":
                 assert await here.statuses(victim) == [503, 503, 503]  # it may not know it yet
-                await until(lambda: here.hubs[victim].minority())
+                await until(lambda: here.hubs[victim].lacks_quorum)
                 begun = time.monotonic()
                 assert await here.statuses(victim) == [503, 503, 503]
                 assert time.monotonic() - begun < 0.5
             cut = len(here.records)
             await until(lambda: sum(one.status == 200 for one in here.records[cut:]) >= 6)
             here.network.heal()
-            await until(lambda: not any(hub.minority() for hub in here.hubs.values()))
+            await until(lambda: not any(hub.lacks_quorum for hub in here.hubs.values()))
             here.working = False
             await until(lambda: not here.calls)
             assert await here.statuses(victim) == [412, 400, 200]
--- a/tests/test_dataplane.py
+++ b/tests/test_dataplane.py
@@ -13,7 +13,7 @@
 from standins import HOST, MS, SECOND, Client, StandIn, answer, cut_short, going, reset, wait_then
 
 from pepperrun.control.configuration import Sender
-from pepperrun.control.records import READY, GatewayRecord, Worker
+from pepperrun.control.records import GatewayRecord, GatewayState, Worker
 from pepperrun.control.validation import read_replace
 from pepperrun.core.gateway import Gateway
 from pepperrun.core.interface import Backend, BackendList, ListKind, Refuse, Send, SetTimer, TimerFired
@@ -412,7 +412,9 @@
 def gateways(count: int) -> list[GatewayRecord]:
     zones = list(ZONES)
     return [
-        GatewayRecord(f"g{n}", zones[n % 2], ZONES[zones[n % 2]], "c", f"{HOST}:{n + 1}", 1, 0, READY)
+        GatewayRecord(
+            f"g{n}", zones[n % 2], ZONES[zones[n % 2]], "c", f"{HOST}:{n + 1}", 1, 0, GatewayState.READY
+        )
         for n in range(count)
     ]
 
@@ -420,7 +422,7 @@
 def test_cold_shares_keep_their_bound_over_many_guards_that_see_different_ones():
     """Half of eleven gateways know the others as they were; all send to one cold worker whenever they may."""
     everybody = gateways(11)
-    shares = [ColdShares(gateway.station, ZONES, 1.5, 5) for gateway in everybody]
+    shares = [ColdShares(gateway.name, ZONES, 1.5, 5) for gateway in everybody]
     for number, one in enumerate(shares):
         one.take(everybody if number % 2 else everybody[6:] + everybody[number : number + 1])
     sent: list[int] = []
@@ -440,7 +442,7 @@
     async def test():
         cluster = Cluster(route("r", "/p/"))
         cluster.work("w1", 1, zone="a")
-        cluster.work("w2", 1, zone="b", unsure=True)
+        cluster.work("w2", 1, zone="b", maybe_cold=True)
         workers, now = cluster.plane.workers, time.monotonic_ns()
         one, two = (workers.by_number[workers.ids[name]] for name in ("w1", "w2"))
         assert not workers.cold(one, now) and workers.cold(two, now)
@@ -461,7 +463,7 @@
 def test_each_life_of_a_peer_has_its_own_number():
     peers, (first, *_) = Peers("me"), gateways(1)
     assert peers.take([first]) and peers.members == (1,)
-    later = replace(first, life=2, serial=0, state=READY)
+    later = replace(first, incarnation=2, serial=0, state=GatewayState.READY)
     assert peers.take([later]) and peers.members == (2,)
     assert not peers.take([first]) and peers.members == (2,)
 
--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -11,7 +11,7 @@
 import pytest
 
 from pepperrun.control import changes
-from pepperrun.control.records import GatewayRecord, Worker
+from pepperrun.control.records import GatewayRecord, GatewayState, Worker, WorkerState
 from pepperrun.distribution import messages, repair
 from pepperrun.distribution.book import NewsBook
 from pepperrun.distribution.digests import Sums
@@ -94,7 +94,11 @@
     world.run(1000)
     assert not world.lags(number)
     assert all("w1" in gate.book.workers for gate in world.gates if gate.alive)
-    lost = [replace(one.follower.own_record.row(), state="lost") for one in world.gates if not one.alive]
+    lost = [
+        replace(one.follower.own_record.row(), state=GatewayState.LOST)
+        for one in world.gates
+        if not one.alive
+    ]
     world.control_nodes[0].book.take_cells([], lost)  # what the core concludes from their silence
     world.run(6000)
     whole = [gate for gate in world.gates if gate.alive and gate.follower.root]
@@ -247,10 +251,10 @@
     one, other = NewsBook(), NewsBook()
     one.take_cells(workers, []), other.take_cells(workers[:-1], [])
     for book, picked in ((one, workers[:3]), (other, workers[5:8])):
-        book.take_cells([replace(worker, serial=2, state="unloading") for worker in picked], [])
+        book.take_cells([replace(worker, serial=2, state=WorkerState.DRAINING) for worker in picked], [])
     gateway = GatewayRecord("front-1", "x", "r", "10.1.0.1:80", "10.1.0.1:7600", 1)
     other.take_cells([], [gateway])
-    gone = Worker("w9999", "line", "10.0.0.1:80", "x", "v", 2, 1, "gone")
+    gone = Worker("w9999", "line", "10.0.0.1:80", "x", "v", 2, 1, WorkerState.GONE)
     one.take_cells([gone], [])
     assert one.sums.whole() != other.sums.whole()
     rows, ways = 0, [(other, one, repair.ask(one))]
--- a/tests/test_ejection.py
+++ b/tests/test_ejection.py
@@ -12,7 +12,7 @@
 from standins import HOST, SECOND, StandIn, answer, going, reset
 from test_dataplane import Cluster, route
 
-from pepperrun.control.records import READY, GatewayRecord
+from pepperrun.control.records import GatewayRecord, GatewayState
 from pepperrun.core.interface import Outcome
 from pepperrun.dataplane.ejection import BAD, ILL, OUT_NS, Count, OutlierEjection
 from pepperrun.dataplane.outcomes import MARK, ToldWear, pack, unpack
@@ -185,7 +185,9 @@
                 lambda peer_messages=peer_messages: peer_messages, (HOST, 0)
             )
             internal_port = f"{HOST}:{transport.get_extra_info('sockname')[1]}"
-            gateways.append(GatewayRecord(station, zone, "r1", f"{HOST}:1", internal_port, 1, state=READY))
+            gateways.append(
+                GatewayRecord(station, zone, "r1", f"{HOST}:1", internal_port, 1, state=GatewayState.READY)
+            )
             cluster.work("w1", 1)
             clusters.append(cluster)
         for cluster in clusters:
--- a/tests/test_gateway_probes.py
+++ b/tests/test_gateway_probes.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from pepperrun.control.records import GONE, READY, GatewayRecord
+from pepperrun.control.records import GatewayRecord, GatewayState
 from pepperrun.membership.gateway_probe_wire import ALL, Learnt
 from pepperrun.membership.gateway_prober import GatewayProber
 from pepperrun.membership.wire import MOST, Datagram, Kind, Row, Rumour, State
@@ -34,7 +34,7 @@
     def add(self, station, region):
         internal_port = f"10.0.0.{len(self.gateways) + 1}:7600"
         self.gateways[station] = GatewayRecord(
-            station, region + "1", region, "10.0.0.1:80", internal_port, 1, 0, READY
+            station, region + "1", region, "10.0.0.1:80", internal_port, 1, 0, GatewayState.READY
         )
         self.start(station)
         for other in self.probes.values():
@@ -64,13 +64,13 @@
         mine = self.gateways[station]
         for where, data in self.probes[station].take_out():
             assert len(data) <= MOST
-            other = next(g for g in self.gateways.values() if g.internal_port == f"{where[0]}:{where[1]}")
+            other = next(g for g in self.gateways.values() if g.internal_address == f"{where[0]}:{where[1]}")
             self.sent += 1
             self.far += mine.region != other.region
-            if frozenset((station, other.station)) in self.cuts or self.random.random() < self.loss:
+            if frozenset((station, other.name)) in self.cuts or self.random.random() < self.loss:
                 continue
             late = (1 if mine.region == other.region else 15) * MS
-            self.at(self.now + late, lambda o=other.station, d=data: self.arrive(o, d, mine.internal_port))
+            self.at(self.now + late, lambda o=other.name, d=data: self.arrive(o, d, mine.internal_address))
 
     def arrive(self, station, data, internal_port):
         if station in self.probes:
@@ -148,7 +148,13 @@
     gone = "front-2"
     del field.probes[gone]
     for prober in field.probes.values():
-        prober.take([GatewayRecord(gone, "c1", "c", "", field.gateways[gone].internal_port, 1, 0, GONE)])
+        prober.take(
+            [
+                GatewayRecord(
+                    gone, "c1", "c", "", field.gateways[gone].internal_address, 1, 0, GatewayState.GONE
+                )
+            ]
+        )
     assert field.run(1, field.agreed)  # no probe is needed: the records say it
     assert not any(prober.absent() for prober in field.probes.values())
     for prober in field.probes.values():
--- a/tests/test_orders_again.py
+++ b/tests/test_orders_again.py
@@ -12,9 +12,10 @@
 from clusters import amend, put, whole
 
 from pepperrun.consensus.state import NO_BALLOT, Ballot, Evaluation, Proposal, Value, digest_of
-from pepperrun.control import changes, taken_orders
-from pepperrun.control.changes import apply, apply_at_gateway, lean
-from pepperrun.control.taken_orders import PAGE, RECENT, REMEMBERED
+from pepperrun.control import changes, order_deduplication
+from pepperrun.control.changes import apply, apply_at_gateway, compact
+from pepperrun.control.order_deduplication import PAGE, RECENT, REMEMBERED
+from pepperrun.control.verdict import Verdict
 from pepperrun.simulation.consensus_world import MS, Machine, Try, World
 from pepperrun.storage.store import DiskStore
 
@@ -51,7 +52,7 @@
     state, _ = chain(state, further)
     again, other = apply(state, op), apply(state, rival)
     if further < REMEMBERED:
-        assert again == (None, [200, "Edition 9 has been taken already."]) and other[1][0] == 412
+        assert again == (None, Verdict(200, "Edition 9 has been taken already.")) and other[1][0] == 412
     else:
         assert again[1][0] == other[1][0] == 503  # never refused; and what lost is not confirmed
     late = numbered(state["edition"] + 1, state["edition"])
@@ -66,16 +67,21 @@
         "rows": [["c", "h", "/c/", 9, "y"]],
     }
     whole_order = put(whole(7, limits={"dwell_ms": 1}), on=3)
-    for op in (amend({"edition": 5, "upsert": {"routes": route}}, 3), lean(state, whole_order)):
+    for op in (amend({"edition": 5, "upsert": {"routes": route}}, 3), compact(state, whole_order)):
         taken, _ = apply(state, op)
         assert taken is not None
         # The service that it names is gone since: as a new order it would be invalid.
         gone = {"routes": ["b", "c"], "carrier_lines": ["y"]}
         later, verdict = apply(taken, amend({"edition": 9, "withdraw": gone}, op["edition"]))
         assert later is not None, verdict
-        assert apply(later, op)[1][0] == 200 and lean(later, whole_order)["digest"] == whole_order["digest"]
+        assert (
+            apply(later, op)[1][0] == 200 and compact(later, whole_order)["digest"] == whole_order["digest"]
+        )
     spaced = json.dumps(dict(reversed(whole(7, limits={"dwell_ms": 1}).items())), indent=1).encode()
-    assert changes.taken_orders.known(later, put(json.loads(spaced), on=3)) is taken_orders.Known.TAKEN
+    assert (
+        changes.order_deduplication.lookup(later, put(json.loads(spaced), on=3))
+        is order_deduplication.SeenOrder.APPLIED
+    )
 
 
 def test_a_restart_from_disk_knows_them_and_each_change_writes_one_page(tmp_path: Path) -> None:
@@ -103,9 +109,9 @@
     """What the version before makes of a configuration: it keeps 64 in one list, and no pages."""
     state = state or changes.EMPTY
     if [op["edition"], op["digest"]] in state["taken"]:
-        return Evaluation(None, [200, "Taken already."])
+        return Evaluation(None, Verdict(200, "Taken already."))
     if op["on"] != state["edition"]:
-        return Evaluation(None, [412, "Another is current."])
+        return Evaluation(None, Verdict(412, "Another is current."))
     new, verdict = apply(state, op)
     if new is not None:
         new["taken"] = [*state["taken"], [op["edition"], op["digest"]]][-64:]
@@ -137,7 +143,7 @@
     for _ in range(150):
         op = numbered(state["edition"] + 2, state["edition"])
         state, held = apply(state, op)[0], apply_at_gateway(held, op)[0]  # type: ignore[assignment]
-    assert "older" not in held and held == taken_orders.without_older(state) and "older" in state
+    assert "older" not in held and held == order_deduplication.without_older(state) and "older" in state
 
 
 class Cluster(World):
@@ -309,19 +315,19 @@
     assert not drawn_day(seed)
 
 
-def forgets(state: State, op: dict[str, Any]) -> taken_orders.Known:
+def forgets(state: State, op: dict[str, Any]) -> order_deduplication.SeenOrder:
     """A bug put in: 64 orders are known, and what is older is refused."""
     known = [op["edition"], op["digest"]] in state["taken"]
-    return taken_orders.Known.TAKEN if known else taken_orders.Known.NOT_TAKEN
+    return order_deduplication.SeenOrder.APPLIED if known else order_deduplication.SeenOrder.NOT_APPLIED
 
 
-def by_number(state: State, op: dict[str, Any]) -> taken_orders.Known:
+def by_number(state: State, op: dict[str, Any]) -> order_deduplication.SeenOrder:
     """A bug put in: an order is known by its number alone."""
     known = any(op["edition"] == edition for edition, _ in state["taken"])
-    return taken_orders.Known.TAKEN if known else taken_orders.Known.NOT_TAKEN
+    return order_deduplication.SeenOrder.APPLIED if known else order_deduplication.SeenOrder.NOT_APPLIED
 
 
 @pytest.mark.parametrize("bug", [forgets, by_number])
 def test_drawn_days_find_bugs_put_in(bug: Any, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(taken_orders, "known", bug)
+    monkeypatch.setattr(order_deduplication, "lookup", bug)
     assert any(drawn_day(seed) for seed in range(4))
--- a/tests/test_quota_keepers.py
+++ b/tests/test_quota_keepers.py
@@ -13,8 +13,14 @@
 
 from pepperrun.control.changes import apply
 from pepperrun.control.configuration import Sender
-from pepperrun.control.quota_placement import CHANGE_NS, JOINS_NS, SILENT_NS, QuotaPlacement, crowded
-from pepperrun.control.records import READY, GatewayRecord
+from pepperrun.control.quota_placement import (
+    CHANGE_INTERVAL_NS,
+    JOIN_BATCH_NS,
+    REPLACE_SILENT_NS,
+    QuotaPlacement,
+    is_crowded,
+)
+from pepperrun.control.records import GatewayRecord, GatewayState
 from pepperrun.core.gateway import Gateway
 from pepperrun.core.interface import (
     AttemptEnded,
@@ -336,28 +342,29 @@
         | {"senders": senders},
     )[0]
     nodes = [
-        GatewayRecord(f"{'abc'[n % 3]}{n}", f"z{n % 6}", "abc"[n % 3], "", "", 1, 0, READY) for n in range(77)
+        GatewayRecord(f"{'abc'[n % 3]}{n}", f"z{n % 6}", "abc"[n % 3], "", "", 1, 0, GatewayState.READY)
+        for n in range(77)
     ]
 
     def turn(seconds: float, there: list[GatewayRecord]) -> dict[str, list[str]]:
         nonlocal state, now
         for _ in range(int(seconds * 10)):
             now += SECOND // 10
-            op = quota_placement.wanted(there, state, lambda one: silence[one], BOUNDS, now)
+            op = quota_placement.next_operation(there, state, lambda one: silence[one], BOUNDS, now)
             if op is not None:
                 state = apply(state, op)[0] or state
         return state.get("keepers", {}).get("places", {})
 
-    assert not crowded(state, BOUNDS, 11) and turn(3, nodes[:11]) == {}
+    assert not is_crowded(state, BOUNDS, 11) and turn(3, nodes[:11]) == {}
     lists = turn(3, nodes[:76])
     assert sorted(lists) == ["a", "b", "c"] and sum(map(len, lists.values())) == 76
-    assert turn(CHANGE_NS / SECOND - 2, nodes) == lists  # the last one waits
-    assert sum(map(len, (lists := turn(JOINS_NS / SECOND + 3, nodes)).values())) == 77
-    silence["a0"] = SILENT_NS // 2
+    assert turn(CHANGE_INTERVAL_NS / SECOND - 2, nodes) == lists  # the last one waits
+    assert sum(map(len, (lists := turn(JOIN_BATCH_NS / SECOND + 3, nodes)).values())) == 77
+    silence["a0"] = REPLACE_SILENT_NS // 2
     assert turn(20, nodes) == lists
-    silence["a0"] = 2 * SILENT_NS
+    silence["a0"] = 2 * REPLACE_SILENT_NS
     assert turn(20, nodes)["a"] == [one for one in lists["a"] if one != "a0"]
-    silence.update({one.station: 2 * SILENT_NS for one in nodes if one.region == "b"})
+    silence.update({one.name: 2 * REPLACE_SILENT_NS for one in nodes if one.region == "b"})
     assert turn(20, nodes)["b"] == lists["b"]  # cut off
     assert state["keepers"]["settled"]
     held = state
--- a/tests/test_voter_changes.py
+++ b/tests/test_voter_changes.py
@@ -270,8 +270,8 @@
         sleeps.append(time_s)
 
     monkeypatch.setattr(asyncio, "sleep", sleep)
-    node = object.__new__(control_node.ControlNode)
-    node.hub = Leaver(looks)  # type: ignore[assignment]
+    node = object.__new__(control_node.ControlProgram)
+    node.node = Leaver(looks)  # type: ignore[assignment]
     node.settings = SimpleNamespace(me=SimpleNamespace(station="s1"))  # type: ignore[assignment]
     asyncio.run(node.handed_over())
     assert sum(sleeps) == pytest.approx(slept)
