--- a/benchmarks/capacity_control.py
+++ b/benchmarks/capacity_control.py
@@ -36,6 +36,7 @@
 from pepperrun.control.endpoint_registry import EndpointRegistry, WorkerHeartbeat
 from pepperrun.control.handlers import read_heartbeat
 from pepperrun.control.liveness_reports import LivenessReports
+from pepperrun.control.peer_messages import LivenessReport, encode_report
 from pepperrun.control.records import GatewayRecord, Worker, WorkerState
 from pepperrun.dataplane.numbering import Ledger
 from pepperrun.dataplane.routes import Table
@@ -145,15 +146,15 @@
     """Another core machine's word, each second, on the workers that it hears; all of them on a new link."""
     vouching = LivenessReports(2 * SECOND, 0)
     ids = ["w:" + row[0] for row in worker_rows(size)]
-    vouching.on_report("10.9.0.2", {"k": "vouch", "add": ids}, SECOND)
+    vouching.on_report("10.9.0.2", LivenessReport(added=ids), SECOND)
     other = LivenessReports(2 * SECOND, 0)
     for id in ids:
         other.record_heartbeat(id, SECOND)
-    nothing = {"k": "vouch"}
+    nothing = LivenessReport()
     return {
         "vouch_ms": best_ms(lambda: vouching.on_report("10.9.0.2", nothing, SECOND)),
         "vouch_round_ms": best_ms(lambda: other.periodic_report(SECOND)),
-        "vouch_all_bytes": len(encode(other.full_report(SECOND))),
+        "vouch_all_bytes": len(encode(encode_report(other.full_report(SECOND)))),
     }
 
 
--- a/pepperrun/consensus/learner.py
+++ b/pepperrun/consensus/learner.py
@@ -109,7 +109,7 @@
 
     @property
     def incarnation(self) -> Incarnation:
-        """This node as a voter."""
+        """The node itself as a voter."""
         return Incarnation(self.own_ip, self.state.disk_id)
 
     @property
--- a/pepperrun/consensus/register.py
+++ b/pepperrun/consensus/register.py
@@ -315,7 +315,7 @@
         self._propose_if_quorum_promised()
 
     def _latest(self) -> _Latest | None:
-        """The latest value that a promise tells of or that is known as chosen here."""
+        """Return the latest value that a promise tells of or that is known as chosen here."""
         chosen = self.state.chosen
         latest = None if chosen is None else _Latest(chosen.ballot, chosen.value)
         for promise in self.round.promises.values():
@@ -405,7 +405,7 @@
         self._finish_round()
 
     def _finish_round(self) -> None:
-        """The round is over and what it evaluated is certain."""
+        """End the round: what it evaluated is certain."""
         self.phase = Phase.IDLE
         self.rejections = 0
         pending = {change.token for change in self.pending}
--- a/pepperrun/consensus/replica.py
+++ b/pepperrun/consensus/replica.py
@@ -456,5 +456,5 @@
 
 
 def _unless_equal(ballot: Ballot, asked: Ballot) -> Ballot | None:
-    """A ballot of a reply, left out where it is the one that was asked about."""
+    """Return a ballot of a reply, None where it is the one that was asked about."""
     return None if ballot == asked else ballot
--- a/pepperrun/consensus/state.py
+++ b/pepperrun/consensus/state.py
@@ -164,7 +164,7 @@
 
 
 def initial_proposal(contacts: Iterable[str]) -> Proposal:
-    """The proposal before all others: the first contacts (ips) vote on an empty body."""
+    """Return the proposal before all others: the first contacts (ips) vote on an empty body."""
     voters = tuple(Incarnation(ip, FIRST_DISK_ID) for ip in sorted(set(contacts)))
     value = Value(
         version=0, voters=voters, outgoing_voters=(), coordinator=voters[0].ip, digest=digest_of({})
--- a/pepperrun/consensus/voter_selection.py
+++ b/pepperrun/consensus/voter_selection.py
@@ -55,7 +55,7 @@
 
 
 def _round_down_to_odd(count: int) -> int:
-    """An even number of voters bears no more losses than one less."""
+    """Leave out one of an even number of voters: that bears as many losses."""
     return count if count % 2 else count - 1
 
 
--- a/pepperrun/control/changes.py
+++ b/pepperrun/control/changes.py
@@ -64,7 +64,7 @@
 
 
 def _refused(status: int, detail: str, code: str = "") -> Evaluation:
-    """The state stays as it is."""
+    """Return the evaluation of an operation that leaves the state as it is."""
     return Evaluation(None, Verdict(status, detail, code))
 
 
--- a/pepperrun/control/evacuations.py
+++ b/pepperrun/control/evacuations.py
@@ -51,12 +51,12 @@
         return replace(orders, doubted=min(orders.doubted, state.get("evacuated", []).count(zone)))
 
     def serial(self, begin: bool) -> int:
-        """Changes with each order of this kind."""
+        """Return a number that changes with each order of this kind."""
         return self.begun if begin else self.finished
 
 
 def apply_order(state: State, op: Op) -> Evaluation:
-    """What an `evacuate` operation makes of the agreed state. Pure.
+    """Evaluate an `evacuate` operation on the agreed state. Pure.
 
     `zone`, `begin`; `call`: id of this one proposal, as a proposal may be judged twice; `sure`: by the clock
     of the machine asked it repeats nothing that was taken; `seen`: the serial of its kind that this rests on;
@@ -110,7 +110,7 @@
 
 
 def _apply_count(state: State, op: Op) -> Evaluation:
-    """An operation of a version that knows only how many orders stand."""
+    """Evaluate an operation of a version that knows only how many orders stand."""
     zone, begin, standing = op["zone"], op["begin"], state["evacuated"].count(op["zone"])
     count = op.get("count", max(1, standing) if begin else 0)
     if (standing >= count) if begin else (standing <= count):
@@ -146,7 +146,7 @@
         self.note(body, now, at_once=False)
 
     def note(self, body: Mapping[str, Any], now: int, at_once: bool) -> None:
-        """The agreed state went on. `at_once`: by one operation, which was taken just now."""
+        """Note a change of the agreed state. `at_once`: by one operation, which was applied just now."""
         evacuated: list[str] = body.get("evacuated", [])
         for zone in {*evacuated, *body.get("evacuations", {}), *self.noted}:
             orders, standing = ZoneOrders.of(body, zone), evacuated.count(zone)
@@ -171,7 +171,7 @@
         receipt_ms: float,
         now: int,
     ) -> Op:
-        """The operation for an operator's call. `call_id`: another one each time, on all machines."""
+        """Return the operation for an operator's call. `call_id`: another one each time, on all machines."""
         orders, standing = ZoneOrders.of(body, zone), body.get("evacuated", []).count(zone)
         at = self.learnt.get((zone, begin), -1)
         sure = at < 0 or now - at > _repeated_for(receipt_ms)
--- a/pepperrun/control/handlers.py
+++ b/pepperrun/control/handlers.py
@@ -39,7 +39,7 @@
     retiring: bool
 
     def now(self) -> int:
-        """The steady clock."""
+        """Return the steady clock, ns."""
         ...
 
     def process_pending(self) -> None:
@@ -69,7 +69,7 @@
         ...
 
     def body(self) -> dict[str, Any] | None:
-        """The agreed state, None while none is known."""
+        """Return the agreed state, None while none is known."""
         ...
 
     def other_node(self) -> str | None:
@@ -148,7 +148,7 @@
         return Answer(200, body) if token is None else self._once_replicated(token, body)
 
     def _forwarding(self, heartbeat: WorkerHeartbeat) -> bytes:
-        """The body that names the node which should get a worker's heartbeats."""
+        """Return the body that names the node which should get a worker's heartbeats."""
         core = self.core
         zones = core.settings.network.zones
         ip = core.registry.forward_to(heartbeat.id, heartbeat.zone, core.settings.me.zone, zones)
@@ -198,11 +198,11 @@
         return explain(400, error.code, error.detail)
 
     def begin(self, call: Call) -> Answer | AwaitedAnswer:
-        """POST /evacuate/ZONE/begin"""
+        """POST /evacuate/ZONE/begin: a zone is to be emptied."""
         return self._evacuate(call, begin=True)
 
     def finish(self, call: Call) -> Answer | AwaitedAnswer:
-        """POST /evacuate/ZONE/finish"""
+        """POST /evacuate/ZONE/finish: that is taken back."""
         return self._evacuate(call, begin=False)
 
     def _evacuate(self, call: Call, *, begin: bool) -> Answer | AwaitedAnswer:
@@ -236,7 +236,7 @@
         return explain(verdict.status, code, verdict.detail)
 
     async def read(self, call: Call) -> Answer:
-        """GET /timetable/read"""
+        """GET /timetable/read: the configuration as operators put it."""
         if self.core.lacks_quorum:
             return _no_quorum()
         if not await self._is_confirmed():
--- a/pepperrun/control/matchers.py
+++ b/pepperrun/control/matchers.py
@@ -51,12 +51,12 @@
 
 
 def does(handler: Handler) -> Matcher:
-    """Here the path has to end; the handler answers."""
+    """Match the end of the path; the handler answers."""
     return lambda call, depth: handler if depth == len(call.path) else Miss(depth, 404)
 
 
 def any_of(*inner: Matcher) -> Matcher:
-    """The first that matches."""
+    """Match what the first of these matches."""
 
     def match(call: Call, depth: int) -> Found:
         best = Miss(depth, 404)
@@ -74,7 +74,7 @@
 
 
 def at(segment: str, *inner: Matcher) -> Matcher:
-    """A segment of the path."""
+    """Match a segment of the path."""
     rest = any_of(*inner)
 
     def match(call: Call, depth: int) -> Found:
@@ -86,7 +86,7 @@
 
 
 def each(name: str, *inner: Matcher) -> Matcher:
-    """Any segment; its text becomes `values[name]`."""
+    """Match any segment; its text becomes `values[name]`."""
     rest = any_of(*inner)
 
     def match(call: Call, depth: int) -> Found:
@@ -99,7 +99,7 @@
 
 
 def method(name: str, *inner: Matcher) -> Matcher:
-    """A method; to others of a path that is known the answer is 405."""
+    """Match a method; the answer to others on a path that is known is 405."""
     rest = any_of(*inner)
 
     def match(call: Call, depth: int) -> Found:
@@ -111,7 +111,7 @@
 
 
 def header(name: str, *inner: Matcher) -> Matcher:
-    """A header that has to be there; its text becomes `values[name]`."""
+    """Match calls that have a header; its text becomes `values[name]`."""
     rest = any_of(*inner)
 
     def match(call: Call, depth: int) -> Found:
@@ -124,13 +124,13 @@
 
 
 def parse_target(target: bytes) -> tuple[list[str], dict[str, str]]:
-    """A request's target as path segments and query."""
+    """Return a request's target as path segments and query."""
     path, _, query = target.decode("latin-1").partition("?")
     return [unquote(one) for one in path.split("/")[1:]], dict(parse_qsl(query))
 
 
 def answer_to(tree: Matcher, call: Call) -> Any:
-    """What the tree answers: an Answer, or an awaitable of one."""
+    """Return what the tree answers: an Answer, or an awaitable of one."""
     found = tree(call, 0)
     if not isinstance(found, Miss):
         return found(call)
--- a/pepperrun/control/node.py
+++ b/pepperrun/control/node.py
@@ -279,7 +279,7 @@
         return future
 
     def body(self) -> dict[str, Any] | None:
-        """The agreed state, None while none is known."""
+        """Return the agreed state, None while none is known."""
         return self.replica.body or None
 
     def other_node(self) -> str | None:
--- a/pepperrun/control/quota_placement.py
+++ b/pepperrun/control/quota_placement.py
@@ -77,7 +77,7 @@
         self.present = present
 
     def _settle(self, agreed: dict[str, Any], bounds: Bounds, now: int) -> dict[str, Any] | None:
-        """The operation that marks the lists as settled, once former owners have stopped."""
+        """Return the operation that marks the lists as settled, once former owners have stopped."""
         stopped_ns = int(bounds.revoke_ms * MS) + GRANT_NS
         if agreed["term"] and not agreed.get("settled") and now - self.changed_at > stopped_ns:
             return {"do": "settled", "term": agreed["term"]}
@@ -92,7 +92,7 @@
         bounds: Bounds,
         now: int,
     ) -> dict[str, Any] | None:
-        """The operation that agrees on other lists, where they should change now."""
+        """Return the operation that agrees on other lists, where they should change now."""
         if now - self.joined_at < QUIET_NS:
             return None
         if not agreed["term"]:
--- a/pepperrun/control/replication_waits.py
+++ b/pepperrun/control/replication_waits.py
@@ -22,6 +22,7 @@
         self._waits: dict[int, ReplicationWait] = {}
 
     def __contains__(self, token: int) -> bool:
+        """Return whether a wait is not over."""
         return token in self._waits
 
     def start(self, needed: int) -> int:
--- a/pepperrun/control/server.py
+++ b/pepperrun/control/server.py
@@ -17,22 +17,22 @@
 from pepperrun.net.http1 import HttpError, Request, RequestParser, write_response
 
 SECOND = 1_000_000_000
-MOST_BODY = 4 * 1024 * 1024  # bytes of a call's body: thousands of routes
-ROOM = 64 * 1024  # of it in the buffer
-MOST = 1500  # connections; the one that has been idle for longest gives way
-IDLE = 30 * SECOND  # between calls
-SLOW = 10 * SECOND  # for a whole call to come in, or an answer to be taken
+MAX_BODY_BYTES = 4 * 1024 * 1024  # bytes of a call's body: thousands of routes
+BUFFER_BYTES = 64 * 1024  # of it in the buffer
+MAX_CONNECTIONS = 1500  # connections; the one that has been idle for longest gives way
+IDLE_NS = 30 * SECOND  # between calls
+SLOW_NS = 10 * SECOND  # for a whole call to come in, or an answer to be taken
 SWEEP_S = 2.0
 
 
-class Caller(asyncio.BufferedProtocol):
-    """A connection."""
+class CallerConnection(asyncio.BufferedProtocol):
+    """A connection of a caller: one call after another."""
 
     def __init__(self, server: Server) -> None:
         self.server = server
         self.transport: asyncio.Transport | None = None
-        self.buffer = Buffer(ROOM)
-        self.parser = RequestParser(self.buffer, MOST_BODY)
+        self.buffer = Buffer(BUFFER_BYTES)
+        self.parser = RequestParser(self.buffer, MAX_BODY_BYTES)
         self.busy: asyncio.Future[Answer] | None = None  # an answer is awaited
         self.request: Request | None = None
         self.ended = False  # the last answer is given: what still comes is dropped
@@ -40,57 +40,64 @@
         self.continued = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Register the connection."""
         assert isinstance(transport, asyncio.Transport)
-        self.transport, self.since = transport, time.monotonic_ns()
+        self.transport = transport
+        self.since = time.monotonic_ns()
         self.server.add(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Cancel the answer that is awaited."""
         self.transport = None
         self.server.callers.pop(self, None)
         if self.busy is not None:
             self.busy.cancel()
 
     def get_buffer(self, sizehint: int) -> memoryview:
+        """Return room for what comes next."""
         if self.ended:
             self.buffer.drop(len(self.buffer))
         return self.buffer.room()
 
     def buffer_updated(self, nbytes: int) -> None:
+        """Handle bytes that have come."""
         if not len(self.buffer):
             self.since = time.monotonic_ns()
         self.buffer.filled(nbytes, 0)
         if not self.ended:
-            self.go_on()
+            self.process_calls()
         if self.transport is not None and self.buffer.full():
             if self.busy is not None:
                 self.transport.pause_reading()
             elif not self.ended:
-                self.say(Answer(431), close=True)
+                self.respond(Answer(431), close=True)
 
     def eof_received(self) -> bool:
+        """Give the answer under way on a half-closed connection, else close."""
         if self.busy is None:
             return False
         self.ended = True  # half closed: the answer under way is still given
         return True
 
-    def go_on(self) -> None:
-        """Takes the calls that are whole."""
+    def process_calls(self) -> None:
+        """Handle the calls that have come in completely."""
         while self.busy is None and not self.ended and self.transport is not None:
             try:
                 request = self.parser.next()
             except HttpError as error:
-                self.say(Answer(error.status), close=True)
+                self.respond(Answer(error.status), close=True)
                 return
             if request is None:
                 if self.parser.waits_for_continue() and not self.continued:
                     self.continued = True
                     self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
                 return
-            self.request, self.continued = request, False
-            self.take(request)
+            self.request = request
+            self.continued = False
+            self.handle(request)
 
-    def take(self, request: Request) -> None:
-        """One call."""
+    def handle(self, request: Request) -> None:
+        """Handle one call."""
         try:
             path, query = parse_target(request.target)
             headers = {name.decode("latin-1"): text.decode("latin-1") for name, text in request.names.items()}
@@ -100,14 +107,14 @@
             trouble(error)
             answer = Answer(503, headers=(("Retry-After", "0.5"),))
         if isinstance(answer, Answer):
-            self.say(answer, request.close())
+            self.respond(answer, request.close())
             return
         assert isinstance(answer, Awaitable)
         self.busy = asyncio.ensure_future(answer)
         self.busy.add_done_callback(self.answered)
 
     def answered(self, done: asyncio.Future[Answer]) -> None:
-        """What was awaited is there."""
+        """Send the answer that was awaited."""
         self.busy = None
         if done.cancelled() or self.transport is None:
             return
@@ -119,13 +126,13 @@
             )
         assert self.request is not None
         answer = done.result() if error is None else Answer(503, headers=(("Retry-After", "0.5"),))
-        self.say(answer, self.request.close())
+        self.respond(answer, self.request.close())
         if self.transport is not None and not self.ended:
             self.transport.resume_reading()
-            self.go_on()
+            self.process_calls()
 
-    def say(self, answer: Answer, close: bool) -> None:
-        """An answer."""
+    def respond(self, answer: Answer, close: bool) -> None:
+        """Send an answer."""
         transport = self.transport
         if transport is None:
             return
@@ -144,7 +151,7 @@
                 transport.close()
 
     def sweep(self, now: int) -> None:
-        """Ends what has waited for too long."""
+        """End a connection that has waited for too long."""
         if self.transport is None or self.busy is not None:
             return
         waits = now - self.since
@@ -152,9 +159,9 @@
             if waits > 2 * SECOND:
                 self.transport.abort()
         elif len(self.buffer) or self.parser.request is not None:
-            if waits > SLOW:
-                self.say(Answer(408), close=True)
-        elif waits > (SLOW if self.transport.get_write_buffer_size() else IDLE):
+            if waits > SLOW_NS:
+                self.respond(Answer(408), close=True)
+        elif waits > (SLOW_NS if self.transport.get_write_buffer_size() else IDLE_NS):
             self.transport.close()
 
 
@@ -163,33 +170,33 @@
 
     def __init__(self, tree: Matcher) -> None:
         self.tree = tree
-        self.callers: dict[Caller, None] = {}  # the oldest first
+        self.callers: dict[CallerConnection, None] = {}  # the oldest first
         self.closing = False
         self.listener: asyncio.Server | None = None
         self.timer: asyncio.TimerHandle | None = None
 
     async def open(self, where: Address) -> None:
-        """Listens there; PepperrunError where that can't be."""
+        """Listen at an address; raise PepperrunError `no-listen` where that can't be."""
         loop = asyncio.get_running_loop()
         try:
             self.listener = await loop.create_server(
-                lambda: Caller(self), *where, reuse_address=True, backlog=256
+                lambda: CallerConnection(self), *where, reuse_address=True, backlog=256
             )
         except OSError as error:
             raise PepperrunError("no-listen", "opening", str(error), f"{where[0]}:{where[1]}") from None
         self.sweep()
 
     def sweep(self) -> None:
-        """Looks after all connections, one timer for all."""
+        """End connections that have waited for too long, by one timer for all."""
         now = time.monotonic_ns()
         for caller in list(self.callers):
             caller.sweep(now)
         self.timer = asyncio.get_running_loop().call_later(SWEEP_S, self.sweep)
 
-    def add(self, caller: Caller) -> None:
-        """A connection is up; beyond the limit one that has been idle for long gives way."""
+    def add(self, caller: CallerConnection) -> None:
+        """Add a connection; beyond the limit the one that has been idle for longest gives way."""
         self.callers[caller] = None
-        if len(self.callers) > MOST:
+        if len(self.callers) > MAX_CONNECTIONS:
             idle = min(
                 (one for one in self.callers if one.busy is None), key=lambda one: one.since, default=None
             )
@@ -197,8 +204,8 @@
                 del self.callers[idle]
                 idle.transport.abort()
 
-    async def close(self, patience_s: float) -> None:
-        """Takes no more connections, answers what was read, ends the rest."""
+    async def close(self, timeout_s: float) -> None:
+        """Accept no more connections, answer what was read, end the rest."""
         self.closing = True
         if self.listener is not None:
             self.listener.close()
@@ -207,6 +214,6 @@
             if caller.busy is None and caller.transport is not None:
                 caller.transport.close()
         if busy:
-            await asyncio.wait(busy, timeout=patience_s)
+            await asyncio.wait(busy, timeout=timeout_s)
         if self.timer is not None:
             self.timer.cancel()
--- a/pepperrun/control/validation.py
+++ b/pepperrun/control/validation.py
@@ -31,7 +31,7 @@
 
 
 def refusal(code: str, sentence: str) -> PepperrunError:
-    """Why a configuration is not taken."""
+    """Return the error that says why a configuration is not taken."""
     whole = sentence[:1].upper() + sentence[1:].rstrip()
     return PepperrunError(code, STEP, whole if whole.endswith(".") else whole + ".")
 
@@ -87,7 +87,7 @@
 
 
 def plain(kind: type, item: Item) -> bool:
-    """Is it sure, at a look, that dacite would read this item? Of the rest dacite tells what is wrong.
+    """Return whether dacite would surely read this item. Of the rest dacite tells what is wrong.
 
     dacite takes 0.1 ms for a route: for 1,400 of them half a second of a small core machine, in which it
     answers nobody.
@@ -101,7 +101,7 @@
 
 
 def typed(kind: type[T], item: Item, called: str) -> T:
-    """The item as the planes read it; unknown columns are passed over, missing ones have their defaults."""
+    """Return the item as the planes read it: unknown columns passed over, defaults for missing ones."""
     if kind is Route:
         item = {"route_kind": UNSAFE, "target_ms": item.get("deadline_ms")} | item
     try:
@@ -115,7 +115,7 @@
 
 
 def parse(data: bytes) -> dict[str, Any]:
-    """The body of a call; `cut-short` where it is not whole."""
+    """Return the body of a call; raise a `cut-short` refusal where it is incomplete."""
     try:
         body = json.loads(data, parse_constant=_no_constant)
     except (ValueError, RecursionError) as error:
@@ -133,7 +133,7 @@
 
 
 def items(kind: str, table: Any) -> Items:
-    """A table's items by name; columns without a value (null) are left out."""
+    """Return a table's items by name; columns without a value (null) are left out."""
     if not isinstance(table, dict):
         raise refusal("cut-short", f"{kind} is no table.")
     columns, rows = table.get("columns"), table.get("rows")
@@ -156,28 +156,33 @@
 
 
 def table(rows: Items) -> dict[str, Any]:
-    """Items as a table again: the columns that any of them has, in the order in which they are met."""
+    """Return items as a table again: the columns that any of them has, in the order in which they are met."""
     columns = list(dict.fromkeys(column for item in rows.values() for column in item)) or ["name"]
     return {"columns": columns, "rows": [[item.get(column) for column in columns] for item in rows.values()]}
 
 
 def check_route(item: Item) -> None:
-    """What a route must be for itself."""
+    """Raise a refusal where a route is not valid for itself."""
     name = item["name"]
     if "deadline_ms" not in item:
         raise refusal("no-timeout", f"Route {name} has no deadline_ms.")
     if "prefix" not in item or "depot" not in item:
-        raise refusal(
-            "no-host" if "depot" not in item else "bare-prefix", f"Route {name} has no host or prefix."
-        )
+        code = "no-host" if "depot" not in item else "bare-prefix"
+        raise refusal(code, f"Route {name} has no host or prefix.")
     if plain(Route, item):
-        deadline_ms, prefix, depot = item["deadline_ms"], item["prefix"], item["depot"]
-        splits, line = item.get("splits"), item.get("line")
+        splits = item.get("splits")
         shares = None if splits is None else [split["share"] for split in splits]
+        _check_match(name, item["deadline_ms"], item["prefix"], item["depot"])
+        _check_destination(name, item.get("line"), shares)
     else:
         route = typed(Route, item, f"route {name}")
-        deadline_ms, prefix, depot, line = route.deadline_ms, route.prefix, route.depot, route.line
         shares = None if route.splits is None else [split.share for split in route.splits]
+        _check_match(name, route.deadline_ms, route.prefix, route.depot)
+        _check_destination(name, route.line, shares)
+
+
+def _check_match(name: str, deadline_ms: float, prefix: str, depot: str) -> None:
+    """Check which requests a route takes, and for how long."""
     if not deadline_ms > 0:
         raise refusal("no-timeout", f"Route {name} has a deadline_ms of {deadline_ms:g}, not above 0.")
     if deadline_ms > LONGEST_MS:
@@ -186,18 +191,22 @@
         raise refusal("bare-prefix", f"Route {name} has the prefix {prefix!r}, which begins with no slash.")
     if not depot.strip():
         raise refusal("no-host", f"Route {name} has an empty depot.")
+
+
+def _check_destination(name: str, service: str | None, shares: list[float] | None) -> None:
+    """Check that a route goes to one service, or to several by their shares."""
     if shares:
-        if line is not None:
+        if service is not None:
             raise refusal("no-service", f"Route {name} has both a line and splits.")
         if any(share < 0 for share in shares) or not sum(shares) > 0:
             raise refusal("no-weight", f"Route {name} has splits whose shares don't add up to more than 0.")
-    elif line is None:
+    elif service is None:
         code = "no-service" if shares is None else "no-weight"
         raise refusal(code, f"Route {name} goes to no service.")
 
 
 def check_items(kind: str, rows: Items) -> None:
-    """What items must be for themselves."""
+    """Raise a refusal where an item is not valid for itself."""
     for name, item in rows.items():
         if kind == "routes":
             check_route(item)
@@ -206,13 +215,13 @@
 
 
 def lines_of(item: Item) -> list[str]:
-    """The services that a checked route names."""
+    """Return the services that a checked route names."""
     splits = item.get("splits")
     return [split["line"] for split in splits] if splits else [item["line"]]
 
 
 def check_lines(routes: Iterable[Item], lines: Mapping[str, Any]) -> None:
-    """Do these routes name known services only?"""
+    """Raise a refusal where a route names an unknown service."""
     for item in routes:
         for line in lines_of(item):
             if line not in lines:
@@ -220,7 +229,7 @@
 
 
 def check_stamps(senders: Mapping[str, Item]) -> None:
-    """Does each key belong to one sender?"""
+    """Raise a refusal where two senders share a key."""
     held: dict[str, str] = {}
     for name, item in senders.items():
         for stamp in item.get("stamps", ()):
@@ -239,13 +248,13 @@
 
 
 def digest(op: Op) -> str:
-    """The same for the same order, whatever way its JSON was written."""
+    """Return the same digest for the same order, whatever way its JSON was written."""
     text = json.dumps(op, sort_keys=True, separators=(",", ":"))
     return blake2b(text.encode(), digest_size=12).hexdigest()
 
 
 def read_replace(data: bytes, on: int) -> Op:
-    """The operation of a whole configuration on top of edition `on`."""
+    """Return the operation of a complete configuration on top of edition `on`."""
     body = parse(data)
     op: Op = {"do": "replace", "on": on, "edition": _edition(body)}
     for kind in KINDS:
@@ -266,7 +275,7 @@
 
 
 def read_amend(data: bytes, on: int) -> Op:
-    """The operation that changes named items on top of edition `on`."""
+    """Return the operation that changes named items on top of edition `on`."""
     body = parse(data)
     op: Op = {"do": "amend", "on": on, "edition": _edition(body), "upsert": {}, "withdraw": {}}
     upsert, withdraw = body.get("upsert") or {}, body.get("withdraw") or {}
@@ -298,7 +307,7 @@
 
 
 def known(kind: type[T], item: Item) -> T:
-    """As `typed`, of an item that has been checked: many times faster."""
+    """Return what `typed` does, of an item that has been checked: many times faster."""
     columns = COLUMNS[kind]
     known = {column: value for column, value in item.items() if column in columns}
     if kind is Route:
@@ -311,7 +320,7 @@
 def timetable(
     state: Mapping[str, Any], before: tuple[Mapping[str, Any], Timetable] | None = None
 ) -> Timetable:
-    """The agreed state, which has been checked, as the planes read it.
+    """Return the agreed state, which has been checked, as the planes read it.
 
     `before`: an earlier state and what it read as; items that are the same object in both are not read again.
     """
--- a/pepperrun/control_node.py
+++ b/pepperrun/control_node.py
@@ -18,28 +18,28 @@
 from pepperrun.foundation.settings import Settings, load
 from pepperrun.storage.store import DiskStore
 
-LOOK_S = 2.0  # between two looks whether the settings file has changed
-ANSWERED_S = 1.5  # for what was read, once told to stop
-SENT_S = 0.1  # for the last messages to go out
-HANDED_OVER_S = 3.0  # at most until its vote and its duty are others': half of the usual `grace_s`
-RELEASED_EACH_S = 0.05  # between two looks whether they are
+SETTINGS_CHECK_S = 2.0  # between two looks whether the settings file has changed
+DRAIN_TIMEOUT_S = 1.5  # for what was read, once told to stop
+LAST_MESSAGES_S = 0.1  # for the last messages to go out
+HANDOVER_TIMEOUT_S = 3.0  # at most until its vote and its duty are others': half of the usual `grace_s`
+HANDOVER_CHECK_S = 0.05  # between two looks whether they are
 
 
 class ControlProgram:
-    """The running program."""
+    """The running program: settings, servers and signals around one control node."""
 
     def __init__(self, settings: Settings, path: str | None) -> None:
         self.settings, self.path = settings, path
         self.stop = asyncio.Event()
-        self.looked = self.stamp()
-        memory, store = remembered(settings)
-        logs.event("starting", station=settings.me.station, ip=settings.me.ip, starts=memory.starts)
-        self.node = ControlNode(settings, memory, store, memory.starts)
+        self.settings_changed_at = self.settings_mtime_ns()
+        state, store = open_store(settings)
+        logs.event("starting", station=settings.me.station, ip=settings.me.ip, starts=state.starts)
+        self.node = ControlNode(settings, state, store, state.starts)
         control = Control(self.node)
         self.servers = {"control_port": Server(control.tree()), "directory_port": Server(control.directory())}
 
-    def stamp(self) -> int:
-        """When the settings file was last changed."""
+    def settings_mtime_ns(self) -> int:
+        """Return when the settings file was last changed."""
         try:
             where: str = self.path or os.environ.get("PEPPERRUN_NODE_FILE") or ""
             return os.stat(where).st_mtime_ns
@@ -47,7 +47,7 @@
             return 0
 
     async def run(self) -> None:
-        """Until told to stop."""
+        """Serve until told to stop, then shut down gracefully."""
         loop = asyncio.get_running_loop()
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, self.stop.set)
@@ -60,31 +60,31 @@
         self.node.start()
         while not self.stop.is_set():
             try:
-                async with asyncio.timeout(LOOK_S):
+                async with asyncio.timeout(SETTINGS_CHECK_S):
                     await self.stop.wait()
             except TimeoutError:
-                if self.stamp() != self.looked:
+                if self.settings_mtime_ns() != self.settings_changed_at:
                     self.reread()
         logs.event("stopping", station=self.settings.me.station)
         self.node.request_stop()
         listener.close()
-        closing = (server.close(ANSWERED_S) for server in self.servers.values())
-        await asyncio.gather(self.handed_over(), *closing)
-        await asyncio.sleep(SENT_S)
+        closing = (server.close(DRAIN_TIMEOUT_S) for server in self.servers.values())
+        await asyncio.gather(self.wait_for_handover(), *closing)
+        await asyncio.sleep(LAST_MESSAGES_S)
         self.node.close()
 
-    async def handed_over(self) -> None:
-        """Until nothing that the other core machines need rests on this one, or the time for it is over."""
-        looks = int(HANDED_OVER_S / RELEASED_EACH_S)
-        for _ in range(looks):
+    async def wait_for_handover(self) -> None:
+        """Wait until no other node needs this one's vote or role, or the time for it is over."""
+        checks = int(HANDOVER_TIMEOUT_S / HANDOVER_CHECK_S)
+        for _ in range(checks):
             if self.node.replica.safe_to_stop:
                 return
-            await asyncio.sleep(RELEASED_EACH_S)
-        logs.event("not-released", station=self.settings.me.station)
+            await asyncio.sleep(HANDOVER_CHECK_S)
+        logs.event("handover-timed-out", station=self.settings.me.station)
 
     def reread(self) -> None:
-        """The settings file may have changed; one that is no good changes nothing."""
-        self.looked = self.stamp()
+        """Read the settings file again; one that is not valid changes nothing."""
+        self.settings_changed_at = self.settings_mtime_ns()
         try:
             self.settings = load(self.path)
         except PepperrunError as error:
@@ -93,8 +93,8 @@
         self.node.reload(self.settings)
 
 
-def remembered(settings: Settings) -> tuple[DurableState, StateStore]:
-    """What the disk remembers, and where to keep more; without a disk nothing outlives the process."""
+def open_store(settings: Settings) -> tuple[DurableState, StateStore]:
+    """Return the durable state and its store; without a disk nothing outlives the process."""
     me = settings.me
     contacts = [ip for ip, _ in settings.contacts()] if me.first_run else []
     if me.store_dir is None:
@@ -104,7 +104,7 @@
 
 
 def main(args: list[str] | None = None) -> int:
-    """The command line; 0, or 2 where settings or disk are no good."""
+    """Run the command line; return 0, or 2 where settings or disk are not valid."""
     parser = argparse.ArgumentParser(prog="python3 -m pepperrun.control_node", description=__doc__)
     parser.add_argument(
         "--settings", metavar="FILE", help="the settings file (else PEPPERRUN_NODE_FILE names it)"
--- a/pepperrun/storage/records.py
+++ b/pepperrun/storage/records.py
@@ -108,7 +108,7 @@
 
 
 def owner_of(identity: Any) -> str:
-    """The ip that the identity record names; empty where it names none (an earlier version wrote none)."""
+    """Return the ip that the identity record names; empty where an earlier version wrote none."""
     return str(identity[3]) if len(identity) > 3 else ""
 
 
@@ -182,5 +182,5 @@
 
 
 def _proposal_record(proposal: Proposal | None) -> list[Any] | None:
-    """A proposal without its body, which has a record of its own."""
+    """Return the record of a proposal without its body, which has a record of its own."""
     return None if proposal is None else [proposal.ballot, codec.encode_value(proposal.value)]
--- a/pepperrun/storage/store.py
+++ b/pepperrun/storage/store.py
@@ -102,7 +102,7 @@
         return state
 
     def _load_or_discard(self) -> tuple[DurableState | None, bool]:
-        """The state, None where there is none, and whether there was one that is damaged."""
+        """Return the state, None where there is none, and whether there was a damaged one."""
         try:
             return self.load(), False
         except (NewerFormatError, DiskUnavailableError):
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -19,7 +19,7 @@
 from pepperrun.control.matchers import Answer, Call, answer_to, parse_target
 from pepperrun.control.node import tolerated_losses
 from pepperrun.control.peer_links import FORGET_NS, PeerLinks
-from pepperrun.control.server import Caller, Server
+from pepperrun.control.server import CallerConnection, Server
 from pepperrun.control.validation import Op, read_replace, timetable
 from pepperrun.control.verdict import Verdict
 from pepperrun.foundation.errors import PepperrunError
@@ -295,7 +295,7 @@
 def test_the_server_answers_calls_in_order_chunked_or_not_and_ends_on_garbage() -> None:
     async def play(data: bytes, size: int) -> Wire:
         server = Server(Control(Core()).tree())
-        caller, wire = Caller(server), Wire()
+        caller, wire = CallerConnection(server), Wire()
         caller.connection_made(wire)
         while data:
             view = caller.get_buffer(-1)
--- a/tests/test_control_conversations.py
+++ b/tests/test_control_conversations.py
@@ -12,10 +12,10 @@
 from standins import HOST, going
 
 from pepperrun.control.matchers import Answer, any_of, at, does, each, method
-from pepperrun.control.server import ROOM, Server
+from pepperrun.control.server import BUFFER_BYTES, Server
 from pepperrun.simulation.conversations.client import read_answers
 
-SIZES = (0, 3, 5_000, ROOM, 2 * ROOM + 7)
+SIZES = (0, 3, 5_000, BUFFER_BYTES, 2 * BUFFER_BYTES + 7)
 
 
 @dataclass
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -181,11 +181,15 @@
 
 JSON = st.recursive(
     st.none() | st.booleans() | st.integers() | st.floats() | st.text(max_size=8) | st.just("127.0.0.1:80"),
-    lambda inner: st.lists(inner, max_size=4)
-    | st.dictionaries(
-        st.sampled_from(["version", "full", "servers", "id", "addr", "state", "cell", "started_ms", "zone"]),
-        inner,
-        max_size=6,
+    lambda inner: (
+        st.lists(inner, max_size=4)
+        | st.dictionaries(
+            st.sampled_from(
+                ["version", "full", "servers", "id", "addr", "state", "cell", "started_ms", "zone"]
+            ),
+            inner,
+            max_size=6,
+        )
     ),
     max_leaves=20,
 )
--- a/tests/test_gatekeeper.py
+++ b/tests/test_gatekeeper.py
@@ -169,8 +169,8 @@
     for word in [*order, "fail", "ok0", "ok1"]:
         driven.loop.run(driven.loop.now + 5 * MS)
         if word in actions:
-            driven.decisions.say = (
-                lambda event, word=word: [actions[word]] if isinstance(event, PeerMessage) else []
+            driven.decisions.say = lambda event, word=word: (
+                [actions[word]] if isinstance(event, PeerMessage) else []
             )
             driven.keeper.heard(0, b"")
         elif word == "left":
@@ -232,8 +232,8 @@
         raise OSError("no buffers")
 
     driven.keeper.tell = broken
-    driven.decisions.say = (
-        lambda event: [TellPeer(0, b""), Refuse(event.id)] if isinstance(event, Request) else []
+    driven.decisions.say = lambda event: (
+        [TellPeer(0, b""), Refuse(event.id)] if isinstance(event, Request) else []
     )
     driven.loop.run(10 * MS)
     assert driven.ask().end is End.REFUSED
--- a/tests/test_voter_changes.py
+++ b/tests/test_voter_changes.py
@@ -193,9 +193,9 @@
         world.remove(keeper)
         world.run(3200)
         value = world.newest
-        assert (
-            keeper not in value.voter_ips and value.coordinator != keeper and not value.outgoing_voters
-        ), after_ms
+        assert keeper not in value.voter_ips and value.coordinator != keeper and not value.outgoing_voters, (
+            after_ms
+        )
 
 
 def test_a_keeper_lets_in_no_life_that_it_heard_on_an_older_link() -> None:
@@ -260,7 +260,7 @@
         return self.seen > self.looks
 
 
-@pytest.mark.parametrize(("looks", "slept"), [(0, 0.0), (5, 0.25), (1000, control_node.HANDED_OVER_S)])
+@pytest.mark.parametrize(("looks", "slept"), [(0, 0.0), (5, 0.25), (1000, control_node.HANDOVER_TIMEOUT_S)])
 def test_the_program_waits_until_it_is_released_but_not_for_ever(
     monkeypatch: pytest.MonkeyPatch, looks: int, slept: float
 ) -> None:
@@ -273,7 +273,7 @@
     node = object.__new__(control_node.ControlProgram)
     node.node = Leaver(looks)  # type: ignore[assignment]
     node.settings = SimpleNamespace(me=SimpleNamespace(station="s1"))  # type: ignore[assignment]
-    asyncio.run(node.handed_over())
+    asyncio.run(node.wait_for_handover())
     assert sum(sleeps) == pytest.approx(slept)
 
 
