--- a/benchmarks/capacity_control.py
+++ b/benchmarks/capacity_control.py
@@ -41,8 +41,8 @@
 from pepperrun.dataplane.numbering import Ledger
 from pepperrun.dataplane.routes import Table
 from pepperrun.distribution import repair
-from pepperrun.distribution.book import NewsBook
-from pepperrun.distribution.publisher import Publisher, seal
+from pepperrun.distribution.publisher import Publisher, state_checksum
+from pepperrun.distribution.replicated_state import ReplicatedState
 from pepperrun.foundation.netstring import Decoder, encode, length
 from pepperrun.foundation.settings import Bounds
 from pepperrun.storage.store import DiskStore
@@ -69,22 +69,22 @@
         pass
 
 
-class Source(NewsBook):
+class Source(ReplicatedState):
     """A book that a publisher serves."""
 
     def beat(self, gateway: GatewayRecord, now: int) -> None:
-        self.take_cells([], [gateway])
+        self.update_records([], [gateway])
 
     def merge(self, workers: list[Worker], gateways: list[GatewayRecord], now: int) -> None:
-        self.take_cells(workers, gateways)
+        self.update_records(workers, gateways)
 
 
 def tick_costs(size: int) -> Row:
     """One tick and its tock, at the core machine, with so many records; the answer to one `ask`."""
     source, port = Source(), Port()
-    repair.heard(source, source.merge, {"k": "cells", "w": worker_rows(size)}, 1)
-    source.take_agreed(1, state(10, 10))
-    source.fresh_at = 1
+    repair.handle(source, source.merge, {"k": "cells", "w": worker_rows(size)}, 1)
+    source.update_state(1, state(10, 10))
+    source.confirmed_at = 1
     publisher = Publisher(source, lambda due: None)
     publisher.joined(port, {"room": 0}, 1)
     first_tick = {"k": "tick", "t": 1, "n": 1, "g": gateway_rows(1)[0]}
@@ -93,13 +93,13 @@
     port.sent = 0
     publisher.heard(port, decoder.feed(frame)[0], SECOND)
     bytes_tock = port.sent
-    asked = repair.ask(source)
+    asked = repair.request(source)
     return {
         "core_tick_us": each_us(lambda: publisher.heard(port, decoder.feed(frame)[0], SECOND)),
         "tick_bytes": len(frame),
         "tock_bytes": bytes_tock,
         "ask_bytes": len(encode(asked)),
-        "ask_answered_us": each_us(lambda: repair.answer(source, asked, SECOND), 200),
+        "ask_answered_us": each_us(lambda: repair.handle(source, source.merge, asked, SECOND), 200),
         "row_bytes": len(json.dumps(worker_rows(1)[0], separators=(",", ":"))) + 1,
     }
 
@@ -181,7 +181,7 @@
     gc.collect()
     whole_ms = best_ms(lambda: texts.encode(held), 1)
     gc.collect()
-    frame = encode({"k": "change", "base": 1, "n": 2, "op": op, "seal": seal(new)})
+    frame = encode({"k": "change", "base": 1, "n": 2, "op": op, "seal": state_checksum(new)})
     body = len(json.dumps(held, separators=(",", ":")))
     return {
         "apply_ms": best_ms(lambda: changes.apply(held, op)),
--- a/benchmarks/capacity_memory.py
+++ b/benchmarks/capacity_memory.py
@@ -34,7 +34,7 @@
 from pepperrun.control.records import WorkerState
 from pepperrun.dataplane.plane import Plane
 from pepperrun.distribution import repair
-from pepperrun.distribution.book import NewsBook
+from pepperrun.distribution.replicated_state import ReplicatedState
 from pepperrun.membership.gateway_probe_service import GatewayProbes
 
 PART = 400  # rows of one message: a range of digests that differs
@@ -42,19 +42,19 @@
 SECOND = 1_000_000_000
 
 
-def book_with(rows: list[list[Any]], key: str, book: NewsBook) -> None:
+def book_with(rows: list[list[Any]], key: str, book: ReplicatedState) -> None:
     """Rows come off links, so many at a time."""
     for at in range(0, len(rows), PART):
         message = through_json({"k": "cells", key: rows[at : at + PART]})
-        repair.heard(book, lambda workers, gateways, now: book.take_cells(workers, gateways), message, 1)
+        repair.handle(book, lambda workers, gateways, now: book.update_records(workers, gateways), message, 1)
 
 
-def plane_for(book: NewsBook) -> Plane:
+def plane_for(book: ReplicatedState) -> Plane:
     """All that a gatekeeper makes of its news."""
     plane = Plane(settings(), 1, time.monotonic_ns, lambda: 1, lambda: 1, lambda: 1)
     probes = GatewayProbes(settings(), 1, 1, lambda data, where: None)
     probes.begun = True  # it sends nothing here
-    book.on_agreed.append(plane.on_agreed)
+    book.on_state.append(plane.on_agreed)
     book.on_workers.append(plane.on_workers)
     book.on_gateways += [plane.on_gateways, probes.on_gateways]
     return plane
@@ -64,7 +64,7 @@
     """Resident bytes that so many rows take, and seconds of processor time until they were taken in."""
 
     async def measure() -> list[float]:
-        book = NewsBook()
+        book = ReplicatedState()
         _plane = plane_for(book) if whole else None  # it follows the book
         made: Any = worker_rows(count) if kind == "worker" else None
         made = gateway_rows(count) if kind == "gateway" else made
@@ -72,7 +72,7 @@
         before, began = resident(), time.process_time()
         if kind in ("route", "tenant", "service"):
             many = dict(route=0, tenant=0, service=0) | {kind: count}
-            book.take_agreed(
+            book.update_state(
                 1, state(max(many["route"], many["service"]), many["tenant"], many["service"] or SERVICES)
             )
         else:
--- a/benchmarks/capacity_push.py
+++ b/benchmarks/capacity_push.py
@@ -23,8 +23,8 @@
 
 from pepperrun.control.records import GatewayRecord, GatewayState, Worker
 from pepperrun.distribution import tree
-from pepperrun.distribution.book import NewsBook
-from pepperrun.distribution.repair import FEW
+from pepperrun.distribution.repair import MAX_RANGE_RECORDS
+from pepperrun.distribution.replicated_state import ReplicatedState
 
 TIMES = 6
 
@@ -50,26 +50,26 @@
 
 def worker_pushed(size: int) -> float:
     """One changed row of a worker."""
-    book = NewsBook()
+    book = ReplicatedState()
     _plane = plane_for(book)  # it follows the book
     book_with(worker_rows(size), "w", book)
     one: Worker = next(iter(book.workers.values()))
-    return each_ms(lambda serial: book.take_cells([replace(one, serial=serial, slots=serial)], []))
+    return each_ms(lambda serial: book.update_records([replace(one, serial=serial, slots=serial)], []))
 
 
 def gateway_pushed(size: int, tenant_count: int = 0) -> float:
     """One gatekeeper that goes, then comes back with another life."""
-    book = NewsBook()
+    book = ReplicatedState()
     _plane = plane_for(book)  # it follows the book
     if tenant_count:
-        book.take_agreed(1, state(10, tenant_count))
+        book.update_state(1, state(10, tenant_count))
     book_with(gateway_rows(size), "g", book)
     one: GatewayRecord = next(iter(book.gateways.values()))
 
     def push(serial: int) -> None:
         gone = serial % 2 == 0
         life = one.incarnation + (serial + 1) // 2
-        book.take_cells(
+        book.update_records(
             [],
             [
                 replace(
@@ -93,20 +93,20 @@
 
 def started(size: int) -> float:
     """All rows come in messages of so many, as after a start."""
-    book = NewsBook()
+    book = ReplicatedState()
     _plane = plane_for(book)  # it follows the book
     records = [GatewayRecord.from_row(row) for row in gateway_rows(size)]
     began = time.process_time()
-    for at in range(0, size, FEW):
-        book.take_cells([], records[at : at + FEW])
+    for at in range(0, size, MAX_RANGE_RECORDS):
+        book.update_records([], records[at : at + MAX_RANGE_RECORDS])
     return (time.process_time() - began) * 1000
 
 
 def event_handled(size: int) -> float:
     """One turn of the decisions with a message that says nothing: what any event brings, by services."""
-    book = NewsBook()
+    book = ReplicatedState()
     plane = plane_for(book)
-    book.take_agreed(1, state(size, 0, size))
+    book.update_state(1, state(size, 0, size))
 
     def turn() -> None:
         plane.gatekeeper.heard(1, b"-")
--- a/benchmarks/hollow_gateways.py
+++ b/benchmarks/hollow_gateways.py
@@ -28,7 +28,7 @@
 
 from pepperrun.control.records import GatewayRecord, GatewayState
 from pepperrun.control.validation import table
-from pepperrun.distribution.service import Subscriber
+from pepperrun.distribution.service import DistributionService
 from pepperrun.foundation.link import Link
 from pepperrun.foundation.settings import parse
 
@@ -74,9 +74,9 @@
         row = GatewayRecord(
             me.station, me.zone, me.region, *where, time.time_ns() // 1_000_000, 1, GatewayState.READY
         )
-        self.subscriber = Subscriber(settings, row.incarnation, lambda: row)
+        self.subscriber = DistributionService(settings, row.incarnation, lambda: row)
         self.held_at: dict[int, float] = {}
-        self.subscriber.book.on_agreed.append(self.holds)
+        self.subscriber.replicated.on_state.append(self.holds)
 
     def holds(self, number: int, state: dict[str, Any], change: object) -> None:
         """A newer configuration is held now."""
@@ -167,7 +167,7 @@
 
 def met(hollows: list[Hollow]) -> bool:
     """Do all hold a configuration, and records of all?"""
-    return all(one.held_at and len(one.subscriber.book.gateways) == len(hollows) for one in hollows)
+    return all(one.held_at and len(one.subscriber.replicated.gateways) == len(hollows) for one in hollows)
 
 
 async def measure(
--- a/benchmarks/many_changes.py
+++ b/benchmarks/many_changes.py
@@ -32,9 +32,9 @@
 from pepperrun.consensus.register import Register
 from pepperrun.consensus.state import DurableState, InMemoryStore, initial_proposal
 from pepperrun.control import changes, validation
-from pepperrun.distribution.book import NewsBook
-from pepperrun.distribution.digests import Sums
+from pepperrun.distribution.digests import RangeDigests
 from pepperrun.distribution.publisher import Publisher
+from pepperrun.distribution.replicated_state import ReplicatedState
 from pepperrun.foundation.netstring import Decoder, encode, length
 from pepperrun.simulation.narrow_links import route
 from pepperrun.storage.store import DATA_FILE, DiskStore
@@ -92,7 +92,7 @@
                 memory = DurableState("first", 1, accepted=first, chosen=first)
                 self.voters[ip] = Register(ip, memory, InMemoryStore(), changes.apply, seed=1, now=0)
         self.items = [route(self.rng, at) for at in range(routes)]
-        self.book, self.port = NewsBook(), Port()
+        self.replicated, self.port = ReplicatedState(), Port()
         self.publisher = Publisher(self, lambda due: None)
         self.publisher.joined(self.port, {}, 0)
         self.publisher.heard(self.port, {"k": "tick", "t": 1, "n": 0, "root": True}, 1)
@@ -102,7 +102,7 @@
     workers: dict[str, Any] = {}
     gateways: dict[str, Any] = {}
     cores: list[list[str]] = []
-    sums = Sums()
+    sums = RangeDigests()
 
     @property
     def first(self) -> Register:
@@ -180,10 +180,10 @@
             for change in other.changes:
                 if other is self.first:
                     known = (change.base_version, change.operation) if change.operation is not None else None
-                    self.publisher.agreed(known, self.now)
+                    self.publisher.state_changed(known, self.now)
             other.changes.clear()
-        take(self.book, self.port)
-        said = {"k": "tick", "t": self.now, "n": self.book.number, "root": True}
+        take(self.replicated, self.port)
+        said = {"k": "tick", "t": self.now, "n": self.replicated.version, "root": True}
         self.publisher.heard(self.port, said, self.now)
         self.port.frames.clear()
 
@@ -218,26 +218,26 @@
             size, ms = self.back(memory, disk)
             out[name] = size, started + ms
             disk.close()
-        began, port, book = time.perf_counter(), Port(), NewsBook()
+        began, port, book = time.perf_counter(), Port(), ReplicatedState()
         self.publisher.joined(port, {}, self.now)
         self.publisher.heard(port, {"k": "want", "n": 0}, self.now)
         take(book, port)
         out["gatekeeper"] = sum(map(length, port.frames)), (time.perf_counter() - began) * 1000
-        assert book.number == self.number == self.book.number
+        assert book.version == self.number == self.replicated.version
         self.publisher.left(port, self.now)
         return out
 
 
-def take(book: NewsBook, port: Port) -> None:
+def take(book: ReplicatedState, port: Port) -> None:
     """A gatekeeper reads what was written."""
     for frame in port.frames:
         for message in Decoder().feed(frame):
             if message["k"] == "agreed":
-                book.take_agreed(message["n"], message["state"])
-            elif message["k"] == "change" and message["base"] == book.number:
+                book.update_state(message["n"], message["state"])
+            elif message["k"] == "change" and message["base"] == book.version:
                 state, _ = changes.apply(book.state, message["op"])
                 assert state is not None
-                book.take_agreed(message["n"], state, (message["base"], message["op"]))
+                book.update_state(message["n"], state, (message["base"], message["op"]))
 
 
 def played(given: argparse.Namespace, folder: Path) -> list[Row]:
--- a/features/playing.py
+++ b/features/playing.py
@@ -45,10 +45,10 @@
 )
 from pepperrun.dataplane.numbering import Ledger, number_of
 from pepperrun.dataplane.peer_messages import PeerMessages, Peers
-from pepperrun.distribution.book import NewsBook
 from pepperrun.distribution.follower import Follower
 from pepperrun.distribution.publisher import Publisher
-from pepperrun.distribution.service import _Down
+from pepperrun.distribution.replicated_state import ReplicatedState
+from pepperrun.distribution.service import DownlinkUser
 from pepperrun.foundation.link import Link
 from pepperrun.foundation.netstring import Decoder, encode
 from pepperrun.foundation.settings import Bounds, parse
@@ -126,44 +126,46 @@
     """A core machine as publishers see it: holds a configuration and records."""
 
     def __init__(self):
-        self.book, self.cores = NewsBook(), [[ip, zone] for ip, zone in zip(CORES, ZONES, strict=True)]
+        self.replicated = ReplicatedState()
+        self.control_nodes = [[ip, zone] for ip, zone in zip(CORES, ZONES, strict=True)]
         self.first, _ = changes.apply(None, read_replace(body(configuration()), 0))
-        self.book.take_agreed(1, self.first)
-        self.book.take_cells(
+        self.replicated.update_state(1, self.first)
+        self.replicated.update_records(
             [worker("w1"), worker("w2", warming_until=START + 2000 * MS)], [gateway_record("g2")]
         )
         self.publisher = Publisher(self, lambda due: None)
 
     def __getattr__(self, name):
-        return getattr(self.book, name)
+        return getattr(self.replicated, name)
 
     def age_ms(self, now):
         return 12.0
 
-    def beat(self, gateway_row, now):
-        self.book.take_cells([], [gateway_row])
+    def gateway_heartbeat(self, gateway_row, now):
+        self.replicated.update_records([], [gateway_row])
 
     def merge(self, workers, gateway_rows, now):
-        self.book.take_cells(workers, gateway_rows)
+        self.replicated.update_records(workers, gateway_rows)
 
     def amend(self):
         change = {"edition": 7, "withdraw": {"routes": ["r-two"]}}
         op = read_amend(body(change), 5)
-        state, _ = changes.apply(self.book.state, op)
-        self.book.take_agreed(2, state)
-        self.publisher.agreed((1, op), START)
+        state, _ = changes.apply(self.replicated.state, op)
+        self.replicated.update_state(2, state)
+        self.publisher.state_changed((1, op), START)
 
     def release(self):
         fresh = worker("w1", 9, state=WorkerState.DRAINING)
-        self.book.take_cells([fresh], [])
-        self.publisher.changed([fresh], START)
-        self.publisher.turn(START + 20 * MS)
+        self.replicated.update_records([fresh], [])
+        self.publisher.records_changed([fresh], START)
+        self.publisher.tick(START + 20 * MS)
 
 
 def follower():
-    own = ("g1", "a", ("10.1.0.1", SIDING))
     contacts = [(CORES[0], SIDING)]
-    return Follower(own, ZONES, contacts, lambda: gateway_record("g1"), changes.apply, START)
+    return Follower(
+        "g1", "a", SIDING, ZONES, contacts, row=lambda: gateway_record("g1"), apply=changes.apply, now=START
+    )
 
 
 class News:
@@ -181,7 +183,7 @@
         self.run()
         self.core.release()
         self.run()
-        self.follower.turn(START + 400 * MS)
+        self.follower.tick(START + 400 * MS)
         self.run()
 
     def run(self):
@@ -372,7 +374,7 @@
 
 def shown():
     """What an operator's link is answered by a core machine and by a gatekeeper: one message each."""
-    state = Core().book.state
+    state = Core().replicated.state
     rows = [worker("w1"), worker("w2", state=WorkerState.DRAINING)], [gateway_record("g2")]
 
     async def ask():
@@ -381,11 +383,11 @@
         hub = ControlNode(settings("sorting"), memory, InMemoryStore(), 1, lambda: START)
         hub.merge(*rows, START)
         program = Program(settings("counter"), None)
-        program.news.book.take_agreed(1, state)
-        program.news.book.take_cells(*rows)
+        program.news.replicated.update_state(1, state)
+        program.news.replicated.update_records(*rows)
         ears = Ear("operator"), Ear("operator")
         for ear, does in zip(
-            ears, (hub.heard, _Down(program.news, program.news.publisher).heard), strict=True
+            ears, (hub.heard, DownlinkUser(program.news, program.news.publisher).heard), strict=True
         ):
             does(ear, {"k": "show"})
         hub.close()
--- a/features/steps/versions.py
+++ b/features/steps/versions.py
@@ -121,21 +121,21 @@
     for way, message in context.said["news"]:
         if way == "down":
             if message["k"] == "tock" and message["t"] > START:
-                context.follower.turn(message["t"])
+                context.follower.tick(message["t"])
             context.follower.heard(ear, message, context.now)
     assert not ear.closed
 
 
 @then("it holds edition {edition:d} with {routes:d} route and {workers:d} workers")
 def holds(context, edition, routes, workers):
-    book = context.follower.book
-    assert (book.number, book.state["edition"], len(book.state["routes"])) == (2, edition, routes)
+    book = context.follower.replicated
+    assert (book.version, book.state["edition"], len(book.state["routes"])) == (2, edition, routes)
     assert len(book.workers) == workers and book.workers["w1"].state == "unloading"
 
 
 @then("what it holds is known to be fresh")
 def is_fresh(context):
-    assert context.follower.book.fresh_at >= START - 12 * MS
+    assert context.follower.replicated.confirmed_at >= START - 12 * MS
 
 
 def _more(message):
--- a/pepperrun/control/endpoint_registry.py
+++ b/pepperrun/control/endpoint_registry.py
@@ -22,7 +22,7 @@
 from pepperrun.control.records import GatewayRecord, GatewayState, Worker, WorkerState
 from pepperrun.control.replication_waits import ReplicationWaits
 from pepperrun.distribution import repair
-from pepperrun.distribution.digests import Record, Sums, newer, record_id
+from pepperrun.distribution.digests import RangeDigests, Record, newer, record_id
 from pepperrun.foundation.netstring import Message
 
 MS = 1_000_000  # ns
@@ -77,7 +77,7 @@
         self.worker_lost_ns = int(LOST_HEARTBEATS * heartbeat_ms * MS) + SECOND
         self.workers: dict[str, Worker] = {}
         self.gateways: dict[str, GatewayRecord] = {}
-        self.sums = Sums()
+        self.digests = RangeDigests()
         self.peers: dict[str, str] = {}
         self.quorum_since: int | None = None
         self.address_owners: bidict[str, str] = bidict()
@@ -100,7 +100,7 @@
         self.peers[ip] = zone
         report = self.liveness.full_report(now)
         self._outbox.append((ip, peer_messages.encode_report(report)))
-        self._outbox.append((ip, repair.ask(self)))
+        self._outbox.append((ip, repair.request(self)))
 
     def disconnected(self, ip: str, now: int) -> None:
         """Handle the loss of the last link to a node."""
@@ -133,7 +133,7 @@
         return True
 
     def _on_repair_message(self, ip: str, data: Message, now: int) -> None:
-        self._outbox += [(ip, reply) for reply in repair.heard(self, self.merge, data, now)]
+        self._outbox += [(ip, reply) for reply in repair.handle(self, self.merge, data, now)]
         token = repair.replication_token(data)
         if token is not None:
             self._outbox.append((ip, peer_messages.encode_replicated(token)))
@@ -231,7 +231,7 @@
     def _replicate(self, worker_id: str, needed: int, now: int) -> int:
         """Push a record to all nodes with a request to confirm that they hold it; return the token."""
         token = self.waits.start(needed)
-        message = repair.rows([self.workers[worker_id]], now)
+        message = repair.encode_records([self.workers[worker_id]], now)
         self._broadcast(repair.with_replication_token(message, token))
         self._urgent.pop("w:" + worker_id, None)
         return token
@@ -313,7 +313,7 @@
             self._put_worker(record, now)
             is_present = _is_live(record)
         else:
-            self.sums.swap(self.gateways.get(record.name), record)
+            self.digests.replace(self.gateways.get(record.name), record)
             self.gateways[record.name] = record
             is_present = record.state not in (GatewayState.LOST, GatewayState.GONE)
         id_ = record_id(record)
@@ -321,7 +321,7 @@
         self.liveness.record_update(id_, is_present=is_present, now=now)
 
     def _put_worker(self, worker: Worker, now: int) -> None:
-        self.sums.swap(self.workers.get(worker.id), worker)
+        self.digests.replace(self.workers.get(worker.id), worker)
         self.workers[worker.id] = worker
         if _is_live(worker):
             self.ended_at.pop(worker.id, None)
@@ -369,7 +369,7 @@
         self._expire_workers(now)
         if self.peers:
             peers = sorted(self.peers)
-            self._outbox.append((peers[self.rounds % len(peers)], repair.ask(self)))
+            self._outbox.append((peers[self.rounds % len(peers)], repair.request(self)))
 
     def _expire_gateways(self, now: int) -> None:
         """Conclude that silent gatekeepers are gone; forget those that have been gone for long."""
@@ -417,7 +417,7 @@
 
     def _push(self, records: dict[str, Record], now: int) -> None:
         if records:
-            self._broadcast(repair.rows(records.values(), now))
+            self._broadcast(repair.encode_records(records.values(), now))
             records.clear()
 
     def take_messages(self, now: int) -> list[tuple[str, Message]]:
--- a/pepperrun/control/inspection.py
+++ b/pepperrun/control/inspection.py
@@ -61,9 +61,9 @@
         "evacuated": sorted(body.get("evacuated", ())),
         "cells": _endpoints_by_zone(node, now),
         "children": [
-            {"station": port.name, "number": peer.number}
+            {"station": port.name, "number": peer.version}
             for port, peer in node.publisher.peers.items()
-            if peer.pushed
+            if peer.is_attached
         ],
     }
 
--- a/pepperrun/control/node.py
+++ b/pepperrun/control/node.py
@@ -27,7 +27,7 @@
 from pepperrun.control.records import GatewayRecord, Worker
 from pepperrun.control.validation import Op
 from pepperrun.control.verdict import Verdict
-from pepperrun.distribution.digests import Sums
+from pepperrun.distribution.digests import RangeDigests
 from pepperrun.distribution.publisher import Publisher
 from pepperrun.foundation.link import OPERATOR, Link
 from pepperrun.foundation.logs import event
@@ -118,7 +118,7 @@
             "zone": me.zone,
             "class": CONTROL_CLASS,
             "life": self.incarnation,
-            "cores": self.cores,
+            "cores": self.control_nodes,
         }
 
     # Links (`foundation.link.User`).
@@ -188,7 +188,7 @@
     # Source of the publisher.
 
     @property
-    def number(self) -> int:
+    def version(self) -> int:
         """Version of the agreed state, 0 while none is known."""
         return max(0, self.replica.version)
 
@@ -208,12 +208,12 @@
         return self.registry.gateways
 
     @property
-    def sums(self) -> Sums:
+    def digests(self) -> RangeDigests:
         """Digests of the records."""
-        return self.registry.sums
+        return self.registry.digests
 
     @property
-    def cores(self) -> list[list[str]]:
+    def control_nodes(self) -> list[list[str]]:
         """[ip, zone] of this node and of the control nodes that it is linked with."""
         return [[self.settings.me.ip, self.settings.me.zone], *self.peer_links.cores()]
 
@@ -222,7 +222,7 @@
         confirmed_at = self.replica.confirmed_at
         return None if confirmed_at is None else max(0.0, (now - confirmed_at) / MS)
 
-    def beat(self, gateway: GatewayRecord, now: int) -> None:
+    def gateway_heartbeat(self, gateway: GatewayRecord, now: int) -> None:
         """Handle a gatekeeper's heartbeat on its own link."""
         self.registry.gateway_heartbeat(gateway, now)
 
@@ -337,7 +337,7 @@
     def _process_registry(self, now: int) -> None:
         records = self.registry.take_changed()
         if records:
-            self.publisher.changed(records, now)
+            self.publisher.records_changed(records, now)
         last: Message | None = None
         frame = b""
         for ip, message in self.registry.take_messages(now):
@@ -358,7 +358,7 @@
         self.evacuations.note(body, now, at_once=change.operation is not None)
         self._log_change(change)
         known = (change.base_version, change.operation) if change.operation is not None else None
-        self.publisher.agreed(known, now)
+        self.publisher.state_changed(known, now)
         wanted = self._first_contacts | self.replica.voter_ips
         if wanted - {self.settings.me.ip} != self.peer_links.wanted:
             self.peer_links.want(wanted, now)
@@ -403,7 +403,7 @@
             self._coordinate(now)
         if self._publish_at and now >= self._publish_at:
             self._publish_at = 0
-            self.publisher.turn(now)
+            self.publisher.tick(now)
         self.process_pending()
 
     def _coordinate(self, now: int) -> None:
--- a/pepperrun/dataplane/inspection.py
+++ b/pepperrun/dataplane/inspection.py
@@ -9,7 +9,7 @@
 from pepperrun.control.records import GatewayRecord, WorkerState
 from pepperrun.core.clock import Bucket
 from pepperrun.dataplane.plane import Plane
-from pepperrun.distribution.service import Subscriber
+from pepperrun.distribution.service import DistributionService
 from pepperrun.distribution.tree import parents
 from pepperrun.foundation.netstring import Message
 from pepperrun.membership.gateway_probe_service import GatewayProbes
@@ -18,9 +18,11 @@
 DEEPEST = 64  # steps: more than any tree has
 
 
-def shown(row: GatewayRecord, news: Subscriber, plane: Plane, probes: GatewayProbes, now: int) -> Message:
+def shown(
+    row: GatewayRecord, news: DistributionService, plane: Plane, probes: GatewayProbes, now: int
+) -> Message:
     """The answer to `show`: ages in ms, levels in requests. Keys are not in it."""
-    book, follower, keeper, table = news.book, news.follower, plane.gatekeeper, plane.table
+    book, follower, keeper, table = news.replicated, news.follower, plane.gatekeeper, plane.table
     core, parent = follower.core, follower.parent
     return {
         **{"k": "shown", "class": "counter", "station": row.name, "zone": row.zone, "region": row.region},
@@ -30,15 +32,15 @@
             "state": row.state,
             "life": row.incarnation,
         },
-        **{"ready": plane.ready(), "number": book.number, "edition": table.edition if table else 0},
-        **{"age_ms": _age(book.fresh_at, now), "cells_age_ms": _age(book.cells_at, now)},
+        **{"ready": plane.ready(), "number": book.version, "edition": table.edition if table else 0},
+        **{"age_ms": _age(book.confirmed_at, now), "cells_age_ms": _age(book.records_confirmed_at, now)},
         "core": {"ip": core.address[0], "linked": core.port is not None},
-        "parent": {"station": parent.station, "number": parent.number} if parent else None,
-        **{"root": follower.root, "depth": depth(row.name, row.zone, book.gateways.values())},
+        "parent": {"station": parent.parent_name, "number": parent.version} if parent else None,
+        **{"root": follower.is_root, "depth": depth(row.name, row.zone, book.gateways.values())},
         "children": [
-            {"station": port.name, "number": peer.number}
+            {"station": port.name, "number": peer.version}
             for port, peer in news.publisher.peers.items()
-            if peer.pushed
+            if peer.is_attached
         ],
         "keepers": {place: len(held) for place, held in plane.quota_keepers.places.items()},
         **{"seats": plane.ledger.seats, "parts": plane.ledger.parts, "shares": _shares(plane, now)},
--- a/pepperrun/dataplane/plane.py
+++ b/pepperrun/dataplane/plane.py
@@ -39,7 +39,7 @@
 
 
 class Plane:
-    """One gatekeeper's traffic. `fresh_at` and `cells_at`: as `distribution.book.NewsBook` has them."""
+    """One gatekeeper's traffic. `fresh_at`, `cells_at`: `confirmed_at`, `records_confirmed_at` of its copy."""
 
     def __init__(
         self,
--- a/pepperrun/distribution/follower.py
+++ b/pepperrun/distribution/follower.py
@@ -1,8 +1,8 @@
-"""The deciding half of a gatekeeper's part in distribution: whom it follows and what it asks for.
+"""The deciding half of a gatekeeper's part in distribution: whom it follows and what it asks for. No I/O.
 
-It follows one core machine (ticks, freshness, repair) and one parent in the tree (pushes), or takes the
-pushes from the core machine as its zone's root. What tocks prove: `distribution.freshness`; in which order
-core machines and parents are tried: `distribution.core_selection`, `distribution.parent_selection`.
+It follows one control node (heartbeats, freshness, repair) and one parent in the relay tree (pushes), or
+takes the pushes from the control node as the root of its zone. What answers prove: `distribution.freshness`;
+in which order control nodes and parents are tried: `control_node_selection`, `parent_selection`.
 """
 
 from __future__ import annotations
@@ -10,341 +10,395 @@
 from collections.abc import Callable, Mapping
 from typing import Any
 
-from pepperrun.control.records import GatewayRecord
+from pepperrun.consensus.state import Evaluation
+from pepperrun.control.records import GatewayRecord, Worker
 from pepperrun.distribution import repair
-from pepperrun.distribution.book import NewsBook
-from pepperrun.distribution.core_selection import CoreSelection
-from pepperrun.distribution.freshness import meet, note_digest, note_proof, prove
-from pepperrun.distribution.messages import AGREED, CHANGE, TOCK, Agreed, Change, Tick, Tock
-from pepperrun.distribution.own_record import OwnRecord
+from pepperrun.distribution.control_node_selection import ControlNodeSelection
+from pepperrun.distribution.freshness import apply_evidence, check_digests, record_digest, record_evidence
+from pepperrun.distribution.local_record import LocalRecord
+from pepperrun.distribution.messages import (
+    FULL_STATE,
+    HEARTBEAT_ACK,
+    STATE_CHANGE,
+    FullState,
+    Heartbeat,
+    HeartbeatAck,
+    StateChange,
+)
 from pepperrun.distribution.parent_selection import ParentSelection
-from pepperrun.distribution.publisher import Port, seal
-from pepperrun.distribution.uplink import MEND_NS, MS, SILENT_NS, Uplink
-from pepperrun.foundation.errors import PepperrunError
+from pepperrun.distribution.publisher import Port, state_checksum
+from pepperrun.distribution.replicated_state import AppliedChange, ReplicatedState
+from pepperrun.distribution.uplink import MS, REPAIR_DELAY_NS, SILENT_NS, Uplink
+from pepperrun.foundation.errors import RemoteProtocolError
 from pepperrun.foundation.logs import event, trouble
 from pepperrun.foundation.netstring import Message, encode
 from pepperrun.foundation.settings import Address
 
-TICK_NS = 400 * MS
-FIRST_NS = TICK_NS // 4  # until a tock has proved anything: keyed requests wait for it
-DOWN_NS, QUIET_NS = 250 * MS, 600 * MS  # not up, or a tock late: another one is tried beside it
-STALE_MS = 1200  # a core machine that knows no better than this has lost the others
-STALE_NS = 1000 * MS  # and for so long: one late word among core machines is no reason to move
-LAG_NS = 600 * MS  # a parent has mended itself by then, or is cut off
-STOOD_NS = 600 * MS  # between two turns: this process stood still
+HEARTBEAT_NS = 400 * MS
+FIRST_HEARTBEAT_NS = HEARTBEAT_NS // 4  # until an answer has proved anything: keyed requests wait for it
+CONNECT_NS = 250 * MS  # not up for so long: another control node is tried beside it
+QUIET_NS = 600 * MS  # nor an answer for so long
+STALE_MS = 1200  # a control node that knows no better than this has lost the others
+STALE_NS = 1000 * MS  # and for so long: one late message among control nodes is no reason to move
+PARENT_LAG_NS = 600 * MS  # a parent has caught up by then, or is partitioned
+SUSPENDED_NS = 600 * MS  # between two ticks: this process was suspended
 SWEEP_NS = 120_000 * MS  # between two looks for records that may be forgotten
 
-Apply = Callable[[dict[str, Any] | None, dict[str, Any]], tuple[dict[str, Any] | None, Any]]
+Apply = Callable[[dict[str, Any] | None, dict[str, Any]], Evaluation]
 
 
 class Follower:
-    """`row` gives the own record as it is; `apply` an operation's effect.
-
-    Links that should be up are in `wanted`; whoever keeps them tells `opened`, `heard`, `closed` and calls
-    `turn` when `due` says, and looks at `wanted` after each.
+    """One gatekeeper's links upwards.
+
+    Links that should be up are in `wanted`; whoever keeps them calls `opened`, `heard`, `closed`, and `tick`
+    when `next_tick_at` says, and looks at `wanted` after each.
+
+    Parameters
+    ----------
+    name, zone : str
+        Of this gatekeeper.
+    internal_port : int
+        The same on all machines.
+    regions : mapping of str to str
+        Region of each zone.
+    contacts : list of Address
+        Control nodes of the settings.
+    row : callable
+        Returns the own record as it is.
+    apply : callable
+        Evaluates an operation on the state.
     """
 
     def __init__(
         self,
-        own: tuple[str, str, Address],
-        zones: Mapping[str, str],
+        name: str,
+        zone: str,
+        internal_port: int,
+        regions: Mapping[str, str],
         contacts: list[Address],
+        *,
         row: Callable[[], GatewayRecord],
         apply: Apply,
         now: int,
     ) -> None:
-        self.station, self.zone, internal_port = own
+        self.name = name
+        self.zone = zone
         self.apply = apply
-        self.book = NewsBook()
-        self.book.on_agreed.append(lambda number, state, change: self._number_grew())
-        self.own_record = OwnRecord(self.station, row)
-        self.cores = CoreSelection(self.station, self.zone, internal_port[1], zones, contacts)
-        self.parents = ParentSelection(self.station, self.zone)
-        self.core = Uplink(self.cores.best(self.book.cores, now), "", now)
-        self.other: Uplink | None = None  # a core machine that is tried while the present one is kept
+        self.replicated = ReplicatedState()
+        self.replicated.on_state.append(lambda version, state, change: self._apply_all_evidence())
+        self.local_record = LocalRecord(name, row)
+        self.control_nodes = ControlNodeSelection(name, zone, internal_port, regions, contacts)
+        self.parents = ParentSelection(name, zone)
+        self.core = Uplink(self._best_control_node(now), "", now)
+        self.candidate: Uplink | None = None  # a control node that is tried while the present one is kept
         self.parent: Uplink | None = None
-        self.next_tick = self.swept = self.turned_at = now
+        self._next_heartbeat_at = now
+        self._swept_at = now
+        self._ticked_at = now
 
     # Whom to follow.
 
     def _links(self) -> list[Uplink]:
-        return [link for link in (self.core, self.other, self.parent) if link is not None]
+        return [link for link in (self.core, self.candidate, self.parent) if link is not None]
 
     def wanted(self) -> set[Address]:
-        """Addresses to which links are to be kept."""
+        """Return the addresses to which links are to be kept."""
         return {link.address for link in self._links()}
 
-    def _leave_core(self, now: int, why: str) -> None:
+    def _best_control_node(self, now: int, *, other_than: Address | None = None) -> Address:
+        return self.control_nodes.best(self.replicated.control_nodes, now, other_than=other_than)
+
+    def _leave_control_node(self, now: int, reason: str) -> None:
         core = self.core
-        event("core-left", peer=core.address[0], why=why, silent_ms=(now - core.waited_since()) // MS)
-        self.cores.avoid(core.address, now)
+        silent_ms = (now - core.waiting_since()) // MS
+        event("core-left", peer=core.address[0], why=reason, silent_ms=silent_ms)
+        self.control_nodes.avoid(core.address, now)
         core.close()
-        if self.other is not None:
-            self.core, self.other = self.other, None
+        if self.candidate is not None:
+            self.core = self.candidate
+            self.candidate = None
         else:
-            self.core = Uplink(self.cores.best(self.book.cores, now), "", now)
+            self.core = Uplink(self._best_control_node(now), "", now)
 
-    def _drop_other(self, now: int) -> None:
-        if self.other is not None:
-            self.cores.avoid(self.other.address, now)
-            self.other.close()
-            self.other = None
+    def _drop_candidate(self, now: int) -> None:
+        if self.candidate is not None:
+            self.control_nodes.avoid(self.candidate.address, now)
+            self.candidate.close()
+            self.candidate = None
 
     def _quiet_at(self) -> int:
-        """When the core machine has been waited for long enough to try another one beside it."""
+        """Return when the control node has been waited for long enough to try another one beside it."""
+        core = self.core
+        return core.chosen_at + CONNECT_NS if core.port is None else core.received_at + QUIET_NS
+
+    def _try_candidate(self, now: int) -> None:
+        """Try a nearer one, or one that may answer sooner; the present one is left once that one answers."""
+        nearness = self.control_nodes.nearness(self.core.address)
+        is_quiet = now >= self._quiet_at()
+        if self.candidate is not None or not (nearness or is_quiet):
+            return
+        best = self._best_control_node(now, other_than=self.core.address)
+        is_nearer = self.control_nodes.nearness(best) < nearness and self.control_nodes.is_usable(best, now)
+        if best != self.core.address and (is_nearer or is_quiet):
+            self.candidate = Uplink(best, "", now)
+
+    def _switch_to_candidate(self, now: int) -> None:
+        """Follow the control node that was tried: it has answered well."""
+        candidate = self.candidate
         core = self.core
-        return core.since + DOWN_NS if core.port is None else core.heard_at + QUIET_NS
-
-    def _try_another(self, now: int) -> None:
-        """A nearer one, or one that may answer sooner; the present one is left when that one has answered."""
-        near = self.cores.nearness(self.core.address)
-        if self.other is None and (near or now >= self._quiet_at()):
-            best = self.cores.best(self.book.cores, now, but=self.core.address)
-            nearer = self.cores.nearness(best) < near and self.cores.usable(best, now)
-            if best != self.core.address and (nearer or now >= self._quiet_at()):
-                self.other = Uplink(best, "", now)
-
-    def _move(self, now: int) -> None:
-        """Another core machine has answered well."""
-        other, core = self.other, self.core
-        if other is None:
+        if candidate is None:
             return
-        self.other = None
-        near = self.cores.nearness(core.address) <= self.cores.nearness(other.address)
-        if near and now < self._quiet_at():
-            other.close()  # the present one has answered meanwhile
+        self.candidate = None
+        nearness = self.control_nodes.nearness
+        is_as_near = nearness(core.address) <= nearness(candidate.address)
+        if is_as_near and now < self._quiet_at():
+            candidate.close()  # the present one has answered meanwhile
             return
-        event("core-moved", peer=other.address[0], before=core.address[0])
-        self.core = other
+        event("core-moved", peer=candidate.address[0], before=core.address[0])
+        self.core = candidate
         core.close()
-        self._begin(other, now)
-        self._tick(other, now)
+        self._request_if_empty(candidate, now)
+        self._send_heartbeat(candidate, now)
 
-    def _shun(self, now: int, why: str) -> None:
-        """The parent is no good: the next one, or the core."""
+    def _leave_parent(self, now: int, reason: str) -> None:
+        """Attach to the next parent, or to the control node."""
         parent = self.parent
         if parent is not None:
-            event("parent-left", peer=parent.station, why=why)
-            self.parents.shun(parent.station, now)
+            event("parent-left", peer=parent.parent_name, why=reason)
+            self.parents.avoid(parent.parent_name, now)
             parent.close()
             self.parent = None
         self._choose_parent(now)
 
     def _choose_parent(self, now: int) -> None:
-        best = self.parents.best(self.book.gateways.values(), now)
+        best = self.parents.best(self.replicated.gateways.values(), now)
         parent = self.parent
         if parent is not None:
-            if best == (parent.station, parent.address):
+            if best is not None and best == (parent.parent_name, parent.address):
                 return
             parent.close()
-        self.parent = Uplink(best[1], best[0], now) if best is not None else None
+        self.parent = Uplink(best.address, best.name, now) if best is not None else None
 
     @property
-    def root(self) -> bool:
-        """Whether the pushes come from the core: no parent has answered yet."""
-        return self.parent is None or not self.parent.number
+    def is_root(self) -> bool:
+        """Whether the pushes come from the control node: no parent has answered yet."""
+        return self.parent is None or not self.parent.version
 
     # What happens on links.
 
     def opened(self, address: Address, port: Port, hello: Message, now: int) -> None:
-        """A link to a wanted address is up."""
+        """Handle a link to a wanted address that is up."""
         for link in self._links():
             if link.address != address:
                 continue
-            fresh = Uplink(address, link.station, now, port, heard_at=now)
+            new = Uplink(address, link.parent_name, now, port, received_at=now)
             if link is self.parent:
-                self.parent = fresh
-            elif link is self.other:
-                self.other = fresh
+                self.parent = new
+            elif link is self.candidate:
+                self.candidate = new
             else:
-                self.core = fresh
-                self.cores.zone_of.setdefault(address[0], str(hello.get("zone", "")))
-                self._begin(fresh, now)
-            self._tick(fresh, now)
-
-    def _begin(self, link: Uplink, now: int) -> None:
-        """Who holds nothing yet does not wait until something is known to be missing."""
-        if not self.book.number:
-            link.want(self.book, now)
-        if not self.book.sums.sums:
-            link.ask(self.book, now)
+                self.core = new
+                self.control_nodes.zones.setdefault(address[0], str(hello.get("zone", "")))
+                self._request_if_empty(new, now)
+            self._send_heartbeat(new, now)
+
+    def _request_if_empty(self, link: Uplink, now: int) -> None:
+        """Ask at once where nothing is held yet, before anything is known to be missing."""
+        if not self.replicated.version:
+            link.request_state(self.replicated, now)
+        if not self.replicated.digests.sums:
+            link.request_records(self.replicated, now)
 
     def closed(self, address: Address, port: Port, now: int) -> None:
-        """A link has ended."""
+        """Handle the end of a link."""
         if self.core.port is port:
             self.core.port = None
-            self._leave_core(now, "closed")
-        elif self.other is not None and self.other.port is port:
-            self._drop_other(now)
+            self._leave_control_node(now, "closed")
+        elif self.candidate is not None and self.candidate.port is port:
+            self._drop_candidate(now)
         elif self.parent is not None and self.parent.port is port:
             self.parent.port = None
-            self._shun(now, "closed")
+            self._leave_parent(now, "closed")
 
     def _link(self, port: Port) -> Uplink | None:
         return next((link for link in self._links() if link.port is port), None)
 
-    def stirred(self, port: Port, now: int) -> None:
-        """A long message is on its way up, with the answers behind it: whoever sends it is not silent."""
+    def partial_message(self, port: Port, now: int) -> None:
+        """Note that part of a long message came, with the answers behind it: its sender is not silent."""
         link = self._link(port)
         if link is not None:
-            link.heard_at = now
+            link.received_at = now
 
     def heard(self, port: Port, message: Message, now: int) -> None:
-        """A message came up on one of the own uplinks. KeyError and the like where it can't be meant."""
+        """Handle a message on one of the uplinks; kinds of a later version are passed over.
+
+        Raises
+        ------
+        KeyError, TypeError, ValueError
+            The message is not allowed.
+        """
         link = self._link(port)
         if link is None:
             return
-        link.heard_at = now
-        kind = message["k"]
-        if kind == TOCK:
-            self._tock(link, Tock.read(message), now)
-        elif kind == AGREED:
-            agreed = Agreed.read(message)
-            self.book.take_agreed(agreed.number, agreed.state)
-        elif kind == CHANGE:
-            self._change(link, Change.read(message), now)
-        elif kind in ("cells", "digests", "ask"):
-            for back in repair.heard(self.book, self.merge, message, now):
-                port.write(encode(back))
-            self._records_met()
-
-    def merge(self, workers: list[Any], gateways: list[Any], now: int) -> None:
-        """Takes rows that came from anyone."""
-        _, changed = self.book.take_cells(workers, gateways)
+        link.received_at = now
+        if repair.is_repair_message(message):
+            for reply in repair.handle(self.replicated, self.merge, message, now):
+                port.write(encode(reply))
+            self._check_digests()
+        elif message["k"] == HEARTBEAT_ACK:
+            self._on_ack(link, HeartbeatAck.from_wire(message), now)
+        elif message["k"] == FULL_STATE:
+            full_state = FullState.from_wire(message)
+            self.replicated.update_state(full_state.version, full_state.state)
+        elif message["k"] == STATE_CHANGE:
+            self._on_change(link, StateChange.from_wire(message), now)
+
+    def merge(self, workers: list[Worker], gateways: list[GatewayRecord], now: int) -> None:
+        """Take over records that came from anyone."""
+        changed = self.replicated.update_records(workers, gateways).gateways
         if any(gateway.zone == self.zone for gateway in changed):
-            if any(gateway.name == self.station for gateway in changed):
-                self.tell(now)
+            if any(gateway.name == self.name for gateway in changed):
+                self.send_own_record(now)
             self._choose_parent(now)
 
-    def _tock(self, link: Uplink, tock: Tock, now: int) -> None:
-        if not link.answers(tock.tick_sent_at):
+    def _on_ack(self, link: Uplink, ack: HeartbeatAck, now: int) -> None:
+        if not link.accepts_ack(ack.heartbeat_sent_at):
             return
-        link.number = tock.number
-        if tock.cores is not None and link is self.core:
-            self.book.cores = tock.cores
-            self.cores.learn(tock.cores)
-        if tock.age_ms is None or tock.age_ms > STALE_MS:
+        link.version = ack.version
+        if ack.control_nodes is not None and link is self.core:
+            self.replicated.control_nodes = ack.control_nodes
+            self.control_nodes.learn(ack.control_nodes)
+        if ack.age_ms is None or ack.age_ms > STALE_MS:
             link.stale_since = link.stale_since or now
         else:
             link.stale_since = 0
-            self.cores.forgive(link.address)
-            if link is self.other:
-                self._move(now)
-        note_proof(link, tock)
-        if tock.number > self.book.number:
+            self.control_nodes.forgive(link.address)
+            if link is self.candidate:
+                self._switch_to_candidate(now)
+        record_evidence(link, ack)
+        if ack.version > self.replicated.version:
             link.behind_since = link.behind_since or now
-        prove(self.book, link)
-        self._parent_lags(now)
-        if link is self.core or not self._core_well(now):
-            note_digest(self.book, link, tock, now)
-            self._records_met()
+        apply_evidence(self.replicated, link)
+        self._check_parent_lag(now)
+        if link is self.core or not self._control_node_is_well(now):
+            record_digest(self.replicated, link, ack, now)
+            self._check_digests()
 
-    def _parent_lags(self, now: int) -> None:
+    def _check_parent_lag(self, now: int) -> None:
         parent = self.parent
         if parent is None:
             return
-        if not parent.number or parent.number >= self.core.number:
-            parent.lag_since = 0
-        elif not parent.lag_since:
-            parent.lag_since = now
-        elif now - parent.lag_since > LAG_NS:
-            self._shun(now, "behind")
-
-    def _number_grew(self) -> None:
+        if not parent.version or parent.version >= self.core.version:
+            parent.lagging_since = 0
+        elif not parent.lagging_since:
+            parent.lagging_since = now
+        elif now - parent.lagging_since > PARENT_LAG_NS:
+            self._leave_parent(now, "behind")
+
+    def _apply_all_evidence(self) -> None:
         for link in self._links():
-            prove(self.book, link)
+            apply_evidence(self.replicated, link)
 
-    def _records_met(self) -> None:
-        meet(self.book, self._links(), self.core)
+    def _check_digests(self) -> None:
+        check_digests(self.replicated, self._links(), self.core)
 
-    def _change(self, link: Uplink, change: Change, now: int) -> None:
-        if change.number <= self.book.number:
+    def _on_change(self, link: Uplink, change: StateChange, now: int) -> None:
+        if change.version <= self.replicated.version:
             return
-        if change.base != self.book.number:
-            if now - link.wanted_at >= MEND_NS:  # else it is on its way, or `turn` asks again
-                link.want(self.book, now)
+        if change.base_version != self.replicated.version:
+            # Else it is on its way, or `tick` asks again.
+            if now - link.state_requested_at >= REPAIR_DELAY_NS:
+                link.request_state(self.replicated, now)
             return
-        state, _ = self.apply(self.book.state, change.operation)
-        if state is None or seal(state) != change.seal:
-            which = f"number {change.number}"
-            trouble(PepperrunError("change-unlike", "taking a change", which, link.station or "core"))
-            link.want(self.book, now, whole=True)
+        state = self.apply(self.replicated.state, change.operation).body
+        if state is None or state_checksum(state) != change.checksum:
+            self._report_mismatch(link, change)
+            link.request_state(self.replicated, now, full=True)
             return
-        self.book.take_agreed(change.number, state, (change.base, change.operation))
+        applied = AppliedChange(change.base_version, change.operation)
+        self.replicated.update_state(change.version, state, applied)
+
+    def _report_mismatch(self, link: Uplink, change: StateChange) -> None:
+        peer = link.parent_name or "core"
+        detail = f"number {change.version}"
+        trouble(RemoteProtocolError("change-unlike", "taking a change", detail, peer))
 
     # What is due.
 
-    def _tick(self, link: Uplink, now: int) -> None:
+    def _send_heartbeat(self, link: Uplink, now: int) -> None:
         if link.port is None:
             return
         if link is self.parent:
-            link.tick(Tick(now, self.book.number, attaches=True))
+            link.send_heartbeat(Heartbeat(now, self.replicated.version, attaches=True))
             return
-        record = self.own_record.current(self.book)
-        told = record if record != link.said else None
-        link.said = record
-        link.tick(Tick(now, self.book.number, self.root and link is self.core, told))
-
-    def moved(self, now: int) -> None:
-        """Who is thought to be there may have changed."""
+        record = self.local_record.current(self.replicated)
+        changed = record if record != link.sent_record else None
+        link.sent_record = record
+        attaches = self.is_root and link is self.core
+        link.send_heartbeat(Heartbeat(now, self.replicated.version, attaches, changed))
+
+    def membership_changed(self, now: int) -> None:
+        """Choose the parent anew: who is thought to be there may have changed."""
         self._choose_parent(now)
 
-    def tell(self, now: int) -> None:
-        """The own row has changed: the core hears of it now."""
-        self._tick(self.core, now)
+    def send_own_record(self, now: int) -> None:
+        """Send the own record, which has changed, to the control node now."""
+        self._send_heartbeat(self.core, now)
 
-    def _core_well(self, now: int) -> bool:
+    def _control_node_is_well(self, now: int) -> bool:
         core = self.core
-        return core.port is not None and now - core.heard_at <= SILENT_NS and not core.stale_since
+        return core.port is not None and now - core.received_at <= SILENT_NS and not core.stale_since
 
-    def turn(self, now: int) -> None:
-        """Does what is due."""
-        if now - self.turned_at > STOOD_NS:
+    def tick(self, now: int) -> None:
+        """Do what is due."""
+        if now - self._ticked_at > SUSPENDED_NS:
             for link in self._links():
-                link.pardon(now)
-        self.turned_at = now
+                link.excuse(now)
+        self._ticked_at = now
         self._leave_silent(now)
-        for link in self._mending(now):
-            link.mend(self.book, now, TICK_NS)
-        self._try_another(now)
-        if now >= self.next_tick:
-            self._tick_all(now)
+        for link in self._repairing(now):
+            link.repair(self.replicated, now, HEARTBEAT_NS)
+        self._try_candidate(now)
+        if now >= self._next_heartbeat_at:
+            self._send_all_heartbeats(now)
 
     def _leave_silent(self, now: int) -> None:
-        """Whoever does not come up or answer is left."""
+        """Leave whoever does not come up or answer."""
         core = self.core
         if core.port is None:
-            if now - core.since > SILENT_NS:
-                self._leave_core(now, "not up")
-        elif now - core.heard_at > SILENT_NS:
-            self._leave_core(now, "silent")
+            if now - core.chosen_at > SILENT_NS:
+                self._leave_control_node(now, "not up")
+        elif now - core.received_at > SILENT_NS:
+            self._leave_control_node(now, "silent")
         elif core.stale_since and now - core.stale_since > STALE_NS:
-            self._leave_core(now, "stale")
-        if self.other is not None and now - self.other.since > SILENT_NS:
-            self._drop_other(now)
-        if self.parent is not None and self.parent.silent(now):
-            self._shun(now, "silent" if self.parent.port else "not up")
-
-    def _tick_all(self, now: int) -> None:
-        self.next_tick = now + (TICK_NS if self.book.fresh_at else FIRST_NS)
-        if now - self.swept > SWEEP_NS:
-            self.swept = now
-            self.book.sweep()
+            self._leave_control_node(now, "stale")
+        if self.candidate is not None and now - self.candidate.chosen_at > SILENT_NS:
+            self._drop_candidate(now)
+        if self.parent is not None and self.parent.is_silent(now):
+            self._leave_parent(now, "silent" if self.parent.port else "not up")
+
+    def _send_all_heartbeats(self, now: int) -> None:
+        is_confirmed = bool(self.replicated.confirmed_at)
+        self._next_heartbeat_at = now + (HEARTBEAT_NS if is_confirmed else FIRST_HEARTBEAT_NS)
+        if now - self._swept_at > SWEEP_NS:
+            self._swept_at = now
+            self.replicated.sweep()
         self._choose_parent(now)
         for link in self._links():
-            self._tick(link, now)
+            self._send_heartbeat(link, now)
 
-    def _mending(self, now: int) -> list[Uplink]:
-        """Where what is missing is asked for: at the core, and while that does not answer at the parent."""
-        parent = None if self._core_well(now) else self.parent
+    def _repairing(self, now: int) -> list[Uplink]:
+        """Return where to ask for what is missing: the control node, else the parent."""
+        parent = None if self._control_node_is_well(now) else self.parent
         return [link for link in (self.core, parent) if link is not None and link.port is not None]
 
-    def due(self, now: int) -> int:
-        """When `turn` has something to do."""
-        due = [self.next_tick]
-        due += [link.waited_since() + SILENT_NS + MS for link in self._links()]
-        if self.other is None and (quiet := self._quiet_at()) > now:
-            due.append(quiet)
-        for link in self._mending(now):
-            due += link.mend_due(TICK_NS)
-        return min(due)
+    def next_tick_at(self, now: int) -> int:
+        """Return when `tick` has something to do."""
+        times = [self._next_heartbeat_at]
+        times += [link.waiting_since() + SILENT_NS + MS for link in self._links()]
+        quiet_at = self._quiet_at()
+        if self.candidate is None and quiet_at > now:
+            times.append(quiet_at)
+        for link in self._repairing(now):
+            times += link.next_repair_at(HEARTBEAT_NS)
+        return min(times)
--- a/pepperrun/distribution/publisher.py
+++ b/pepperrun/distribution/publisher.py
@@ -1,7 +1,7 @@
-"""The sending side: answers ticks, repairs, and pushes what is new to those who attach for that.
+"""The sending side: answers heartbeats, repairs, and pushes what is new to those who attach for that. No I/O.
 
-Core machines and relaying gatekeepers use the same one. It has no I/O of its own: links come in as ports,
-time as steady nanoseconds, and `turn` is called when due.
+Control nodes and relaying gatekeepers use the same one. Links come in as ports, time as steady nanoseconds,
+and `tick` is called when due.
 """
 
 from __future__ import annotations
@@ -10,23 +10,38 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 from hashlib import blake2b
-from typing import Any, Protocol
+from typing import Any, NamedTuple, Protocol
 
 from pepperrun.control.order_deduplication import without_older
 from pepperrun.control.records import GatewayRecord, Worker
 from pepperrun.distribution import repair
 from pepperrun.distribution.digests import Record, record_id
-from pepperrun.distribution.messages import TICK, WANT, Agreed, Change, Tick, Tock, Want
+from pepperrun.distribution.messages import (
+    CATCH_UP_REQUEST,
+    HEARTBEAT,
+    CatchUpRequest,
+    FullState,
+    Heartbeat,
+    HeartbeatAck,
+    StateChange,
+)
 from pepperrun.foundation.netstring import Message, encode, length
 
-BATCH_MS = 15  # records that change together go together
-SILENT_NS = 5_000_000_000  # gatekeepers tick each 400 ms: one that is silent for so long is gone
-UNDER_WAY_NS = 2_000_000_000  # what was sent so lately is not sent again: it is on its way
-HISTORY = 64  # changes kept for those who are a little behind
-HISTORY_BYTES = 256 * 1024
+MS = 1_000_000  # ns
+SECOND = 1000 * MS
+BATCH_NS = 15 * MS  # records that change together go together
+SILENT_NS = 5 * SECOND  # gatekeepers send heartbeats each 400 ms: one that is silent for so long is gone
+SWEEP_NS = SILENT_NS // 5
+IN_FLIGHT_NS = 2 * SECOND  # what was sent so lately is not sent again: it is on its way
+MAX_HISTORY = 64  # changes kept for those who are a little behind
+MAX_HISTORY_BYTES = 256 * 1024
 LONG_BYTES = 32 * 1024  # on the link: 0.13 s of 2 Mbit/s, the narrowest that there is
-LONG_NS = 5_000_000_000  # a long one that is not told of as held after this is not waited for any more
-PASSED_NS = 600_000_000  # what is too long to be passed on has come from the core by then, or is passed on
+LONG_TIMEOUT_NS = 5 * SECOND  # a long one that is not acknowledged after this is not waited for any more
+RELAY_AFTER_NS = (
+    600 * MS
+)  # what is too long to be relayed has come from a control node by then, or is relayed
+CHECKSUM_BYTES = 8
+UNKNOWN_VERSION = -1
 
 
 class Port(Protocol):
@@ -34,227 +49,316 @@
 
     name: str
 
-    def write(self, frame: bytes) -> None: ...
+    def write(self, frame: bytes) -> None:
+        """Send a frame."""
 
     def unsent(self) -> int:
-        """Bytes written and not yet gone out."""
+        """Return the bytes written and not yet gone out."""
         ...
 
-    def close(self) -> None: ...
+    def close(self) -> None:
+        """End the link."""
 
 
-class Source(repair.Copy, Protocol):
-    """Whose news is sent: the core's cells and agreement, or a relay's book."""
+class Source(repair.RecordCopy, Protocol):
+    """Whose state and records are sent: a control node's, or a relay's copy."""
 
     @property
-    def number(self) -> int: ...
+    def version(self) -> int:
+        """Version of the state, 0 before the first."""
+        ...
 
     @property
-    def state(self) -> dict[str, Any] | None: ...
+    def state(self) -> dict[str, Any] | None:
+        """The agreed state."""
+        ...
 
     @property
-    def cores(self) -> list[list[str]]:
-        """[ip, zone] of each core machine."""
+    def control_nodes(self) -> list[list[str]]:
+        """[ip, zone] of each control node."""
         ...
 
     def age_ms(self, now: int) -> float | None:
-        """How long ago `number` was known to be the newest acknowledged; None: not known."""
+        """Return how long ago `version` was known to be the newest acknowledged; None: not known."""
         ...
 
-    def beat(self, gateway: GatewayRecord, now: int) -> None:
-        """A gatekeeper has told of itself on its own link (each tick; the row may be as before)."""
+    def gateway_heartbeat(self, gateway: GatewayRecord, now: int) -> None:
+        """Handle a gatekeeper's record on its own link (each heartbeat; it may be as before)."""
         ...
 
     def merge(self, workers: list[Worker], gateways: list[GatewayRecord], now: int) -> object:
-        """Rows came from another process; the newer ones count. The source then calls `changed`."""
+        """Take over newer records of another process; the source then calls `records_changed`."""
         ...
 
 
-def seal(state: dict[str, Any]) -> str:
-    """A short check that two copies of a number's state agree: what differs first if a change is misread.
+def state_checksum(state: dict[str, Any]) -> str:
+    """Return a short check that two copies of a version agree: what differs first if a change is misread.
 
-    `taken` holds the digests of the configurations that led here, so the whole need not be hashed again.
+    `taken` holds the digests of the configurations that led here, so the rest need not be hashed again.
     """
     counts = [len(state.get(name) or ()) for name in ("routes", "carrier_lines", "senders")]
     text = repr([state.get("edition"), counts, state.get("evacuated"), (state.get("taken") or [None])[-1]])
-    return blake2b(text.encode(), digest_size=8).hexdigest()
+    return blake2b(text.encode(), digest_size=CHECKSUM_BYTES).hexdigest()
+
+
+class _RecentChange(NamedTuple):
+    """A change as it is sent, with the versions that it leads from and to."""
+
+    base_version: int
+    version: int
+    frame: bytes
+
+
+class _FullFrame(NamedTuple):
+    """The full state of a version as it is sent."""
+
+    version: int
+    frame: bytes
 
 
 @dataclass(slots=True)
-class _Peer:
-    """What is known of the other side of a link."""
-
-    heard_at: int
-    number: int = -1  # what it holds, or will once it has read what was sent; -1 before its first word
-    held: int = -1  # what it said that it holds
-    since: int = 0  # since when more than that is on its way, and nothing of it has come
-    long: int = -1  # the number of the last long one that was sent
-    long_at: int = 0
-    pushed: bool = False  # it attaches for the pushes
+class Peer:
+    """What is known of the other side of a link.
+
+    Attributes
+    ----------
+    version : int
+        What it holds, or will once it has read what was sent; UNKNOWN_VERSION before its first message.
+    acknowledged : int
+        What it said that it holds.
+    in_flight_since : int
+        Since when more than that is on its way, and nothing of it has come.
+    long_version, long_sent_at : int
+        The last long state or change that was sent, and when.
+    is_attached : bool
+        It wants what is new to be pushed.
+    control_nodes : list or None
+        As last sent.
+    relay_budget_bytes : int
+        Relays send it no longer changes; 0 for no limit.
+    """
+
+    received_at: int
+    version: int = UNKNOWN_VERSION
+    acknowledged: int = UNKNOWN_VERSION
+    in_flight_since: int = 0
+    long_version: int = UNKNOWN_VERSION
+    long_sent_at: int = 0
+    is_attached: bool = False
     gateway: GatewayRecord | None = None
-    cores: list[list[str]] | None = None  # as last told
-    room: int = 0  # bytes: longer changes are not passed on to it by relays; 0: they are
+    control_nodes: list[list[str]] | None = None
+    relay_budget_bytes: int = 0
 
+    def acknowledge(self, version: int, now: int) -> None:
+        """Note what it says that it holds."""
+        if version != self.acknowledged:
+            self.acknowledged = version
+            self.in_flight_since = now
 
-class Publisher:
-    """Sends `source`'s news to links. `alarm(due)` asks for a `turn` at that time (steady ns).
 
-    `room`: bytes that the own link carries to all that attach here before answers to clients wait for long. A
-    longer change is not passed on: the core, whose links are wide, sends it to each gatekeeper that ticks
-    there and told its own `room`. 0: all is passed on.
+class Publisher:
+    """Sends the state and records of `source` to links.
+
+    Parameters
+    ----------
+    schedule : callable
+        Asks for a `tick` at a time, steady ns.
+    relay_budget_bytes : int
+        What the own link carries to all that attach here before answers to clients wait for long. A longer
+        change is not relayed: the control node, whose links are wide, sends it to each gatekeeper that sends
+        heartbeats there and gave its own budget. 0: all is relayed.
     """
 
-    def __init__(self, source: Source, alarm: Callable[[int], None], room: int = 0) -> None:
-        self.source, self.alarm, self.room = source, alarm, room
-        self.grown_at = 0
-        self.peers: dict[Port, _Peer] = {}
-        self.batch: dict[str, Record] = {}
-        self.due = 0  # when the batch goes; 0 for no batch
-        self.history: list[tuple[int, int, bytes]] = []  # base, number, frame; each base is the number before
-        self.whole: tuple[int, bytes] = (0, b"")  # the whole state's frame, once encoded
-        self.swept = 0
+    def __init__(self, source: Source, schedule: Callable[[int], None], relay_budget_bytes: int = 0) -> None:
+        self.source = source
+        self.schedule = schedule
+        self.relay_budget_bytes = relay_budget_bytes
+        self.peers: dict[Port, Peer] = {}
+        self._state_changed_at = 0
+        self._batch: dict[str, Record] = {}
+        self._batch_at = 0  # when the batch goes; 0 for no batch
+        self._history: list[_RecentChange] = []  # each leads on from the one before
+        self._full = _FullFrame(0, b"")
+        self._swept_at = 0
 
     def joined(self, port: Port, hello: Message, now: int) -> None:
-        """A link to a gatekeeper has come up."""
-        self.peers[port] = _Peer(now, room=int(hello.get("room") or 0))
+        """Handle a new link to a gatekeeper."""
+        self.peers[port] = Peer(now, relay_budget_bytes=int(hello.get("room") or 0))
 
     def left(self, port: Port, now: int) -> None:
-        """It has ended."""
+        """Handle the end of a link."""
         self.peers.pop(port, None)
 
     def heard(self, port: Port, message: Message, now: int) -> bool:
-        """Takes `tick`, `want`, `ask`, `cells`, `digests`; False for other kinds.
+        """Handle a message of a gatekeeper; return False for kinds that are not known.
 
-        KeyError, TypeError or ValueError where a message can't be meant: the link then ends.
+        Raises
+        ------
+        KeyError, TypeError, ValueError
+            The message is not allowed: the link then ends.
         """
         peer = self.peers.get(port)
         if peer is None:
             return False
-        peer.heard_at = now
-        kind = message["k"]
-        if kind == TICK:
-            self._tick(port, peer, Tick.read(message), now)
-        elif kind == WANT:
-            self._wanted(port, peer, Want.read(message), now)
-        elif kind in ("ask", "cells", "digests"):
-            for back in repair.heard(self.source, self.source.merge, message, now):
-                port.write(encode(back))
+        peer.received_at = now
+        if repair.is_repair_message(message):
+            for reply in repair.handle(self.source, self.source.merge, message, now):
+                port.write(encode(reply))
+        elif message["k"] == HEARTBEAT:
+            self._on_heartbeat(port, peer, Heartbeat.from_wire(message), now)
+        elif message["k"] == CATCH_UP_REQUEST:
+            self._on_catch_up_request(port, peer, CatchUpRequest.from_wire(message), now)
         else:
             return False
         return True
 
-    def _wanted(self, port: Port, peer: _Peer, want: Want, now: int) -> None:
-        """It holds `want.number` and asks for what came after.
+    def _on_catch_up_request(self, port: Port, peer: Peer, request: CatchUpRequest, now: int) -> None:
+        """Send what came after the version that a peer holds.
 
         A link carries all that is written to it, in order. So what was sent is on its way, however long that
         takes, and only what came after it goes out; all of it again if nothing of it comes for too long.
         """
-        if want.number != peer.held:
-            peer.held, peer.since = want.number, now
-        overdue = now - peer.since > UNDER_WAY_NS
-        if overdue and port.unsent():
-            overdue, peer.since = False, now
-        if want.whole or overdue:
-            peer.number, peer.long, peer.since = want.number, -1, now
-        peer.number = max(peer.number, want.number)
-        self._bring(port, peer, now, want.whole, asked=True)
-
-    def _tick(self, port: Port, peer: _Peer, tick: Tick, now: int) -> None:
-        source = self.source
-        if tick.gateway is not None:
-            peer.gateway = tick.gateway
+        peer.acknowledge(request.version, now)
+        is_overdue = now - peer.in_flight_since > IN_FLIGHT_NS
+        if is_overdue and port.unsent():
+            is_overdue = False
+            peer.in_flight_since = now
+        if request.full or is_overdue:
+            peer.version = request.version
+            peer.long_version = UNKNOWN_VERSION
+            peer.in_flight_since = now
+        peer.version = max(peer.version, request.version)
+        self._catch_up(port, peer, now, full=request.full, requested=True)
+
+    def _on_heartbeat(self, port: Port, peer: Peer, heartbeat: Heartbeat, now: int) -> None:
+        if heartbeat.gateway is not None:
+            peer.gateway = heartbeat.gateway
         if peer.gateway is not None:
-            source.beat(peer.gateway, now)
-        age = source.age_ms(now)
-        age_ms = None if age is None else math.ceil(age)
-        cores = None
-        if source.cores != peer.cores:
-            cores = peer.cores = [list(row) for row in source.cores]
-        tock = Tock(tick.sent_at, age_ms, source.number, source.sums.whole(), cores)
-        port.write(encode(tock.wire()))
-        peer.number = max(peer.number, tick.number)  # not less where more is on its way
-        if tick.number != peer.held:
-            peer.held, peer.since = tick.number, now
-        peer.pushed = tick.attaches
-        if tick.attaches and peer.number < source.number:
-            self._bring(port, peer, now)
-        if now - self.swept > SILENT_NS // 5:
+            self.source.gateway_heartbeat(peer.gateway, now)
+        port.write(encode(self._ack(peer, heartbeat, now).to_wire()))
+        peer.version = max(peer.version, heartbeat.version)  # not less where more is on its way
+        peer.acknowledge(heartbeat.version, now)
+        peer.is_attached = heartbeat.attaches
+        if heartbeat.attaches and peer.version < self.source.version:
+            self._catch_up(port, peer, now)
+        if now - self._swept_at > SWEEP_NS:
             self._sweep(now)
 
+    def _ack(self, peer: Peer, heartbeat: Heartbeat, now: int) -> HeartbeatAck:
+        age_ms = self.source.age_ms(now)
+        control_nodes = None
+        if self.source.control_nodes != peer.control_nodes:
+            control_nodes = peer.control_nodes = [list(row) for row in self.source.control_nodes]
+        return HeartbeatAck(
+            heartbeat_sent_at=heartbeat.sent_at,
+            age_ms=None if age_ms is None else math.ceil(age_ms),
+            version=self.source.version,
+            digest=self.source.digests.total_digest(),
+            control_nodes=control_nodes,
+        )
+
     def _sweep(self, now: int) -> None:
-        self.swept = now
-        for port in [port for port, peer in self.peers.items() if now - peer.heard_at > SILENT_NS]:
+        """End links whose other side has been silent for too long."""
+        self._swept_at = now
+        silent = [port for port, peer in self.peers.items() if now - peer.received_at > SILENT_NS]
+        for port in silent:
             del self.peers[port]
             port.close()
 
-    def agreed(self, change: tuple[int, dict[str, Any]] | None, now: int) -> None:
-        """`source.number` has grown, by `change` (base, op) where that was one operation. Pushed at once."""
-        number, state = self.source.number, self.source.state
-        self.grown_at = now
-        if change is None or state is None or (self.history and self.history[-1][1] != change[0]):
-            self.history.clear()
-        if change is not None and state is not None:
-            base, op = change
-            frame = encode(Change(base, number, op, seal(state)).wire())
-            self.history.append((base, number, frame))
-            while len(self.history) > HISTORY or sum(len(one[2]) for one in self.history) > HISTORY_BYTES:
-                del self.history[0]
-        for port, peer in list(self.peers.items()):
-            if peer.pushed or (peer.room and peer.gateway is not None):
-                self._bring(port, peer, now)
+    # The state.
 
-    def _passed_on(self, peer: _Peer, frames: list[bytes], now: int) -> bool:
-        """Is that for this process to send to a peer that has not asked?"""
-        if peer.pushed and (not self.room or now - self.grown_at >= PASSED_NS):
-            return True
-        size = sum(length(frame) for frame in frames)
-        return size <= self.room if peer.pushed else size > peer.room
+    def state_changed(self, change: tuple[int, dict[str, Any]] | None, now: int) -> None:
+        """Push the newer state of the source, by `change` (base version, operation) where it was one."""
+        self._state_changed_at = now
+        self._record_change(change)
+        for port, peer in list(self.peers.items()):
+            if peer.is_attached or (peer.relay_budget_bytes and peer.gateway is not None):
+                self._catch_up(port, peer, now)
 
-    def _bring(self, port: Port, peer: _Peer, now: int, whole: bool = False, asked: bool = False) -> None:
-        """Sends what a peer lacks: the changes on top of what it holds, else the whole."""
-        number, state = self.source.number, self.source.state
-        if state is None or peer.number >= number:
+    def _record_change(self, change: tuple[int, dict[str, Any]] | None) -> None:
+        state = self.source.state
+        if change is None or state is None:
+            self._history.clear()
             return
-        missing: list[bytes] = []
-        at = peer.number
-        for base, after, frame in self.history:
-            if base == at:
-                missing.append(frame)
-                at = after
-        if whole or at != number or peer.number <= 0:
-            if self.whole[0] != number:
-                self.whole = (number, encode(Agreed(number, without_older(state)).wire()))
-            missing = [self.whole[1]]
-        if not asked and not self._passed_on(peer, missing, now):
+        base_version, operation = change
+        if self._history and self._history[-1].version != base_version:
+            self._history.clear()
+        version = self.source.version
+        message = StateChange(base_version, version, operation, state_checksum(state))
+        self._history.append(_RecentChange(base_version, version, encode(message.to_wire())))
+        while len(self._history) > MAX_HISTORY or self._history_bytes() > MAX_HISTORY_BYTES:
+            del self._history[0]
+
+    def _history_bytes(self) -> int:
+        return sum(len(change.frame) for change in self._history)
+
+    def _catch_up(
+        self, port: Port, peer: Peer, now: int, *, full: bool = False, requested: bool = False
+    ) -> None:
+        """Send what a peer lacks: the changes on top of what it holds, else the full state."""
+        state = self.source.state
+        if state is None or peer.version >= self.source.version:
             return
-        is_long = sum(length(frame) for frame in missing) > LONG_BYTES
-        if is_long and not whole and peer.held < peer.long and now - peer.long_at < LONG_NS:
-            return  # one is on its way; once that is held, the newest then goes at once instead of each
-        if is_long:
-            peer.long, peer.long_at = number, now
-        if peer.number <= peer.held:
-            peer.since = now
-        peer.number = number
-        for frame in missing:
+        frames = self._missing_frames(peer, state, full=full)
+        size = sum(length(frame) for frame in frames)
+        if not requested and not self._should_push(peer, size, now):
+            return
+        if size > LONG_BYTES:
+            is_in_flight = peer.acknowledged < peer.long_version
+            if is_in_flight and not full and now - peer.long_sent_at < LONG_TIMEOUT_NS:
+                return  # once that is held the newest goes at once, instead of each in between
+            peer.long_version = self.source.version
+            peer.long_sent_at = now
+        if peer.version <= peer.acknowledged:
+            peer.in_flight_since = now
+        peer.version = self.source.version
+        for frame in frames:
             port.write(frame)
 
-    def changed(self, records: Iterable[Record], now: int) -> None:
-        """These records have changed; they are pushed within BATCH_MS."""
-        if not any(peer.pushed for peer in self.peers.values()):
+    def _missing_frames(self, peer: Peer, state: dict[str, Any], *, full: bool) -> list[bytes]:
+        frames: list[bytes] = []
+        version = peer.version
+        for change in self._history:
+            if change.base_version == version:
+                frames.append(change.frame)
+                version = change.version
+        leads_there = version == self.source.version and peer.version > 0
+        return frames if leads_there and not full else [self._full_frame(state)]
+
+    def _full_frame(self, state: dict[str, Any]) -> bytes:
+        """Return the full state, encoded once for each version."""
+        version = self.source.version
+        if self._full.version != version:
+            message = FullState(version, without_older(state))
+            self._full = _FullFrame(version, encode(message.to_wire()))
+        return self._full.frame
+
+    def _should_push(self, peer: Peer, size: int, now: int) -> bool:
+        """Return whether this process is to send so many bytes to a peer that has not asked."""
+        is_waited_for = not self.relay_budget_bytes or now - self._state_changed_at >= RELAY_AFTER_NS
+        if peer.is_attached and is_waited_for:
+            return True
+        return size <= self.relay_budget_bytes if peer.is_attached else size > peer.relay_budget_bytes
+
+    # Records.
+
+    def records_changed(self, records: Iterable[Record], now: int) -> None:
+        """Push these records within `BATCH_NS`."""
+        if not any(peer.is_attached for peer in self.peers.values()):
             return  # whoever attaches later compares digests
-        self.batch |= {record_id(record): record for record in records}
-        if self.batch and not self.due:
-            self.due = now + BATCH_MS * 1_000_000
-            self.alarm(self.due)
-
-    def turn(self, now: int) -> None:
-        """Sends what is due."""
-        if not self.due or now < self.due:
+        self._batch |= {record_id(record): record for record in records}
+        if self._batch and not self._batch_at:
+            self._batch_at = now + BATCH_NS
+            self.schedule(self._batch_at)
+
+    def tick(self, now: int) -> None:
+        """Send what is due."""
+        if not self._batch_at or now < self._batch_at:
             return
-        self.due = 0
-        frame = encode(repair.rows(self.batch.values(), now))
-        self.batch.clear()
+        self._batch_at = 0
+        frame = encode(repair.encode_records(self._batch.values(), now))
+        self._batch.clear()
         for port, peer in list(self.peers.items()):
-            if peer.pushed:
+            if peer.is_attached:
                 port.write(frame)
         self._sweep(now)
--- a/pepperrun/distribution/relay.py
+++ b/pepperrun/distribution/relay.py
@@ -1,4 +1,4 @@
-"""Relaying: what a gatekeeper takes from above goes on to those under it."""
+"""Relaying: what a gatekeeper takes over from above goes on to those under it."""
 
 from __future__ import annotations
 
@@ -6,71 +6,86 @@
 from typing import Any
 
 from pepperrun.control.records import GatewayRecord, Worker
-from pepperrun.distribution.book import NewsBook
-from pepperrun.distribution.digests import Sums
+from pepperrun.distribution.digests import RangeDigests
 from pepperrun.distribution.follower import Follower
 from pepperrun.distribution.publisher import Publisher, Source
+from pepperrun.distribution.replicated_state import ReplicatedState
 
 Clock = Callable[[], int]
 
 
-class Held:
-    """What a book holds, as a source."""
+class ReplicatedSource:
+    """What a replicated state holds, as a part of a `Source`."""
 
-    book: NewsBook
+    replicated: ReplicatedState
 
     @property
-    def number(self) -> int:
-        return self.book.number
+    def version(self) -> int:
+        """Version of the state, 0 before the first."""
+        return self.replicated.version
 
     @property
     def state(self) -> dict[str, Any] | None:
-        return self.book.state
+        """The agreed state."""
+        return self.replicated.state
 
     @property
     def workers(self) -> Mapping[str, Worker]:
-        return self.book.workers
+        """Workers by id."""
+        return self.replicated.workers
 
     @property
     def gateways(self) -> Mapping[str, GatewayRecord]:
-        return self.book.gateways
+        """Gatekeepers by name."""
+        return self.replicated.gateways
 
     @property
-    def sums(self) -> Sums:
-        return self.book.sums
+    def digests(self) -> RangeDigests:
+        """Digests of all ranges."""
+        return self.replicated.digests
 
 
-def publish(
-    source: Source, book: NewsBook, alarm: Callable[[int], None], clock: Clock, room: int = 0
-) -> Publisher:
-    """A publisher that passes on what the book takes, before others hear of it. `room` as the publisher's."""
-    publisher = Publisher(source, alarm, room)
-    book.on_agreed.insert(0, lambda number, state, change: publisher.agreed(change, clock()))
-    book.on_workers.insert(0, lambda changed: publisher.changed(changed, clock()))
-    book.on_gateways.insert(0, lambda changed: publisher.changed(changed, clock()))
-    return publisher
-
-
-class Relay(Held):
-    """A follower's book as a source for the gatekeepers under it."""
+class Relay(ReplicatedSource):
+    """A follower's state as a source for the gatekeepers under it."""
 
     def __init__(self, follower: Follower) -> None:
-        self.follower, self.book = follower, follower.book
+        self.follower = follower
+        self.replicated = follower.replicated
 
     @property
-    def cores(self) -> list[list[str]]:
-        return self.book.cores
+    def control_nodes(self) -> list[list[str]]:
+        """[ip, zone] of each control node."""
+        return self.replicated.control_nodes
 
     def age_ms(self, now: int) -> float | None:
-        return self.book.age_ms(now)
+        """Return how long ago what is held was known to be the newest; None if never."""
+        return self.replicated.age_ms(now)
 
-    def beat(self, gateway: GatewayRecord, now: int) -> None:
-        """The core hears of gatekeepers from themselves."""
+    def gateway_heartbeat(self, gateway: GatewayRecord, now: int) -> None:
+        """Do nothing: the control nodes get the records of gatekeepers from themselves."""
 
     def merge(self, workers: list[Worker], gateways: list[GatewayRecord], now: int) -> None:
+        """Take over newer records of a gatekeeper below."""
         self.follower.merge(workers, gateways, now)
 
 
-def relay(follower: Follower, alarm: Callable[[int], None], clock: Clock, room: int = 0) -> Publisher:
-    """A publisher that passes on what the follower takes, as soon as it has it. `room` as the publisher's."""
-    return publish(Relay(follower), follower.book, alarm, clock, room)
+def publish(
+    source: Source,
+    replicated: ReplicatedState,
+    schedule: Callable[[int], None],
+    clock: Clock,
+    relay_budget_bytes: int = 0,
+) -> Publisher:
+    """Return a publisher that passes on what a replicated state takes over, before others are notified."""
+    publisher = Publisher(source, schedule, relay_budget_bytes)
+    replicated.on_state.insert(0, lambda version, state, change: publisher.state_changed(change, clock()))
+    replicated.on_workers.insert(0, lambda changed: publisher.records_changed(changed, clock()))
+    replicated.on_gateways.insert(0, lambda changed: publisher.records_changed(changed, clock()))
+    return publisher
+
+
+def relay(
+    follower: Follower, schedule: Callable[[int], None], clock: Clock, relay_budget_bytes: int = 0
+) -> Publisher:
+    """Return a publisher that passes on what the follower takes over, as soon as it has it."""
+    return publish(Relay(follower), follower.replicated, schedule, clock, relay_budget_bytes)
--- a/pepperrun/distribution/repair.py
+++ b/pepperrun/distribution/repair.py
@@ -1,61 +1,81 @@
-"""Mending of two copies of records: digests are compared range by range, rows go both ways where they differ.
-
-One side asks with its digests by zone. The other answers with its rows of the small ranges that differ
-(`cells`, which names these ranges in `of`) and with the digests of the parts of the large ones (`digests`),
-which the first compares and asks about. Whoever gets rows `of` a range sends back what it holds there that is
-newer or that the other lacks, so both end up with the newest of each.
+"""Repair (anti-entropy) of two copies of records: digests are compared range by range, rows go both ways.
+
+| `k` | fields | what it does |
+| --- | --- | --- |
+| ask | digests by range, parts | asks for what differs; `parts`: the ranges are partitions |
+| cells | w, g rows of workers and gatekeepers, of, a | records; those of the ranges `of` are complete |
+| digests | digests of partitions by range | ranges that differ and hold too many records |
+
+One side asks with its digests by zone. The other answers with its records of the small ranges that differ,
+and with the digests of the partitions of the large ones, which the first compares and asks about. Who gets
+the records `of` a range sends back what it holds there that is newer or that the other lacks, so both end up
+with the newest of each. `a` asks for an acknowledgement that the records are held (`control.peer_messages`).
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable, Iterable, Mapping
-from typing import Any, Protocol
+from typing import Any, NamedTuple, Protocol
 
 from pepperrun.control.records import GatewayRecord, Worker
-from pepperrun.distribution.digests import EMPTY, Record, Sums, differing, newer, place, record_id
+from pepperrun.distribution.digests import (
+    EMPTY_DIGEST,
+    Digests,
+    RangeDigests,
+    Record,
+    differing,
+    newer,
+    partition_of,
+    record_id,
+)
 from pepperrun.foundation.netstring import Message
 
-FEW = 48  # records: a range with no more is sent whole; splitting it further takes another round trip
-DEEPEST = 2  # digits
+REQUEST = "ask"
+RECORDS = "cells"
+PARTITION_DIGESTS = "digests"
+KINDS = (REQUEST, RECORDS, PARTITION_DIGESTS)
+TOKEN = "a"  # field of `cells` that asks for an acknowledgement
+
+MAX_RANGE_RECORDS = 48  # a range with no more is sent as it is; splitting it costs another round trip
+MAX_DEPTH = 2  # digits of a partition
 
 
-class Copy(Protocol):
+class RecordCopy(Protocol):
     """One copy of the records."""
 
     @property
-    def workers(self) -> Mapping[str, Worker]: ...
+    def workers(self) -> Mapping[str, Worker]:
+        """Workers by id."""
 
     @property
-    def gateways(self) -> Mapping[str, GatewayRecord]: ...
+    def gateways(self) -> Mapping[str, GatewayRecord]:
+        """Gatekeepers by name."""
 
     @property
-    def sums(self) -> Sums: ...
+    def digests(self) -> RangeDigests:
+        """Digests of all ranges."""
 
 
-Merge = Callable[[list[Worker], list[GatewayRecord], int], object]
-
+class Records(NamedTuple):
+    """Records of workers and of gatekeepers."""
 
-REPAIR_KINDS = ("cells", "ask", "digests")
-TOKEN = "a"  # field of `cells` that asks for an acknowledgement
+    workers: list[Worker]
+    gateways: list[GatewayRecord]
 
 
-def is_repair_message(message: Message) -> bool:
-    """Whether `heard` takes messages of this kind."""
-    return message["k"] in REPAIR_KINDS
+Merge = Callable[[list[Worker], list[GatewayRecord], int], object]
 
 
-def with_replication_token(message: Message, token: int) -> Message:
-    """Return `cells` with a request to acknowledge that the records are held."""
-    return message | {TOKEN: token}
+def is_repair_message(message: Message) -> bool:
+    """Return whether `handle` takes messages of this kind."""
+    return message["k"] in KINDS
 
 
-def replication_token(message: Message) -> int | None:
-    """The token of that request, where there is one."""
-    return message.get(TOKEN)
+# Records on the wire.
 
 
-def rows(records: Iterable[Record], now: int) -> Message:
-    """`cells` with these records."""
+def encode_records(records: Iterable[Record], now: int) -> Message:
+    """Return the message that carries these records."""
     workers: list[Any] = []
     gateways: list[Any] = []
     for record in records:
@@ -63,7 +83,7 @@
             workers.append(record.to_row(now))
         else:
             gateways.append(record.to_row())
-    message: Message = {"k": "cells"}
+    message: Message = {"k": RECORDS}
     if workers:
         message["w"] = workers
     if gateways:
@@ -71,74 +91,110 @@
     return message
 
 
-def read(message: Message, now: int) -> tuple[list[Worker], list[GatewayRecord]]:
-    """The records of `cells`; ValueError or TypeError where they can't be meant."""
+def decode_records(message: Message, now: int) -> Records:
+    """Return the records that a message carries.
+
+    Raises
+    ------
+    ValueError, TypeError
+        A row is none of a worker or gatekeeper.
+    """
     workers = [Worker.from_row(row, now) for row in message.get("w", ())]
-    return workers, [GatewayRecord.from_row(row) for row in message.get("g", ())]
+    gateways = [GatewayRecord.from_row(row) for row in message.get("g", ())]
+    return Records(workers, gateways)
 
 
-def ask(copy: Copy) -> Message:
-    """The first question: all zones' digests."""
-    return {"k": "ask", "digests": copy.sums.zones()}
+def with_replication_token(message: Message, token: int) -> Message:
+    """Return a message of records with a request to acknowledge that they are held."""
+    return message | {TOKEN: token}
 
 
-def inside(copy: Copy, keys: Iterable[str]) -> list[Record]:
-    """The records of these ranges, those that are gone too."""
-    wanted = set(keys)
-    zones = {key.partition("/")[0] for key in wanted}
-    out: list[Record] = []
-    records: list[Record] = [*copy.workers.values()]
-    for record in records + [*copy.gateways.values()]:
-        if record.zone not in zones:
-            continue
-        where = place(record_id(record)) if record.zone not in wanted else ""
-        if not where or f"{record.zone}/{where[0]}" in wanted or f"{record.zone}/{where}" in wanted:
-            out.append(record)
-    return out
-
-
-def answer(copy: Copy, message: Message, now: int) -> list[Message]:
-    """What an `ask` gets."""
-    theirs: dict[str, str] = message["digests"]
-    if message.get("parts"):
-        keys = [key for key, digest in theirs.items() if copy.sums.of(key) != digest]
+def replication_token(message: Message) -> int | None:
+    """Return the token of that request, where there is one."""
+    return message.get(TOKEN)
+
+
+# Comparing and sending back.
+
+
+def request(copy: RecordCopy) -> Message:
+    """Return the first message of a comparison: the digests of all zones."""
+    return {"k": REQUEST, "digests": copy.digests.by_zone()}
+
+
+def handle(copy: RecordCopy, merge: Merge, message: Message, now: int) -> list[Message]:
+    """Handle a message of these kinds; return what to answer.
+
+    Raises
+    ------
+    KeyError, TypeError, ValueError
+        The message is not allowed.
+    """
+    match message["k"]:
+        case "ask":
+            return _answer_request(copy, message["digests"], bool(message.get("parts")), now)
+        case "digests":
+            return _compare_partitions(copy, message["digests"])
+        case _:
+            return _take_records(copy, merge, message, now)
+
+
+def _answer_request(copy: RecordCopy, digests: Digests, is_partitions: bool, now: int) -> list[Message]:
+    """Return the records of small ranges that differ, and the digests of the partitions of large ones."""
+    if is_partitions:
+        keys = [key for key, digest in digests.items() if copy.digests.of(key) != digest]
     else:
-        keys = differing(copy.sums.zones(), theirs)
+        keys = differing(copy.digests.by_zone(), digests)
     small: list[str] = []
-    parts: dict[str, dict[str, str]] = {}
+    partitions: dict[str, Digests] = {}
     for key in keys:
-        deep = len(key.partition("/")[2])
-        if deep >= DEEPEST or copy.sums.counts.get(key, 0) <= FEW:
+        depth = len(key.partition("/")[2])
+        if depth >= MAX_DEPTH or copy.digests.counts.get(key, 0) <= MAX_RANGE_RECORDS:
             small.append(key)
         else:
-            parts[key] = copy.sums.parts(key)
-    out: list[Message] = []
+            partitions[key] = copy.digests.by_partition(key)
+    answers: list[Message] = []
     if small:
-        out.append(rows(inside(copy, small), now) | {"of": small})
-    if parts:
-        out.append({"k": "digests", "digests": parts})
-    return out
-
-
-def heard(copy: Copy, merge: Merge, message: Message, now: int) -> list[Message]:
-    """Takes `ask`, `cells` and `digests`; returns what to answer."""
-    kind = message["k"]
-    if kind == "ask":
-        return answer(copy, message, now)
-    if kind == "digests":
-        differ: dict[str, str] = {}
-        for key, theirs in message["digests"].items():
-            mine = copy.sums.parts(key)
-            differ |= {part: mine.get(part, EMPTY) for part in differing(mine, theirs)}
-        return [{"k": "ask", "digests": differ, "parts": True}] if differ else []
-    workers, gateways = read(message, now)
+        answers.append(encode_records(_records_in(copy, small), now) | {"of": small})
+    if partitions:
+        answers.append({"k": PARTITION_DIGESTS, "digests": partitions})
+    return answers
+
+
+def _compare_partitions(copy: RecordCopy, ranges: Mapping[str, Digests]) -> list[Message]:
+    """Ask about the partitions that differ."""
+    differ: Digests = {}
+    for key, digests in ranges.items():
+        own = copy.digests.by_partition(key)
+        differ |= {partition: own.get(partition, EMPTY_DIGEST) for partition in differing(own, digests)}
+    return [{"k": REQUEST, "digests": differ, "parts": True}] if differ else []
+
+
+def _take_records(copy: RecordCopy, merge: Merge, message: Message, now: int) -> list[Message]:
+    """Merge records; send back what is newer here or what the other lacks in the ranges that it named."""
+    records = decode_records(message, now)
     back: list[Record] = []
     if message.get("of"):
-        told: dict[str, Record] = {record_id(one): one for one in workers}
-        told |= {record_id(one): one for one in gateways}
-        for record in inside(copy, message["of"]):
-            other = told.get(record_id(record))
-            if not record.is_gone if other is None else newer(other, record):
+        received: dict[str, Record] = {record_id(worker): worker for worker in records.workers}
+        received |= {record_id(gateway): gateway for gateway in records.gateways}
+        for record in _records_in(copy, message["of"]):
+            other = received.get(record_id(record))
+            if (not record.is_gone) if other is None else newer(other, record):
                 back.append(record)
-    merge(workers, gateways, now)
-    return [rows(back, now)] if back else []
+    merge(records.workers, records.gateways, now)
+    return [encode_records(back, now)] if back else []
+
+
+def _records_in(copy: RecordCopy, keys: Iterable[str]) -> list[Record]:
+    """Return the records of these ranges, those that are gone too."""
+    wanted = set(keys)
+    zones = {key.partition("/")[0] for key in wanted}
+    records: list[Record] = [*copy.workers.values(), *copy.gateways.values()]
+    return [record for record in records if record.zone in zones and _is_in(record, wanted)]
+
+
+def _is_in(record: Record, wanted: set[str]) -> bool:
+    if record.zone in wanted:
+        return True
+    partition = partition_of(record_id(record))
+    return f"{record.zone}/{partition[0]}" in wanted or f"{record.zone}/{partition}" in wanted
--- a/pepperrun/distribution/service.py
+++ b/pepperrun/distribution/service.py
@@ -1,4 +1,4 @@
-"""A gatekeeper's part in distribution: its book kept up to date over links, and passed on."""
+"""A gatekeeper's part in distribution on real links: its state kept up to date, and passed on."""
 
 from __future__ import annotations
 
@@ -16,157 +16,203 @@
 from pepperrun.foundation.netstring import Message
 from pepperrun.foundation.settings import Address, Settings
 
-PASS_S = 0.1  # of the own link's time to pass a change on: answers wait behind it, with aims from 0.3 s on
-UP_S = 0.4  # for a link to come up: the first try at a machine that is just coming back is lost
-AGAIN_S = 0.2  # between two tries: who is tried was chosen, and is given up within a second
+NS_PER_S = 1e9
+BYTES_PER_MBIT = 125_000
+RELAY_S = 0.1  # of the own link's time for relaying a change: answers wait behind it, with aims from 0.3 s on
+CONNECT_TIMEOUT_S = 0.4  # the first try at a machine that is just coming back is lost
+MAX_RETRY_S = 0.2  # between two tries: who is tried was chosen, and is given up within a second
 
 
-class Alarm:
-    """One timer of the loop: calls `ring` at the earliest time that was set (steady ns)."""
+class Timer:
+    """One timer of the loop: calls `callback` at the earliest time that was set (steady ns)."""
 
-    def __init__(self, ring: Callable[[], None], clock: Callable[[], int]) -> None:
-        self.ring, self.clock, self.due = ring, clock, 0
-        self.handle: asyncio.TimerHandle | None = None
+    def __init__(self, callback: Callable[[], None], clock: Callable[[], int]) -> None:
+        self.callback = callback
+        self.clock = clock
+        self._due = 0
+        self._handle: asyncio.TimerHandle | None = None
 
     def set(self, due: int) -> None:
-        """Rings then, or sooner if that was asked for."""
-        if self.due and self.due <= due:
+        """Call back at this time, or sooner if that was asked for."""
+        if self._due and self._due <= due:
             return
         self.stop()
-        self.due = due
-        wait = max(0, due - self.clock()) / 1e9
-        self.handle = asyncio.get_running_loop().call_later(wait, self._rang)
+        self._due = due
+        wait_s = max(0, due - self.clock()) / NS_PER_S
+        self._handle = asyncio.get_running_loop().call_later(wait_s, self._fire)
 
-    def _rang(self) -> None:
-        self.due, self.handle = 0, None
-        self.ring()
+    def _fire(self) -> None:
+        self._due = 0
+        self._handle = None
+        self.callback()
 
     def stop(self) -> None:
-        """Forgets what was set."""
-        if self.handle is not None:
-            self.handle.cancel()
-        self.due, self.handle = 0, None
+        """Forget what was set."""
+        if self._handle is not None:
+            self._handle.cancel()
+        self._due = 0
+        self._handle = None
 
 
-class _Up:
-    """The user of one uplink."""
+class UplinkUser:
+    """Passes on what happens on one link upwards (`foundation.link.User`)."""
 
-    def __init__(self, owner: Subscriber, address: Address) -> None:
-        self.owner, self.address = owner, address
+    def __init__(self, service: DistributionService, address: Address) -> None:
+        self.service = service
+        self.address = address
 
     def opened(self, link: Link, hello: Message) -> None:
-        link.on_part = lambda: self.owner.follower.stirred(link, self.owner.clock())
-        self.owner.follower.opened(self.address, link, hello, self.owner.clock())
-        self.owner.settle()
+        """Handle a link that is up."""
+        service = self.service
+        link.on_part = lambda: service.follower.partial_message(link, service.clock())
+        service.follower.opened(self.address, link, hello, service.clock())
+        service.update_links()
 
     def heard(self, link: Link, message: Message) -> None:
-        self.owner.follower.heard(link, message, self.owner.clock())
-        self.owner.settle()
+        """Handle a message."""
+        self.service.follower.heard(link, message, self.service.clock())
+        self.service.update_links()
 
     def closed(self, link: Link) -> None:
-        self.owner.follower.closed(self.address, link, self.owner.clock())
-        self.owner.settle()
+        """Handle the end of the link."""
+        self.service.follower.closed(self.address, link, self.service.clock())
+        self.service.update_links()
 
 
-class _Down:
-    """The user of links that others opened to here."""
+class DownlinkUser:
+    """Passes on what happens on links that others opened to this gatekeeper (`foundation.link.User`)."""
 
-    def __init__(self, owner: Subscriber, publisher: Publisher) -> None:
-        self.owner, self.publisher = owner, publisher
+    def __init__(self, service: DistributionService, publisher: Publisher) -> None:
+        self.service = service
+        self.publisher = publisher
 
     def opened(self, link: Link, hello: Message) -> None:
+        """Handle a link that is up."""
         if hello.get("class") != OPERATOR:
-            self.publisher.joined(link, hello, self.owner.clock())
+            self.publisher.joined(link, hello, self.service.clock())
 
     def heard(self, link: Link, message: Message) -> None:
+        """Handle a message of a gatekeeper below or of an operator's tool."""
         if message["k"] == "show":
-            link.send(self.owner.shown(self.owner.clock()))
+            link.send(self.service.shown(self.service.clock()))
             return
-        self.publisher.heard(link, message, self.owner.clock())
+        self.publisher.heard(link, message, self.service.clock())
 
     def closed(self, link: Link) -> None:
-        self.publisher.left(link, self.owner.clock())
+        """Handle the end of the link."""
+        self.publisher.left(link, self.service.clock())
 
 
-class Subscriber:
-    """Runs on each gatekeeper. Readers use `book` (its callbacks run on the loop).
+class DistributionService:
+    """Runs on each gatekeeper. Readers use `replicated`; its listeners run on the loop.
 
-    `row` gives this gatekeeper's own record as it is now; its `serial` grows with each change of state.
-    `shown(now)`: what an operator is told who asks what is held.
+    Parameters
+    ----------
+    incarnation : int
+        Of this process.
+    row : callable
+        Returns this gatekeeper's own record; its `serial` grows with each change of state.
+
+    Attributes
+    ----------
+    shown : callable
+        Returns what an operator is told who asks what is held.
     """
 
     def __init__(
         self,
         settings: Settings,
-        life: int,
+        incarnation: int,
         row: Callable[[], GatewayRecord],
         clock: Callable[[], int] = time.monotonic_ns,
     ) -> None:
-        me, self.clock = settings.me, clock
+        me = settings.me
+        self.clock = clock
         self.internal_port = settings.internal_port
-        self.hello_message: Message = {"station": me.station, "ip": me.ip, "zone": me.zone}
-        room = int(me.limits.link_mbps * 125_000 * PASS_S / FAN_OUT)
-        self.hello_message |= {"class": "counter", "life": life, "room": room}
-        own = (me.station, me.zone, settings.internal_port)
-        now, apply = self.clock(), changes.apply_at_gateway
-        self.follower = Follower(own, settings.network.zones, settings.contacts(), row, apply, now)
-        self.book = self.follower.book
-        self.alarm = Alarm(self._turn, clock)
-        self.push = Alarm(self._push, clock)
-        self.publisher = relay(self.follower, self.push.set, clock, room)
-        self.dialers: dict[Address, Dialer] = {}
-        self.server: asyncio.Server | None = None
-        self.closing = False
-        self.shown: Callable[[int], Message] = lambda now: {"k": "shown", "number": self.book.number}
+        relay_budget_bytes = int(me.limits.link_mbps * BYTES_PER_MBIT * RELAY_S / FAN_OUT)
+        self._hello_message: Message = {
+            "station": me.station,
+            "ip": me.ip,
+            "zone": me.zone,
+            "class": "counter",
+            "life": incarnation,
+            "room": relay_budget_bytes,
+        }
+        self.follower = Follower(
+            me.station,
+            me.zone,
+            settings.internal_port[1],
+            settings.network.zones,
+            settings.contacts(),
+            row=row,
+            apply=changes.apply_at_gateway,
+            now=clock(),
+        )
+        self.replicated = self.follower.replicated
+        self.shown: Callable[[int], Message] = lambda now: {"k": "shown", "number": self.replicated.version}
+        self._follow_timer = Timer(self._follow, clock)
+        self._publish_timer = Timer(self._publish, clock)
+        self.publisher = relay(self.follower, self._publish_timer.set, clock, relay_budget_bytes)
+        self._dialers: dict[Address, Dialer] = {}
+        self._server: asyncio.Server | None = None
+        self._closing = False
 
     def _hello(self) -> Message:
-        return self.hello_message
+        return self._hello_message
 
     async def start(self) -> None:
-        """Listens for other gatekeepers at the siding's TCP port and keeps links. OSError: it is taken."""
-        self.server = await listen(self.internal_port, _Down(self, self.publisher), self._hello)
-        self.settle()
-
-    def settle(self) -> None:
-        """Brings the links in line with what is wanted, and the timer."""
-        if self.closing:
+        """Listen for other gatekeepers and keep links.
+
+        Raises
+        ------
+        OSError
+            The internal port is taken.
+        """
+        user = DownlinkUser(self, self.publisher)
+        self._server = await listen(self.internal_port, user, self._hello)
+        self.update_links()
+
+    def update_links(self) -> None:
+        """Bring the links in line with what is wanted, and the timer."""
+        if self._closing:
             return
         wanted = self.follower.wanted()
-        if wanted != self.dialers.keys():
-            for address in [one for one in self.dialers if one not in wanted]:
-                self.dialers.pop(address).close()
-            for address in wanted - self.dialers.keys():
-                self.dialers[address] = Dialer(address, _Up(self, address), self._hello, UP_S, AGAIN_S)
-        self.alarm.set(self.follower.due(self.clock()))
-
-    def _turn(self) -> None:
-        self.follower.turn(self.clock())
-        self.settle()
-
-    def _push(self) -> None:
-        self.publisher.turn(self.clock())
-
-    def moved(self) -> None:
-        """Who of the other gatekeepers is thought to be there changed: see `follower.parents.standing`."""
-        self.follower.moved(self.clock())
-        self.settle()
-
-    def contacts(self, contacts: list[Address]) -> None:
-        """The settings name other core machines to ask first."""
-        self.follower.cores.contacts = contacts
-
-    def tell(self) -> None:
-        """The own row has changed (ready, leaving): said to the core now, not at the next tick."""
-        self.follower.tell(self.clock())
+        if wanted != self._dialers.keys():
+            for address in [address for address in self._dialers if address not in wanted]:
+                self._dialers.pop(address).close()
+            for address in wanted - self._dialers.keys():
+                user = UplinkUser(self, address)
+                self._dialers[address] = Dialer(address, user, self._hello, CONNECT_TIMEOUT_S, MAX_RETRY_S)
+        self._follow_timer.set(self.follower.next_tick_at(self.clock()))
+
+    def _follow(self) -> None:
+        self.follower.tick(self.clock())
+        self.update_links()
+
+    def _publish(self) -> None:
+        self.publisher.tick(self.clock())
+
+    def membership_changed(self) -> None:
+        """Choose the parent anew: see `follower.parents.is_present`."""
+        self.follower.membership_changed(self.clock())
+        self.update_links()
+
+    def set_contacts(self, contacts: list[Address]) -> None:
+        """Take over the control nodes of changed settings."""
+        self.follower.control_nodes.contacts = contacts
+
+    def send_own_record(self) -> None:
+        """Send the own record, which has changed (ready, draining), now and not with the next heartbeat."""
+        self.follower.send_own_record(self.clock())
 
     async def close(self) -> None:
-        """Ends all links."""
-        self.closing = True
-        self.alarm.stop()
-        self.push.stop()
-        for dialer in self.dialers.values():
+        """End all links."""
+        self._closing = True
+        self._follow_timer.stop()
+        self._publish_timer.stop()
+        for dialer in self._dialers.values():
             dialer.close()
         for port in list(self.publisher.peers):
             port.close()
-        if self.server is not None:
-            self.server.close()
+        if self._server is not None:
+            self._server.close()
--- a/pepperrun/distribution/tree.py
+++ b/pepperrun/distribution/tree.py
@@ -1,7 +1,7 @@
-"""Who is whose parent: an order of the gatekeepers of a zone that all compute alike from what they hold.
+"""The relay tree: an order of the gatekeepers of a zone that all compute alike from what they hold.
 
 Each attaches only to a gatekeeper before it in the order, so there are no circles whatever the views; where
-no one before it will do, it attaches to the core itself, as the first always does.
+no one before it will do, it attaches to the control node itself, as the first always does.
 """
 
 from __future__ import annotations
@@ -10,34 +10,34 @@
 from functools import lru_cache
 from hashlib import blake2b
 
-from pepperrun.control.records import GatewayRecord, GatewayState
+from pepperrun.control.records import GatewayRecord
 
 FAN_OUT = 4  # children of one relay: a hundred gatekeepers of a zone are 4 steps deep
+KEY_BYTES = 8
 
 
 @lru_cache(maxsize=4096)
-def key(station: str) -> bytes:
-    """Places stations in an order that has nothing to do with machines or racks."""
-    return blake2b(station.encode(), digest_size=8).digest()
+def order_key(name: str) -> bytes:
+    """Return a key that orders names without regard to machines or racks."""
+    return blake2b(name.encode(), digest_size=KEY_BYTES).digest()
 
 
-def spread(*parts: str) -> bytes:
-    """A number of one's own for each choice: many who choose spread over it."""
-    return blake2b("|".join(parts).encode(), digest_size=8).digest()
+def spread_key(*parts: str) -> bytes:
+    """Return a key for one choice of one chooser: many who choose spread over it."""
+    return blake2b("|".join(parts).encode(), digest_size=KEY_BYTES).digest()
 
 
-def parents(station: str, zone: str, gateways: Iterable[GatewayRecord]) -> list[GatewayRecord]:
-    """Whom to attach to, the best first; empty for the zone's root."""
-    mine = key(station)
+def parents(name: str, zone: str, gateways: Iterable[GatewayRecord]) -> list[GatewayRecord]:
+    """Return whom to attach to, the best first; empty for the root of the zone."""
+    own_key = order_key(name)
     before = [
         gateway
         for gateway in gateways
-        if gateway.zone == zone
-        and gateway.state in (GatewayState.READY, GatewayState.STARTING)
-        and key(gateway.name) < mine
+        if gateway.zone == zone and gateway.is_running and order_key(gateway.name) < own_key
     ]
-    before.sort(key=lambda gateway: key(gateway.name))
-    best = (
-        len(before) - 1
-    ) // FAN_OUT  # of the heap's i-th, counted from 0, the parent is (i - 1) // FAN_OUT
-    return before[best::-1] if before else []
+    if not before:
+        return []
+    before.sort(key=lambda gateway: order_key(gateway.name))
+    # A heap: the parent of the i-th, counted from 0, is the (i - 1) // FAN_OUT-th.
+    best = (len(before) - 1) // FAN_OUT
+    return before[best::-1]
--- a/pepperrun/distribution/uplink.py
+++ b/pepperrun/distribution/uplink.py
@@ -1,104 +1,150 @@
-"""A link to whom a gatekeeper follows: a core machine or its parent in the tree."""
+"""A link to whom a gatekeeper follows: a control node or its parent in the relay tree. No I/O but `Port`."""
 
 from __future__ import annotations
 
 from collections import deque
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
 from pepperrun.control.records import GatewayRecord
 from pepperrun.distribution import repair
-from pepperrun.distribution.book import NewsBook
-from pepperrun.distribution.messages import Tick, Want
+from pepperrun.distribution.messages import CatchUpRequest, Heartbeat
 from pepperrun.distribution.publisher import Port
+from pepperrun.distribution.replicated_state import ReplicatedState
 from pepperrun.foundation.netstring import Message, encode
 from pepperrun.foundation.settings import Address
 
-MS = 1_000_000
-SILENT_NS = 1000 * MS  # two ticks without an answer and a half: the other machine is gone, cut off or stuck
-MEND_NS = 250 * MS  # what is known to be missing comes down the tree within this, or is asked for
-STAMPS = 16  # ticks without an answer that are remembered
+MS = 1_000_000  # ns
+SILENT_NS = 1000 * MS  # two and a half heartbeats unanswered: the other side is gone, partitioned or stuck
+REPAIR_DELAY_NS = 250 * MS  # what is missing comes down the tree within this, or is asked for
+MAX_UNANSWERED = 16  # heartbeats without an answer that are remembered
+
+
+class Evidence(NamedTuple):
+    """All that was acknowledged before `confirmed_at` is in the state with `version`."""
+
+    version: int
+    confirmed_at: int
+
+
+class DigestGoal(NamedTuple):
+    """The digest of all records that the other side held at `known_at`."""
+
+    digest: str
+    known_at: int
+
+
+NO_GOAL = DigestGoal("", 0)
 
 
 @dataclass(slots=True)
 class Uplink:
-    """One link, up or not yet, and what its other side has told."""
+    """One link, up or not yet, and what its other side has said. Times are steady ns, 0 for never.
+
+    Attributes
+    ----------
+    parent_name : str
+        Empty for a control node.
+    chosen_at : int
+        When it was chosen.
+    received_at : int
+        When something came last.
+    version : int
+        Of the state that the other side holds, by its last answer.
+    stale_since : int
+        Since when the other side does not know what is the newest.
+    behind_since : int
+        Since when this process lacks the version that the other side holds.
+    lagging_since : int
+        Since when the other side lacks the version that the control node holds.
+    differs_since : int
+        Since when the digests of the records have differed.
+    sent_record : GatewayRecord or None
+        Own record as last sent on this link.
+    evidence : list of Evidence
+        Counts once its version is held.
+    """
 
     address: Address
-    station: str  # of the parent; "" for a core machine
-    since: int  # when it was chosen
+    parent_name: str
+    chosen_at: int
     port: Port | None = None
-    heard_at: int = 0  # since when it is silent
-    number: int = 0  # what it holds, by its last tock
+    received_at: int = 0
+    version: int = 0
     stale_since: int = 0
-    behind_since: int = 0  # since when this process lacks its number
-    lag_since: int = 0  # since when it lacks the number that the core told
-    differ_since: int = 0  # since when the digests have not met
-    asked_at: int = 0
-    wanted_at: int = 0
-    said: GatewayRecord | None = None  # own record as last told on this link
-    stamps: deque[int] = field(default_factory=lambda: deque(maxlen=STAMPS))
-    proofs: list[tuple[int, int]] = field(default_factory=list)  # number, fresh_at once that is held
-    goal: tuple[str, int] = ("", 0)  # digest of its cells, and when
-
-    def waited_since(self) -> int:
-        """Since when it has been waited for."""
-        return self.heard_at or self.since
-
-    def silent(self, now: int) -> bool:
-        """Has nothing come for too long, be it up or not?"""
-        return now - self.waited_since() > SILENT_NS
-
-    def pardon(self, now: int) -> None:
-        """This process stood still: what was said meanwhile waits to be read, so nobody was silent."""
-        self.heard_at, self.since = (now if self.heard_at else 0), now
+    behind_since: int = 0
+    lagging_since: int = 0
+    differs_since: int = 0
+    records_requested_at: int = 0
+    state_requested_at: int = 0
+    sent_record: GatewayRecord | None = None
+    unanswered: deque[int] = field(default_factory=lambda: deque(maxlen=MAX_UNANSWERED))
+    evidence: list[Evidence] = field(default_factory=list)
+    digest_goal: DigestGoal = NO_GOAL
+
+    def waiting_since(self) -> int:
+        """Return since when the other side has been waited for."""
+        return self.received_at or self.chosen_at
+
+    def is_silent(self, now: int) -> bool:
+        """Return whether nothing has come for too long, be the link up or not."""
+        return now - self.waiting_since() > SILENT_NS
+
+    def excuse(self, now: int) -> None:
+        """Forgive a time in which this process was suspended: what came meanwhile waits to be read."""
+        if self.received_at:
+            self.received_at = now
+        self.chosen_at = now
         self.stale_since = 0
 
     def close(self) -> None:
-        """Ends the link."""
+        """End the link."""
         if self.port is not None:
             self.port.close()
 
-    def tick(self, message: Tick) -> None:
-        """Sends a heartbeat; its own tock may come back on this link, once."""
-        self.stamps.append(message.sent_at)
-        self._send(message.wire())
+    def send_heartbeat(self, heartbeat: Heartbeat) -> None:
+        """Send a heartbeat; its answer may come back on this link, once."""
+        self.unanswered.append(heartbeat.sent_at)
+        self._send(heartbeat.to_wire())
 
-    def answers(self, sent_at: int) -> bool:
-        """Whether a tock belongs to a tick of this link; that tick and those before it are then over."""
-        if sent_at not in self.stamps:
+    def accepts_ack(self, heartbeat_sent_at: int) -> bool:
+        """Return whether an answer is to a heartbeat of this link; that and earlier ones are then over."""
+        if heartbeat_sent_at not in self.unanswered:
             return False
-        while self.stamps.popleft() != sent_at:
+        while self.unanswered.popleft() != heartbeat_sent_at:
             pass
         return True
 
-    def want(self, book: NewsBook, now: int, whole: bool = False) -> None:
-        """Asks for changes after what is held, or for the whole state."""
+    def request_state(self, replicated: ReplicatedState, now: int, *, full: bool = False) -> None:
+        """Ask for the changes after what is held, or for the full state."""
         if self.port is not None:
-            self.wanted_at = now
-            self._send(Want(book.number, whole).wire())
+            self.state_requested_at = now
+            self._send(CatchUpRequest(replicated.version, full).to_wire())
 
-    def ask(self, book: NewsBook, now: int) -> None:
-        """Asks for records that differ."""
+    def request_records(self, replicated: ReplicatedState, now: int) -> None:
+        """Ask for records that differ."""
         if self.port is not None:
-            self.asked_at = now
-            self._send(repair.ask(book))
-
-    def mend(self, book: NewsBook, now: int, again_ns: int) -> None:
-        """Asks for what has been missing for too long; for records not within `again_ns` of the last time."""
-        late = bool(self.behind_since) and now - self.behind_since >= MEND_NS
-        if late and now - self.wanted_at >= MEND_NS:
-            self.want(book, now)
-        if self.differ_since and now - self.differ_since >= MEND_NS and now - self.asked_at >= again_ns:
-            self.ask(book, now)
-
-    def mend_due(self, again_ns: int) -> list[int]:
-        """When `mend` has something to do."""
-        due = []
+            self.records_requested_at = now
+            self._send(repair.request(replicated))
+
+    def repair(self, replicated: ReplicatedState, now: int, interval_ns: int) -> None:
+        """Ask for what has been missing for too long; for records once in `interval_ns`."""
+        is_late = bool(self.behind_since) and now - self.behind_since >= REPAIR_DELAY_NS
+        if is_late and now - self.state_requested_at >= REPAIR_DELAY_NS:
+            self.request_state(replicated, now)
+        differs = bool(self.differs_since) and now - self.differs_since >= REPAIR_DELAY_NS
+        if differs and now - self.records_requested_at >= interval_ns:
+            self.request_records(replicated, now)
+
+    def next_repair_at(self, interval_ns: int) -> list[int]:
+        """Return when `repair` has something to do."""
+        times = []
         if self.behind_since:
-            due.append(max(self.behind_since, self.wanted_at) + MEND_NS)
-        if self.differ_since:
-            due.append(max(self.differ_since + MEND_NS, self.asked_at + again_ns))
-        return due
+            times.append(max(self.behind_since, self.state_requested_at) + REPAIR_DELAY_NS)
+        if self.differs_since:
+            next_request_at = self.records_requested_at + interval_ns
+            times.append(max(self.differs_since + REPAIR_DELAY_NS, next_request_at))
+        return times
 
     def _send(self, message: Message) -> None:
         if self.port is not None:
--- a/pepperrun/gateway_node.py
+++ b/pepperrun/gateway_node.py
@@ -17,7 +17,7 @@
 from pepperrun.dataplane.draining import drain, ready_listener
 from pepperrun.dataplane.plane import Plane
 from pepperrun.dataplane.trace import VERBOSE
-from pepperrun.distribution.service import Subscriber
+from pepperrun.distribution.service import DistributionService
 from pepperrun.foundation import logs
 from pepperrun.foundation.errors import PepperrunError
 from pepperrun.foundation.settings import Address, Settings, load
@@ -34,26 +34,26 @@
     def __init__(self, settings: Settings, path: str | None, trace: float = 0) -> None:
         self.settings, self.path = settings, path
         self.life, self.serial, self.state = time.time_ns() // 1_000_000, 0, GatewayState.STARTING
-        self.news = Subscriber(settings, self.life, self.row)
-        book = self.news.book
+        self.news = DistributionService(settings, self.life, self.row)
+        book = self.news.replicated
         self.plane = Plane(
             settings,
             secrets.randbits(32),
             time.monotonic_ns,
             self.known_life,
-            lambda: book.fresh_at,
-            lambda: book.cells_at,
+            lambda: book.confirmed_at,
+            lambda: book.records_confirmed_at,
         )
         self.tracing, self.number = trace > 0, -1
         self.plane.log_requests(trace)
-        book.on_agreed += [self.plane.on_agreed, self.on_agreed]
+        book.on_state += [self.plane.on_agreed, self.on_agreed]
         book.on_workers.append(self.plane.on_workers)
         book.on_gateways.append(self.on_gateways)
         self.probes = GatewayProbes(
             settings, self.life, secrets.randbits(32), self.plane.peer_messages.send, self.on_probes
         )
         self.plane.peer_messages.others[MARK] = self.probes.received
-        self.news.follower.parents.standing = self.probes.there
+        self.news.follower.parents.is_present = self.probes.there
         self.news.shown = lambda now: inspection.shown(self.row(), self.news, self.plane, self.probes, now)
         self.asked = ready_listener(time.monotonic_ns, self.plane.ready)
         self.stop = asyncio.Event()
@@ -73,7 +73,7 @@
         self.number, me = number, self.settings.me
         known = {"number": number, "edition": state.get("edition") or 0, "station": me.station}
         if self.tracing:
-            known["depth"] = inspection.depth(me.station, me.zone, self.news.book.gateways.values())
+            known["depth"] = inspection.depth(me.station, me.zone, self.news.replicated.gateways.values())
         logs.event("agreed", **known)
 
     def on_gateways(self, changed: list[GatewayRecord]) -> None:
@@ -85,11 +85,11 @@
     def on_probes(self) -> None:
         """Who of the other gatekeepers is thought to be there may have changed."""
         self.plane.stand(self.probes.absent(), self.probes.doubt)
-        self.news.moved()
+        self.news.membership_changed()
 
     def known_life(self) -> int:
         """The life by which others know this one: the time of day may have been ahead in an earlier one."""
-        held = self.news.book.gateways.get(self.settings.me.station)
+        held = self.news.replicated.gateways.get(self.settings.me.station)
         return held.incarnation if held is not None else self.life
 
     def say(self, state: GatewayState) -> None:
@@ -97,7 +97,7 @@
         if state != self.state:
             self.state, self.serial = state, self.serial + 1
             logs.event("gateway", state=state)
-            self.news.tell()
+            self.news.send_own_record()
 
     def reread(self) -> None:
         """The settings file may have changed: zones, contacts and the rules' figures hold at once."""
@@ -107,7 +107,7 @@
             logs.trouble(error)
             return
         self.plane.reread(self.settings)
-        self.news.contacts(self.settings.contacts())
+        self.news.set_contacts(self.settings.contacts())
         logs.event("settings", reread=True)
 
     async def run(self) -> None:
--- a/pepperrun/simulation/bugs.py
+++ b/pepperrun/simulation/bugs.py
@@ -6,7 +6,7 @@
 
 from pepperrun.dataplane.plane import Plane
 from pepperrun.distribution.publisher import Port
-from pepperrun.distribution.service import Subscriber
+from pepperrun.distribution.service import DistributionService
 from pepperrun.foundation.netstring import Message
 
 EMPTY_VOTES = "empty-votes"  # a voter with an empty disk goes on in its old life
@@ -15,13 +15,13 @@
 BUGS = (EMPTY_VOTES, COLD_FOREVER, BACKWARDS)
 
 
-def put_in(bug: str, news: Subscriber, plane: Plane) -> None:
+def put_in(bug: str, news: DistributionService, plane: Plane) -> None:
     """Makes one gatekeeper behave so."""
     if bug == COLD_FOREVER:
         plane.shares.sent = lambda number, rate, now: None  # type: ignore[method-assign,assignment]
     elif bug == BACKWARDS:
         follower, heard, states = news.follower, news.follower.heard, dict[int, Any]()
-        news.book.on_agreed.append(lambda number, state, change: states.setdefault(number, state))
+        news.replicated.on_state.append(lambda number, state, change: states.setdefault(number, state))
 
         def backwards(port: Port, message: Message, now: int) -> None:
             heard(port, message, now)
--- a/pepperrun/simulation/cutoff_days.py
+++ b/pepperrun/simulation/cutoff_days.py
@@ -28,7 +28,7 @@
 from pepperrun.control.matchers import Answer, Call
 from pepperrun.control.node import ControlNode
 from pepperrun.control.records import GatewayRecord, GatewayState
-from pepperrun.distribution.service import Subscriber
+from pepperrun.distribution.service import DistributionService
 from pepperrun.simulation import control_bugs
 from pepperrun.simulation.cutoff_operators import Operator, observed
 from pepperrun.simulation.histories import Amend, CallRecord, Read, Replace
@@ -73,7 +73,7 @@
     """A subscriber, and the newest number that it has held."""
 
     machine: Machine
-    news: Subscriber
+    news: DistributionService
     number: int = 0
 
 
@@ -322,7 +322,7 @@
             return GatewayRecord(machine.name, zone, ZONES[zone], *where, 1, 1, GatewayState.READY)
 
         def make() -> None:
-            news = Subscriber(settings, 1, row, loop.clock)
+            news = DistributionService(settings, 1, row, loop.clock)
             self.gateways.append(Gateway(machine, news))
             spawn(loop, news.start())
 
@@ -331,18 +331,18 @@
     def _look(self) -> None:
         """Does a gateway hold an older number, or less than what it says it is fresh for?"""
         for one in self.gateways:
-            book = one.news.book
-            if book.number < one.number:
-                self._wrong(FORWARD, f"{one.machine.name} went back from {one.number} to {book.number}")
-            one.number = book.number
-            fresh = book.fresh_at - one.machine.skew
+            book = one.news.replicated
+            if book.version < one.number:
+                self._wrong(FORWARD, f"{one.machine.name} went back from {one.number} to {book.version}")
+            one.number = book.version
+            fresh = book.confirmed_at - one.machine.skew
             taken = {edition for edition, *_ in (book.state or {}).get("taken", ())}
-            for record in self.records if book.fresh_at else ():
+            for record in self.records if book.confirmed_at else ():
                 order = record.operation
                 if record.status != 200 or not isinstance(order, Replace | Amend):
                     continue
                 if (record.answered_at or 0) < fresh and order.edition not in taken:
-                    self._wrong(FRESH, f"{one.machine.name} calls {book.number} fresh, without {record}")
+                    self._wrong(FRESH, f"{one.machine.name} calls {book.version} fresh, without {record}")
         if self.working:
             self.world.at(self.world.now + LOOK, self._look)
 
--- a/pepperrun/simulation/days.py
+++ b/pepperrun/simulation/days.py
@@ -386,7 +386,7 @@
 
 @contextmanager
 def held(constants: dict[str, float]) -> Iterator[None]:
-    """Overrides constants while a day is played, such as "distribution.follower:TICK_NS"."""
+    """Overrides constants while a day is played, such as "distribution.follower:HEARTBEAT_NS"."""
     before: list[tuple[Any, str, Any]] = []
     try:
         for where, value in constants.items():
--- a/pepperrun/simulation/distribution_days.py
+++ b/pepperrun/simulation/distribution_days.py
@@ -94,17 +94,17 @@
         if lagging := world.lags(number):
             return f"{lagging[0].station} lacks {number}"
         for gate in world.gates:
-            cells = (gate.clock() - gate.book.cells_at) / 1e6
+            cells = (gate.clock() - gate.replicated.records_confirmed_at) / 1e6
             if max(gate.age_ms(), cells) > FRESH_MS:
                 return f"{gate.station} knows its news to be {gate.age_ms():.0f} and {cells:.0f} ms old"
-            said = gate.follower.core.said
-            known = [control_node.book.gateways[gate.station] for control_node in world.control_nodes]
+            said = gate.follower.core.sent_record
+            known = [control_node.replicated.gateways[gate.station] for control_node in world.control_nodes]
             if any(record != said for record in known):
                 return f"{gate.station} is not known as it is"
-        books = [control_node.book for control_node in world.control_nodes] + [
-            gate.book for gate in world.gates
+        books = [control_node.replicated for control_node in world.control_nodes] + [
+            gate.replicated for gate in world.gates
         ]
-        if len({book.sums.whole() for book in books}) > 1:
+        if len({book.digests.total_digest() for book in books}) > 1:
             return "records differ"
         return ""
 
--- a/pepperrun/simulation/distribution_world.py
+++ b/pepperrun/simulation/distribution_world.py
@@ -13,11 +13,12 @@
 from itertools import count
 from typing import Any
 
+from pepperrun.consensus.state import Evaluation
 from pepperrun.control.records import GatewayRecord, GatewayState, Worker, WorkerState
-from pepperrun.distribution.book import NewsBook
 from pepperrun.distribution.follower import Follower
 from pepperrun.distribution.publisher import Publisher
-from pepperrun.distribution.relay import Held, publish, relay
+from pepperrun.distribution.relay import ReplicatedSource, publish, relay
+from pepperrun.distribution.replicated_state import AppliedChange, ReplicatedState
 from pepperrun.foundation.netstring import Decoder, Message
 from pepperrun.foundation.settings import Address
 
@@ -28,9 +29,9 @@
 PART = 100 * MS  # between parts of what comes in slowly
 
 
-def apply(state: dict[str, Any] | None, op: dict[str, Any]) -> tuple[dict[str, Any], Any]:
-    """An operation here is what it changes."""
-    return {**(state or {}), **op}, None
+def apply(state: dict[str, Any] | None, op: dict[str, Any]) -> Evaluation:
+    """Evaluate an operation, which here is what it changes."""
+    return Evaluation((state or {}) | op, None)
 
 
 class Port:
@@ -72,7 +73,7 @@
         return self.world.now + self.skew
 
     def flush_at(self, due: int) -> None:
-        self.world.at(due - self.skew, self, lambda: self.publisher.turn(self.clock()))
+        self.world.at(due - self.skew, self, lambda: self.publisher.tick(self.clock()))
 
     def joined(self, port: Port) -> None:
         self.publisher.joined(port, {"k": "hello", "room": port.other.room}, self.clock())
@@ -84,23 +85,24 @@
         self.publisher.heard(port, message, self.clock())
 
 
-class ControlNode(Node, Held):
+class ControlNode(Node, ReplicatedSource):
     """A core machine: the source of a publisher."""
 
     def __init__(self, world: World, station: str, ip: str, zone: str) -> None:
         super().__init__(world, station, ip, zone)
-        self.book, self.cores = NewsBook(), world.cores
+        self.replicated = ReplicatedState()
+        self.control_nodes = world.cores
         self.known_at: int | None = None
-        self.publisher = publish(self, self.book, self.flush_at, self.clock)
+        self.publisher = publish(self, self.replicated, self.flush_at, self.clock)
 
     def age_ms(self, now: int) -> float | None:
         return None if self.known_at is None else (self.world.now - self.known_at) / MS
 
-    def beat(self, gateway: GatewayRecord, now: int) -> None:
-        self.book.take_cells([], [gateway])
+    def gateway_heartbeat(self, gateway: GatewayRecord, now: int) -> None:
+        self.replicated.update_records([], [gateway])
 
     def merge(self, workers: list[Worker], gateways: list[GatewayRecord], now: int) -> None:
-        self.book.take_cells(workers, gateways)
+        self.replicated.update_records(workers, gateways)
 
 
 class Gate(Node):
@@ -112,15 +114,16 @@
             station, zone, world.zones[zone], f"{ip}:80", f"{ip}:{PORT}", life, 0, GatewayState.READY
         )
         contacts = [(core, PORT) for core, _ in world.cores[:3]]
-        own = (station, zone, (ip, PORT))
-        self.follower = Follower(own, world.zones, contacts, lambda: row, apply, self.clock())
+        self.follower = Follower(
+            station, zone, PORT, world.zones, contacts, row=lambda: row, apply=apply, now=self.clock()
+        )
         self.publisher = relay(self.follower, self.flush_at, self.clock)
-        self.book = self.follower.book
+        self.replicated = self.follower.replicated
         self.alarm = 0
         self.up: dict[Address, Port] = {}
         self.dialing: set[Address] = set()
         self.numbers: list[int] = []
-        self.book.on_agreed.append(lambda number, state, change: self.numbers.append(number))
+        self.replicated.on_state.append(lambda number, state, change: self.numbers.append(number))
         self.settle()
 
     def settle(self) -> None:
@@ -133,7 +136,7 @@
         for address in wanted - self.up.keys() - self.dialing:
             self.dialing.add(address)
             self.world.dial(self, address)
-        due = max(self.world.now, self.follower.due(self.clock()) - self.skew)
+        due = max(self.world.now, self.follower.next_tick_at(self.clock()) - self.skew)
         if not self.alarm or due < self.alarm:
             self.alarm = due
             self.world.at(due, self, lambda: self.turn(due))
@@ -145,7 +148,7 @@
     def wake(self) -> None:
         """Its turn now; after a standstill too."""
         self.alarm = 0
-        self.follower.turn(self.clock())
+        self.follower.tick(self.clock())
         self.settle()
 
     def opened(self, address: Address, port: Port) -> None:
@@ -176,7 +179,7 @@
 
     def age_ms(self) -> float:
         """How old its news is; never: endlessly."""
-        age = self.book.age_ms(self.clock())
+        age = self.replicated.age_ms(self.clock())
         return float("inf") if age is None else age
 
 
@@ -294,7 +297,7 @@
     def _stir(self, port: Port) -> None:
         """A part of a long frame has come in there."""
         if port.up and isinstance(port.mine, Gate) and port.address is not None:
-            port.mine.follower.stirred(port, port.mine.clock())
+            port.mine.follower.partial_message(port, port.mine.clock())
 
     def break_link(self, port: Port) -> None:
         """It ends at both ends; the other one does not learn of it across a cut."""
@@ -322,12 +325,12 @@
         """Those who reach most of the core know the newest number now, and share their cells."""
         for control_node in filter(self.majority, self.control_nodes):
             control_node.known_at = self.now
-            best = max(self.control_nodes, key=lambda one: one.book.number)
-            control_node.book.take_agreed(best.book.number, best.book.state or {})
+            best = max(self.control_nodes, key=lambda one: one.replicated.version)
+            control_node.replicated.update_state(best.replicated.version, best.replicated.state or {})
             for other in self.reached(control_node):
-                if other.book.sums.total != control_node.book.sums.total:
-                    control_node.book.take_cells(
-                        list(other.book.workers.values()), list(other.book.gateways.values())
+                if other.replicated.digests.total != control_node.replicated.digests.total:
+                    control_node.replicated.update_records(
+                        list(other.replicated.workers.values()), list(other.replicated.gateways.values())
                     )
         self.at(self.now + SHARE_MS * MS, None, self._share)
 
@@ -337,7 +340,9 @@
         routes = self.padding | {f"r{number}": {}}
         state = {"edition": number, "routes": routes, "taken": [[number, f"d{number}"]]}
         for control_node in filter(self.majority, self.control_nodes):
-            control_node.book.take_agreed(number, state, None if whole else (number - 1, state))
+            control_node.replicated.update_state(
+                number, state, None if whole else AppliedChange(number - 1, state)
+            )
             control_node.known_at = self.now
         self.acked[number] = self.now
         return number
@@ -353,11 +358,11 @@
         """A beat; at one core machine, or at all."""
         worker = Worker(id, "line", "10.9.0.1:80", zone, "v1", 2, serial, state)
         for one in [at] if at else [one for one in self.control_nodes if one.alive]:
-            one.book.take_cells([worker], [])
+            one.replicated.update_records([worker], [])
 
     def lags(self, number: int) -> list[Gate]:
         """Gatekeepers that lack a number."""
-        return [gate for gate in self.gates if gate.alive and gate.book.number < number]
+        return [gate for gate in self.gates if gate.alive and gate.replicated.version < number]
 
     def stop(self, node: Node, ms: float = 0) -> None:
         """It stands still for so long, 0 for ever; what comes meanwhile is lost."""
@@ -375,8 +380,8 @@
     def check(self) -> None:
         """Nobody claims to know of all acknowledged before a moment and lacks some; no number goes back."""
         for gate in self.gates:
-            if gate.alive and gate.book.fresh_at:
-                claimed = gate.book.fresh_at - gate.skew
+            if gate.alive and gate.replicated.confirmed_at:
+                claimed = gate.replicated.confirmed_at - gate.skew
                 newest = max(number for number, when in self.acked.items() if when <= claimed)
-                assert gate.book.number >= newest, (gate.station, gate.book.number, newest)
+                assert gate.replicated.version >= newest, (gate.station, gate.replicated.version, newest)
             assert gate.numbers == sorted(set(gate.numbers)), gate.station
--- a/pepperrun/simulation/experiments.py
+++ b/pepperrun/simulation/experiments.py
@@ -12,7 +12,7 @@
     "shape.loss" = [0.0, 0.02]
     [variants.now]              # the first is what the others are compared with
     [variants.slow]
-    set = { "shape.constants" = { "distribution.follower:TICK_NS" = 800000000 } }
+    set = { "shape.constants" = { "distribution.follower:HEARTBEAT_NS" = 800000000 } }
     [variants.before]
     checkout = "../before"      # another tree of the project, by path from this file
 
--- a/pepperrun/simulation/narrow_links.py
+++ b/pepperrun/simulation/narrow_links.py
@@ -7,7 +7,8 @@
 from collections.abc import Callable
 from typing import Any
 
-from pepperrun.distribution.service import PASS_S
+from pepperrun.distribution.replicated_state import AppliedChange
+from pepperrun.distribution.service import RELAY_S
 from pepperrun.distribution.tree import FAN_OUT
 from pepperrun.foundation.netstring import Decoder, length
 from pepperrun.simulation.distribution_world import MS, Gate, Node, Port, World
@@ -33,7 +34,7 @@
         """Another gatekeeper starts, with a narrow link."""
         gate = super().gate(index, zone)
         if self.straight:
-            gate.room = gate.publisher.room = int(self.mbps * 125_000 * PASS_S / FAN_OUT)
+            gate.room = gate.publisher.relay_budget_bytes = int(self.mbps * 125_000 * RELAY_S / FAN_OUT)
         return gate
 
     def _over(self, busy: dict[str, int], node: Node, size: int, at: int) -> int:
@@ -45,7 +46,7 @@
     def _part(self, there: Port) -> None:
         """A part of a frame has come."""
         if there.up and there.address is not None and isinstance(there.mine, Gate):
-            there.mine.follower.stirred(there, there.mine.clock())
+            there.mine.follower.partial_message(there, there.mine.clock())
 
     def send(self, port: Port, frame: bytes) -> None:
         """As the model's, on links that are narrow."""
@@ -93,13 +94,13 @@
         return lambda held, *_: times.append((world.now - began) / MS) if held == number else None
 
     for gate in world.gates:
-        gate.book.on_agreed.append(note(gate))
+        gate.replicated.on_state.append(note(gate))
     for control_node in world.control_nodes:
-        control_node.book.take_agreed(number, state, (number - 1, state))
+        control_node.replicated.update_state(number, state, AppliedChange(number - 1, state))
         control_node.known_at = world.now
     world.acked[number] = world.now
     while len(times) < len(world.gates) and world.now - began < most_s * 1000 * MS:
         world.run(20)
     for gate in world.gates:
-        gate.book.on_agreed.pop()
+        gate.replicated.on_state.pop()
     return sorted(times)
--- a/pepperrun/simulation/nodes.py
+++ b/pepperrun/simulation/nodes.py
@@ -20,7 +20,7 @@
 from pepperrun.dataplane.plane import Plane
 from pepperrun.dataplane.routes import Lot
 from pepperrun.dataplane.trace import Trace
-from pepperrun.distribution.service import Subscriber
+from pepperrun.distribution.service import DistributionService
 from pepperrun.exchange import Exchange
 from pepperrun.foundation import link
 from pepperrun.foundation.settings import Settings, parse
@@ -145,11 +145,11 @@
         loop = self.machine.loop
         assert loop is not None
         self.loop = loop
-        self.news = Subscriber(self.settings, self.life, self._row, loop.clock)
-        book = self.news.book
+        self.news = DistributionService(self.settings, self.life, self._row, loop.clock)
+        book = self.news.replicated
         self.plane = Plane(
             *(self.settings, seed, loop.clock, self._known_life),
-            *(lambda: book.fresh_at, lambda: book.cells_at),
+            *(lambda: book.confirmed_at, lambda: book.records_confirmed_at),
         )
         self.plane.servers.sweeper.cancel()
         self.plane.gatekeeper.backends = Backends(self, loop)
@@ -157,8 +157,8 @@
         self.trace = self.plane.front.trace = Trace(self.plane.front, EVERY, self.seen.cause)
         self.plane.gatekeeper.observer = self.trace.over
         held, world = self.seen.starts(loop), loop.world
-        book.on_agreed.append(lambda number, state, change: held.append((world.now, state["edition"])))
-        book.on_agreed.append(self.plane.on_agreed)
+        book.on_state.append(lambda number, state, change: held.append((world.now, state["edition"])))
+        book.on_state.append(self.plane.on_agreed)
         book.on_workers.append(self.plane.on_workers)
         book.on_gateways.append(self._on_gateways)
         peer_messages = self.plane.peer_messages
@@ -166,7 +166,7 @@
             *(self.settings, self.life, seed ^ 1, peer_messages.send, self._on_probes), clock=loop.clock
         )
         peer_messages.others[MARK] = self.probes.received
-        self.news.follower.parents.standing = self.probes.there
+        self.news.follower.parents.is_present = self.probes.there
         loop.datagrams(PORT, peer_messages)
         spawn(loop, self.news.start())
         self._look()
@@ -183,10 +183,10 @@
 
     def _on_probes(self) -> None:
         self.plane.stand(self.probes.absent(), self.probes.doubt)
-        self.news.moved()
+        self.news.membership_changed()
 
     def _known_life(self) -> int:
-        held = self.news.book.gateways.get(self.settings.me.station)
+        held = self.news.replicated.gateways.get(self.settings.me.station)
         return held.incarnation if held is not None else self.life
 
     def _look(self) -> None:
@@ -198,7 +198,7 @@
 
     def _say(self, state: GatewayState) -> None:
         self.state, self.serial = state, self.serial + 1
-        self.news.tell()
+        self.news.send_own_record()
 
     def leave(self) -> None:
         """It is told to stop; the day ends it later."""
--- a/pepperrun/simulation/plans.py
+++ b/pepperrun/simulation/plans.py
@@ -112,7 +112,7 @@
     bounds: dict[str, Any] = field(default_factory=dict)  # figures of the rules, as in the settings file
     constants: dict[str, float] = field(
         default_factory=dict
-    )  # "distribution.follower:TICK_NS": another value
+    )  # "distribution.follower:HEARTBEAT_NS": another value
 
 
 @dataclass
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -117,7 +117,7 @@
     world.run(1.2)
     assert world.states("w1") == {"unloading"} and world.states("w2") == {"boarding"}
     assert {cells.workers["w2"].warming_until > world.now for cells in world.cells.values()} == {True}
-    assert len({cells.sums.whole() for cells in world.cells.values()}) == 1
+    assert len({cells.digests.total_digest() for cells in world.cells.values()}) == 1
 
 
 def test_a_gatekeeper_that_comes_back_before_its_death_is_known_is_one_and_is_there() -> None:
@@ -190,7 +190,7 @@
     assert world.states("w7") == {"unloading"} and world.states("w500") == {"boarding"}
     rows = sum(len(message.get("w", ())) for _, _, message in world.sent if message["k"] == "cells")
     assert rows < 100  # of 301
-    assert world.cells[A].sums.whole() == world.cells[B].sums.whole()
+    assert world.cells[A].digests.total_digest() == world.cells[B].digests.total_digest()
 
 
 def test_the_directory_names_near_gatekeepers_that_were_heard_lately() -> None:
--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -13,11 +13,11 @@
 from pepperrun.control import changes
 from pepperrun.control.records import GatewayRecord, GatewayState, Worker, WorkerState
 from pepperrun.distribution import messages, repair
-from pepperrun.distribution.book import NewsBook
-from pepperrun.distribution.digests import Sums
+from pepperrun.distribution.digests import RangeDigests
 from pepperrun.distribution.follower import Follower
-from pepperrun.distribution.publisher import Publisher, seal
-from pepperrun.distribution.tree import FAN_OUT, key
+from pepperrun.distribution.publisher import Publisher, state_checksum
+from pepperrun.distribution.replicated_state import ReplicatedState
+from pepperrun.distribution.tree import FAN_OUT, order_key
 from pepperrun.foundation.link import Link
 from pepperrun.foundation.netstring import MOST, Decoder, encode
 from pepperrun.simulation.distribution_days import CORES, ZONES, Day
@@ -40,7 +40,9 @@
 
 
 def children(world, gate):
-    return [one for one in world.gates if one.follower.parent and one.follower.parent.station == gate.station]
+    return [
+        one for one in world.gates if one.follower.parent and one.follower.parent.parent_name == gate.station
+    ]
 
 
 def under(world, gate):
@@ -50,15 +52,15 @@
 
 def test_a_hundred_gatekeepers_form_a_tree_and_news_costs_the_core_one_message_a_zone():
     world = fleet(1, {"a1": 60, "b1": 30, "c2": 10})
-    roots = [gate for gate in world.gates if gate.follower.root]
+    roots = [gate for gate in world.gates if gate.follower.is_root]
     assert [gate.zone for gate in roots] == ["a1", "b1", "c2"]
     for gate in world.gates:
         ranks = sorted(
-            (one for one in world.gates if one.zone == gate.zone), key=lambda one: key(one.station)
+            (one for one in world.gates if one.zone == gate.zone), key=lambda one: order_key(one.station)
         )
         place = ranks.index(gate)
         if place:
-            assert gate.follower.parent.station == ranks[(place - 1) // FAN_OUT].station
+            assert gate.follower.parent.parent_name == ranks[(place - 1) // FAN_OUT].station
         assert gate.follower.core.address[0] in {ip for ip, zone in world.cores if zone[0] == gate.zone[0]}
     world.run(100)
     world.sent.clear(), world.frames.clear()
@@ -76,7 +78,7 @@
     for each in range(20):
         world.worker(f"w{each}", "b2", at=world.control_nodes[0])
     world.run(1000)
-    assert all(len(gate.book.workers) == 20 for gate in world.gates)
+    assert all(len(gate.replicated.workers) == 20 for gate in world.gates)
     assert world.sent["cells"] < 1.3 * len(world.gates)  # records that change together go together
     world.check()
 
@@ -84,46 +86,46 @@
 @pytest.mark.parametrize("seed", range(3))
 def test_a_dead_relay_with_half_of_the_fleet_under_it_holds_nobody_up_for_a_second(seed):
     world = fleet(seed, {"a1": 40})
-    best = max(world.gates, key=lambda gate: len(under(world, gate)) if not gate.follower.root else 0)
+    best = max(world.gates, key=lambda gate: len(under(world, gate)) if not gate.follower.is_root else 0)
     world.stop(best)
-    root = next(gate for gate in world.gates if gate.follower.root)
+    root = next(gate for gate in world.gates if gate.follower.is_root)
     if seed:
         world.stop(root)
     number = world.change()
     world.worker("w1", "a1")
     world.run(1000)
     assert not world.lags(number)
-    assert all("w1" in gate.book.workers for gate in world.gates if gate.alive)
+    assert all("w1" in gate.replicated.workers for gate in world.gates if gate.alive)
     lost = [
-        replace(one.follower.own_record.row(), state=GatewayState.LOST)
+        replace(one.follower.local_record.row(), state=GatewayState.LOST)
         for one in world.gates
         if not one.alive
     ]
-    world.control_nodes[0].book.take_cells([], lost)  # what the core concludes from their silence
+    world.control_nodes[0].replicated.update_records([], lost)  # what the core concludes from their silence
     world.run(6000)
-    whole = [gate for gate in world.gates if gate.alive and gate.follower.root]
+    whole = [gate for gate in world.gates if gate.alive and gate.follower.is_root]
     assert len(whole) == 1  # and a tree has formed again
     world.check()
 
 
 def test_a_relay_that_wakes_behind_a_cut_brings_nobody_back():
     world = fleet(4, {"a1": 12})
-    old = next(gate for gate in world.gates if children(world, gate) and not gate.follower.root)
+    old = next(gate for gate in world.gates if children(world, gate) and not gate.follower.is_root)
     kids = children(world, old)
     world.cut_off(old, [*world.control_nodes, *(one for one in world.gates if one not in kids)])
     world.worker("w1", "a1", 5)
     numbers = [world.change() for _ in range(3)]
     world.run(1500)
-    assert old.book.number < numbers[0] and all(kid.book.number == numbers[-1] for kid in kids)
+    assert old.replicated.version < numbers[0] and all(kid.replicated.version == numbers[-1] for kid in kids)
     stale = Worker("w1", "line", "10.9.0.1:80", "a1", "v1", 2, 1)
     for kid in kids:  # the old relay's word, as late as can be
         port = next(iter(kid.up.values()))
         kid.follower.heard(port, {"k": "agreed", "n": numbers[0], "state": {"edition": 0}}, kid.clock())
-        kid.follower.heard(port, repair.rows([stale], 1), kid.clock())
-        assert kid.book.number == numbers[-1] and kid.book.workers["w1"].serial == 5
+        kid.follower.heard(port, repair.encode_records([stale], 1), kid.clock())
+        assert kid.replicated.version == numbers[-1] and kid.replicated.workers["w1"].serial == 5
     world.cuts.clear()
     world.run(2500)
-    assert old.book.number == numbers[-1] and old.book.workers["w1"].serial == 5
+    assert old.replicated.version == numbers[-1] and old.replicated.workers["w1"].serial == 5
     world.check()
 
 
@@ -148,13 +150,13 @@
 
 def test_who_reaches_no_core_machine_learns_from_its_parent_how_fresh_it_is():
     world = fleet(6, {"a1": 6})
-    gate = next(one for one in world.gates if not one.follower.root)
+    gate = next(one for one in world.gates if not one.follower.is_root)
     world.cut_off(gate, world.control_nodes)
     world.run(3000)
     number = world.change()
     world.worker("w1", "a1")
     world.run(1000)
-    assert gate.book.number == number and "w1" in gate.book.workers
+    assert gate.replicated.version == number and "w1" in gate.replicated.workers
     assert gate.age_ms() < 1500
     world.check()
 
@@ -192,12 +194,12 @@
     for index in range(6):
         world.gate(index, "a1")
     world.run(2700 + phase)
-    assert not any(gate.book.fresh_at for gate in world.gates)
+    assert not any(gate.replicated.confirmed_at for gate in world.gates)
     world.cuts.clear()
     while not all(control_node.known_at for control_node in world.control_nodes):
         world.run(1)
     world.run(160)  # a quarter of a tick, and there and back
-    assert all(gate.book.fresh_at for gate in world.gates)
+    assert all(gate.replicated.confirmed_at for gate in world.gates)
     world.sent.clear()
     world.run(4000)
     assert world.sent["tick"] <= 2.1 * 11 * len(world.gates)  # to a core machine and a parent, as before
@@ -206,7 +208,7 @@
 
 def test_who_stood_still_takes_nobody_else_for_silent():
     world = fleet(8, {"a1": 4})
-    gate = next(one for one in world.gates if not one.follower.root)
+    gate = next(one for one in world.gates if not one.follower.is_root)
     followed = gate.follower.core.port, gate.follower.parent.port
     gate.alive = False
     world.run(1700)
@@ -220,16 +222,16 @@
 def test_only_an_echo_of_what_was_asked_here_counts_and_a_change_misread_is_asked_for_whole():
     world = fleet(11, {"a1": 1})
     (gate,) = world.gates
-    port, held = gate.follower.core.port, gate.book.fresh_at
-    word = {"k": "tock", "age": 0, "n": gate.book.number, "d": gate.book.sums.whole()}
+    port, held = gate.follower.core.port, gate.replicated.confirmed_at
+    word = {"k": "tock", "age": 0, "n": gate.replicated.version, "d": gate.replicated.digests.total_digest()}
     for t in (gate.clock() + 10**12, held + 1):  # of an earlier start of the machine, of an earlier link
         gate.follower.heard(port, word | {"t": t}, gate.clock())
-    assert gate.book.fresh_at == held
-    number = gate.book.number
+    assert gate.replicated.confirmed_at == held
+    number = gate.replicated.version
     change = {"k": "change", "base": number, "n": number + 1, "op": {"edition": 9}, "seal": "of another"}
     world.sent.clear()
     gate.follower.heard(port, change, gate.clock())
-    assert gate.book.number == number and world.sent["want"] == 1
+    assert gate.replicated.version == number and world.sent["want"] == 1
 
 
 def test_what_is_under_way_is_not_sent_again():
@@ -248,22 +250,22 @@
 def test_copies_that_differ_in_a_few_of_many_records_exchange_little_and_end_alike():
     dice = random.Random(9)
     workers = [Worker(f"w{n}", "line", f"10.0.0.{n}:80", dice.choice("xy"), "v", 2, 1) for n in range(4000)]
-    one, other = NewsBook(), NewsBook()
-    one.take_cells(workers, []), other.take_cells(workers[:-1], [])
+    one, other = ReplicatedState(), ReplicatedState()
+    one.update_records(workers, []), other.update_records(workers[:-1], [])
     for book, picked in ((one, workers[:3]), (other, workers[5:8])):
-        book.take_cells([replace(worker, serial=2, state=WorkerState.DRAINING) for worker in picked], [])
+        book.update_records([replace(worker, serial=2, state=WorkerState.DRAINING) for worker in picked], [])
     gateway = GatewayRecord("front-1", "x", "r", "10.1.0.1:80", "10.1.0.1:7600", 1)
-    other.take_cells([], [gateway])
+    other.update_records([], [gateway])
     gone = Worker("w9999", "line", "10.0.0.1:80", "x", "v", 2, 1, WorkerState.GONE)
-    one.take_cells([gone], [])
-    assert one.sums.whole() != other.sums.whole()
-    rows, ways = 0, [(other, one, repair.ask(one))]
+    one.update_records([gone], [])
+    assert one.digests.total_digest() != other.digests.total_digest()
+    rows, ways = 0, [(other, one, repair.request(one))]
     while ways:
         to, back, message = ways.pop()
         rows += len(message.get("w", ()))
-        answers = repair.heard(to, lambda w, g, now, to=to: to.take_cells(w, g), message, 1)
+        answers = repair.handle(to, lambda w, g, now, to=to: to.update_records(w, g), message, 1)
         ways += [(back, to, answer) for answer in answers]
-    assert one.sums.whole() == other.sums.whole() and rows < 400
+    assert one.digests.total_digest() == other.digests.total_digest() and rows < 400
     assert one.workers["w5"].state == other.workers["w0"].state == "unloading" and "front-1" in one.gateways
     assert "w9999" not in other.workers or other.workers["w9999"].state == "gone"
 
@@ -288,14 +290,17 @@
     port = SimpleNamespace(name="s", write=written.append, close=lambda: None)
     row = GatewayRecord("g", "z", "r", "1.1.1.1:1", "1.1.1.1:7600", 1)
     core = ("1.1.1.2", 7600)
-    own = ("g", "z", ("1.1.1.1", 7600))
-    follower = Follower(own, {"z": "r"}, [core], lambda: row, changes.apply, 0)
+    follower = Follower("g", "z", 7600, {"z": "r"}, [core], row=lambda: row, apply=changes.apply, now=0)
     follower.opened(core, port, {"k": "hello", "station": "s", "class": "sorting", "cores": []}, 1)
     op = changes.evacuation("z", True)
     state, _ = changes.apply(None, op)
     told = len(written)
-    follower.heard(port, {"k": "change", "base": 0, "n": 1, "op": op, "seal": seal(state)}, 2)
-    assert follower.book.number == 1 and follower.book.state["evacuated"] == ["z"] and len(written) == told
+    follower.heard(port, {"k": "change", "base": 0, "n": 1, "op": op, "seal": state_checksum(state)}, 2)
+    assert (
+        follower.replicated.version == 1
+        and follower.replicated.state["evacuated"] == ["z"]
+        and len(written) == told
+    )
 
 
 class Wire(asyncio.Transport):
@@ -345,14 +350,16 @@
 
 def test_a_joiner_gets_each_change_that_it_lacks_as_a_frame_of_its_own():
     frames, port = [], Wire()
-    source = SimpleNamespace(number=0, state={"edition": 0}, sums=Sums(), cores=[], age_ms=lambda now: 1.0)
+    source = SimpleNamespace(
+        version=0, state={"edition": 0}, digests=RangeDigests(), control_nodes=[], age_ms=lambda now: 1.0
+    )
     publisher = Publisher(source, lambda due: None)
     port.write = frames.append
     publisher.joined(port, {}, 0)
     publisher.heard(port, {"k": "tick", "t": 1, "n": 1, "root": False}, 0)
     for number in range(1, 4):
-        source.number, source.state = number, {"edition": number}
-        publisher.agreed((number - 1, {"edition": number}), 0)
+        source.version, source.state = number, {"edition": number}
+        publisher.state_changed((number - 1, {"edition": number}), 0)
     frames.clear()
     publisher.heard(port, {"k": "want", "n": 1}, 0)
     assert [[one["k"] for one in Decoder().feed(frame)] for frame in frames] == [["change"], ["change"]]
@@ -380,7 +387,7 @@
     lone = next(gate for gate in world.gates if gate.follower.parent and not children(world, gate))
     world.cut_off(lone, world.control_nodes)
     world.run(3000)
-    relay = next(gate for gate in world.gates if gate.station == lone.follower.parent.station)
+    relay = next(gate for gate in world.gates if gate.station == lone.follower.parent.parent_name)
     world.sizes.clear()
     times = told(world, 1400, 3)
     assert len(times) == 27 and times[-2] < 200 and times[-1] < 1200
@@ -396,17 +403,20 @@
     row = GatewayRecord("s", "z", "r", "10.0.0.1:80", "10.0.0.1:90", 3)
     listed = '["s","z","r","10.0.0.1:80","10.0.0.1:90",3,0,"starting"]'
     for message, text in (
-        (messages.Tick(5, 7, True, row), '{"k":"tick","t":5,"n":7,"g":' + listed + ',"root":true}'),
-        (messages.Tick(5, 7, False), '{"k":"tick","t":5,"n":7,"root":false}'),
-        (messages.Tock(5, None, 7, "d"), '{"k":"tock","t":5,"age":null,"n":7,"d":"d"}'),
+        (messages.Heartbeat(5, 7, True, row), '{"k":"tick","t":5,"n":7,"g":' + listed + ',"root":true}'),
+        (messages.Heartbeat(5, 7, False), '{"k":"tick","t":5,"n":7,"root":false}'),
+        (messages.HeartbeatAck(5, None, 7, "d"), '{"k":"tock","t":5,"age":null,"n":7,"d":"d"}'),
         (
-            messages.Tock(5, 12, 7, "d", [["10.0.0.1", "z"]]),
+            messages.HeartbeatAck(5, 12, 7, "d", [["10.0.0.1", "z"]]),
             '{"k":"tock","t":5,"age":12,"n":7,"d":"d","cores":[["10.0.0.1","z"]]}',
         ),
-        (messages.Want(7), '{"k":"want","n":7}'),
-        (messages.Want(7, whole=True), '{"k":"want","n":7,"whole":true}'),
-        (messages.Change(6, 7, {"do": 1}, "s"), '{"k":"change","base":6,"n":7,"op":{"do":1},"seal":"s"}'),
-        (messages.Agreed(7, {"edition": 1}), '{"k":"agreed","n":7,"state":{"edition":1}}'),
+        (messages.CatchUpRequest(7), '{"k":"want","n":7}'),
+        (messages.CatchUpRequest(7, full=True), '{"k":"want","n":7,"whole":true}'),
+        (
+            messages.StateChange(6, 7, {"do": 1}, "s"),
+            '{"k":"change","base":6,"n":7,"op":{"do":1},"seal":"s"}',
+        ),
+        (messages.FullState(7, {"edition": 1}), '{"k":"agreed","n":7,"state":{"edition":1}}'),
     ):
-        assert encode(message.wire()) == b"%d:%b," % (len(text), text.encode())
-        assert type(message).read(json.loads(text)) == message
+        assert encode(message.to_wire()) == b"%d:%b," % (len(text), text.encode())
+        assert type(message).from_wire(json.loads(text)) == message
--- a/tests/test_narrow_catch_up.py
+++ b/tests/test_narrow_catch_up.py
@@ -8,8 +8,8 @@
 
 from pepperrun.consensus.codec import WireMessage
 from pepperrun.consensus.timeouts import MS
-from pepperrun.distribution.digests import Sums
-from pepperrun.distribution.publisher import HISTORY, Publisher
+from pepperrun.distribution.digests import RangeDigests
+from pepperrun.distribution.publisher import MAX_HISTORY, Publisher
 from pepperrun.foundation.netstring import Decoder
 
 
@@ -42,19 +42,19 @@
         self.dice = random.Random(1)
         self.rows = {f"r{at}": self.dice.random() for at in range(items)}
         self.source: Any = SimpleNamespace(
-            number=0, state=None, sums=Sums(), cores=[], age_ms=lambda now: 1.0
+            version=0, state=None, digests=RangeDigests(), control_nodes=[], age_ms=lambda now: 1.0
         )
         self.publisher, self.port = Publisher(self.source, lambda due: None), Receiver()
         self.publisher.joined(self.port, {}, 0)
 
     def change(self, now: int, long: bool = False) -> None:
         """Another number."""
-        base = self.source.number
+        base = self.source.version
         if long:
             self.rows = {name: self.dice.random() for name in self.rows}
         op = {"rows": self.rows} if long else {"row": base}
-        self.source.number, self.source.state = base + 1, {"edition": base + 1, "rows": self.rows}
-        self.publisher.agreed((base, op), now)
+        self.source.version, self.source.state = base + 1, {"edition": base + 1, "rows": self.rows}
+        self.publisher.state_changed((base, op), now)
 
     def tick(self, held: int, now: int) -> None:
         """The gatekeeper says what it holds."""
@@ -99,4 +99,4 @@
         told.tick(1, missed + 2)
         kinds = [one for one, _ in told.port.numbers()]
         assert set(kinds) == {kind} and len(kinds) == (missed if kind == "change" else 1)
-        assert len(told.publisher.history) <= HISTORY
+        assert len(told.publisher._history) <= MAX_HISTORY
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -176,7 +176,7 @@
 end_s = 17.0
 [variants.now]
 [variants.slow]
-set = { "shape.constants" = { "distribution.follower:TICK_NS" = 900000000 } }
+set = { "shape.constants" = { "distribution.follower:HEARTBEAT_NS" = 900000000 } }
 """
 
 
