--- a/pepperrun/dataplane/plane.py
+++ b/pepperrun/dataplane/plane.py
@@ -39,7 +39,7 @@
 
 
 class Plane:
-    """One gatekeeper's traffic. `fresh_at`, `cells_at`: `confirmed_at`, `records_confirmed_at` of its copy."""
+    """One gatekeeper's traffic. `fresh_at`, `cells_at`: `confirmed_at`, `records_confirmed_at` held."""
 
     def __init__(
         self,
