--- a/pepperrun/control/endpoint_registry.py
+++ b/pepperrun/control/endpoint_registry.py
@@ -98,9 +98,16 @@
     def connected(self, ip: str, zone: str, now: int) -> None:
         """Handle a new link: report who is received here, and ask for what differs."""
         self.peers[ip] = zone
+        self._send_full_report(ip, now)
+        self._outbox.append((ip, repair.request(self)))
+
+    def link_lost(self, ip: str, now: int) -> None:
+        """Handle the loss of one of several links: a report on it may be lost, and is not repeated."""
+        self._send_full_report(ip, now)
+
+    def _send_full_report(self, ip: str, now: int) -> None:
         report = self.liveness.full_report(now)
         self._outbox.append((ip, peer_messages.encode_report(report)))
-        self._outbox.append((ip, repair.request(self)))
 
     def disconnected(self, ip: str, now: int) -> None:
         """Handle the loss of the last link to a node."""
--- a/pepperrun/control/node.py
+++ b/pepperrun/control/node.py
@@ -185,6 +185,10 @@
         self.replica.disconnected(ip, now)
         self.registry.disconnected(ip, now)
 
+    def link_lost(self, ip: str) -> None:
+        """Handle the loss of one of several links to a control node."""
+        self.registry.link_lost(ip, self.now())
+
     # Source of the publisher.
 
     @property
--- a/pepperrun/control/peer_links.py
+++ b/pepperrun/control/peer_links.py
@@ -26,6 +26,9 @@
     def peer_down(self, ip: str) -> None:
         """Handle the loss of the last one."""
 
+    def link_lost(self, ip: str) -> None:
+        """Handle the loss of one of several links, with what was under way on it."""
+
 
 class PeerLinks:
     """The links of one control node to all others.
@@ -101,7 +104,9 @@
             return
         links = self._links[ip]
         links.remove(link)
-        if not links:
+        if links:
+            self.listener.link_lost(ip)
+        else:
             del self._links[ip]
             del self._zones[ip]
             self._known_since[ip] = now
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -233,3 +233,15 @@
     world.cells[A].disconnected(B, world.now)
     after = [go(f"w{n}", "z4", "z0", regions) for n in range(300)]
     assert B not in after and all(was in (B, now) for was, now in zip(spread, after, strict=True))
+
+
+def test_a_report_that_a_closed_second_link_took_with_it_is_sent_again() -> None:
+    world = World(3)
+    world.cells[A].gateway_heartbeat(gateway("g1"), world.now)
+    world.cut = {frozenset((A, C))}  # the link on which A's first report goes to C is being closed
+    world.run(0.2)
+    world.cut = set()
+    assert not world.cells[C].liveness.reported_by.get(A)
+    world.cells[A].link_lost(C, world.now)  # another link to C is left
+    world.run(4, lambda: world.cells[A].gateway_heartbeat(gateway("g1"), world.now))
+    assert [one.name for one in world.cells[C].ready_gateways(world.now)] == ["g1"]
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -348,6 +348,9 @@
         def peer_down(self, ip: str) -> None:
             told.append(("down", ip))
 
+        def link_lost(self, ip: str) -> None:
+            told.append(("lost", ip))
+
     mesh = PeerLinks("10.0.0.5", 7600, None, Told(), dict, Dial)  # type: ignore[arg-type]
     mesh.want(["10.0.0.1", "10.0.0.5"], SECOND)
     assert [one.where for one in mesh._dialers.values()] == [("10.0.0.1", 7600)]
@@ -363,7 +366,7 @@
     mesh.turn(2 * SECOND, tidy=True)  # the lower one dialled too: its link stays
     assert not dialer.open and "10.0.0.1" not in mesh._dialers
     mesh.closed(own, 2 * SECOND)  # type: ignore[arg-type]
-    assert len(told) == 1
+    assert told[1:] == [("lost", "10.0.0.1")]
     mesh.closed(theirs, 3 * SECOND)  # type: ignore[arg-type]
     assert told[-1] == ("down", "10.0.0.1") and "10.0.0.1" in mesh._dialers
     mesh.turn(FORGET_NS + 4 * SECOND, tidy=True)
