--- a/benchmarks/capacity_control.py
+++ b/benchmarks/capacity_control.py
@@ -70,9 +70,9 @@
 
 
 class Source(ReplicatedState):
-    """A book that a publisher serves."""
+    """A replicated state that a publisher serves."""
 
-    def beat(self, gateway: GatewayRecord, now: int) -> None:
+    def gateway_heartbeat(self, gateway: GatewayRecord, now: int) -> None:
         self.update_records([], [gateway])
 
     def merge(self, workers: list[Worker], gateways: list[GatewayRecord], now: int) -> None:
--- a/benchmarks/many_changes.py
+++ b/benchmarks/many_changes.py
@@ -34,7 +34,7 @@
 from pepperrun.control import changes, validation
 from pepperrun.distribution.digests import RangeDigests
 from pepperrun.distribution.publisher import Publisher
-from pepperrun.distribution.replicated_state import ReplicatedState
+from pepperrun.distribution.replicated_state import AppliedChange, ReplicatedState
 from pepperrun.foundation.netstring import Decoder, encode, length
 from pepperrun.simulation.narrow_links import route
 from pepperrun.storage.store import DATA_FILE, DiskStore
@@ -101,8 +101,8 @@
 
     workers: dict[str, Any] = {}
     gateways: dict[str, Any] = {}
-    cores: list[list[str]] = []
-    sums = RangeDigests()
+    control_nodes: list[list[str]] = []
+    digests = RangeDigests()
 
     @property
     def first(self) -> Register:
@@ -110,7 +110,7 @@
         return self.voters[CONTACTS[0]]
 
     @property
-    def number(self) -> int:
+    def version(self) -> int:
         held = self.first.state.chosen
         return held.value.version if held else 0
 
@@ -122,7 +122,7 @@
     def age_ms(self, now: int) -> float | None:
         return 1.0
 
-    def beat(self, gateway: Any, now: int) -> None: ...
+    def gateway_heartbeat(self, gateway: Any, now: int) -> None: ...
 
     def merge(self, workers: Any, gateways: Any, now: int) -> None: ...
 
@@ -223,7 +223,7 @@
         self.publisher.heard(port, {"k": "want", "n": 0}, self.now)
         take(book, port)
         out["gatekeeper"] = sum(map(length, port.frames)), (time.perf_counter() - began) * 1000
-        assert book.version == self.number == self.replicated.version
+        assert book.version == self.version == self.replicated.version
         self.publisher.left(port, self.now)
         return out
 
@@ -237,7 +237,8 @@
             elif message["k"] == "change" and message["base"] == book.version:
                 state, _ = changes.apply(book.state, message["op"])
                 assert state is not None
-                book.update_state(message["n"], state, (message["base"], message["op"]))
+                change = AppliedChange(message["base"], message["op"])
+                book.update_state(message["n"], state, change)
 
 
 def played(given: argparse.Namespace, folder: Path) -> list[Row]:
