--- a/features/steps/operators.py
+++ b/features/steps/operators.py
@@ -43,7 +43,8 @@
         future.set_result(None)
         return future
 
-    def body(self):
+    @property
+    def state(self):
         return self.trio.replicas[self.ip].body
 
     def settle(self):
--- a/pepperrun/consensus/acceptor.py
+++ b/pepperrun/consensus/acceptor.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from pepperrun.consensus.learner import Learner
+from pepperrun.consensus.learner import Learner, UnsavedProposal
 from pepperrun.consensus.messages import (
     Accept,
     Accepted,
@@ -113,8 +113,8 @@
         """Keep a proposal that can't be accepted: should it be chosen, its ballot alone tells this node."""
         body = self._resolve_body(message)
         if body is not None:
-            self.unsaved_proposal = Proposal(message.ballot, message.value, body)
-            self.unsaved_delta = message.delta
+            proposal = Proposal(message.ballot, message.value, body)
+            self.unsaved = UnsavedProposal(proposal, message.delta)
 
     # Syncing.
 
@@ -152,8 +152,7 @@
         self.must_sync = False
         self.may_sync_later = False
         self.disk_failed = False
-        self.unsaved_proposal = None
-        self.unsaved_delta = None
+        self.unsaved = None
 
     def _on_disk_failure(self, error: StorageError) -> None:
         if not self.disk_failed:
--- a/pepperrun/consensus/learner.py
+++ b/pepperrun/consensus/learner.py
@@ -56,6 +56,13 @@
     operation: Operation | None
 
 
+class UnsavedProposal(NamedTuple):
+    """A proposal that could not be saved, and how its body came about."""
+
+    proposal: Proposal
+    delta: BodyDelta | None
+
+
 @dataclass(slots=True)
 class CatchUp:
     """The last request to catch up: from which chosen ballot, when, and how often from there."""
@@ -78,7 +85,7 @@
         The last save failed: nothing is promised or accepted until one succeeds.
     deltas : dict of Ballot to BodyDelta
         How the bodies of proposals that were accepted and are not yet chosen came about.
-    unsaved_proposal : Accept with its body, or None
+    unsaved : UnsavedProposal or None
         What this node was asked to accept while its disk failed.
     """
 
@@ -97,8 +104,7 @@
         self.chosen_since = now
         self.highest_ballot = max(state.promised, self.accepted_ballot)
         self.deltas: dict[Ballot, BodyDelta] = {}
-        self.unsaved_proposal: Proposal | None = None
-        self.unsaved_delta: BodyDelta | None = None
+        self.unsaved: UnsavedProposal | None = None
         self.recent_changes = RecentChanges()
         self.catch_up = CatchUp(NO_BALLOT, now)
         # By ip, the chosen ballot to which a delta was sent last.
@@ -185,8 +191,8 @@
         if accepted is not None and accepted.ballot == message.ballot:
             self._learn_chosen(accepted, self.deltas.get(message.ballot))
             return
-        if self.unsaved_proposal is not None and self.unsaved_proposal.ballot == message.ballot:
-            self._learn_chosen(self.unsaved_proposal, self.unsaved_delta)
+        if self.unsaved is not None and self.unsaved.proposal.ballot == message.ballot:
+            self._learn_chosen(self.unsaved.proposal, self.unsaved.delta)
             return
         body = self._resolve_body(message)
         if message.value is None or body is None:
--- a/pepperrun/consensus/replica.py
+++ b/pepperrun/consensus/replica.py
@@ -424,6 +424,8 @@
         """Return wire messages with the ips they go to."""
         self._flush()
         outbox = self.register.outbox
+        if not outbox:
+            return []
         self.register.outbox = []
         # A message to several is encoded once: the same object goes to each of them.
         encoded: dict[int, WireMessage] = {}
--- a/pepperrun/control/coordinator_tasks.py
+++ b/pepperrun/control/coordinator_tasks.py
@@ -38,11 +38,11 @@
         )
 
     def _change_gateway_count(self, body: dict[str, Any], now: int) -> Op | None:
-        return self.gateway_count.next_operation(self.registry.gateways.values(), body or None, now)
+        return self.gateway_count.next_operation(self.registry.gateways.values(), body, now)
 
     def _place_quotas(self, body: dict[str, Any], bounds: Bounds, now: int) -> Op | None:
         def silent_ns(name: str) -> int:
             return self.registry.gateway_silent_ns(name, now)
 
         gateways = self.registry.gateways.values()
-        return self.quota_placement.next_operation(gateways, body or None, silent_ns, bounds, now)
+        return self.quota_placement.next_operation(gateways, body, silent_ns, bounds, now)
--- a/pepperrun/control/endpoint_registry.py
+++ b/pepperrun/control/endpoint_registry.py
@@ -18,11 +18,17 @@
 from pepperrun.control import peer_messages
 from pepperrun.control.heartbeat_routing import preferred_node
 from pepperrun.control.liveness_reports import LivenessReports
-from pepperrun.control.peer_messages import LivenessReport, RecordsReplicated
 from pepperrun.control.records import GatewayRecord, GatewayState, Worker, WorkerState
 from pepperrun.control.replication_waits import ReplicationWaits
 from pepperrun.distribution import repair
-from pepperrun.distribution.digests import RangeDigests, Record, newer, record_id
+from pepperrun.distribution.digests import (
+    RangeDigests,
+    Record,
+    gateway_record_id,
+    newer,
+    record_id,
+    worker_record_id,
+)
 from pepperrun.foundation.netstring import Message
 
 MS = 1_000_000  # ns
@@ -129,14 +135,12 @@
         """Handle a wire message of another node; return False where its kind is not one of the registry's."""
         if repair.is_repair_message(data):
             self._on_repair_message(ip, data, now)
-            return True
-        match peer_messages.decode(data):
-            case LivenessReport() as report:
-                self.liveness.on_report(ip, report, now)
-            case RecordsReplicated(token):
-                self.waits.confirm(ip, token)
-            case _:
-                return False
+        elif data["k"] == peer_messages.LIVENESS_REPORT:
+            self.liveness.on_report(ip, peer_messages.decode_report(data), now)
+        elif data["k"] == peer_messages.RECORDS_REPLICATED:
+            self.waits.confirm(ip, peer_messages.decode_replicated(data))
+        else:
+            return False
         return True
 
     def _on_repair_message(self, ip: str, data: Message, now: int) -> None:
@@ -179,7 +183,7 @@
         if known is not None and heartbeat.serial <= last_serial and not begins_draining:
             return
         self.last_serials[heartbeat.id] = max(last_serial, heartbeat.serial)
-        self._note_alive("w:" + heartbeat.id, now)
+        self._note_alive(worker_record_id(heartbeat.id), now)
         is_urgent = drains or known is None or known.state is WorkerState.LOST
         self._update(self._merged(known, heartbeat, now), now, urgent=is_urgent)
 
@@ -240,7 +244,7 @@
         token = self.waits.start(needed)
         message = repair.encode_records([self.workers[worker_id]], now)
         self._broadcast(repair.with_replication_token(message, token))
-        self._urgent.pop("w:" + worker_id, None)
+        self._urgent.pop(worker_record_id(worker_id), None)
         return token
 
     def doubt_zone(self, zone: str, now: int) -> None:
@@ -261,7 +265,7 @@
 
     def gateway_heartbeat(self, record: GatewayRecord, now: int) -> None:
         """Handle a gatekeeper's own record on its own link: one that was concluded gone is there again."""
-        self._note_alive("g:" + record.name, now)
+        self._note_alive(gateway_record_id(record.name), now)
         known = self.gateways.get(record.name)
         if known is not None and known.is_gone and _same_version(known, record):
             record = replace(record, serial=record.serial + 1)
@@ -278,7 +282,7 @@
 
     def gateway_silent_ns(self, name: str, now: int) -> int:
         """Nanoseconds since any node received something from a gatekeeper."""
-        return now - self.liveness.last_seen("g:" + name, now)
+        return now - self.liveness.last_seen(gateway_record_id(name), now)
 
     # Records.
 
@@ -305,14 +309,15 @@
     def _reassert(self, worker: Worker, now: int) -> None:
         """Contradict another node's conclusion that a worker is lost whose heartbeats come here."""
         serial = self.last_serials.get(worker.id, -1)
-        is_received = self.liveness.receives("w:" + worker.id, now)
+        is_received = self.liveness.receives(worker_record_id(worker.id), now)
         if worker.state is WorkerState.LOST and serial > worker.serial and is_received:
             serving = replace(worker, state=WorkerState.SERVING, serial=serial)
             self._update(serving, now, urgent=True)
 
-    def _record(self, id_: str) -> Record | None:
-        name = id_[2:]
-        return self.workers.get(name) if id_.startswith("w:") else self.gateways.get(name)
+    def _known(self, record: Record) -> Record | None:
+        if isinstance(record, Worker):
+            return self.workers.get(record.id)
+        return self.gateways.get(record.name)
 
     def _put(self, record: Record, now: int) -> None:
         """Keep a record as this copy's, without telling the others."""
@@ -340,7 +345,7 @@
     def _update(self, record: Record, now: int, *, urgent: bool) -> None:
         """Keep a change that began here, and push it to the others."""
         id_ = record_id(record)
-        if self._record(id_) is record:
+        if self._known(record) is record:
             return
         self._put(record, now)
         if urgent:
@@ -385,7 +390,7 @@
             if gateway.is_gone:
                 if silent_ns > GATEWAY_GONE_NS + KEEP_GONE_NS:
                     del self.gateways[name]
-                    self.liveness.forget("g:" + name)
+                    self.liveness.forget(gateway_record_id(name))
             elif silent_ns > GATEWAY_GONE_NS and self._has_quorum_for(GATEWAY_GONE_NS, now):
                 self._put(replace(gateway, state=GatewayState.GONE), now)
 
@@ -406,7 +411,7 @@
     def _expire_live_worker(self, worker: Worker, now: int) -> None:
         if self.quorum_since is None:
             return
-        last_seen = self.liveness.last_seen("w:" + worker.id, now)
+        last_seen = self.liveness.last_seen(worker_record_id(worker.id), now)
         if now - max(last_seen, self.quorum_since) > self.worker_lost_ns:
             state = WorkerState.LOST if worker.state is WorkerState.SERVING else WorkerState.GONE
             self._put(replace(worker, state=state), now)
@@ -415,7 +420,7 @@
         del self.workers[worker_id]
         self.ended_at.pop(worker_id, None)
         self.last_serials.pop(worker_id, None)
-        self.liveness.forget("w:" + worker_id)
+        self.liveness.forget(worker_record_id(worker_id))
 
     # What is taken out.
 
--- a/pepperrun/control/gateway_count.py
+++ b/pepperrun/control/gateway_count.py
@@ -26,10 +26,10 @@
         self.proposed_at = -RETRY_NS
 
     def next_operation(
-        self, gateways: Iterable[GatewayRecord], body: dict[str, Any] | None, now: int
+        self, gateways: Iterable[GatewayRecord], body: dict[str, Any], now: int
     ) -> dict[str, Any] | None:
         """Return the operation to propose now, or None. Before there is a configuration nothing is split."""
-        if not body or not body.get("edition"):
+        if not body.get("edition"):
             return None
         present = sum(not gateway.is_gone for gateway in gateways)
         agreed = body.get("seats", 0)
--- a/pepperrun/control/handlers.py
+++ b/pepperrun/control/handlers.py
@@ -68,8 +68,9 @@
         """Return a future that is done once what is known is surely at least as new as this call."""
         ...
 
-    def body(self) -> dict[str, Any] | None:
-        """Return the agreed state, None while none is known."""
+    @property
+    def state(self) -> dict[str, Any] | None:
+        """The agreed state, None while none is known."""
         ...
 
     def other_node(self) -> str | None:
@@ -208,7 +209,7 @@
     def _evacuate(self, call: Call, *, begin: bool) -> Answer | AwaitedAnswer:
         zone = call.values["zone"]
         # A zone that was evacuated is known, also where this node's settings are not of that day.
-        evacuated_before = (self.core.body() or {}).get("evacuations", {})
+        evacuated_before = (self.core.state or {}).get("evacuations", {})
         if zone not in self.core.settings.network.zones and zone not in evacuated_before:
             return explain(404, "unknown-zone", f"There is no zone {zone}.")
         return self.order(call, evacuation(zone, begin), ORDER_TIMEOUT_NS)
@@ -241,7 +242,7 @@
             return _no_quorum()
         if not await self._is_confirmed():
             return _not_confirmed()
-        return Answer(200, json.dumps(written(self.core.body()), separators=(",", ":")).encode())
+        return Answer(200, json.dumps(written(self.core.state), separators=(",", ":")).encode())
 
     async def _is_confirmed(self) -> bool:
         """Whether a quorum answers a read that is sent after this call came."""
--- a/pepperrun/control/heartbeat_routing.py
+++ b/pepperrun/control/heartbeat_routing.py
@@ -21,12 +21,17 @@
     regions : mapping of str to str
         Region of each zone.
     """
-    region_zones = [other for other, region in regions.items() if region == regions.get(zone)]
-    in_zone = [ip for ip, node_zone in nodes.items() if node_zone == zone]
-    in_region = [ip for ip, node_zone in nodes.items() if node_zone in region_zones]
-    candidates = in_zone or in_region or list(nodes)
+    candidates = [ip for ip, node_zone in nodes.items() if node_zone == zone]
+    if not candidates:
+        candidates = _in_region(zone, nodes, regions) or list(nodes)
     return max(candidates, key=lambda ip: _hash(ip, worker_id))
 
 
+def _in_region(zone: str, nodes: Mapping[str, str], regions: Mapping[str, str]) -> list[str]:
+    if zone not in regions:
+        return []
+    return [ip for ip, node_zone in nodes.items() if regions.get(node_zone) == regions[zone]]
+
+
 def _hash(ip: str, worker_id: str) -> bytes:
     return blake2b(f"{ip} {worker_id}".encode(), digest_size=HASH_BYTES).digest()
--- a/pepperrun/control/liveness_reports.py
+++ b/pepperrun/control/liveness_reports.py
@@ -7,11 +7,11 @@
 from __future__ import annotations
 
 from pepperrun.control.peer_messages import LivenessReport, ReportedEndpoint
+from pepperrun.distribution.digests import GATEWAY_PREFIX
 
 MS = 1_000_000  # ns
 GATEWAY_QUIET_NS = 900 * MS  # a gatekeeper sends far more often than a worker
 NEVER = -1 << 62
-GATEWAY_PREFIX = "g:"  # of a gatekeeper's record id
 
 
 class LivenessReports:
--- a/pepperrun/control/node.py
+++ b/pepperrun/control/node.py
@@ -22,7 +22,6 @@
 from pepperrun.control.evacuations import Evacuations
 from pepperrun.control.inspection import shown
 from pepperrun.control.peer_links import CONTROL_CLASS, PeerLinks
-from pepperrun.control.peer_messages import ConsensusMessage, KnownPeers, PeerStopping
 from pepperrun.control.pending_calls import PendingCalls
 from pepperrun.control.records import GatewayRecord, Worker
 from pepperrun.control.validation import Op
@@ -33,9 +32,9 @@
 from pepperrun.foundation.logs import event
 from pepperrun.foundation.netstring import Message, encode
 from pepperrun.foundation.settings import Settings
+from pepperrun.foundation.timer import Timer
 
 MS = 1_000_000  # ns
-NS_PER_S = 1e9
 QUORUM_CHECK_NS = 100 * MS  # between two checks; a peer is silent only after `Timeouts.liveness_ns`
 TASK_TIMEOUT_NS = 1500 * MS  # for an operation of the coordinator: then it is proposed anew
 
@@ -91,8 +90,7 @@
         self._lacked_quorum = True
         self._quorum_check_at = 0
         self._publish_at = 0  # 0: nothing is to be published
-        self._timer: asyncio.TimerHandle | None = None
-        self._timer_at = 0
+        self._timer = Timer(self._tick, clock)
         self._processing = False
 
     def start(self) -> None:
@@ -148,12 +146,12 @@
         """Handle a message of another control node; kinds of a later version are passed over."""
         if self.registry.receive(ip, data, now):
             return
-        match peer_messages.decode(data):
-            case ConsensusMessage() as message:
-                self.replica.receive(ip, message.content, now)
-            case KnownPeers() as message:
-                self.peer_links.learn(message.ips, now)
-            case PeerStopping():
+        match data["k"]:
+            case peer_messages.CONSENSUS:
+                self.replica.receive(ip, peer_messages.decode_consensus(data), now)
+            case peer_messages.KNOWN_PEERS:
+                self.peer_links.learn(peer_messages.decode_known_peers(data), now)
+            case peer_messages.PEER_STOPPING:
                 self.registry.stop_forwarding_to(ip)
 
     def closed(self, link: Link) -> None:
@@ -282,10 +280,6 @@
         self.process_pending()
         return future
 
-    def body(self) -> dict[str, Any] | None:
-        """Return the agreed state, None while none is known."""
-        return self.replica.body or None
-
     def other_node(self) -> str | None:
         """Return the control address of a linked control node."""
         ip = next(iter(self.registry.peers), None)
@@ -387,17 +381,9 @@
     def _set_timer(self) -> None:
         """Set the one timer to what is due first."""
         due = min(self.replica.next_tick_at(), self.registry.next_tick_at())
-        if self._publish_at:
-            due = min(due, self._publish_at)
-        if self._timer is not None:
-            if self._timer_at <= due:
-                return  # it will be set again then
-            self._timer.cancel()
-        self._timer_at = due
-        self._timer = self.loop.call_at(due / NS_PER_S, self._tick)
+        self._timer.set(min(due, self._publish_at) if self._publish_at else due)
 
     def _tick(self) -> None:
-        self._timer = None
         now = self.now()
         if now >= self.replica.next_tick_at():
             self.replica.tick(now)
@@ -430,8 +416,7 @@
 
     def close(self) -> None:
         """End all links."""
-        if self._timer is not None:
-            self._timer.cancel()
+        self._timer.stop()
         self._processing = True
         self.peer_links.close()
 
--- a/pepperrun/control/peer_messages.py
+++ b/pepperrun/control/peer_messages.py
@@ -1,12 +1,12 @@
-"""Typed messages between control nodes, and their codec: only here are the wire's words for them.
+"""Messages between control nodes, and their codec: only here are the wire's words for them.
 
-| `k` | message | fields |
+| `k` | says | fields |
 | --- | --- | --- |
-| queen | `ConsensusMessage` | m: see `consensus.codec` |
-| peers | `KnownPeers` | cores: rows of ip and zone |
-| bye | `PeerStopping` | |
+| queen | a message of the consensus | m: see `consensus.codec` |
+| peers | control nodes that the sender is linked with | cores: rows of ip and zone |
+| bye | the sender stops | |
 | vouch | `LivenessReport` | all, del: rows of record id and age in ms; add: record ids |
-| held | `RecordsReplicated` | a: token |
+| held | the sender holds the records of a token | a: token |
 
 The records themselves go as `cells`, `ask` and `digests` (`distribution.repair`), which the other links speak
 as well. A request to acknowledge `cells` is its field `a`.
@@ -33,25 +33,6 @@
     age_ms: int
 
 
-@dataclass(frozen=True, slots=True)
-class ConsensusMessage:
-    """A wire message of `consensus.codec`."""
-
-    content: Any
-
-
-@dataclass(frozen=True, slots=True)
-class KnownPeers:
-    """Ips of control nodes that the sender is linked with."""
-
-    ips: list[str]
-
-
-@dataclass(frozen=True, slots=True)
-class PeerStopping:
-    """The sender stops: no heartbeats should be forwarded to it any more."""
-
-
 @dataclass(frozen=True, slots=True)
 class LivenessReport:
     """Which endpoints send their heartbeats to the sender; None where nothing is said.
@@ -71,41 +52,31 @@
     removed: list[ReportedEndpoint] | None = None
 
 
-@dataclass(frozen=True, slots=True)
-class RecordsReplicated:
-    """The sender holds the records that were sent with `token`."""
+# Decoders raise KeyError, TypeError or ValueError for a message that is not allowed.
 
-    token: int
 
+def decode_consensus(data: Message) -> Any:
+    """Return the wire message of the consensus that is carried."""
+    return data["m"]
 
-PeerMessage = ConsensusMessage | KnownPeers | PeerStopping | LivenessReport | RecordsReplicated
 
+def decode_known_peers(data: Message) -> list[str]:
+    """Return the ips of control nodes that the sender is linked with."""
+    return [row[0] for row in data["cores"]]
 
-def decode(data: Message) -> PeerMessage | None:
-    """Return the typed message of wire data; None for a kind that is not of this module.
 
-    Raises
-    ------
-    KeyError, TypeError, ValueError
-        A field is missing or of the wrong type.
-    """
-    match data["k"]:
-        case "queen":
-            return ConsensusMessage(data["m"])
-        case "peers":
-            return KnownPeers([row[0] for row in data["cores"]])
-        case "bye":
-            return PeerStopping()
-        case "vouch":
-            return LivenessReport(
-                full=_endpoints(data["all"]) if "all" in data else None,
-                added=data.get("add"),
-                removed=_endpoints(data["del"]) if "del" in data else None,
-            )
-        case "held":
-            return RecordsReplicated(data["a"])
-        case _:
-            return None
+def decode_report(data: Message) -> LivenessReport:
+    """Return a liveness report."""
+    return LivenessReport(
+        full=_endpoints(data["all"]) if "all" in data else None,
+        added=data.get("add"),
+        removed=_endpoints(data["del"]) if "del" in data else None,
+    )
+
+
+def decode_replicated(data: Message) -> int:
+    """Return the token of the records that the sender holds."""
+    return int(data["a"])
 
 
 def _endpoints(rows: Any) -> list[ReportedEndpoint]:
@@ -123,7 +94,7 @@
 
 
 def encode_stopping() -> Message:
-    """Return the wire data of `PeerStopping`."""
+    """Return the wire data of a node that stops: no heartbeats should be forwarded to it any more."""
     return {"k": PEER_STOPPING}
 
 
@@ -140,5 +111,5 @@
 
 
 def encode_replicated(token: int) -> Message:
-    """Return the wire data of `RecordsReplicated`."""
+    """Return the wire data of a node that holds the records sent with `token`."""
     return {"k": RECORDS_REPLICATED, "a": token}
--- a/pepperrun/control/quota_placement.py
+++ b/pepperrun/control/quota_placement.py
@@ -46,13 +46,13 @@
     def next_operation(
         self,
         gateways: Iterable[GatewayRecord],
-        body: dict[str, Any] | None,
+        body: dict[str, Any],
         silent_ns: SilentFor,
         bounds: Bounds,
         now: int,
     ) -> dict[str, Any] | None:
         """Return the operation to propose now, or None."""
-        if not body or not body.get("edition"):
+        if not body.get("edition"):
             return None
         agreed = body.get("keepers") or {"term": 0, "places": {}}
         known = {gateway.name: gateway for gateway in gateways if not gateway.is_gone}
--- a/pepperrun/distribution/digests.py
+++ b/pepperrun/distribution/digests.py
@@ -25,11 +25,21 @@
 GATEWAY_PREFIX = "g:"
 
 
+def worker_record_id(worker_id: str) -> str:
+    """Return the id of a worker's record, which no gatekeeper's has."""
+    return WORKER_PREFIX + worker_id
+
+
+def gateway_record_id(name: str) -> str:
+    """Return the id of a gatekeeper's record, which no worker's has."""
+    return GATEWAY_PREFIX + name
+
+
 def record_id(record: Record) -> str:
-    """Return an id under which a worker and a gatekeeper don't meet."""
+    """Return the id of a record."""
     if isinstance(record, Worker):
-        return WORKER_PREFIX + record.id
-    return GATEWAY_PREFIX + record.name
+        return worker_record_id(record.id)
+    return gateway_record_id(record.name)
 
 
 def partition_of(id_: str) -> str:
--- a/pepperrun/distribution/replicated_state.py
+++ b/pepperrun/distribution/replicated_state.py
@@ -9,7 +9,7 @@
 from typing import Any, NamedTuple
 
 from pepperrun.control.records import GatewayRecord, Worker
-from pepperrun.distribution.digests import RangeDigests, Record, newer, record_id
+from pepperrun.distribution.digests import WORKER_PREFIX, RangeDigests, Record, newer, record_id
 from pepperrun.distribution.repair import Records
 
 State = dict[str, Any]  # the agreed state, see docs/SYSTEM.md
@@ -114,7 +114,8 @@
         self._sweeps += 1
         for id_ in [id_ for id_, swept in self._gone.items() if swept < self._sweeps - 1]:
             del self._gone[id_]
-            table: dict[str, Any] = self.workers if id_.startswith("w:") else self.gateways
-            known = table.get(id_[2:])
+            table: dict[str, Any] = self.workers if id_.startswith(WORKER_PREFIX) else self.gateways
+            name = id_.partition(":")[2]
+            known = table.get(name)
             if known is not None and known.is_gone:
-                del table[id_[2:]]
+                del table[name]
--- a/pepperrun/distribution/service.py
+++ b/pepperrun/distribution/service.py
@@ -15,45 +15,14 @@
 from pepperrun.foundation.link import OPERATOR, Dialer, Link, listen
 from pepperrun.foundation.netstring import Message
 from pepperrun.foundation.settings import Address, Settings
+from pepperrun.foundation.timer import Timer
 
-NS_PER_S = 1e9
 BYTES_PER_MBIT = 125_000
 RELAY_S = 0.1  # of the own link's time for relaying a change: answers wait behind it, with aims from 0.3 s on
 CONNECT_TIMEOUT_S = 0.4  # the first try at a machine that is just coming back is lost
 MAX_RETRY_S = 0.2  # between two tries: who is tried was chosen, and is given up within a second
 
 
-class Timer:
-    """One timer of the loop: calls `callback` at the earliest time that was set (steady ns)."""
-
-    def __init__(self, callback: Callable[[], None], clock: Callable[[], int]) -> None:
-        self.callback = callback
-        self.clock = clock
-        self._due = 0
-        self._handle: asyncio.TimerHandle | None = None
-
-    def set(self, due: int) -> None:
-        """Call back at this time, or sooner if that was asked for."""
-        if self._due and self._due <= due:
-            return
-        self.stop()
-        self._due = due
-        wait_s = max(0, due - self.clock()) / NS_PER_S
-        self._handle = asyncio.get_running_loop().call_later(wait_s, self._fire)
-
-    def _fire(self) -> None:
-        self._due = 0
-        self._handle = None
-        self.callback()
-
-    def stop(self) -> None:
-        """Forget what was set."""
-        if self._handle is not None:
-            self._handle.cancel()
-        self._due = 0
-        self._handle = None
-
-
 class UplinkUser:
     """Passes on what happens on one link upwards (`foundation.link.User`)."""
 
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -184,7 +184,8 @@
     def confirmed(self) -> asyncio.Future[None]:
         return self._future(None)
 
-    def body(self) -> dict[str, Any] | None:
+    @property
+    def state(self) -> dict[str, Any] | None:
         state, _ = apply(None, put(whole()))
         return None if state is None else state | self.emptied
 
