--- a/pepperrun/control/changes.py
+++ b/pepperrun/control/changes.py
@@ -4,7 +4,7 @@
 | --- | --- | --- |
 | `replace` | `routes`, `carrier_lines`, `senders`, `limits` | `on` is the current edition |
 | `amend` | `upsert`, `withdraw`, `limits` (if given) | likewise, and the result is valid |
-| `evacuate` | `zone`, `begin` and what `evacuations` adds (and none of these) | see there |
+| `evacuate` | see `evacuation_codec` (and none of these) | see `evacuation_orders` |
 | `seats` (gateway count) | `count`, `instead` (and none of these) | `instead` is the agreed number |
 | `keepers` (quota owners) | `places`, `instead` (and none of these) | `instead` is the agreed term |
 | `settled` | `term` (and none of these) | it is the agreed term, and is not settled |
@@ -18,7 +18,8 @@
 from typing import Any
 
 from pepperrun.consensus.state import Evaluation
-from pepperrun.control import evacuations, order_deduplication
+from pepperrun.control import order_deduplication
+from pepperrun.control.evacuation_orders import apply_order
 from pepperrun.control.order_deduplication import SeenOrder
 from pepperrun.control.validation import KINDS, Op, check_lines, check_stamps, refusal, table
 from pepperrun.control.verdict import Verdict
@@ -50,7 +51,7 @@
     state = state or EMPTY
     match op["do"]:
         case "evacuate":
-            return evacuations.apply_order(state, op)
+            return apply_order(state, op)
         case "seats":
             return _set_gateway_count(state, op)
         case "keepers":
--- a/pepperrun/control/coordinator_tasks.py
+++ b/pepperrun/control/coordinator_tasks.py
@@ -1,7 +1,7 @@
 """What the coordinating control node proposes by itself, one operation at a time.
 
-The agreed number of gatekeepers, the lists of quota owners, and the end of doubted evacuations. Only the node
-that coordinates the voters proposes them, so that no two do it at once.
+The agreed number of gatekeepers, the lists of quota owners, and the end of uncertain evacuations. Only the
+node that coordinates the voters proposes them, so that no two do it at once.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
         return (
             self._change_gateway_count(body, now)
             or self._place_quotas(body, bounds, now)
-            or self.evacuations.lapse(body, self.next_call_id, bounds.receipt_ms, now)
+            or self.evacuations.next_expiry(body, self.next_call_id, bounds.receipt_ms, now)
         )
 
     def _change_gateway_count(self, body: dict[str, Any], now: int) -> Op | None:
--- /dev/null
+++ b/pepperrun/control/evacuation_orders.py
@@ -0,0 +1,138 @@
+"""Evaluation of evacuation orders on the agreed state. Pure, the same on every node.
+
+Two operators may empty one zone; it is in use again once both have taken that back. An operator's call that
+got no clear answer is repeated, and nothing in it tells whose it is. A call that may be a repeat is not
+guessed to be one: the zone stays empty as another order would want it, and one order is uncertain from then
+on. Uncertain orders expire once no other stands (`control.evacuations`).
+"""
+
+from __future__ import annotations
+
+from dataclasses import replace
+
+from pepperrun.consensus.state import Evaluation
+from pepperrun.control.evacuation_codec import (
+    CountedOrder,
+    Expiry,
+    Operation,
+    OrderCall,
+    State,
+    ZoneOrders,
+    decode_operation,
+    decode_orders,
+    encode_orders,
+)
+from pepperrun.control.verdict import Verdict
+
+MAX_STANDING_ORDERS = 8  # for one zone: more are the mistake of a script
+MAX_CALL_IDS = 16  # kept of one zone; eight orders may be under way at once
+
+
+def apply_order(state: State, op: Operation) -> Evaluation:
+    """Evaluate an `evacuate` operation on the agreed state."""
+    operation = decode_operation(op)
+    orders = decode_orders(state, operation.zone)
+    if isinstance(operation, CountedOrder):
+        return _apply_count(state, operation, orders)
+    if operation.call_id in orders.call_ids:
+        return _already(operation.zone, orders)
+    if isinstance(operation, Expiry):
+        return _expire(state, operation, orders)
+    is_new = operation.is_new and operation.seen_serial == orders.serial(begins=operation.begins)
+    if operation.begins:
+        return _begin(state, operation, orders, is_new)
+    return _end(state, operation, orders, is_new)
+
+
+def _expire(state: State, expiry: Expiry, orders: ZoneOrders) -> Evaluation:
+    serials = (expiry.begin_serial, expiry.end_serial)
+    all_uncertain = 0 < orders.standing <= orders.uncertain
+    if serials != (orders.begin_serial, orders.end_serial) or not all_uncertain:
+        return Evaluation(None, Verdict(412, f"Orders for zone {expiry.zone} have come meanwhile."))
+    ended = replace(_after_end(orders, expiry.call_id), standing=0, uncertain=0)
+    return _changed(state, expiry.zone, ended, f"Zone {expiry.zone} is in use again.")
+
+
+def _begin(state: State, call: OrderCall, orders: ZoneOrders, is_new: bool) -> Evaluation:
+    # One uncertain order covers all repeats. Where only such stand, another keeps them from expiring.
+    adds_order = is_new or orders.uncertain in (0, orders.standing)
+    if orders.standing >= MAX_STANDING_ORDERS or not adds_order:
+        return _unchanged(f"Zone {call.zone} is evacuated already.")
+    is_uncertain = not is_new and orders.standing > 0 and not orders.uncertain
+    begun = replace(
+        _after_begin(orders, call.call_id),
+        standing=orders.standing + 1,
+        uncertain=orders.uncertain + is_uncertain,
+    )
+    already = " already" if orders.standing and not is_new else ""
+    return _changed(state, call.zone, begun, f"Zone {call.zone} is evacuated{already}.")
+
+
+def _end(state: State, call: OrderCall, orders: ZoneOrders, is_new: bool) -> Evaluation:
+    if not orders.standing:
+        return _unchanged(f"Zone {call.zone} is in use already.")
+    standing = orders.standing - 1 if is_new else orders.standing
+    uncertain = min(standing, orders.uncertain if is_new else orders.uncertain + 1)
+    sentence = f"Zone {call.zone} is {_after_one_end(standing, uncertain)}."
+    if not is_new and uncertain == orders.uncertain:
+        return _unchanged(sentence)
+    ended = replace(_after_end(orders, call.call_id), standing=standing, uncertain=uncertain)
+    return _changed(state, call.zone, ended, sentence)
+
+
+def _after_one_end(standing: int, uncertain: int) -> str:
+    if not standing:
+        return "in use again"
+    if uncertain == standing:
+        return "still evacuated by another order, or in use soon"
+    return "still evacuated by another order"
+
+
+def _apply_count(state: State, order: CountedOrder, orders: ZoneOrders) -> Evaluation:
+    """Evaluate an operation of a version that knows only how many orders stand."""
+    if order.begins:
+        return _begin_up_to(state, order, orders)
+    return _end_down_to(state, order, orders)
+
+
+def _begin_up_to(state: State, order: CountedOrder, orders: ZoneOrders) -> Evaluation:
+    count = max(1, orders.standing) if order.count is None else order.count
+    if orders.standing >= count:
+        return _already(order.zone, orders)
+    begun = replace(_after_begin(orders), standing=orders.standing + 1)
+    return _changed(state, order.zone, begun, f"Zone {order.zone} is evacuated.")
+
+
+def _end_down_to(state: State, order: CountedOrder, orders: ZoneOrders) -> Evaluation:
+    count = 0 if order.count is None else order.count
+    if orders.standing <= count:
+        return _already(order.zone, orders)
+    standing = orders.standing - 1
+    ended = replace(_after_end(orders), standing=standing, uncertain=min(standing, orders.uncertain))
+    in_force = "still evacuated by another order" if standing else "in use again"
+    return _changed(state, order.zone, ended, f"Zone {order.zone} is {in_force}.")
+
+
+def _already(zone: str, orders: ZoneOrders) -> Evaluation:
+    in_force = "evacuated" if orders.standing else "in use"
+    return _unchanged(f"Zone {zone} is {in_force} already.")
+
+
+def _after_begin(orders: ZoneOrders, *call_ids: str) -> ZoneOrders:
+    """Return the orders with the serial and the ids as after one that begins."""
+    kept = (*orders.call_ids, *call_ids)[-MAX_CALL_IDS:]
+    return replace(orders, begin_serial=orders.begin_serial + 1, call_ids=kept)
+
+
+def _after_end(orders: ZoneOrders, *call_ids: str) -> ZoneOrders:
+    """Return the orders with the serial and the ids as after one that ends."""
+    kept = (*orders.call_ids, *call_ids)[-MAX_CALL_IDS:]
+    return replace(orders, end_serial=orders.end_serial + 1, call_ids=kept)
+
+
+def _unchanged(sentence: str) -> Evaluation:
+    return Evaluation(None, Verdict(200, sentence))
+
+
+def _changed(state: State, zone: str, orders: ZoneOrders, sentence: str) -> Evaluation:
+    return Evaluation(encode_orders(state, zone, orders), Verdict(200, sentence))
--- a/pepperrun/control/node.py
+++ b/pepperrun/control/node.py
@@ -267,7 +267,9 @@
         """Return the operation for a call to evacuate: it may be a repeat."""
         receipt_ms = self.settings.tariffs.bounds.receipt_ms
         body = self.replica.body
-        return self.evacuations.order(op["zone"], op["begin"], body, self.next_call_id, receipt_ms, now)
+        return self.evacuations.operation_for_call(
+            op["zone"], op["begin"], body, self.next_call_id, receipt_ms, now
+        )
 
     def next_call_id(self) -> str:
         """Return an id of one proposal of one start of one process."""
@@ -353,7 +355,7 @@
         for zone in self._evacuated_zones - evacuated_zones:
             self.registry.doubt_zone(zone, now)
         self._evacuated_zones = evacuated_zones
-        self.evacuations.note(body, now, at_once=change.operation is not None)
+        self.evacuations.on_state(body, now, is_one_operation=change.operation is not None)
         self._log_change(change)
         known = (change.base_version, change.operation) if change.operation is not None else None
         self.publisher.state_changed(known, now)
--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -11,7 +11,7 @@
 import pytest
 from clusters import put, whole
 
-from pepperrun.control import changes, evacuations
+from pepperrun.control import changes, evacuation_orders, evacuations
 from pepperrun.control.changes import apply
 from pepperrun.control.evacuations import Evacuations
 
@@ -60,13 +60,15 @@
         if self.held[at] is not self.state and self.now >= self.cut_until[at]:
             at_once = self.number == self.held_number[at] + 1 and self.now > self.cut_until[at] + SECOND
             self.held[at], self.held_number[at] = self.state, self.number
-            self.machines[at].note(self.state, self.now, at_once)
+            self.machines[at].on_state(self.state, self.now, is_one_operation=at_once)
 
     def call(self, operator: Operator) -> None:
         at, rng = self.rng.randrange(3), self.rng
         operator.over = not operator.begin
         operator.until = operator.until or self.now + RECEIPT_MS * MS
-        op = self.machines[at].order("z1", operator.begin, self.held[at], self.call_id, RECEIPT_MS, self.now)
+        op = self.machines[at].operation_for_call(
+            "z1", operator.begin, self.held[at], self.call_id, RECEIPT_MS, self.now
+        )
         came = rng.random() < 0.9 and self.now >= self.cut_until[at]
         if came:
             self.judge(op)
@@ -100,7 +102,7 @@
                 self.machines[restarted] = Evacuations(self.held[restarted], self.now)
                 self.keeper = self.rng.randrange(3)
             keeper = self.machines[self.keeper]
-            op = keeper.lapse(self.held[self.keeper], self.call_id, RECEIPT_MS, self.now)
+            op = keeper.next_expiry(self.held[self.keeper], self.call_id, RECEIPT_MS, self.now)
             if op is not None and self.now >= self.cut_until[self.keeper]:
                 self.judge(op)
             stands = any(one.begun and not one.over for one in self.operators)
@@ -129,32 +131,32 @@
 class OwnOnly(Evacuations):
     """A bug put in: a machine remembers only the orders that it was asked for itself."""
 
-    def note(self, body: Any, now: int, at_once: bool) -> None:
+    def on_state(self, state: Any, now: int, *, is_one_operation: bool) -> None:
         asked = getattr(self, "asked", None)
-        super().note(body, now, at_once)
-        for key in list(self.learnt):
+        super().on_state(state, now, is_one_operation=is_one_operation)
+        for key in list(self.learnt_at):
             if key != asked:
-                del self.learnt[key]
+                del self.learnt_at[key]
         self.asked: Any = None
 
-    def order(self, zone: str, begin: bool, *rest: Any) -> Any:
-        self.asked = zone, begin
-        return super().order(zone, begin, *rest)
+    def operation_for_call(self, zone: str, begins: bool, *rest: Any) -> Any:
+        self.asked = zone, begins
+        return super().operation_for_call(zone, begins, *rest)
 
 
-def merged(state: State, op: dict[str, Any], orders: Any, sure: bool) -> Any:
+def merged(state: State, call: Any, orders: Any, is_new: bool) -> Any:
     """A bug put in: what may be a repeat is taken for one."""
-    if not sure and "z1" in state["evacuated"]:
+    if not is_new and "z1" in state["evacuated"]:
         return None, [200, "Already."]
-    return BEGIN(state, op, orders, sure)
+    return BEGIN(state, call, orders, is_new)
 
 
-BEGIN = evacuations._begin
+BEGIN = evacuation_orders._begin
 BUGS = {
-    "merged": (evacuations, "_begin", merged),
+    "merged": (evacuation_orders, "_begin", merged),
     "own": (__import__(__name__), "Evacuations", OwnOnly),
-    "no lapse": (Evacuations, "lapse", lambda *rest: None),
-    "2 s": (evacuations, "_repeated_for", lambda receipt_ms: 2 * SECOND),
+    "no expiry": (Evacuations, "next_expiry", lambda *rest: None),
+    "2 s": (evacuations, "_repeated_for_ns", lambda receipt_ms: 2 * SECOND),
 }
 
 
@@ -171,21 +173,21 @@
     def call(begin: bool, at: float, **other: Any) -> tuple[int, int]:
         nonlocal state
         when = now + int(at * SECOND)
-        op = machine.order("z1", begin, state, lambda: next(ids), RECEIPT_MS, when) | other
+        op = machine.operation_for_call("z1", begin, state, lambda: next(ids), RECEIPT_MS, when) | other
         for one in (op, op):
             state = apply(state, one)[0] or state
-        machine.note(state, when, at_once=True)
+        machine.on_state(state, when, is_one_operation=True)
         return state["evacuated"].count("z1"), state["evacuations"]["z1"]["doubted"]
 
     # The day that showed it: two orders 2.2 s apart, taken back 2.1 s apart; then a third.
     assert [call(True, 5.28), call(True, 7.45), call(False, 13.33), call(False, 15.45)] == [
         *((1, 0), (2, 1), (1, 1), (1, 1))
     ]
-    assert machine.lapse(state, lambda: "l", RECEIPT_MS, now + 28 * SECOND) is None
-    lapse = machine.lapse(state, lambda: "l", RECEIPT_MS, now + 29 * SECOND)
-    assert lapse is not None and apply(state, lapse)[0]["evacuated"] == []  # type: ignore[index]
-    assert call(True, 30) == (2, 1)  # what lapses is kept by an order that comes before
-    assert apply(state, lapse)[1][0] == 412
+    assert machine.next_expiry(state, lambda: "l", RECEIPT_MS, now + 28 * SECOND) is None
+    expiry = machine.next_expiry(state, lambda: "l", RECEIPT_MS, now + 29 * SECOND)
+    assert expiry is not None and apply(state, expiry)[0]["evacuated"] == []  # type: ignore[index]
+    assert call(True, 30) == (2, 1)  # what expires is kept by an order that comes before
+    assert apply(state, expiry)[1][0] == 412
     # Versions before say how many orders stand: 2, then 1, then none.
     for begin, count in ((True, 3), (False, 2), (False, 1), (False, 0)):
         held, verdict = apply(state, changes.evacuation("z1", begin, count))
@@ -193,7 +195,7 @@
         state = held
     assert state["evacuated"] == [] and state["evacuations"]["z1"]["doubted"] == 0
     stale = state | {"evacuations": {"z1": {"begun": 4, "finished": 3, "doubted": 1, "later": 0}}}
-    begun = machine.order("z1", True, stale, lambda: "s", RECEIPT_MS, now + 31 * SECOND)
+    begun = machine.operation_for_call("z1", True, stale, lambda: "s", RECEIPT_MS, now + 31 * SECOND)
     assert apply(stale, begun)[0]["evacuated"] == ["z1"]  # type: ignore[index]
 
 
@@ -204,7 +206,7 @@
 
 @pytest.mark.parametrize(
     ("calls", "stands", "used_at"),
-    # The last one lapses 7 s after the last `finish` that counts, and the time more that the zone was empty.
+    # The last one expires 7 s after the last `finish` that counts, and the time more that the zone was empty.
     [(IN_DOUBT, [1, 2, 2, 1, 1, 1], 29), (SURE, [1, 2, 3, 2, 2, 1], 103)],
 )
 def test_two_orders_to_empty_a_zone_need_two_to_take_it_back_and_repeats_are_told_from_them(
@@ -217,23 +219,23 @@
     def standing(begin: bool, at: float) -> int:
         nonlocal state
         when = now + int(at * SECOND)
-        op = machine.order("z1", begin, state, lambda: str(next(ids)), RECEIPT_MS, when)
+        op = machine.operation_for_call("z1", begin, state, lambda: str(next(ids)), RECEIPT_MS, when)
         new, verdict = apply(state, op)
         assert verdict[0] == 200
         state = new or state
-        machine.note(state, when, at_once=True)
+        machine.on_state(state, when, is_one_operation=True)
         return state["evacuated"].count("z1")
 
     assert [standing(begin, at) for begin, at in calls] == stands
     last = int(calls[-1][1]) + 1
-    lapses = {
+    expiries = {
         at: op
         for at in range(last, 200)
-        if (op := machine.lapse(state, lambda: "l", RECEIPT_MS, now + at * SECOND)) is not None
+        if (op := machine.next_expiry(state, lambda: "l", RECEIPT_MS, now + at * SECOND)) is not None
     }
-    assert min(lapses) == used_at
-    lapsed = apply(state, lapses[used_at])[0]
-    assert lapsed is not None and lapsed["evacuated"] == []
-    state = lapsed
-    machine.note(state, now + 200 * SECOND, at_once=True)
+    assert min(expiries) == used_at
+    expired = apply(state, expiries[used_at])[0]
+    assert expired is not None and expired["evacuated"] == []
+    state = expired
+    machine.on_state(state, now + 200 * SECOND, is_one_operation=True)
     assert [standing(True, 220), standing(False, 240)] == [1, 0]  # a new order, and sure
