--- a/benchmarks/capacity_members.py
+++ b/benchmarks/capacity_members.py
@@ -30,7 +30,7 @@
 from pepperrun.dataplane.numbering import PEER_INTAKE, Numbering
 from pepperrun.dataplane.peer_messages import HEAD
 from pepperrun.foundation.settings import Bounds
-from pepperrun.membership.gateway_prober import MOST, GatewayProber
+from pepperrun.membership.gateway_prober import MAX_GATEWAYS, GatewayProber
 
 MS = 1_000_000
 IP_UDP = 28
@@ -43,7 +43,7 @@
     probers = [GatewayProber(one.name, one.region, one.incarnation, at, 1) for at, one in enumerate(records)]
     place: dict[Any, int] = {}
     for at, (prober, one) in enumerate(zip(probers, records, strict=True)):
-        prober.take(records)
+        prober.update_gateways(records)
         host, _, port = one.internal_address.rpartition(":")
         place[host, int(port)] = at
     where = {at: address for address, at in place.items()}
@@ -61,7 +61,7 @@
             prober.tick(now)
         else:
             prober.receive(what[1], what[0], now)
-        for to, data in prober.take_out():
+        for to, data in prober.take_outgoing():
             count, sent, size_of = count + 1, sent + 1, size_of + len(data)
             heapq.heappush(events, (now + MS, count, place[to], (where[at], data)))
         if what is None:
@@ -161,7 +161,7 @@
         law(
             f"operator {name} by tenants", given.listed, [row[name] for row in reads], name.rpartition("_")[2]
         )
-    print(f"probe most={MOST} gatekeepers are watched by one")
+    print(f"probe most={MAX_GATEWAYS} gatekeepers are watched by one")
     rows = [in_child(lambda size=size: probed(size, given.seconds, given.warm)) for size in given.sizes]
     for name in rows[0]:
         law(f"probe {name}", given.sizes, [row[name] for row in rows], name)
--- a/benchmarks/capacity_memory.py
+++ b/benchmarks/capacity_memory.py
@@ -2,11 +2,11 @@
 
     python3 benchmarks/capacity_memory.py [--sizes 1000 3000 10000 30000] [--only KIND ...]
 
-The real NewsBook, GatewayProbes and Plane, fed with messages as they come off a link, in a process of its own
-for each size. A line: bytes of resident memory for one more row (least squares), the base, the largest
-residual, what was measured, and the size at which 32 MB are full. `book` is the record alone, `gateway` all
-that a gatekeeper makes of it. A service comes with one route; routes and tenants are held beside 1,500
-services.
+The real NewsBook, GatewayProbeService and Plane, fed with messages as they come off a link, in a process
+of its own for each size. A line: bytes of resident memory for one more row (least squares), the base,
+the largest residual, what was measured, and the size at which 32 MB are full. `book` is the record
+alone, `gateway` all that a gatekeeper makes of it. A service comes with one route; routes and tenants
+are held beside 1,500 services.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
 from pepperrun.dataplane.plane import Plane
 from pepperrun.distribution import repair
 from pepperrun.distribution.replicated_state import ReplicatedState
-from pepperrun.membership.gateway_probe_service import GatewayProbes
+from pepperrun.membership.gateway_probe_service import GatewayProbeService
 
 PART = 400  # rows of one message: a range of digests that differs
 BUDGET = 32 * 1024 * 1024  # bytes that a gatekeeper may spend for control
@@ -52,8 +52,8 @@
 def plane_for(book: ReplicatedState) -> Plane:
     """All that a gatekeeper makes of its news."""
     plane = Plane(settings(), 1, time.monotonic_ns, lambda: 1, lambda: 1, lambda: 1)
-    probes = GatewayProbes(settings(), 1, 1, lambda data, where: None)
-    probes.begun = True  # it sends nothing here
+    probes = GatewayProbeService(settings(), 1, 1, lambda data, where: None)
+    probes.started = True  # it sends nothing here
     book.on_state.append(plane.on_agreed)
     book.on_workers.append(plane.on_workers)
     book.on_gateways += [plane.on_gateways, probes.on_gateways]
--- a/features/playing.py
+++ b/features/playing.py
@@ -283,13 +283,13 @@
     addresses = {name: (f"10.1.0.{name[-1]}", SIDING) for name in ("g1", "g2")}
     probes = {name: GatewayProber(name, "r1", 5000, at, START) for at, name in enumerate(addresses)}
     for prober in probes.values():
-        prober.take([gateway_record("g1"), gateway_record("g2")])
+        prober.update_gateways([gateway_record("g1"), gateway_record("g2")])
     log = []
     for step in range(300):
         now = START + step * 10 * MS
         for name, prober in probes.items():
             prober.tick(now)
-            said = [data for _, data in prober.take_out()]
+            said = [data for _, data in prober.take_outgoing()]
             if name == "g1" and hear is not None:
                 said = [bytes.fromhex(data) for at, speaker, data in hear if (at, speaker) == (step, "g1")]
             log += [[step, name, data.hex()] for data in said]
--- a/features/steps/versions.py
+++ b/features/steps/versions.py
@@ -250,7 +250,7 @@
         assert any(set(old) <= set(one) for one in said.get(old["t"], ())) or "q" in old, old
 
 
-# GatewayProbes.
+# GatewayProbeService.
 
 
 @when("a prober hears the datagrams of the version before")
@@ -261,16 +261,16 @@
 @then("it takes the other for a member that is there")
 def is_there(context):
     prober = context.probes["g2"]
-    assert prober.settled and not prober.doubt and not prober.absent()
+    assert prober.joined and not prober.suspects_itself and not prober.absent_gateways()
 
 
 @then("its datagrams are the same, byte by byte, when read and written again")
 def same_bytes(context):
     kinds = set()
     for _, speaker, text in context.said["scouts"]:
-        wire = context.probes["g2" if speaker == "g1" else "g1"].wire
-        datagram = wire.unpack(bytes.fromhex(text))
-        assert datagram is not None and wire.pack(datagram).hex() == text
+        codec = context.probes["g2" if speaker == "g1" else "g1"].codec
+        datagram = codec.unpack(bytes.fromhex(text))
+        assert datagram is not None and codec.pack(datagram).hex() == text
         kinds.add(datagram.kind)
     assert len(kinds) >= 4
 
--- a/features/versions.feature
+++ b/features/versions.feature
@@ -84,7 +84,7 @@
       | landing-6 |
       | landing-8 |
 
-  Scenario Outline: GatewayProbes of two versions find each other
+  Scenario Outline: Gateway probers of two versions find each other
     Given what version "<version>" said
     When a prober hears the datagrams of the version before
     Then it takes the other for a member that is there
--- a/pepperrun/assembly.py
+++ b/pepperrun/assembly.py
@@ -36,8 +36,8 @@
 from pepperrun.net.stream import Budget
 
 if TYPE_CHECKING:
-    from pepperrun.membership.config import MembersConfig
-    from pepperrun.membership.service import Service
+    from pepperrun.membership.config import MembershipConfig
+    from pepperrun.membership.service import MembershipService
     from pepperrun.parking.config import ClientsConfig
     from pepperrun.parking.lot import Lot
 
@@ -63,7 +63,7 @@
     ) -> None:
         loop = asyncio.get_running_loop()
         self.peers: Peers | None = None
-        self.members: Service | None = None
+        self.members: MembershipService | None = None
         self.tasks: set[asyncio.Task[None]] = set()
         self.settings = settings
         self.gatekeeper = Gatekeeper(settings, seed, clock, loop, self._tell, log=self._log)
@@ -120,7 +120,7 @@
             except OSError as error:
                 say("peers", f"peers can't be heard yet: {error}")
         if self.members is not None:
-            self.peers.members = self.members.heard
+            self.peers.members = self.members.on_datagram
 
     def told(self, listing: Listing, kind: ListKind | None = None) -> None:
         """Takes in a list of backends."""
@@ -242,15 +242,17 @@
     return listener
 
 
-def start_members(config: Config, members: MembersConfig, core: Core, before: Any = None) -> Service:
+def start_members(
+    config: Config, members: MembershipConfig, core: Core, before: Any = None
+) -> MembershipService:
     """Membership, over the socket of the ordinary messages; `before`: what a process before this one knew."""
-    from pepperrun.membership.service import Service
+    from pepperrun.membership.service import MembershipService
 
     names = members.names or [f"gatekeeper {number}" for number in range(config.settings.gateways)]
-    service = Service(members, config.name, names, core.gatekeeper, core._tell, config.seed, before)
+    service = MembershipService(members, config.name, names, core.gatekeeper, core._tell, config.seed, before)
     core.members = service
     if core.peers is not None:
-        core.peers.members = service.heard
+        core.peers.members = service.on_datagram
     return service
 
 
@@ -264,7 +266,7 @@
 
     def more(call: bytes) -> bytes | None:
         if core.members is not None:
-            return core.members.answer(call)
+            return core.members.answer_call(call)
         return b"error membership is off\n" if call.split()[:1] == [b"members"] else None
 
     calls = Calls(listener.taking, all_figures, more)
@@ -375,6 +377,6 @@
         version = watch.discovery.version if watch.discovery is not None else None
         listing = {"version": version or 0, "full": True, "servers": core.directory.told()}
         known = {"list": listing, "known": version is not None, "peers": core.peers is not None}
-        return known | ({"members": core.members.state()} if core.members is not None else {})
+        return known | ({"members": core.members.export_state()} if core.members is not None else {})
 
     return Predecessor(place, core.gatekeeper, core.servers, listener, lambda: core.peers, table)
--- a/pepperrun/dataplane/inspection.py
+++ b/pepperrun/dataplane/inspection.py
@@ -13,14 +13,14 @@
 from pepperrun.distribution.service import DistributionService
 from pepperrun.distribution.tree import parents
 from pepperrun.foundation.netstring import Message
-from pepperrun.membership.gateway_probe_service import GatewayProbes
+from pepperrun.membership.gateway_probe_service import GatewayProbeService
 
 MS = 1_000_000
 DEEPEST = 64  # steps: more than any tree has
 
 
 def shown(
-    row: GatewayRecord, news: DistributionService, plane: Plane, probes: GatewayProbes, now: int
+    row: GatewayRecord, news: DistributionService, plane: Plane, probes: GatewayProbeService, now: int
 ) -> Message:
     """The answer to `show`: ages in ms, levels in requests. Keys are not in it."""
     book, follower, keeper, table = news.replicated, news.follower, plane.gatekeeper, plane.table
@@ -47,9 +47,9 @@
         **{"seats": plane.numbering.seats, "parts": plane.numbering.parts, "shares": _shares(plane, now)},
         **{"workers": _workers(plane, now), "evacuated": sorted(table.evacuated) if table else []},
         "scouts": {
-            "watched": max(0, len(probes.prober.where)),
-            "absent": sorted(probes.prober.absent()),
-            "doubts_itself": probes.doubt,
+            "watched": max(0, len(probes.prober.address_by_number)),
+            "absent": sorted(probes.prober.absent_gateways()),
+            "doubts_itself": probes.suspects_itself,
         },
         **{"clients": plane.listener.count(), "under_way": keeper.waiting()},
         "answers": {end.value: count for end, count in keeper.counts.items()},
--- a/pepperrun/gateway_node.py
+++ b/pepperrun/gateway_node.py
@@ -21,8 +21,8 @@
 from pepperrun.foundation import logs
 from pepperrun.foundation.errors import PepperrunError
 from pepperrun.foundation.settings import Address, Settings, load
-from pepperrun.membership.gateway_probe_service import GatewayProbes
-from pepperrun.membership.gateway_probe_wire import MARK
+from pepperrun.membership.gateway_probe_service import GatewayProbeService
+from pepperrun.membership.gateway_probe_wire import MAGIC
 
 LOOK_S, FIRST_LOOK_S = 0.2, 0.05  # between looks at whether this gatekeeper is ready; until it first is
 AGAIN_S = 0.3  # between tries for an address that an earlier process still has
@@ -49,11 +49,11 @@
         book.on_state += [self.plane.on_agreed, self.on_agreed]
         book.on_workers.append(self.plane.on_workers)
         book.on_gateways.append(self.on_gateways)
-        self.probes = GatewayProbes(
+        self.probes = GatewayProbeService(
             settings, self.life, secrets.randbits(32), self.plane.peer_messages.send, self.on_probes
         )
-        self.plane.peer_messages.others[MARK] = self.probes.received
-        self.news.follower.parents.is_present = self.probes.there
+        self.plane.peer_messages.others[MAGIC] = self.probes.on_datagram
+        self.news.follower.parents.is_present = self.probes.is_present
         self.news.shown = lambda now: inspection.shown(self.row(), self.news, self.plane, self.probes, now)
         self.asked = ready_listener(time.monotonic_ns, self.plane.ready)
         self.stop = asyncio.Event()
@@ -84,7 +84,7 @@
 
     def on_probes(self) -> None:
         """Who of the other gatekeepers is thought to be there may have changed."""
-        self.plane.stand(self.probes.absent(), self.probes.doubt)
+        self.plane.stand(self.probes.absent_gateways(), self.probes.suspects_itself)
         self.news.membership_changed()
 
     def known_life(self) -> int:
--- a/pepperrun/lab/explore.py
+++ b/pepperrun/lab/explore.py
@@ -24,7 +24,7 @@
 from pepperrun.core.clock import SECOND
 from pepperrun.lab.virtual import KEYS, MS
 from pepperrun.membership.member import STALL_NS, Member
-from pepperrun.membership.states import Config, Me
+from pepperrun.membership.states import MemberConfig, OwnState
 from pepperrun.membership.steps import Step, standing_of, step_of
 from pepperrun.membership.wire import State
 
@@ -82,7 +82,7 @@
     possible: list[list[Deviation]] = field(default_factory=list)
 
 
-Make = Callable[[Config, int, int, int], Member]
+Make = Callable[[MemberConfig, int, int, int], Member]
 
 
 class Group:
@@ -100,9 +100,9 @@
         self.broken = ""
 
     def _member(self, number: int, life: int) -> Member:
-        member = self.make(Config(number, self.count, f"n{number}", KEYS), life, 1, self.now)
+        member = self.make(MemberConfig(number, self.count, f"n{number}", KEYS), life, 1, self.now)
         member.rng = member.prober.rng = member.outbox.rng = First()
-        member.told_of = lambda what: self._told(number, what.what, what.member)
+        member.on_event = lambda what: self._told(number, what.what, what.member)
         return member
 
     def _told(self, who: int, what: str, member: int) -> None:
@@ -130,7 +130,7 @@
         members = [member for member in self.members if member is not None]
         digests = {member.views.view.digest for member in members}
         full = all(len(member.views.view.members) == self.count for member in members)
-        calm = not any(member.book.others(State.SUSPECT, State.DEAD) for member in members)
+        calm = not any(member.table.others_in(State.SUSPECT, State.DEAD) for member in members)
         return len(members) == self.count and len(digests) == 1 and full and calm
 
     # Steps.
@@ -174,8 +174,8 @@
                 for sender, data in self.waiting.pop(number, []):
                     member.receive(sender, data, self.now)
                 member.tick(self.now)
-                granting = step_of(member, self.now) in (Step.WHOLE, Step.WITHOUT)
-                if was is Me.MEMBER and granting and BACK_NS >= STALL_NS:
+                granting = step_of(member, self.now) in (Step.COMPLETE, Step.MAJORITY)
+                if was is OwnState.MEMBER and granting and BACK_NS >= STALL_NS:
                     self.broken = self.broken or f"n{number} stood still and grants the whole at once"
                 self._collect(number)
         for pair, at in list(self.cuts.items()):
@@ -190,7 +190,7 @@
             self._collect(receiver)
 
     def _collect(self, number: int) -> None:
-        for receiver, data in self._of(number).outbox.take_out():
+        for receiver, data in self._of(number).outbox.take_outgoing():
             pair = min(number, receiver), max(number, receiver)
             if pair not in self.cuts:
                 self.way.append((self.now + WAY_NS, number, receiver, data))
@@ -241,9 +241,9 @@
         for number in self.live():
             member = self._of(number)
             step = step_of(member, self.now)
-            if step is Step.WITHOUT:
-                larger.append((number, member.views.view.numbers()))
-            if step in (Step.DOUBT, Step.GONE) and standing_of(member, self.now).grants:
+            if step is Step.MAJORITY:
+                larger.append((number, member.views.view.member_numbers()))
+            if step in (Step.SELF_SUSPECT, Step.NOT_MEMBER) and standing_of(member, self.now).grants:
                 return f"n{number} grants in step {step.value}"
         for index, (number, view) in enumerate(larger):
             for other, its_view in larger[index + 1 :]:
@@ -260,25 +260,38 @@
                 parts.append(("down", self.back[number] - now))
                 continue
             records = sorted(
-                (one.member, *one.order(), now - one.since, one.sure, tuple(sorted(one.witnesses)))
-                for one in member.book.records.values()
+                (
+                    one.member,
+                    *one.precedence(),
+                    now - one.since,
+                    one.reported_dead,
+                    tuple(sorted(one.suspicion_reporters)),
+                )
+                for one in member.table.records.values()
             )
             probes = sorted(
-                (p.target, p.stage.value, p.due - now, p.again and p.again - now, p.for_whom or (), p.claim)
+                (
+                    p.target,
+                    p.stage.value,
+                    p.deadline - now,
+                    p.repeat_at and p.repeat_at - now,
+                    p.on_behalf_of or (),
+                    p.checks_claim,
+                )
                 for p in member.prober.probes.values()
             )
-            fresh = sorted(member.book.fresh.items())
+            fresh = sorted(member.table.pending_gossip.items())
             own = (
-                *(member.own.state.value, member.own.life, member.own.incarnation),
-                *(member.doubt, member.prober.health),
+                *(member.own.state.value, member.own.generation, member.own.incarnation),
+                *(member.suspects_itself, member.prober.local_health),
             )
             timers = (
-                member.prober.next_at - now,
-                member.knock_at - now,
-                member.news_at and member.news_at - now,
+                member.prober.next_probe_at - now,
+                member.reconnect_at - now,
+                member.gossip_at and member.gossip_at - now,
             )
-            view = (member.views.view.number, member.views.view.digest, member.prober.turn % 2)
-            heard = sorted((m, now - at) for m, at in member.prober.heard.items())
+            view = (member.views.view.number, member.views.view.digest, member.prober.period_count % 2)
+            heard = sorted((m, now - at) for m, at in member.prober.last_contact.items())
             parts.append(
                 (*own, *timers, *view, records, probes, fresh, heard, self.paused.get(number, now) - now)
             )
@@ -378,16 +391,16 @@
 class Meek(Member):
     """A bug put in on purpose: it does not deny its own death."""
 
-    def _of_me(self, rumour: Any, now: int) -> None:
+    def _refute(self, rumour: Any, now: int) -> None:
         if rumour.state is not State.DEAD:
-            super()._of_me(rumour, now)
+            super()._refute(rumour, now)
 
 
 class Proud(Member):
     """A bug put in on purpose: after a standstill it does not doubt itself."""
 
-    def _look(self, now: int) -> None:
-        self.seen_at = max(now, self.seen_at)
+    def _detect_stall(self, now: int) -> None:
+        self.last_run_at = max(now, self.last_run_at)
 
 
 MUTANTS: dict[str, Make] = {"": Member, "meek": Meek, "proud": Proud}
--- a/pepperrun/lab/measure.py
+++ b/pepperrun/lab/measure.py
@@ -248,7 +248,7 @@
     times: dict[str, list[float]] = {kind: [] for kind in kinds}
     views: list[float] = []
     # What each has to say of a start of hundreds goes on for seconds after all hold one view.
-    world.run(QUIET_S, lambda: not any(world.member(number).news_at for number in world.up()))
+    world.run(QUIET_S, lambda: not any(world.member(number).gossip_at for number in world.up()))
     datagrams, size, began = world.datagrams, world.bytes, world.now
     world.run(IDLE_S)
     idle = world.datagrams - datagrams, world.bytes - size
--- a/pepperrun/lab/scenario.py
+++ b/pepperrun/lab/scenario.py
@@ -13,7 +13,7 @@
 import msgspec
 from msgspec import Meta
 
-from pepperrun.membership.wire import WORDS
+from pepperrun.membership.wire import STATE_NAMES
 
 Seconds = Annotated[float, Meta(ge=0, le=3600)]
 Share = Annotated[float, Meta(ge=0, le=1)]
@@ -37,7 +37,7 @@
     "worker_slow",
     "lists_late",
 ]
-STATES = tuple(WORDS.values())
+STATES = tuple(STATE_NAMES.values())
 NEEDS_NAMES = ("kill", "stop", "pause", "start", "starve", "clock", "twin", "rename", "replace")
 
 
--- a/pepperrun/lab/verdict.py
+++ b/pepperrun/lab/verdict.py
@@ -12,7 +12,7 @@
 from pepperrun.lab.load import CLASSES
 from pepperrun.lab.run import Seen
 from pepperrun.lab.scenario import Plan, zone_of
-from pepperrun.membership.steps import Quota, quota_error, restart_error
+from pepperrun.membership.steps import Quota, quota_error_bound, restart_error_bound
 from pepperrun.model.service import Ask, Service, inside_quota, service
 
 WORTHS = (1.0, 5.0)
@@ -79,9 +79,9 @@
     for since, until in sorted({(since, until) for since, until, _, _ in cuts}):
         apart = {one for a, b, one, other in cuts if (a, b) == (since, until) and {one, other} <= mine}
         if apart:
-            total += quota_error(quota, spread // 2, (until - since) / S, FOUND_S)
+            total += quota_error_bound(quota, spread // 2, (until - since) / S, FOUND_S)
     restarted = [down for down in seen.downs if int(down[0][1:]) in mine and down[3] != "pause"]
-    total += restart_error(quota, len(restarted))
+    total += restart_error_bound(quota, len(restarted))
     # Whose name is refused goes on with its slice beside those that hold the whole.
     refused = len(mine & {int(name[1:]) for name in seen.scenario.must.refused})
     total += quota.rate * refused / spread * seen.scenario.seconds
--- a/pepperrun/lab/virtual.py
+++ b/pepperrun/lab/virtual.py
@@ -13,13 +13,13 @@
 from functools import partial
 
 from pepperrun.core.clock import SECOND
-from pepperrun.membership.keys import Keys
+from pepperrun.membership.keys import KeyRing
 from pepperrun.membership.member import Member
-from pepperrun.membership.states import Config, Happened, Me
+from pepperrun.membership.states import MemberConfig, MembershipEvent, OwnState
 from pepperrun.membership.wire import State
 
 MS = 1_000_000
-KEYS = Keys({1: bytes(range(32))})
+KEYS = KeyRing({1: bytes(range(32))})
 
 
 @dataclass(slots=True)
@@ -53,7 +53,7 @@
         seed: int,
         path: Path | None = None,
         turn_ns: int = 0,
-        config: Callable[..., Config] = Config,
+        config: Callable[..., MemberConfig] = MemberConfig,
     ) -> None:
         self.count, self.random, self.path = count, random.Random(seed), path or Path()
         self.paths: dict[tuple[int, int], Path] = {}
@@ -61,9 +61,9 @@
         self.now, self.order = SECOND, 0
         self.queue: list[tuple[int, int, Callable[[], object]]] = []
         self.config, self.turn_ns = config, turn_ns
-        self.happened: list[tuple[int, Happened]] = []  # at whom
+        self.happened: list[tuple[int, MembershipEvent]] = []  # at whom
         self.datagrams = self.bytes = 0
-        self.wanted: list[Callable[[int, Happened], None]] = []
+        self.wanted: list[Callable[[int, MembershipEvent], None]] = []
 
     # Time.
 
@@ -92,7 +92,7 @@
         config = self.config(number, self.count, name or f"n{number}", KEYS)
         seed = self.random.randrange(2**32)
         member = Member(config, life or self.now // (SECOND // 10), seed, self.now)
-        member.told_of = partial(self._told, number)
+        member.on_event = partial(self._told, number)
         host.member, host.paused, host.waiting = member, False, []
         self._wake(number)
         return member
@@ -201,11 +201,11 @@
     def _after(self, number: int) -> None:
         host = self.hosts[number]
         if host.member is not None:
-            for receiver, data in host.member.outbox.take_out():
+            for receiver, data in host.member.outbox.take_outgoing():
                 self._send(number, receiver, data)
             self._wake(number)
 
-    def _told(self, number: int, what: Happened) -> None:
+    def _told(self, number: int, what: MembershipEvent) -> None:
         self.happened.append((number, what))
         for wanted in self.wanted:
             wanted(number, what)
@@ -216,16 +216,16 @@
         """Do all of these (all that are up) hold one view, of just them?"""
         numbers = self.up() if numbers is None else numbers
         views = {self.member(n).views.view.digest for n in numbers}
-        sets = {self.member(n).views.view.numbers() for n in numbers}
+        sets = {self.member(n).views.view.member_numbers() for n in numbers}
         return len(views) == 1 and sets == {frozenset(numbers)}
 
     def settled(self) -> bool:
         """All are members and hold one view."""
-        return all(self.member(n).own.state is Me.MEMBER for n in self.up()) and self.agreed()
+        return all(self.member(n).own.state is OwnState.MEMBER for n in self.up()) and self.agreed()
 
     def holds_dead(self, number: int, dead: int) -> bool:
         """Does that one hold the other dead?"""
-        known = self.member(number).book.get(dead)
+        known = self.member(number).table.get(dead)
         return known is not None and known.state is State.DEAD
 
     def all_know(self, dead: int) -> bool:
--- a/pepperrun/membership/replay_guard.py
+++ b/pepperrun/membership/replay_guard.py
@@ -3,32 +3,37 @@
 from __future__ import annotations
 
 from pepperrun.membership.outbox import Outbox
-from pepperrun.membership.records import Book
-from pepperrun.membership.states import Own, Window
+from pepperrun.membership.records import MemberTable
+from pepperrun.membership.states import OwnRecord, ReplayWindow
 from pepperrun.membership.wire import Datagram, Kind
 
 
 class ReplayGuard:
     """Sequence numbers that were seen, by member and life."""
 
-    def __init__(self, own: Own, book: Book, outbox: Outbox, counts: dict[str, int]) -> None:
-        self.own, self.book, self.outbox, self.counts = own, book, outbox, counts
-        self.windows: dict[tuple[int, int], Window] = {}
+    def __init__(self, own: OwnRecord, table: MemberTable, outbox: Outbox, counters: dict[str, int]) -> None:
+        self.own, self.table, self.outbox, self.counters = own, table, outbox, counters
+        self.windows: dict[tuple[int, int], ReplayWindow] = {}
 
-    def in_order(self, datagram: Datagram) -> bool:
+    def accepts(self, datagram: Datagram) -> bool:
         """No replay: a new number of its life, and for this life of the receiver where that matters."""
-        known = self.book.get(datagram.sender)
-        if known is not None and known.life == datagram.life:
-            window = self.windows.setdefault((datagram.sender, datagram.life), Window())
-            if not window.new(datagram.sequence):
-                self.counts["replayed"] += 1
+        record = self.table.get(datagram.sender)
+        if record is not None and record.generation == datagram.generation:
+            window = self.windows.setdefault((datagram.sender, datagram.generation), ReplayWindow())
+            if not window.accept(datagram.sequence):
+                self.counters["replayed"] += 1
                 return False
-        if datagram.to_life != self.own.life and datagram.kind is not Kind.HELLO:
+        if datagram.receiver_generation != self.own.generation and datagram.kind is not Kind.SYNC_REQUEST:
             if datagram.kind is Kind.PING:
                 # The life that is asked for has ended: whoever answers here says which one this is.
-                self.outbox.post(datagram.sender, Kind.ACK, probe=datagram.probe, to_life=datagram.life)
+                self.outbox.post(
+                    datagram.sender,
+                    Kind.ACK,
+                    probe_id=datagram.probe_id,
+                    receiver_generation=datagram.generation,
+                )
             else:
-                self.counts["replayed"] += 1
+                self.counters["replayed"] += 1
             return False
         return True
 
@@ -36,6 +41,6 @@
         """It is taken from the roster."""
         self.windows = {key: window for key, window in self.windows.items() if key[0] != member}
 
-    def forget_life(self, member: int, life: int) -> None:
+    def forget_generation(self, member: int, generation: int) -> None:
         """A later life of it has come."""
-        self.windows.pop((member, life), None)
+        self.windows.pop((member, generation), None)
--- a/pepperrun/membership/report.py
+++ b/pepperrun/membership/report.py
@@ -8,53 +8,57 @@
 
 from pepperrun.admin.calls import Figure
 from pepperrun.membership.member import Member
-from pepperrun.membership.states import Happened
+from pepperrun.membership.states import MembershipEvent
 from pepperrun.membership.steps import step_of
-from pepperrun.membership.wire import NOBODY, WORDS, State
+from pepperrun.membership.wire import NO_MEMBER, STATE_NAMES, State
 
 
-def report(member: Member, names: Sequence[str], now: int) -> dict[str, Any]:
+def membership_report(member: Member, names: Sequence[str], now: int) -> dict[str, Any]:
     """All that this member knows, times in ms before now."""
     view, views = member.views.view, member.views
     rows = []
-    for number in sorted(member.roster.every):
-        known = member.book.get(number)
+    for number in sorted(member.roster.members):
+        record = member.table.get(number)
         row: dict[str, Any] = {"member": number, "name": names[number] if number < len(names) else ""}
         if number == member.me:
-            row |= {"state": member.own.state.value, "for_ms": _ms(now - member.moved_at)}
-            row |= {"life": member.own.life, "incarnation": member.own.incarnation}
-        elif known is None:
+            row |= {"state": member.own.state.value, "for_ms": _ms(now - member.state_changed_at)}
+            row |= {"life": member.own.generation, "incarnation": member.own.incarnation}
+        elif record is None:
             row |= {"state": "unknown"}
         else:
-            by = None if known.by == NOBODY else known.by
-            row |= {"state": WORDS[known.state], "for_ms": _ms(now - known.since), "by": by}
-            row |= {"life": known.life, "incarnation": known.incarnation, "witnesses": len(known.witnesses)}
-            heard = member.prober.heard.get(number)
+            by = None if record.reporter == NO_MEMBER else record.reporter
+            row |= {"state": STATE_NAMES[record.state], "for_ms": _ms(now - record.since), "by": by}
+            row |= {
+                "life": record.generation,
+                "incarnation": record.incarnation,
+                "witnesses": len(record.suspicion_reporters),
+            }
+            heard = member.prober.last_contact.get(number)
             row |= {"heard_ms": _ms(now - heard) if heard is not None else None}
             row |= {
-                "reached": number not in member.links.failed,
-                "answers_in_ms": _ms(member.links.delay(number).mean),
+                "reached": number not in member.links.unreachable,
+                "answers_in_ms": _ms(member.links.round_trip(number).mean),
             }
         rows.append(row)
-    there = sorted(view.numbers())
+    present = sorted(view.member_numbers())
     return {
         "me": member.me,
         "state": member.own.state.value,
         "step": step_of(member, now).value,
         "side": member.side().value,
-        "doubt": member.doubt,
-        "health": member.prober.health,
+        "doubt": member.suspects_itself,
+        "health": member.prober.local_health,
         "view": {
             "number": view.number,
             "digest": f"{view.digest:08x}",
-            "members": there,
-            "for_ms": _ms(now - view.at),
-            "passed": views.passed,
+            "members": present,
+            "for_ms": _ms(now - view.installed_at),
+            "passed": views.installed_count,
         },
-        "other_views": views.apart(there),
-        "cuts": member.links.cuts(there),
+        "other_views": views.differing(present),
+        "cuts": member.links.unreachable_pairs(present),
         "members": rows,
-        "counts": member.counts,
+        "counts": member.counters,
     }
 
 
@@ -64,25 +68,25 @@
 
 def events_since(member: Member, at: int) -> list[dict[str, Any]]:
     """What has happened since a time on the machine's monotonic clock, ns."""
-    return [_event(one) for one in member.events if one.at > at]
+    return [_event_row(one) for one in member.events if one.at > at]
 
 
-def _event(one: Happened) -> dict[str, Any]:
+def _event_row(one: MembershipEvent) -> dict[str, Any]:
     return {"at": one.at, "what": one.what, "member": one.member, "by": one.by, "detail": one.detail}
 
 
-def line(table: Any) -> bytes:
+def json_line(table: Any) -> bytes:
     """One line of JSON, as the second address answers."""
     return json.dumps(table, separators=(",", ":")).encode() + b"\n"
 
 
 def figures(member: Member) -> Iterator[Figure]:
     """For `telemetry`."""
-    there = member.views.view.numbers()
-    yield Figure("members.there", len(there), False)
+    present = member.views.view.member_numbers()
+    yield Figure("members.there", len(present), False)
     yield Figure("members.view", member.views.view.number, False)
-    yield Figure("members.suspected_now", len(member.book.others(State.SUSPECT)), False)
-    yield Figure("members.other_views", len(member.views.apart(sorted(there))), False)
-    yield Figure("members.views_passed", member.views.passed, True)
-    for name, value in member.counts.items():
+    yield Figure("members.suspected_now", len(member.table.others_in(State.SUSPECT)), False)
+    yield Figure("members.other_views", len(member.views.differing(sorted(present))), False)
+    yield Figure("members.views_passed", member.views.installed_count, True)
+    for name, value in member.counters.items():
         yield Figure(f"members.{name}", value, True)
--- a/pepperrun/membership/resume.py
+++ b/pepperrun/membership/resume.py
@@ -9,63 +9,76 @@
 
 from pepperrun.membership.member import Member
 from pepperrun.membership.records import Record
-from pepperrun.membership.states import Me
+from pepperrun.membership.states import OwnState
 from pepperrun.membership.views import View, digest_of
-from pepperrun.membership.wire import INCARNATIONS, LIVES, State
+from pepperrun.membership.wire import GENERATION_LIMIT, INCARNATION_LIMIT, State
 
-JUMP = 500_000  # sequence numbers that a process leaves to the one before or after it
+SEQUENCE_GAP = 500_000  # sequence numbers that a process leaves to the one before or after it
 
 
-def state_of(member: Member) -> dict[str, Any]:
+def export_state(member: Member) -> dict[str, Any]:
     """What the next process needs, for JSON."""
     view = member.views.view
     return {
-        "count": member.count,
+        "count": member.member_count,
         "state": member.own.state.value,
-        "life": member.own.life,
+        "life": member.own.generation,
         "incarnation": member.own.incarnation,
         "sequence": member.outbox.sequence,
-        "names": sorted(member.names.held.items()),
+        "names": sorted(member.name_registry.name_hashes.items()),
         "records": [
-            [one.member, one.life, one.incarnation, int(one.state), one.by]
-            for one in member.book.records.values()
+            [one.member, one.generation, one.incarnation, int(one.state), one.reporter]
+            for one in member.table.records.values()
         ],
         "view": [view.number, sorted(view.members)],
     }
 
 
-def _whole(value: Any, most: int) -> int:
+def _checked_int(value: Any, most: int) -> int:
     if not isinstance(value, int) or isinstance(value, bool) or not 0 <= value < most:
         raise ValueError(f"{value!r} is out of range")
     return value
 
 
-def resume(member: Member, table: Any, now: int) -> None:
+def restore_state(member: Member, saved: Any, now: int) -> None:
     """Goes on from it; ValueError where it is no good, and the member is as it was."""
-    if not isinstance(table, dict) or table.get("count") != member.count:
+    if not isinstance(saved, dict) or saved.get("count") != member.member_count:
         raise ValueError("of another group")
-    state = Me(table["state"])
-    if state is not Me.MEMBER:
+    state = OwnState(saved["state"])
+    if state is not OwnState.MEMBER:
         return
-    life, incarnation = _whole(table["life"], LIVES), _whole(table["incarnation"], INCARNATIONS)
-    sequence = _whole(table["sequence"], LIVES)
+    generation, incarnation = (
+        _checked_int(saved["life"], GENERATION_LIMIT),
+        _checked_int(saved["incarnation"], INCARNATION_LIMIT),
+    )
+    sequence = _checked_int(saved["sequence"], GENERATION_LIMIT)
     records = {}
-    for number, its_life, its_incarnation, word, by in table["records"]:
+    for number, its_generation, its_incarnation, word, by in saved["records"]:
         one = Record(
-            _whole(number, member.count),
-            _whole(its_life, LIVES),
-            _whole(its_incarnation, INCARNATIONS),
+            _checked_int(number, member.member_count),
+            _checked_int(its_generation, GENERATION_LIMIT),
+            _checked_int(its_incarnation, INCARNATION_LIMIT),
             State(word),
             now,
-            _whole(by, 2**16),
+            _checked_int(by, 2**16),
         )
         records[one.member] = one
-    names = {_whole(number, member.count): _whole(name, 2**32) for number, name in table["names"]}
-    number, members = table["view"]
-    held = frozenset((_whole(one, member.count), _whole(its_life, LIVES)) for one, its_life in members)
-    view = View(_whole(number, LIVES), held, digest_of(held), now)
-    member.own.life, member.own.incarnation, member.outbox.sequence = life, incarnation, sequence + JUMP
-    member.own.state, member.names.held = state, names
-    member.book.records = records
-    member.book.changes += 1
-    member.views.view, member.views.candidate, member.views.most = view, held, view.number
+    names = {
+        _checked_int(number, member.member_count): _checked_int(name, 2**32)
+        for number, name in saved["names"]
+    }
+    number, members = saved["view"]
+    held = frozenset(
+        (_checked_int(one, member.member_count), _checked_int(its_generation, GENERATION_LIMIT))
+        for one, its_generation in members
+    )
+    view = View(_checked_int(number, GENERATION_LIMIT), held, digest_of(held), now)
+    member.own.generation, member.own.incarnation, member.outbox.sequence = (
+        generation,
+        incarnation,
+        sequence + SEQUENCE_GAP,
+    )
+    member.own.state, member.name_registry.name_hashes = state, names
+    member.table.records = records
+    member.table.version += 1
+    member.views.view, member.views.candidate, member.views.highest_number = view, held, view.number
--- a/pepperrun/membership/roster.py
+++ b/pepperrun/membership/roster.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 
-def place(member: int) -> int:
+def ring_position(member: int) -> int:
     """A listed member's place on the ring, the same to all: each is watched by those before it."""
     return int.from_bytes(hashlib.blake2b(member.to_bytes(4, "little"), digest_size=8).digest(), "little")
 
@@ -20,40 +20,40 @@
 
     def __init__(self, me: int) -> None:
         self.me = me
-        self.ids: dict[int, int] = {}
-        self.places: dict[int, Any] = {}
-        self.far: set[int] = set()
-        self._sort()
-
-    def _sort(self) -> None:
-        self.ring = sorted(self.ids, key=lambda member: self.places[member])
-        self.at = {member: at for at, member in enumerate(self.ring)}
-        self.every = frozenset(self.ids)
-        self.others = tuple(sorted(self.every - {self.me}))
-        self.bits = sum(1 << member for member in self.ids)
+        self.wire_ids: dict[int, int] = {}
+        self.ring_positions: dict[int, Any] = {}
+        self.remote: set[int] = set()
+        self._rebuild()
+
+    def _rebuild(self) -> None:
+        self.ring = sorted(self.wire_ids, key=lambda member: self.ring_positions[member])
+        self.ring_index = {member: at for at, member in enumerate(self.ring)}
+        self.members = frozenset(self.wire_ids)
+        self.others = tuple(sorted(self.members - {self.me}))
+        self.bitmap = sum(1 << member for member in self.wire_ids)
 
     def __len__(self) -> int:
-        return len(self.ids)
+        return len(self.wire_ids)
 
     def add(self, member: int, id: int, place: Any, far: bool = False) -> None:
         """Another one; `place` is its place on the ring, of one type for all."""
-        if self.ids.get(member) != id or self.places[member] != place:
-            self.ids[member], self.places[member] = id, place
-            self._sort()
-        (self.far.add if far else self.far.discard)(member)
+        if self.wire_ids.get(member) != id or self.ring_positions[member] != place:
+            self.wire_ids[member], self.ring_positions[member] = id, place
+            self._rebuild()
+        (self.remote.add if far else self.remote.discard)(member)
 
     def remove(self, member: int) -> None:
         """One that is not to come back, as far as is known."""
-        if self.ids.pop(member, None) is not None:
-            del self.places[member]
-            self.far.discard(member)
-            self._sort()
+        if self.wire_ids.pop(member, None) is not None:
+            del self.ring_positions[member]
+            self.remote.discard(member)
+            self._rebuild()
 
 
-def listed(me: int, count: int) -> Roster:
+def static_roster(me: int, count: int) -> Roster:
     """Members 0 to `count` - 1."""
     roster = Roster(me)
-    roster.ids = {member: member for member in range(count)}
-    roster.places = {member: place(member) for member in range(count)}
-    roster._sort()
+    roster.wire_ids = {member: member for member in range(count)}
+    roster.ring_positions = {member: ring_position(member) for member in range(count)}
+    roster._rebuild()
     return roster
--- a/pepperrun/membership/states.py
+++ b/pepperrun/membership/states.py
@@ -17,44 +17,44 @@
 from dataclasses import dataclass
 
 from pepperrun.core.clock import SECOND
-from pepperrun.membership.keys import Keys
+from pepperrun.membership.keys import KeyRing
 from pepperrun.membership.roster import Roster
-from pepperrun.membership.wire import Format
+from pepperrun.membership.wire import Codec
 
-WINDOW = 64  # datagrams may overtake each other by so many
+REPLAY_WINDOW = 64  # datagrams may overtake each other by so many
 
 
-class Me(enum.Enum):
+class OwnState(enum.Enum):
     """This member's own state."""
 
     JOINING = "joining"
     MEMBER = "member"
-    REFUSED = "refused"
+    REJECTED = "refused"
     LEFT = "left"
 
 
-class On(enum.Enum):
+class OwnEvent(enum.Enum):
     """What moves it."""
 
     WELCOMED = "welcomed"
     UNANSWERED = "unanswered"
-    TAKEN = "taken"
-    AGAIN = "again"
+    NAME_CONFLICT = "taken"
+    RETRY = "again"
     LEAVE = "leave"
 
 
-MOVES = {
-    (Me.JOINING, On.WELCOMED): Me.MEMBER,
-    (Me.JOINING, On.UNANSWERED): Me.MEMBER,
-    (Me.JOINING, On.TAKEN): Me.REFUSED,
-    (Me.MEMBER, On.TAKEN): Me.REFUSED,
-    (Me.REFUSED, On.AGAIN): Me.JOINING,
-    **{(state, On.LEAVE): Me.LEFT for state in Me},
+TRANSITIONS = {
+    (OwnState.JOINING, OwnEvent.WELCOMED): OwnState.MEMBER,
+    (OwnState.JOINING, OwnEvent.UNANSWERED): OwnState.MEMBER,
+    (OwnState.JOINING, OwnEvent.NAME_CONFLICT): OwnState.REJECTED,
+    (OwnState.MEMBER, OwnEvent.NAME_CONFLICT): OwnState.REJECTED,
+    (OwnState.REJECTED, OwnEvent.RETRY): OwnState.JOINING,
+    **{(state, OwnEvent.LEAVE): OwnState.LEFT for state in OwnState},
 }
 
 
 @dataclass(slots=True, frozen=True)
-class Config:
+class MemberConfig:
     """What a member is told: its number among so many, its name, the keys and the pace.
 
     `period_ns`: between two probes of its own; `suspect_ns`: how long a suspicion stands at least. Where the
@@ -64,26 +64,26 @@
     me: int
     count: int
     name: str
-    keys: Keys
-    period_ns: int = SECOND // 5
-    suspect_ns: int = SECOND // 4
+    keys: KeyRing
+    probe_period_ns: int = SECOND // 5
+    min_suspicion_ns: int = SECOND // 4
     roster: Roster | None = None
-    wire: Format | None = None
+    codec: Codec | None = None
 
 
 @dataclass(slots=True)
-class Own:
+class OwnRecord:
     """What a member says of itself with each datagram, `name` as a hash, and its state."""
 
     member: int
-    name: int
-    life: int
+    name_hash: int
+    generation: int
     incarnation: int = 0
-    state: Me = Me.JOINING
+    state: OwnState = OwnState.JOINING
 
 
 @dataclass(slots=True, frozen=True)
-class Happened:
+class MembershipEvent:
     """Something for people and rigs to see."""
 
     at: int
@@ -93,20 +93,22 @@
     detail: str = ""
 
 
-class Window:
+class ReplayWindow:
     """The sequence numbers that were seen of one life of a member."""
 
     def __init__(self) -> None:
-        self.last, self.bits = 0, 0
+        self.highest, self.seen_bits = 0, 0
 
-    def new(self, sequence: int) -> bool:
+    def accept(self, sequence: int) -> bool:
         """Was this one not seen, and is it not too old to tell? Then it counts as seen."""
-        if sequence > self.last:
-            self.bits = (self.bits << min(WINDOW, sequence - self.last) | 1) & ((1 << WINDOW) - 1)
-            self.last = sequence
+        if sequence > self.highest:
+            self.seen_bits = (self.seen_bits << min(REPLAY_WINDOW, sequence - self.highest) | 1) & (
+                (1 << REPLAY_WINDOW) - 1
+            )
+            self.highest = sequence
             return True
-        back = self.last - sequence
-        if back >= WINDOW or self.bits >> back & 1:
+        back = self.highest - sequence
+        if back >= REPLAY_WINDOW or self.seen_bits >> back & 1:
             return False
-        self.bits |= 1 << back
+        self.seen_bits |= 1 << back
         return True
--- a/pepperrun/membership/steps.py
+++ b/pepperrun/membership/steps.py
@@ -23,7 +23,7 @@
 from pepperrun.core.clock import SECOND
 from pepperrun.core.standing import Standing
 from pepperrun.membership.member import Member
-from pepperrun.membership.states import Me
+from pepperrun.membership.states import OwnState
 from pepperrun.membership.views import Side
 from pepperrun.membership.wire import State
 
@@ -33,32 +33,32 @@
 class Step(enum.Enum):
     """A row of the table."""
 
-    WHOLE = "whole"
-    WITHOUT = "without"
-    SLICES = "slices"
-    NEW = "new"
-    DOUBT = "doubt"
-    GONE = "gone"
+    COMPLETE = "whole"
+    MAJORITY = "without"
+    LOCAL_BUCKETS = "slices"
+    JOINED_RECENTLY = "new"
+    SELF_SUSPECT = "doubt"
+    NOT_MEMBER = "gone"
 
 
 def step_of(member: Member, now: int) -> Step:
     """The step in force."""
-    if member.own.state in (Me.LEFT, Me.REFUSED):
-        return Step.GONE
-    if member.doubt:
-        return Step.DOUBT
-    lately = min(now - member.moved_at, now - member.returned_at)
-    if member.own.state is Me.JOINING or lately < FENCE_NS:
-        return Step.NEW
+    if member.own.state in (OwnState.LEFT, OwnState.REJECTED):
+        return Step.NOT_MEMBER
+    if member.suspects_itself:
+        return Step.SELF_SUSPECT
+    lately = min(now - member.state_changed_at, now - member.rejoined_at)
+    if member.own.state is OwnState.JOINING or lately < FENCE_NS:
+        return Step.JOINED_RECENTLY
     side = member.side()
-    if side is Side.WHOLE:
-        return Step.WHOLE
-    return Step.WITHOUT if side is Side.MAJORITY else Step.SLICES
+    if side is Side.COMPLETE:
+        return Step.COMPLETE
+    return Step.MAJORITY if side is Side.MAJORITY else Step.LOCAL_BUCKETS
 
 
-def until(member: Member, now: int) -> int | None:
+def next_step_change(member: Member, now: int) -> int | None:
     """When the step changes by time alone; None where it does not."""
-    ends = [at + FENCE_NS for at in (member.moved_at, member.returned_at)]
+    ends = [at + FENCE_NS for at in (member.state_changed_at, member.rejoined_at)]
     ahead = [end for end in ends if end > now]
     return min(ahead) if ahead else None
 
@@ -66,17 +66,32 @@
 def standing_of(member: Member, now: int) -> Standing:
     """What the decisions are told. Who is suspected keeps no store, though it still counts as there."""
     step = step_of(member, now)
-    there = member.views.view.numbers()
-    suspects = member.book.others(State.SUSPECT, State.DEAD, State.LEFT)
-    lost = frozenset(m for m in member.roster.every if m not in there) | frozenset(suspects)
+    present = member.views.view.member_numbers()
+    suspects = member.table.others_in(State.SUSPECT, State.DEAD, State.LEFT)
+    lost = frozenset(m for m in member.roster.members if m not in present) | frozenset(suspects)
     lost -= {member.me}
-    if step is Step.NEW and not there:
+    if step is Step.JOINED_RECENTLY and not present:
         lost = frozenset()  # it knows of nobody yet: asking a keeper that is not there costs one ask
     # Back from the smaller side it goes on as it did there: what was used on the other is on its way here.
-    back = step is Step.NEW and now - member.moved_at >= FENCE_NS and bool(member.apart)
-    missing = member.apart if back else lost if step is Step.SLICES else frozenset()
-    slices = step in (Step.NEW, Step.DOUBT, Step.GONE) and not back or step is Step.SLICES and len(there) < 2
-    return Standing(True, lost, missing, slices, step not in (Step.DOUBT, Step.GONE))
+    rejoined_from_minority = (
+        step is Step.JOINED_RECENTLY
+        and now - member.state_changed_at >= FENCE_NS
+        and bool(member.previously_missing)
+    )
+    missing = (
+        member.previously_missing
+        if rejoined_from_minority
+        else lost
+        if step is Step.LOCAL_BUCKETS
+        else frozenset()
+    )
+    slices = (
+        step in (Step.JOINED_RECENTLY, Step.SELF_SUSPECT, Step.NOT_MEMBER)
+        and not rejoined_from_minority
+        or step is Step.LOCAL_BUCKETS
+        and len(present) < 2
+    )
+    return Standing(True, lost, missing, slices, step not in (Step.SELF_SUSPECT, Step.NOT_MEMBER))
 
 
 @dataclass(slots=True, frozen=True)
@@ -88,19 +103,23 @@
     spread: int
 
 
-def quota_error(quota: Quota, behind: int, cut_s: float, found_s: float) -> float:
+def quota_error_bound(quota: Quota, minority_gateways: int, partition_s: float, detection_s: float) -> float:
     """Units beyond a quota that a cut of `cut_s` may let through, `behind` of the spread on the smaller side.
 
     Until the cut is found (`found_s`) both sides hold the whole, a store's burst each once; from then on the
     larger side has the whole rate and the smaller one its slices. Two that let go at once between two
     messages are the ordinary path's own error and not counted here.
     """
-    if behind <= 0 or quota.spread <= 1:
+    if minority_gateways <= 0 or quota.spread <= 1:
         return 0.0
-    found = min(cut_s, found_s)
-    return quota.burst + quota.rate * found + quota.rate * behind / quota.spread * max(0.0, cut_s - found)
+    detected_s = min(partition_s, detection_s)
+    return (
+        quota.burst
+        + quota.rate * detected_s
+        + quota.rate * minority_gateways / quota.spread * max(0.0, partition_s - detected_s)
+    )
 
 
-def restart_error(quota: Quota, restarted: int) -> float:
+def restart_error_bound(quota: Quota, restarted: int) -> float:
     """Units beyond a quota when so many of its gatekeepers restart together: each begins with its part."""
     return quota.burst * min(restarted, quota.spread) / quota.spread
--- a/pepperrun/membership/suspicion.py
+++ b/pepperrun/membership/suspicion.py
@@ -16,53 +16,61 @@
 import math
 
 from pepperrun.membership.probing import Prober
-from pepperrun.membership.records import Book, Record
-from pepperrun.membership.views import LOOK_NS
+from pepperrun.membership.records import MemberTable, Record
+from pepperrun.membership.views import RECHECK_NS
 from pepperrun.membership.wire import State
 
 WATCHERS = 4  # look for themselves whether a suspected member is there
-AGREE = 3  # of them, this one's own probe included, bury it at once
-LONGER = 6  # times as long where nobody agrees
+REQUIRED_CONFIRMATIONS = 3  # of them, this one's own probe included, bury it at once
+MAX_TIMEOUT_FACTOR = 6  # times as long where nobody agrees
 
 
-class Suspicions:
+class SuspicionTimers:
     """Judges the suspected ones of a book."""
 
-    def __init__(self, book: Book, prober: Prober, least_ns: int) -> None:
-        self.book, self.prober, self.least_ns = book, prober, least_ns
-        self.looked: dict[int, tuple[int, int]] = {}  # whom this one has looked for: life and incarnation
+    def __init__(self, table: MemberTable, prober: Prober, min_suspicion_ns: int) -> None:
+        self.table, self.prober, self.min_suspicion_ns = table, prober, min_suspicion_ns
+        self.verified: dict[int, tuple[int, int]] = {}  # whom this one has looked for: life and incarnation
 
-    def needed(self) -> int:
+    def required_confirmations(self) -> int:
         """So many besides the first have to agree."""
-        return max(0, min(AGREE, len(self.book.others(State.ALIVE)) + 1) - 1)
+        return max(0, min(REQUIRED_CONFIRMATIONS, len(self.table.others_in(State.ALIVE)) + 1) - 1)
 
-    def burial(self, known: Record) -> int:
+    def expires_at(self, record: Record) -> int:
         """When a suspicion becomes a death, if it is not heard."""
-        least, agreed, needed = self.least_ns, len(known.witnesses) - 1, self.needed()
-        answer = self.prober.usual(known.member)
-        if known.sure:
-            return known.since + least + answer
-        part = math.log(agreed + 1) / math.log(needed + 1) if needed else 0.5
-        span = max(least, LONGER * least - (LONGER - 1) * least * part)
+        min_timeout, confirmations, required = (
+            self.min_suspicion_ns,
+            len(record.suspicion_reporters) - 1,
+            self.required_confirmations(),
+        )
+        answer_time = self.prober.base_timeout(record.member)
+        if record.reported_dead:
+            return record.since + min_timeout + answer_time
+        part = math.log(confirmations + 1) / math.log(required + 1) if required else 0.5
+        span = max(
+            min_timeout, MAX_TIMEOUT_FACTOR * min_timeout - (MAX_TIMEOUT_FACTOR - 1) * min_timeout * part
+        )
         # Enough agree: who is patient because it fares badly itself does not hold them up.
-        patience = 1 if agreed >= needed and needed else 1 + self.prober.health
-        return known.since + int(span * patience) + answer
+        patience = 1 if confirmations >= required and required else 1 + self.prober.local_health
+        return record.since + int(span * patience) + answer_time
 
-    def ripe(self, known: Record, now: int) -> bool:
+    def is_expired(self, record: Record, now: int) -> bool:
         """Is it to be buried now?"""
-        heard = self.prober.heard.get(known.member, 0) > known.since
-        return now >= self.burial(known) and not (heard and now - known.since < LONGER * self.least_ns)
+        heard = self.prober.last_contact.get(record.member, 0) > record.since
+        return now >= self.expires_at(record) and not (
+            heard and now - record.since < MAX_TIMEOUT_FACTOR * self.min_suspicion_ns
+        )
 
-    def due(self, known: Record, now: int) -> int:
+    def next_check_at(self, record: Record, now: int) -> int:
         """When to look at it again."""
-        burial = self.burial(known)
-        return burial if burial > now else now + LOOK_NS
+        expires_at = self.expires_at(record)
+        return expires_at if expires_at > now else now + RECHECK_NS
 
-    def watch(self, known: Record, now: int) -> None:
+    def verify(self, record: Record, now: int) -> None:
         """Looks for itself, once, whether it is there, if this one is among those to do so."""
-        looked = self.looked.get(known.member) == (known.life, known.incarnation)
-        if looked or self.book.me in known.witnesses or self.prober.asking(known.member):
+        verified = self.verified.get(record.member) == (record.generation, record.incarnation)
+        if verified or self.table.me in record.suspicion_reporters or self.prober.is_probing(record.member):
             return
-        if self.book.me in self.book.watchers(known.member, WATCHERS):
-            self.looked[known.member] = known.life, known.incarnation
-            self.prober.ask(known.member, now)
+        if self.table.me in self.table.watchers(record.member, WATCHERS):
+            self.verified[record.member] = record.generation, record.incarnation
+            self.prober.start_probe(record.member, now)
--- a/pepperrun/membership/wire.py
+++ b/pepperrun/membership/wire.py
@@ -23,17 +23,17 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from pepperrun.membership.keys import TAG, Keys
+from pepperrun.membership.keys import TAG_BYTES, KeyRing
 
-MARK = 0xB1
-MOST = 256
-NOBODY = 0xFFFF  # a subject or witness that is none
-MOST_MEMBERS = 1024  # a row and a rumour then still fit
+MAGIC = 0xB1
+MAX_DATAGRAM_BYTES = 256
+NO_MEMBER = 0xFFFF  # a subject or witness that is none
+MAX_MEMBERS = 1024  # a row and a rumour then still fit
 _HEADER = struct.Struct("<BBBBHHIIIHHIIIBBB")
-_RUMOUR = struct.Struct("<HIHHB")
+_UPDATE = struct.Struct("<HIHHB")
 _ROW = struct.Struct("<HH")
-LIVES = 2**32
-INCARNATIONS = 2**16
+GENERATION_LIMIT = 2**32
+INCARNATION_LIMIT = 2**16
 
 
 class Kind(enum.IntEnum):
@@ -41,12 +41,12 @@
 
     PING = 1  # answer with an ACK of this probe
     ACK = 2
-    ASK = 3  # ping `subject` for me
+    PING_REQ = 3  # ping `subject` for me
     NACK = 4  # `subject` did not answer me in time either: the asker's own path is fine
-    HELLO = 5  # tell me all that you know
-    WELCOME = 6  # a part of that
-    NEWS = 7  # rumours only
-    TAKEN = 8  # `subject` has this name or number already
+    SYNC_REQUEST = 5  # tell me all that you know
+    SYNC_REPLY = 6  # a part of that
+    GOSSIP = 7  # rumours only
+    NAME_CONFLICT = 8  # `subject` has this name or number already
 
 
 class State(enum.IntEnum):
@@ -58,29 +58,29 @@
     LEFT = 3
 
 
-WORDS = {State.ALIVE: "there", State.SUSPECT: "suspected", State.DEAD: "dead", State.LEFT: "left"}
+STATE_NAMES = {State.ALIVE: "there", State.SUSPECT: "suspected", State.DEAD: "dead", State.LEFT: "left"}
 _KINDS = {int(kind): kind for kind in Kind}
 _STATES = {int(state): state for state in State}
 
 
 @dataclass(slots=True, frozen=True)
-class Rumour:
+class Update:
     """What `witness` says of a member."""
 
     member: int
-    life: int
+    generation: int
     incarnation: int
     state: State
-    witness: int = NOBODY
+    reporter: int = NO_MEMBER
 
 
 @dataclass(slots=True, frozen=True)
-class Row:
+class ReachabilityRow:
     """Whom a member reaches: bit j for member j. Later versions hold."""
 
     member: int
     version: int
-    bits: int
+    bitmap: int
 
 
 @dataclass(slots=True)
@@ -89,30 +89,30 @@
 
     kind: Kind
     sender: int
-    life: int
-    to_life: int = 0
+    generation: int
+    receiver_generation: int = 0
     sequence: int = 0
-    subject: int = NOBODY
-    probe: int = 0
+    subject: int = NO_MEMBER
+    probe_id: int = 0
     incarnation: int = 0
-    name: int = 0
-    view: int = 0
-    digest: int = 0
-    health: int = 0
-    rumours: list[Rumour] = field(default_factory=list)
-    rows: list[Row] = field(default_factory=list)
+    name_hash: int = 0
+    view_number: int = 0
+    view_digest: int = 0
+    local_health: int = 0
+    updates: list[Update] = field(default_factory=list)
+    rows: list[ReachabilityRow] = field(default_factory=list)
 
 
-class Format(Protocol):
+class Codec(Protocol):
     """How a group's datagrams are written: of listed members by their numbers, or of learnt ones."""
 
     def pack(self, datagram: Datagram) -> bytes: ...
 
     def unpack(self, data: bytes) -> Datagram | None: ...
 
-    def room(self, rows: int) -> int: ...
+    def update_capacity(self, rows: int) -> int: ...
 
-    def rows_room(self, rumours: int) -> int: ...
+    def row_capacity(self, updates: int) -> int: ...
 
 
 def name_hash(name: str) -> int:
@@ -125,47 +125,59 @@
     return (members + 7) // 8
 
 
-def room(members: int, rows: int) -> int:
+def update_capacity(members: int, rows: int) -> int:
     """How many rumours fit beside so many rows."""
-    taken = _HEADER.size + TAG + rows * (_ROW.size + row_bytes(members))
-    return max(0, (MOST - taken) // _RUMOUR.size)
+    taken = _HEADER.size + TAG_BYTES + rows * (_ROW.size + row_bytes(members))
+    return max(0, (MAX_DATAGRAM_BYTES - taken) // _UPDATE.size)
 
 
-def rows_room(members: int, rumours: int) -> int:
+def row_capacity(members: int, updates: int) -> int:
     """How many rows fit beside so many rumours."""
-    taken = _HEADER.size + TAG + rumours * _RUMOUR.size
-    return max(0, (MOST - taken) // (_ROW.size + row_bytes(members)))
+    taken = _HEADER.size + TAG_BYTES + updates * _UPDATE.size
+    return max(0, (MAX_DATAGRAM_BYTES - taken) // (_ROW.size + row_bytes(members)))
 
 
-def pack(datagram: Datagram, members: int, keys: Keys) -> bytes:
+def pack(datagram: Datagram, members: int, keys: KeyRing) -> bytes:
     """The signed bytes; ValueError where they would be too many."""
     width = row_bytes(members)
     parts = [
         _HEADER.pack(
-            *(MARK, keys.signing, datagram.kind, min(255, datagram.health)),
-            *(datagram.sender, datagram.subject, datagram.life, datagram.to_life, datagram.sequence % LIVES),
-            *(datagram.probe, datagram.incarnation, datagram.name, datagram.view % LIVES, datagram.digest),
-            *(len(datagram.rumours), len(datagram.rows), width),
+            *(MAGIC, keys.signing_id, datagram.kind, min(255, datagram.local_health)),
+            *(
+                datagram.sender,
+                datagram.subject,
+                datagram.generation,
+                datagram.receiver_generation,
+                datagram.sequence % GENERATION_LIMIT,
+            ),
+            *(
+                datagram.probe_id,
+                datagram.incarnation,
+                datagram.name_hash,
+                datagram.view_number % GENERATION_LIMIT,
+                datagram.view_digest,
+            ),
+            *(len(datagram.updates), len(datagram.rows), width),
         )
     ]
     parts += [
-        _RUMOUR.pack(one.member, one.life, one.incarnation, one.witness, one.state)
-        for one in datagram.rumours
+        _UPDATE.pack(one.member, one.generation, one.incarnation, one.reporter, one.state)
+        for one in datagram.updates
     ]
     for row in datagram.rows:
-        parts.append(_ROW.pack(row.member, row.version) + row.bits.to_bytes(width, "little"))
+        parts.append(_ROW.pack(row.member, row.version) + row.bitmap.to_bytes(width, "little"))
     data = b"".join(parts)
-    if len(data) + TAG > MOST:
-        raise ValueError(f"a datagram of {len(data) + TAG} bytes")
-    return data + keys.tag(data, keys.signing)
+    if len(data) + TAG_BYTES > MAX_DATAGRAM_BYTES:
+        raise ValueError(f"a datagram of {len(data) + TAG_BYTES} bytes")
+    return data + keys.tag(data, keys.signing_id)
 
 
-def unpack(data: bytes, members: int, keys: Keys) -> Datagram | None:
+def unpack(data: bytes, members: int, keys: KeyRing) -> Datagram | None:
     """The datagram in these bytes; None where it is garbled, forged, of another version or says nonsense."""
-    if not _HEADER.size + TAG <= len(data) <= MOST or data[0] != MARK:
+    if not _HEADER.size + TAG_BYTES <= len(data) <= MAX_DATAGRAM_BYTES or data[0] != MAGIC:
         return None
-    body, tag = data[:-TAG], data[-TAG:]
-    if not keys.genuine(body, data[1], tag):
+    body, tag = data[:-TAG_BYTES], data[-TAG_BYTES:]
+    if not keys.verify(body, data[1], tag):
         return None
     (
         _,
@@ -174,8 +186,8 @@
         health,
         sender,
         subject,
-        life,
-        to_life,
+        generation,
+        receiver_generation,
         sequence,
         probe,
         incarnation,
@@ -184,8 +196,8 @@
         digest,
         *counts,
     ) = _HEADER.unpack_from(body)
-    rumours, rows, width = counts
-    rows_at = _HEADER.size + rumours * _RUMOUR.size
+    updates, rows, width = counts
+    rows_at = _HEADER.size + updates * _UPDATE.size
     wide = width == row_bytes(members)
     if (
         not wide
@@ -198,8 +210,8 @@
         *(
             _KINDS[kind],
             sender,
-            life,
-            to_life,
+            generation,
+            receiver_generation,
             sequence,
             subject,
             probe,
@@ -210,36 +222,36 @@
             health,
         )
     )
-    for member, its_life, its_incarnation, witness, state in _RUMOUR.iter_unpack(
+    for member, its_generation, its_incarnation, reporter, state in _UPDATE.iter_unpack(
         body[_HEADER.size : rows_at]
     ):
-        if member >= members or state not in _STATES or not (witness < members or witness == NOBODY):
+        if member >= members or state not in _STATES or not (reporter < members or reporter == NO_MEMBER):
             return None
-        datagram.rumours.append(Rumour(member, its_life, its_incarnation, _STATES[state], witness))
+        datagram.updates.append(Update(member, its_generation, its_incarnation, _STATES[state], reporter))
     for at in range(rows_at, len(body), _ROW.size + width):
         member, version = _ROW.unpack_from(body, at)
         if member >= members:
             return None
         bits = int.from_bytes(body[at + _ROW.size : at + _ROW.size + width], "little")
-        datagram.rows.append(Row(member, version, bits & ((1 << members) - 1)))
+        datagram.rows.append(ReachabilityRow(member, version, bits & ((1 << members) - 1)))
     return datagram
 
 
 @dataclass(slots=True, frozen=True)
-class Listed:
+class SignedCodec:
     """The format of a listed group, signed."""
 
-    members: int
-    keys: Keys
+    member_count: int
+    keys: KeyRing
 
     def pack(self, datagram: Datagram) -> bytes:
-        return pack(datagram, self.members, self.keys)
+        return pack(datagram, self.member_count, self.keys)
 
     def unpack(self, data: bytes) -> Datagram | None:
-        return unpack(data, self.members, self.keys)
+        return unpack(data, self.member_count, self.keys)
 
-    def room(self, rows: int) -> int:
-        return room(self.members, rows)
+    def update_capacity(self, rows: int) -> int:
+        return update_capacity(self.member_count, rows)
 
-    def rows_room(self, rumours: int) -> int:
-        return rows_room(self.members, rumours)
+    def row_capacity(self, updates: int) -> int:
+        return row_capacity(self.member_count, updates)
--- a/pepperrun/serve.py
+++ b/pepperrun/serve.py
@@ -41,7 +41,7 @@
 if TYPE_CHECKING:
     from pepperrun.capture.recorder import Recorder
     from pepperrun.handover.predecessor import Predecessor
-    from pepperrun.membership.config import MembersConfig
+    from pepperrun.membership.config import MembershipConfig
     from pepperrun.metrics import MetricsConfig, Reporter, Sample
     from pepperrun.parking.config import ClientsConfig
     from pepperrun.parking.lot import Lot
@@ -317,21 +317,24 @@
             raise ValueError("listen: missing, and NODE_CONFIG is not set")
         return config, auth, figures, clients
 
-    def membership(self, config: Config) -> MembersConfig | None:
+    def membership(self, config: Config) -> MembershipConfig | None:
         """What switches membership on; None where it is off. ValueError where it can't be."""
         if self.members is None and config.members is None:
             return None
-        from pepperrun.membership.config import members_of, read_members  # only where asked for
+        from pepperrun.membership.config import (  # only where asked for
+            membership_from_json,
+            membership_from_table,
+        )
 
         if self.members is not None:
             path = Path(self.members)
             try:
-                found = read_members(path.read_text(encoding="utf-8"), path.parent)
+                found = membership_from_json(path.read_text(encoding="utf-8"), path.parent)
             except ValueError as error:
                 raise ValueError(f"{path}: {error}") from None
         else:
-            found = members_of(config.members or {}, Path(self.config or "").parent)
-        found.keys()
+            found = membership_from_table(config.members or {}, Path(self.config or "").parent)
+        found.load_keys()
         if config.peer_listen is None or not config.settings.peer_messages:
             raise ValueError("members: peer_listen is missing, or the settings allow no messages")
         return found
--- a/pepperrun/simulation/nodes.py
+++ b/pepperrun/simulation/nodes.py
@@ -25,8 +25,8 @@
 from pepperrun.exchange import Exchange
 from pepperrun.foundation import link
 from pepperrun.foundation.settings import Settings, parse
-from pepperrun.membership.gateway_probe_service import GatewayProbes
-from pepperrun.membership.gateway_probe_wire import MARK
+from pepperrun.membership.gateway_probe_service import GatewayProbeService
+from pepperrun.membership.gateway_probe_wire import MAGIC
 from pepperrun.net.connection import AbandonReason, Attempt
 from pepperrun.net.http1 import Request, Response
 from pepperrun.net.server_side import ServerSide
@@ -172,11 +172,11 @@
         book.on_workers.append(self.plane.on_workers)
         book.on_gateways.append(self._on_gateways)
         peer_messages = self.plane.peer_messages
-        self.probes = GatewayProbes(
+        self.probes = GatewayProbeService(
             *(self.settings, self.life, seed ^ 1, peer_messages.send, self._on_probes), clock=loop.clock
         )
-        peer_messages.others[MARK] = self.probes.received
-        self.news.follower.parents.is_present = self.probes.there
+        peer_messages.others[MAGIC] = self.probes.on_datagram
+        self.news.follower.parents.is_present = self.probes.is_present
         loop.datagrams(PORT, peer_messages)
         spawn(loop, self.news.start())
         self._look()
@@ -192,7 +192,7 @@
         self._on_probes()
 
     def _on_probes(self) -> None:
-        self.plane.stand(self.probes.absent(), self.probes.doubt)
+        self.plane.stand(self.probes.absent_gateways(), self.probes.suspects_itself)
         self.news.membership_changed()
 
     def _known_life(self) -> int:
--- a/pepperrun/tool/application.py
+++ b/pepperrun/tool/application.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from pepperrun.config import get, parse_address, read_config
-from pepperrun.membership.config import members_of
+from pepperrun.membership.config import membership_from_table
 
 _TIME = re.compile(r"([0-9]+(?:\.[0-9]+)?)(ms|s|us)\Z")
 _UNITS = {"s": 1_000_000_000, "ms": 1_000_000, "us": 1_000}
@@ -212,7 +212,7 @@
             "suspect_ms": time_ns(part, "suspect", "250ms") / 1e6,
             "names": names,
         }
-        members_of(found, Path())
+        membership_from_table(found, Path())
     except ValueError as error:
         text = str(error)
         raise ValueError(text if text.startswith("members.") else f"members.{text}") from None
--- a/pepperrun/tool/commands.py
+++ b/pepperrun/tool/commands.py
@@ -9,8 +9,8 @@
 from pathlib import Path
 
 from pepperrun.config import read_auth
-from pepperrun.membership.config import members_of, read_members
-from pepperrun.membership.keys import new_key_file
+from pepperrun.membership.config import membership_from_json, membership_from_table
+from pepperrun.membership.keys import generate_key_file
 from pepperrun.metrics import read_metrics
 from pepperrun.parking.config import KEYS as CLIENTS_KEYS
 from pepperrun.parking.config import read_clients
@@ -57,14 +57,14 @@
         read_clients(text)
         return kind, []
     if kind == "members":
-        found = read_members(text, path.parent)
+        found = membership_from_json(text, path.parent)
         if not found.key_file.exists():
             return kind, [f"members.key_file: {found.key_file} is not there yet: `config write` makes one"]
-        found.keys()
+        found.load_keys()
         return kind, []
     members = json.loads(text).get("members")
     if isinstance(members, dict):
-        members_of(members, path.parent).keys()
+        membership_from_table(members, path.parent).load_keys()
     return kind, remarks(text)
 
 
@@ -88,9 +88,9 @@
             with open(
                 os.open(key, os.O_WRONLY | os.O_CREAT | os.O_EXCL, 0o600), "w", encoding="utf-8"
             ) as file:
-                file.write(new_key_file())
+                file.write(generate_key_file())
             written.append(key)
-        members_of(members, out).keys()
+        membership_from_table(members, out).load_keys()
     return written
 
 
--- a/tests/test_gateway_probes.py
+++ b/tests/test_gateway_probes.py
@@ -1,4 +1,4 @@
-"""GatewayProbes in virtual time: gatekeepers learnt from records find deaths, cuts and returns cheaply."""
+"""GatewayProber in virtual time: gatekeepers learnt from records find deaths, cuts and returns cheaply."""
 
 import heapq
 import random
@@ -7,9 +7,9 @@
 import pytest
 
 from pepperrun.control.records import GatewayRecord, GatewayState
-from pepperrun.membership.gateway_probe_wire import ALL, Learnt
+from pepperrun.membership.gateway_probe_wire import ALL_REACHABLE, GatewayProbeCodec
 from pepperrun.membership.gateway_prober import GatewayProber
-from pepperrun.membership.wire import MOST, Datagram, Kind, Row, Rumour, State
+from pepperrun.membership.wire import MAX_DATAGRAM_BYTES, Datagram, Kind, ReachabilityRow, State, Update
 
 MS = 1_000_000
 REGIONS = ("a", "b", "c")
@@ -38,7 +38,7 @@
         )
         self.start(station)
         for other in self.probes.values():
-            other.take([self.gateways[station]])
+            other.update_gateways([self.gateways[station]])
 
     def start(self, station):
         life = 1_700_000_000_000 + 1000 * next(self.starts)
@@ -47,7 +47,7 @@
         )
         rows = list(self.gateways.values())
         self.random.shuffle(rows)
-        prober.take(rows)
+        prober.update_gateways(rows)
         self.probes[station] = prober
         self.at(self.now, lambda: self.turn(station, prober))
 
@@ -62,8 +62,8 @@
 
     def flush(self, station):
         mine = self.gateways[station]
-        for where, data in self.probes[station].take_out():
-            assert len(data) <= MOST
+        for where, data in self.probes[station].take_outgoing():
+            assert len(data) <= MAX_DATAGRAM_BYTES
             other = next(g for g in self.gateways.values() if g.internal_address == f"{where[0]}:{where[1]}")
             self.sent += 1
             self.far += mine.region != other.region
@@ -93,7 +93,7 @@
         return len({view.digest for view in views}) == 1 and len(views[0].members) == len(self.probes)
 
     def all_miss(self, *stations):
-        return all(prober.absent() >= set(stations) for prober in self.probes.values())
+        return all(prober.absent_gateways() >= set(stations) for prober in self.probes.values())
 
 
 @pytest.mark.parametrize(("each", "loss"), [(1, 0.0), (4, 0.0), (4, 0.05), (16, 0.0)])
@@ -103,16 +103,18 @@
     field.run(5)
     field.sent = field.far = 0
     field.run(20)
-    assert not any(prober.absent() for prober in field.probes.values())
+    assert not any(prober.absent_gateways() for prober in field.probes.values())
     per_s = field.sent / 20 / len(field.probes)
     assert per_s < (6 if not loss else 9) and (each == 1 or field.far < 0.5 * field.sent)
     dead = "front-1"
     del field.probes[dead]
     assert field.run(5, lambda: field.all_miss(dead))
-    assert not next(iter(field.probes.values())).there(dead)
+    assert not next(iter(field.probes.values())).is_present(dead)
     assert field.run(5, field.agreed)
     field.start(dead)
-    assert field.run(5, lambda: field.agreed() and not any(s.absent() for s in field.probes.values()))
+    assert field.run(
+        5, lambda: field.agreed() and not any(s.absent_gateways() for s in field.probes.values())
+    )
 
 
 def test_a_region_that_is_cut_off_is_found_from_both_sides_and_nobody_else():
@@ -123,7 +125,7 @@
     field.cuts = {frozenset((one, other)) for one in inside for other in outside}
     sides = ((inside, outside), (outside, inside))
     assert field.run(
-        12, lambda: all(field.probes[one].absent() == lost for here, lost in sides for one in here)
+        12, lambda: all(field.probes[one].absent_gateways() == lost for here, lost in sides for one in here)
     )
     field.cuts.clear()
     assert field.run(8, field.agreed)
@@ -135,7 +137,7 @@
     field.cuts = {frozenset(("front-0", "front-3"))}  # of one region
     buried = []
     for prober in field.probes.values():
-        prober.member.told_of = lambda what: buried.append(what) if what.what == "dead" else None
+        prober.member.on_event = lambda what: buried.append(what) if what.what == "dead" else None
     field.run(30)
     assert not buried
 
@@ -148,7 +150,7 @@
     gone = "front-2"
     del field.probes[gone]
     for prober in field.probes.values():
-        prober.take(
+        prober.update_gateways(
             [
                 GatewayRecord(
                     gone, "c1", "c", "", field.gateways[gone].internal_address, 1, 0, GatewayState.GONE
@@ -156,9 +158,9 @@
             ]
         )
     assert field.run(1, field.agreed)  # no probe is needed: the records say it
-    assert not any(prober.absent() for prober in field.probes.values())
+    assert not any(prober.absent_gateways() for prober in field.probes.values())
     for prober in field.probes.values():
-        prober.take([field.gateways[gone]])
+        prober.update_gateways([field.gateways[gone]])
     field.start(gone)
     assert field.run(8, field.agreed)
 
@@ -168,39 +170,44 @@
     assert field.run(10, field.agreed)
     other = field.probes["front-1"]
     other.leave(field.now)
-    (to, data), *_ = other.take_out()
-    prober = field.probes[other.stations[other.from_ip[to]]]
-    where = prober.where[prober.numbers["front-1"]]
-    changes = prober.member.book.changes
+    (to, data), *_ = other.take_outgoing()
+    prober = field.probes[other.name_by_number[other.number_by_address[to]]]
+    where = prober.address_by_number[prober.number_by_name["front-1"]]
+    changes = prober.member.table.version
     prober.receive(data, ("10.9.9.9", 7600), field.now)
     for at in range(len(data)):
         prober.receive(data[:at] + bytes([data[at] ^ 1]) + data[at + 1 :], where, field.now)
         prober.receive(data[:at], where, field.now)
-    assert prober.member.book.changes == changes
+    assert prober.member.table.version == changes
     prober.receive(data, where, field.now)
-    assert prober.absent() == {"front-1"}
+    assert prober.absent_gateways() == {"front-1"}
 
 
 def test_the_largest_datagram_fits_and_each_reads_it_by_its_own_numbers():
     field = Field(20, 9)
     one, other = field.probes["front-0"], field.probes["front-7"]
-    mine, theirs = one.wire, other.wire
-    assert isinstance(mine, Learnt)
-    rumours = [Rumour(n + 1, 2**32 - 1, 65535, State.DEAD, n) for n in range(mine.room(2))]
-    rows = [Row(n, 65535, ALL & ~(0b111111 << 10)) for n in (0, 1)]
-    sent = Datagram(Kind.NEWS, 0, 7, 8, 9, 5, 3, 4, 0, 5, 6, 1, rumours, rows)
+    mine, theirs = one.codec, other.codec
+    assert isinstance(mine, GatewayProbeCodec)
+    rumours = [Update(n + 1, 2**32 - 1, 65535, State.DEAD, n) for n in range(mine.update_capacity(2))]
+    rows = [ReachabilityRow(n, 65535, ALL_REACHABLE & ~(0b111111 << 10)) for n in (0, 1)]
+    sent = Datagram(Kind.GOSSIP, 0, 7, 8, 9, 5, 3, 4, 0, 5, 6, 1, rumours, rows)
     data = mine.pack(sent)
     read = theirs.unpack(data)
-    assert len(data) <= MOST and read is not None and read.sender == other.numbers["front-0"]
+    assert (
+        len(data) <= MAX_DATAGRAM_BYTES
+        and read is not None
+        and read.sender == other.number_by_name["front-0"]
+    )
 
     def names(prober, datagram):
         missed = [
-            {prober.stations[m] for m in prober.stations if not row.bits >> m & 1} for row in datagram.rows
+            {prober.name_by_number[m] for m in prober.name_by_number if not row.bitmap >> m & 1}
+            for row in datagram.rows
         ]
         return (
-            [prober.stations[r.member] for r in datagram.rumours],
+            [prober.name_by_number[r.member] for r in datagram.updates],
             missed,
-            prober.stations[datagram.subject],
+            prober.name_by_number[datagram.subject],
         )
 
     assert names(one, sent) == names(other, read)
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -17,12 +17,30 @@
 from pepperrun.core.quotas import Account, Quotas
 from pepperrun.core.standing import Standing
 from pepperrun.lab.virtual import KEYS, MS, Members, Path
-from pepperrun.membership.keys import Keys, new_key_file, read_keys
-from pepperrun.membership.resume import resume, state_of
-from pepperrun.membership.states import Me, Window
-from pepperrun.membership.steps import Quota, Step, quota_error, restart_error, standing_of, step_of
-from pepperrun.membership.views import HOLD_NS, LOOK_NS, SETTLE_NS, Side, Views, side_of
-from pepperrun.membership.wire import MOST, Datagram, Kind, Row, Rumour, State, pack, room, rows_room, unpack
+from pepperrun.membership.keys import KeyRing, generate_key_file, parse_keys
+from pepperrun.membership.resume import export_state, restore_state
+from pepperrun.membership.states import OwnState, ReplayWindow
+from pepperrun.membership.steps import (
+    Quota,
+    Step,
+    quota_error_bound,
+    restart_error_bound,
+    standing_of,
+    step_of,
+)
+from pepperrun.membership.views import MAX_UNSETTLED_NS, RECHECK_NS, SETTLE_NS, Side, Views, side_of
+from pepperrun.membership.wire import (
+    MAX_DATAGRAM_BYTES,
+    Datagram,
+    Kind,
+    ReachabilityRow,
+    State,
+    Update,
+    pack,
+    row_capacity,
+    unpack,
+    update_capacity,
+)
 
 
 def group(count: int, seed: int = 1, loss: float = 0.0) -> Members:
@@ -44,23 +62,23 @@
 
 def test_largest_datagram_fits_and_comes_back() -> None:
     for count in (2, 48, 256, 1024):
-        rows = rows_room(count, 2)
-        many = room(count, 1)
+        rows = row_capacity(count, 2)
+        many = update_capacity(count, 1)
         assert many >= 4 and rows >= 1
-        datagram = Datagram(Kind.NEWS, count - 1, 7, 8, 9, 1, 2, 3, 4, 5, 6, 1)
-        datagram.rumours = [Rumour(k % count, 2**32 - 1, 65535, State.DEAD, k % count) for k in range(many)]
-        datagram.rows = [Row(count - 1, 65535, (1 << count) - 1)]
+        datagram = Datagram(Kind.GOSSIP, count - 1, 7, 8, 9, 1, 2, 3, 4, 5, 6, 1)
+        datagram.updates = [Update(k % count, 2**32 - 1, 65535, State.DEAD, k % count) for k in range(many)]
+        datagram.rows = [ReachabilityRow(count - 1, 65535, (1 << count) - 1)]
         data = pack(datagram, count, KEYS)
-        assert len(data) <= MOST and unpack(data, count, KEYS) == datagram
+        assert len(data) <= MAX_DATAGRAM_BYTES and unpack(data, count, KEYS) == datagram
         with pytest.raises(ValueError, match="bytes"):
-            datagram.rumours *= 2
+            datagram.updates *= 2
             pack(datagram, count, KEYS)
 
 
 @quickly(max_examples=200, deadline=None)
 @given(some.binary(max_size=300), some.integers(0, 255), some.integers(1, 255))
 def test_what_is_garbled_is_nothing(noise: bytes, where: int, flip: int) -> None:
-    good = pack(Datagram(Kind.PING, 3, 7, rumours=[Rumour(1, 2, 3, State.SUSPECT, 4)]), 8, KEYS)
+    good = pack(Datagram(Kind.PING, 3, 7, updates=[Update(1, 2, 3, State.SUSPECT, 4)]), 8, KEYS)
     assert unpack(noise, 8, KEYS) is None
     bad = bytearray(good)
     bad[where % len(good)] ^= flip
@@ -71,7 +89,7 @@
     )
     # Signed, and still no sense: a member that there is not.
     assert (
-        unpack(pack(Datagram(Kind.PING, 3, 7, rumours=[Rumour(9, 2, 3, State.DEAD)]), 8, KEYS), 8, KEYS)
+        unpack(pack(Datagram(Kind.PING, 3, 7, updates=[Update(9, 2, 3, State.DEAD)]), 8, KEYS), 8, KEYS)
         is None
     )
 
@@ -79,32 +97,32 @@
 def test_keys_are_rotated_and_bad_files_told() -> None:
     old, new = bytes(range(32)), bytes(range(1, 33))
     text = f"1 {old.hex()}\n# next\n2 {new.hex()}  # signs soon\n"
-    keys = read_keys(text)
-    assert keys.signing == 1
+    keys = parse_keys(text)
+    assert keys.signing_id == 1
     datagram = Datagram(Kind.PING, 0, 5)
-    assert unpack(pack(datagram, 4, Keys({2: new})), 4, keys) == datagram
-    assert unpack(pack(datagram, 4, Keys({2: old})), 4, keys) is None
-    assert unpack(pack(datagram, 4, Keys({3: new})), 4, keys) is None
-    assert read_keys(new_key_file()).signing == 1
+    assert unpack(pack(datagram, 4, KeyRing({2: new})), 4, keys) == datagram
+    assert unpack(pack(datagram, 4, KeyRing({2: old})), 4, keys) is None
+    assert unpack(pack(datagram, 4, KeyRing({3: new})), 4, keys) is None
+    assert parse_keys(generate_key_file()).signing_id == 1
     for bad in ("", "1 zz", "1 aabb", f"300 {old.hex()}", f"1 {old.hex()}\n1 {new.hex()}", "x " + old.hex()):
         with pytest.raises(ValueError) as told:
-            read_keys(bad)
+            parse_keys(bad)
         assert old.hex() not in str(told.value)
     with pytest.raises(ValueError, match="3 keys"):
-        read_keys("\n".join(f"{n} {old.hex()}" for n in range(3)))
+        parse_keys("\n".join(f"{n} {old.hex()}" for n in range(3)))
 
 
 def test_a_sequence_number_counts_once() -> None:
-    window = Window()
+    window = ReplayWindow()
     order = list(range(1, 200))
     rng = random.Random(1)
     for at in range(0, 199, 20):  # overtaking, within the window
         part = order[at : at + 20]
         rng.shuffle(part)
         order[at : at + 20] = part
-    assert all(window.new(one) for one in order)
-    assert not any(window.new(one) for one in order)
-    assert window.new(2**32 - 1) and not window.new(5)
+    assert all(window.accept(one) for one in order)
+    assert not any(window.accept(one) for one in order)
+    assert window.accept(2**32 - 1) and not window.accept(5)
 
 
 # Failures.
@@ -120,7 +138,7 @@
     world.start(1)
     assert world.run(3, world.settled)
     if not loss:  # one change of view for each
-        assert max(world.member(n).views.passed for n in world.up() if n != 1) <= 2 + 2
+        assert max(world.member(n).views.installed_count for n in world.up() if n != 1) <= 2 + 2
         assert {dead for _, dead in events(world, "dead", start)} == {1}
 
 
@@ -128,17 +146,17 @@
     for seed in range(3):
         world = group(20, seed)
         dead = world.random.sample(range(20), 14)
-        before = {n: world.member(n).views.passed for n in world.up()}
+        before = {n: world.member(n).views.installed_count for n in world.up()}
         for number in dead:
             world.kill(number)
         assert world.run(5, world.settled)
-        assert max(world.member(n).views.passed - before[n] for n in world.up()) == 1
+        assert max(world.member(n).views.installed_count - before[n] for n in world.up()) == 1
         assert all(world.member(n).side() is Side.MINORITY for n in world.up())
         for number in dead:
             world.start(number)
         assert world.run(5, world.settled)
         world.run(1.5)
-        assert {step_of(world.member(n), world.now) for n in world.up()} == {Step.WHOLE}
+        assert {step_of(world.member(n), world.now) for n in world.up()} == {Step.COMPLETE}
 
 
 def test_nobody_is_buried_for_lost_datagrams_alone() -> None:
@@ -156,15 +174,15 @@
     world.run(seconds + 0.002)
     member = world.member(2)
     if seconds >= 0.5:
-        assert step_of(member, world.now) is Step.DOUBT
+        assert step_of(member, world.now) is Step.SELF_SUSPECT
         assert not standing_of(member, world.now).grants
         assert [one for at, one in events(world, "dead", start) if at == 2] == []  # it buries nobody
     assert world.run(3, world.settled)
-    assert member.own.life == world.member(2).own.life and member.own.state is Me.MEMBER
+    assert member.own.generation == world.member(2).own.generation and member.own.state is OwnState.MEMBER
     if seconds > 1:  # it had been buried: for a while its own slice
-        assert step_of(member, world.now) is Step.NEW and standing_of(member, world.now).slices
+        assert step_of(member, world.now) is Step.JOINED_RECENTLY and standing_of(member, world.now).slices
     world.run(1.1)
-    assert step_of(member, world.now) is Step.WHOLE
+    assert step_of(member, world.now) is Step.COMPLETE
 
 
 def test_halves_take_their_sides_and_heal() -> None:
@@ -182,9 +200,9 @@
         world.cut(some_, others, on=False)
         assert world.run(3, world.settled)
         # For a while it goes on as on that side; the larger side had the whole all the time.
-        assert step_of(back, world.now) is Step.NEW and not standing_of(back, world.now).slices
+        assert step_of(back, world.now) is Step.JOINED_RECENTLY and not standing_of(back, world.now).slices
         assert standing_of(back, world.now).missing == frozenset(some_ if count == 6 else others)
-        assert step_of(world.member(0 if count == 6 else count - 1), world.now) is Step.WHOLE
+        assert step_of(world.member(0 if count == 6 else count - 1), world.now) is Step.COMPLETE
         world.run(1.1)
         assert standing_of(back, world.now).missing == frozenset()
         world.cut(some_, others)  # and at once again
@@ -198,7 +216,9 @@
     rest = [0, 1, 2, 4]
     world.cut([3], rest, both=False)  # it hears all, nobody hears it
     assert world.run(4, lambda: world.agreed(rest))
-    assert world.run(4, lambda: step_of(world.member(3), world.now) in (Step.DOUBT, Step.SLICES))
+    assert world.run(
+        4, lambda: step_of(world.member(3), world.now) in (Step.SELF_SUSPECT, Step.LOCAL_BUCKETS)
+    )
     world.cut([3], rest, on=False, both=False)
     assert world.run(4, world.settled)
 
@@ -209,7 +229,7 @@
     world.cut([0], [1])
     world.run(20)
     assert events(world, "dead", start) == []
-    assert set(world.member(2).links.cuts([0, 1, 2, 3])) == {(0, 1), (1, 0)}
+    assert set(world.member(2).links.unreachable_pairs([0, 1, 2, 3])) == {(0, 1), (1, 0)}
 
 
 def test_flapping_link_settles() -> None:
@@ -229,9 +249,11 @@
     assert world.run(4, world.settled)
     world.start(3, name="n1")  # another machine with a copied file
     world.run(3)
-    assert world.member(3).own.state is not Me.MEMBER
+    assert world.member(3).own.state is not OwnState.MEMBER
     assert (3, 3) in events(world, "refused")
-    assert world.member(1).own.state is Me.MEMBER and 3 not in world.member(0).views.view.numbers()
+    assert (
+        world.member(1).own.state is OwnState.MEMBER and 3 not in world.member(0).views.view.member_numbers()
+    )
     world.start(3)  # mended
     assert world.run(4, world.settled)
 
@@ -240,25 +262,25 @@
     world = group(4, 1)
     alive = world.member(1)
     twin = replace(alive.config)
-    second = type(alive)(twin, alive.own.life + 50, 7, world.now)
+    second = type(alive)(twin, alive.own.generation + 50, 7, world.now)
     # Its greeting reaches member 0; the old life, which is there, still answers.
-    second.tick(second.hello_at)
-    for _, data in second.outbox.take_out():
+    second.tick(second.join_retry_at)
+    for _, data in second.outbox.take_outgoing():
         world.member(0).receive(1, data, world.now)
     world._after(0)
     world.run(1)
     refusals = [one for at, one in world.happened if one.what == "refused a name" and at == 0]
-    assert refusals and world.member(0).book.records[1].life == alive.own.life
+    assert refusals and world.member(0).table.records[1].generation == alive.own.generation
     assert world.settled()
 
 
 def test_a_restart_with_a_clock_that_is_behind_joins() -> None:
     world = group(3, 1)
-    old = world.member(2).own.life
+    old = world.member(2).own.generation
     world.kill(2)
     world.start(2, life=max(1, old - 10_000))
     assert world.run(5, world.settled)
-    assert world.member(2).own.life > old
+    assert world.member(2).own.generation > old
 
 
 def test_replayed_and_foreign_datagrams_change_nothing() -> None:
@@ -276,7 +298,7 @@
     world.start(2)
     assert world.run(5, world.settled)
     old = list(sent)
-    before = [(world.member(n).views.view.digest, world.member(n).counts["replayed"]) for n in range(3)]
+    before = [(world.member(n).views.view.digest, world.member(n).counters["replayed"]) for n in range(3)]
     for sender, receiver, data in old:
         world.member(receiver).receive(sender, data, world.now)
         world.member(receiver).receive((sender + 1) % 3, data, world.now)  # from another one's address
@@ -284,7 +306,7 @@
     assert world.settled()
     for number, (digest, replayed) in enumerate(before):
         assert world.member(number).views.view.digest == digest
-        assert world.member(number).counts["replayed"] > replayed
+        assert world.member(number).counters["replayed"] > replayed
 
 
 def test_leaving_in_order_needs_no_burial() -> None:
@@ -295,7 +317,7 @@
     world.kill(4)
     assert world.run(1.0, world.settled)
     assert events(world, "dead", start) == [] == events(world, "suspected", start)
-    assert {world.member(n).side() for n in range(4)} == {Side.WHOLE}
+    assert {world.member(n).side() for n in range(4)} == {Side.COMPLETE}
 
 
 def test_one_seed_is_one_run_to_the_byte() -> None:
@@ -312,16 +334,16 @@
 
 def test_another_process_goes_on_as_the_same_member() -> None:
     world = group(3, 1)
-    table, old = state_of(world.member(1)), world.member(1)
+    table, old = export_state(world.member(1)), world.member(1)
     host = world.hosts[1]
-    host.member = type(old)(old.config, old.own.life + 9, 3, world.now)
-    resume(host.member, table, world.now)
+    host.member = type(old)(old.config, old.own.generation + 9, 3, world.now)
+    restore_state(host.member, table, world.now)
     start = world.now
     world._wake(1)
     world.run(5)
-    assert world.settled() and world.member(1).own.life == old.own.life
+    assert world.settled() and world.member(1).own.generation == old.own.generation
     assert events(world, "dead", start) == [] == events(world, "suspected", start)
-    fresh = type(old)(old.config, old.own.life + 9, 3, world.now)
+    fresh = type(old)(old.config, old.own.generation + 9, 3, world.now)
     for bad in (
         None,
         {},
@@ -330,8 +352,8 @@
         table | {"view": [1]},
     ):
         with pytest.raises((KeyError, TypeError, ValueError)):
-            resume(fresh, bad, world.now)
-        assert fresh.own.state is Me.JOINING
+            restore_state(fresh, bad, world.now)
+        assert fresh.own.state is OwnState.JOINING
 
 
 # What the decisions make of it.
@@ -391,15 +413,15 @@
 
 def test_sides_and_stated_errors() -> None:
     every = frozenset(range(4))
-    assert side_of(every, every, 0) is Side.WHOLE
+    assert side_of(every, every, 0) is Side.COMPLETE
     assert side_of(frozenset({0, 1}), every, 1) is Side.MAJORITY
     assert side_of(frozenset({2, 3}), every, 2) is Side.MINORITY
-    assert side_of(frozenset({2}), every, 2) is Side.ALONE
+    assert side_of(frozenset({2}), every, 2) is Side.ISOLATED
     quota = Quota(10.0, 20.0, 4)
-    assert quota_error(quota, 0, 5.0, 1.0) == 0.0
-    assert quota_error(quota, 2, 5.0, 1.0) == 20.0 + 10.0 + 5.0 * 4.0
-    assert quota_error(quota, 2, 0.5, 1.0) == 25.0
-    assert restart_error(quota, 8) == 20.0
+    assert quota_error_bound(quota, 0, 5.0, 1.0) == 0.0
+    assert quota_error_bound(quota, 2, 5.0, 1.0) == 20.0 + 10.0 + 5.0 * 4.0
+    assert quota_error_bound(quota, 2, 0.5, 1.0) == 25.0
+    assert restart_error_bound(quota, 8) == 20.0
 
 
 def test_keepers_that_are_not_there_are_not_waited_for() -> None:
@@ -418,32 +440,37 @@
 
 def test_a_view_that_is_held_up_does_not_keep_a_member_busy() -> None:
     views = Views(0)
-    views.note(frozenset({(1, 1)}), SECOND)
-    assert views.due(SECOND) == SECOND + SETTLE_NS
+    views.set_candidate(frozenset({(1, 1)}), SECOND)
+    assert views.next_check_at(SECOND) == SECOND + SETTLE_NS
     for later in range(2, 30):  # somebody is suspected all the time
         now = SECOND + later * SETTLE_NS // 2
-        assert views.consider(frozenset({(1, 1)}), True, now) is None or now >= SECOND + HOLD_NS
-        assert (due := views.due(now)) is None or due >= min(now + LOOK_NS, SECOND + HOLD_NS)
+        assert (
+            views.install_if_settled(frozenset({(1, 1)}), True, now) is None
+            or now >= SECOND + MAX_UNSETTLED_NS
+        )
+        assert (due := views.next_check_at(now)) is None or due >= min(
+            now + RECHECK_NS, SECOND + MAX_UNSETTLED_NS
+        )
 
 
 def test_a_suspected_one_that_is_heard_does_not_keep_a_member_busy() -> None:
     world = group(3, 1)
     member = world.member(0)
-    known = member.book.records[1]
-    member._note(Rumour(1, known.life, known.incarnation, State.SUSPECT, 2), world.now)
+    known = member.table.records[1]
+    member._apply_update(Update(1, known.generation, known.incarnation, State.SUSPECT, 2), world.now)
     for step in range(1, 40):
         now = world.now + step * SECOND // 50
-        member.heard(1, now)
+        member.record_contact(1, now)
         member.tick(now)
-        if member.book.records[1].state is State.DEAD:
+        if member.table.records[1].state is State.DEAD:
             break
         assert member.due() > now
-    assert member.book.records[1].state is State.SUSPECT
+    assert member.table.records[1].state is State.SUSPECT
     # Who is heard and never denies hears nothing itself: it is buried all the same, later.
-    member.heard(1, world.now + 4 * SECOND)
-    member.seen_at = world.now + 4 * SECOND  # no standstill of this one's
+    member.record_contact(1, world.now + 4 * SECOND)
+    member.last_run_at = world.now + 4 * SECOND  # no standstill of this one's
     member.tick(world.now + 4 * SECOND)
-    assert member.book.records[1].state is State.DEAD
+    assert member.table.records[1].state is State.DEAD
 
 
 def test_a_standstill_of_another_teaches_no_patience_and_a_slow_link_does() -> None:
@@ -452,40 +479,45 @@
     world.run(3.5)
     assert world.run(3, world.settled)
     world.run(2)
-    assert max(world.member(n).prober.patience(2) for n in (0, 1, 3)) <= 100 * MS
+    assert max(world.member(n).prober.timeout(2) for n in (0, 1, 3)) <= 100 * MS
     for other in (0, 1, 3):  # 280 ms there and back: slower than the pace of the probes
         for pair in ((2, other), (other, 2)):
             world.way(*pair).delay, world.way(*pair).jitter = 120 * MS, 20 * MS
     start = world.now
     world.run(20)
     assert events(world, "dead", start) == []
-    assert min(world.member(n).prober.patience(2) for n in (0, 1, 3)) > 200 * MS
+    assert min(world.member(n).prober.timeout(2) for n in (0, 1, 3)) > 200 * MS
 
 
 def test_own_trouble_lengthens_a_suspicion_once() -> None:
     member = group(4, 1).member(0)
-    member.prober.health = 8
-    known = member.book.records[1]
-    known.state, known.since, known.witnesses, known.sure = State.SUSPECT, 10 * SECOND, {0}, True
-    least, usual = member.config.suspect_ns, member.prober.usual(1)
+    member.prober.local_health = 8
+    known = member.table.records[1]
+    known.state, known.since, known.suspicion_reporters, known.reported_dead = (
+        State.SUSPECT,
+        10 * SECOND,
+        {0},
+        True,
+    )
+    least, usual = member.config.min_suspicion_ns, member.prober.base_timeout(1)
     assert usual < SECOND // 10
-    assert member.suspicions.burial(known) == known.since + least + usual
-    known.sure = False
-    assert member.suspicions.burial(known) == known.since + 6 * 9 * least + usual
-    known.witnesses = {0, 2, 3}  # all that are left agree: nothing is waited for
-    assert member.suspicions.burial(known) == known.since + least + usual
+    assert member.suspicions.expires_at(known) == known.since + least + usual
+    known.reported_dead = False
+    assert member.suspicions.expires_at(known) == known.since + 6 * 9 * least + usual
+    known.suspicion_reporters = {0, 2, 3}  # all that are left agree: nothing is waited for
+    assert member.suspicions.expires_at(known) == known.since + least + usual
 
 
 def test_a_life_whose_denials_are_used_up_is_followed_by_another() -> None:
     world = group(3, 1)
     member = world.member(1)
-    life = member.own.life
+    life = member.own.generation
     for witness in (0, 2):  # said of its last incarnation
-        world.member(witness)._note(Rumour(1, life, 65535, State.DEAD, witness), world.now)
+        world.member(witness)._apply_update(Update(1, life, 65535, State.DEAD, witness), world.now)
     world._wake(0)
 
     def known() -> bool:
-        lives = {world.member(0).book.records[1].life, world.member(1).own.life}
+        lives = {world.member(0).table.records[1].generation, world.member(1).own.generation}
         return len(lives) == 1 and life not in lives
 
     assert world.run(8, known) and world.run(3, world.settled)
--- a/tests/test_running_members.py
+++ b/tests/test_running_members.py
@@ -22,7 +22,7 @@
 from pepperrun.cli.members import worded
 from pepperrun.lab.ports import free_ports
 from pepperrun.lab.processes import dies_with_us
-from pepperrun.membership.config import members_of, read_members
+from pepperrun.membership.config import membership_from_json, membership_from_table
 from pepperrun.tool.application import configurations
 from pepperrun.tool.commands import check, write
 
@@ -55,8 +55,8 @@
     first = key.read_text()
     assert key not in write(file, tmp_path / "out") and key.read_text() == first
     table = json.loads((tmp_path / "out" / "n1.json").read_text())["members"]
-    found = members_of(table, tmp_path / "out")
-    assert found.names == ("n0", "n1", "n2") and found.period_ns == 200_000_000 and found.zone == "here"
+    found = membership_from_table(table, tmp_path / "out")
+    assert found.names == ("n0", "n1", "n2") and found.probe_period_ns == 200_000_000 and found.zone == "here"
     assert check(tmp_path / "out" / "n1.json") == ("gatekeeper", [])
     key.write_text("1 secret-no-hex\n")
     with pytest.raises(ValueError, match=r"members\.key_file: .*line 1") as told:
@@ -89,7 +89,7 @@
     for bad in ("{", "[]", '{"key": 1}', '{"key_file": 3}', '{"key_file": "k", "suspect_ms": "x"}'):
         file.write_text(bad)
         with pytest.raises(ValueError):
-            read_members(file.read_text(), tmp_path)
+            membership_from_json(file.read_text(), tmp_path)
     file.write_text('{"key_file": "nowhere.key"}')
     (tmp_path / "a.toml").write_text(application(ports(), ""))
     write(tmp_path / "a.toml", tmp_path / "out")
