--- a/benchmarks/capacity_control.py
+++ b/benchmarks/capacity_control.py
@@ -206,7 +206,7 @@
     voters = (Incarnation("10.9.0.1", "first"),)
     with tempfile.TemporaryDirectory() as folder:
         disk = DiskStore(folder)
-        memory = disk.begin("core", "10.9.0.1", ["10.9.0.1"])
+        memory = disk.load_or_create("core", "10.9.0.1", ["10.9.0.1"])
         took, wall = [], []
         for number in range(1, 6):
             held = held | {"routes": held["routes"] | {"new": {"name": "new", "line": f"service{number}"}}}
--- a/benchmarks/many_changes.py
+++ b/benchmarks/many_changes.py
@@ -88,7 +88,7 @@
         first = initial_proposal(CONTACTS)
         for ip in CONTACTS:
             if ip == CONTACTS[0]:
-                memory, store = self.disk.begin("core-0", ip, CONTACTS), self.disk
+                memory, store = self.disk.load_or_create("core-0", ip, CONTACTS), self.disk
                 self.voters[ip] = Register(ip, memory, store, changes.apply, seed=1, now=0)
             else:
                 memory = DurableState("first", 1, accepted=first, chosen=first)
@@ -215,7 +215,9 @@
             if folder is not None:
                 shutil.copytree(folder, spare)
             began, disk = time.perf_counter(), DiskStore(str(spare), DISK_MB)
-            memory = disk.begin("core-0" if folder else "core-9", CONTACTS[0] if folder else "10.0.0.9", [])
+            memory = disk.load_or_create(
+                "core-0" if folder else "core-9", CONTACTS[0] if folder else "10.0.0.9", []
+            )
             started = (time.perf_counter() - began) * 1000
             size, ms = self.back(memory, disk)
             out[name] = size, started + ms
--- a/features/playing.py
+++ b/features/playing.py
@@ -399,7 +399,7 @@
 def disk(folder):
     """A core machine that has taken more than it knows as chosen; the bytes of its disk, as text."""
     disk = DiskStore(str(folder), 1)
-    memory = disk.begin("s1", CORES[0], CORES)
+    memory = disk.load_or_create("s1", CORES[0], CORES)
     first, _ = changes.apply(None, read_replace(body(configuration()), 0))
     value = replace(memory.chosen.value, version=1, digest=digest_of(first))
     memory.promised, memory.accepted = Ballot(3, "s1#1"), Proposal(Ballot(3, "s1#1"), value, first)
--- a/features/steps/versions.py
+++ b/features/steps/versions.py
@@ -335,7 +335,7 @@
 @when("a core machine starts on its disk")
 def old_disk(context):
     playing.undisk(context.said["wax"], context.folder)
-    context.memory = store.DiskStore(str(context.folder), 1).begin("s1", CORES[0], [])
+    context.memory = store.DiskStore(str(context.folder), 1).load_or_create("s1", CORES[0], [])
 
 
 @then("it remembers its disk id, its promise and what it had taken, and counts one start more")
@@ -347,16 +347,16 @@
 
 @when("a core machine starts on a disk of a later format")
 def later_disk(context):
-    known, formats.FORMAT = formats.FORMAT, formats.FORMAT + 1
+    known, formats.CURRENT_FORMAT = formats.CURRENT_FORMAT, formats.CURRENT_FORMAT + 1
     try:
         disk = store.DiskStore(str(context.folder), 1)
-        disk.begin("s1", CORES[0], CORES)
+        disk.load_or_create("s1", CORES[0], CORES)
         disk.close()
     finally:
-        formats.FORMAT = known
+        formats.CURRENT_FORMAT = known
     context.disk = (context.folder / "data.mdb").read_bytes()
     try:
-        store.DiskStore(str(context.folder), 1).begin("s1", CORES[0], CORES)
+        store.DiskStore(str(context.folder), 1).load_or_create("s1", CORES[0], CORES)
     except PepperrunError as error:
         context.refused = error
 
--- a/pepperrun/consensus/replica.py
+++ b/pepperrun/consensus/replica.py
@@ -55,7 +55,7 @@
     own_ip : str
         Names this node.
     state : DurableState
-        From the disk (`storage.DiskStore.begin`).
+        From the disk (`storage.store.DiskStore.load_or_create`).
     store : StateStore
         Saves the state before messages are given out.
     regions : mapping of str to str
--- a/pepperrun/control_node.py
+++ b/pepperrun/control_node.py
@@ -100,7 +100,7 @@
     if me.store_dir is None:
         return DurableState(secrets.token_hex(8)), InMemoryStore()
     disk = DiskStore(me.store_dir, me.limits.disk_mb)
-    return disk.begin(me.station, me.ip, contacts), disk
+    return disk.load_or_create(me.station, me.ip, contacts), disk
 
 
 def main(args: list[str] | None = None) -> int:
--- a/pepperrun/operator/state.py
+++ b/pepperrun/operator/state.py
@@ -27,12 +27,12 @@
 from pepperrun.foundation.errors import PepperrunError
 from pepperrun.storage.records import (
     BODY_PREFIX,
+    decode_record,
+    find_problems,
     from_records,
     owner_of,
-    problems,
     read_state,
     to_records,
-    unseal,
 )
 from pepperrun.storage.store import DATA_FILE, DiskStore, new_disk_id
 
@@ -59,7 +59,7 @@
     """Records and faults. One that is in use may change under the look: faults count when they stay."""
     for _ in range(TRIES):
         raw = raw_records(folder)
-        found = problems(raw)
+        found = find_problems(raw)
         if not found:
             break
     return raw, found
@@ -82,7 +82,7 @@
     lines = [f"file: {size} bytes, {len(raw)} records of {sum(map(len, raw.values()))} bytes"]
     if found:
         return lines + [f"fault: {one}" for one in found]
-    life = unseal(raw[b"life"], "life")
+    life = decode_record(raw[b"life"], "life")
     memory = read_state(raw)
     lines += [
         f"format: {life[0]}",
@@ -163,7 +163,7 @@
     raw, found = look(folder)
     if found:
         raise PepperrunError("disk-doubtful", STEP, f"{folder}: {found[0]}")
-    memory, owner = read_state(raw), owner_of(unseal(raw[b"life"], "life"))
+    memory, owner = read_state(raw), owner_of(decode_record(raw[b"life"], "life"))
     if retire and not owner:
         raise PepperrunError(
             "no-owner", STEP, f"{folder}: it names no machine yet; start it once with this version"
@@ -207,7 +207,7 @@
     disk.owner = owner
     try:
         disk.save(memory)
-        disk.sync_file_names()
+        disk.sync_file_and_folder()
     finally:
         disk.close()
 
--- a/pepperrun/simulation/crashes.py
+++ b/pepperrun/simulation/crashes.py
@@ -55,7 +55,7 @@
 def history(folder: Path, seed: int) -> Iterator[tuple[DiskStore, DurableState]]:
     """Saves one change after the other, for ever; `promised.round` counts them."""
     rng, disk = random.Random(seed), DiskStore(str(folder), 64)
-    memory = disk.begin("s", ME, CONTACTS)
+    memory = disk.load_or_create("s", ME, CONTACTS)
     round = max(0, memory.promised.round)
     while True:
         yield disk, memory
--- a/pepperrun/simulation/replays.py
+++ b/pepperrun/simulation/replays.py
@@ -135,7 +135,7 @@
     (folder / DATA_FILE).write_bytes(image)
     disk = DiskStore(str(folder), 64)
     try:
-        memory = disk.begin("s", ip, [])
+        memory = disk.load_or_create("s", ip, [])
     except PepperrunError as error:
         return f"{error.code}: {error.detail}"
     finally:
--- a/pepperrun/storage/formats.py
+++ b/pepperrun/storage/formats.py
@@ -1,9 +1,9 @@
-"""Formats of the disk: one migration from each older format to the next, so that any version's disk is read.
+"""Formats of the disk: one migration from each format to the next, so that every older disk can be read.
 
-A new format gets its number in `FORMAT` and one migration in `MIGRATIONS`, from the format before it. Records
-come and go by name, unsealed (as JSON data): `life` (its first item is the format), `promised`, `accepted`,
-`chosen`, and `body:DIGEST`. A migration changes what its format changed and sets the format; it touches no
-disk id, count of starts or ballot: what was promised stays promised.
+A new format gets its number in `CURRENT_FORMAT` and one migration in `MIGRATIONS`, from the format before it.
+A migration takes and returns the decoded records (JSON data) by name: `life` (its first item is the format),
+`promised`, `accepted`, `chosen`, and `body:DIGEST`. It changes what its format changed and sets the format.
+It changes no disk id, count of starts or ballot: a promise stays valid.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 from pepperrun.foundation.errors import CorruptStateError, NewerFormatError
 
-FORMAT = 1
+CURRENT_FORMAT = 1
 IDENTITY = "life"  # the record with format, disk id, starts and owner
 
 Records = dict[str, Any]
@@ -34,8 +34,8 @@
     """
     if type(found) is not int:
         raise CorruptStateError("reading", f"format {found!r} is no number")
-    if found > FORMAT:
-        raise NewerFormatError("reading", f"it is of format {found}, {FORMAT} is known here")
+    if found > CURRENT_FORMAT:
+        raise NewerFormatError("reading", f"it is of format {found}, {CURRENT_FORMAT} is known here")
     return found
 
 
@@ -51,7 +51,7 @@
     """
     migrations = MIGRATIONS if migrations is None else migrations
     current = check_format(found)
-    while current < FORMAT:
+    while current < CURRENT_FORMAT:
         migration = migrations.get(current)
         if migration is None:
             raise CorruptStateError("reading", f"no migration leads on from format {current}")
--- a/pepperrun/storage/records.py
+++ b/pepperrun/storage/records.py
@@ -1,4 +1,4 @@
-"""Records of the disk: sealed with checksums and unsealed, durable state to records and back, and checks.
+"""Records on the disk: encoding with checksums, conversion of the durable state, and consistency checks.
 
 This module is the codec of the stored state; only it and `formats` know the names of the records.
 """
@@ -20,24 +20,24 @@
 PROMISED = "promised"
 ACCEPTED = "accepted"
 CHOSEN = "chosen"
-NAMES = (IDENTITY, PROMISED, ACCEPTED, CHOSEN)
+RECORD_NAMES = (IDENTITY, PROMISED, ACCEPTED, CHOSEN)
 BODY_PREFIX = "body:"  # before the digest
 
-SealedRecords = Mapping[bytes, bytes]
+EncodedRecords = Mapping[bytes, bytes]
 
 
-def seal(data: Any) -> bytes:
-    """Return the bytes of a record: checksum and JSON."""
-    return seal_text(json.dumps(data, separators=(",", ":"), ensure_ascii=False))
+def encode_record(data: Any) -> bytes:
+    """Return the bytes of a record: a checksum, then JSON text."""
+    return encode_record_text(json.dumps(data, separators=(",", ":"), ensure_ascii=False))
 
 
-def seal_text(text: str) -> bytes:
-    """As `seal`, of JSON that is encoded already."""
+def encode_record_text(text: str) -> bytes:
+    """Return the bytes of a record whose data is JSON text already."""
     encoded = text.encode()
     return hashlib.blake2b(encoded, digest_size=CHECKSUM_BYTES).digest() + encoded
 
 
-def unseal(sealed: bytes, name: str) -> Any:
+def decode_record(encoded: bytes, name: str) -> Any:
     """Return the data of a record.
 
     Raises
@@ -45,7 +45,7 @@
     CorruptStateError
         The checksum is wrong, or the text is no JSON.
     """
-    checksum, text = sealed[:CHECKSUM_BYTES], sealed[CHECKSUM_BYTES:]
+    checksum, text = encoded[:CHECKSUM_BYTES], encoded[CHECKSUM_BYTES:]
     if hashlib.blake2b(text, digest_size=CHECKSUM_BYTES).digest() != checksum:
         raise CorruptStateError("reading", f"the checksum of {name} is wrong")
     try:
@@ -64,7 +64,7 @@
         the wrong machine could vote as an incarnation that promised other things.
     """
     records: Records = {
-        IDENTITY: [formats.FORMAT, state.disk_id, state.starts, owner],
+        IDENTITY: [formats.CURRENT_FORMAT, state.disk_id, state.starts, owner],
         PROMISED: state.promised,
         ACCEPTED: _proposal_record(state.accepted),
         CHOSEN: _proposal_record(state.chosen),
@@ -76,8 +76,8 @@
     return records, bodies
 
 
-def read_state(sealed: SealedRecords, migrations: Mapping[int, Migration] | None = None) -> DurableState:
-    """Return the state that sealed records of any format hold.
+def read_state(encoded: EncodedRecords, migrations: Mapping[int, Migration] | None = None) -> DurableState:
+    """Return the state that encoded records of any format hold.
 
     Raises
     ------
@@ -87,23 +87,23 @@
         A later version wrote them.
     """
     try:
-        found, *_ = unseal(sealed[IDENTITY.encode()], IDENTITY)
-        # Checked before anything else is read: a later version may seal otherwise.
-        if check_format(found) < formats.FORMAT:
-            records = {key.decode(): unseal(data, key.decode()) for key, data in sealed.items()}
+        found, *_ = decode_record(encoded[IDENTITY.encode()], IDENTITY)
+        # Checked before anything else is read: a later version may encode records in another way.
+        if check_format(found) < formats.CURRENT_FORMAT:
+            records = {key.decode(): decode_record(data, key.decode()) for key, data in encoded.items()}
             return from_records(migrate(records, found, migrations))
-        return from_records(_unseal_present(sealed))
+        return from_records(_decode_current_format(encoded))
     except (KeyError, TypeError, ValueError, RemoteProtocolError) as error:
         raise CorruptStateError("reading", f"{type(error).__name__}: {error}") from None
 
 
-def _unseal_present(sealed: SealedRecords) -> Records:
-    """Unseal the records of the present format and the bodies that they name."""
-    records = {name: unseal(sealed[name.encode()], name) for name in NAMES}
+def _decode_current_format(encoded: EncodedRecords) -> Records:
+    """Decode the records of the current format and the bodies that they name."""
+    records = {name: decode_record(encoded[name.encode()], name) for name in RECORD_NAMES}
     for name in (ACCEPTED, CHOSEN):
         if records[name] is not None:
             key = BODY_PREFIX + codec.decode_value(records[name][1]).digest
-            records[key] = unseal(sealed[key.encode()], key)
+            records[key] = decode_record(encoded[key.encode()], key)
     return records
 
 
@@ -113,7 +113,7 @@
 
 
 def from_records(records: Records) -> DurableState:
-    """Return the state of unsealed records in the present format.
+    """Return the state that decoded records of the current format hold.
 
     Raises
     ------
@@ -134,29 +134,29 @@
     )
 
 
-def problems(sealed: SealedRecords) -> list[str]:
+def find_problems(encoded: EncodedRecords) -> list[str]:
     """Return what is wrong, one sentence each; nothing where a start would find its complete state."""
-    found = [f"The record {name} is missing." for name in NAMES if name.encode() not in sealed]
+    found = [f"The record {name} is missing." for name in RECORD_NAMES if name.encode() not in encoded]
     records: Records = {}
-    for key, data in sorted(sealed.items()):
+    for key, data in sorted(encoded.items()):
         name = key.decode("utf-8", "replace")
         try:
-            records[name] = unseal(data, name)
+            records[name] = decode_record(data, name)
         except PepperrunError as error:
             found.append(f"{error.detail[:1].upper()}{error.detail[1:]}.")
             continue
         if name.startswith(BODY_PREFIX) and digest_of(records[name]) != name.removeprefix(BODY_PREFIX):
             found.append(f"The record {name} holds a body of another digest.")
-    found += _missing_bodies(sealed, records)
+    found += _missing_bodies(encoded, records)
     if not found:
         try:
-            read_state(sealed)
+            read_state(encoded)
         except PepperrunError as error:
             found.append(f"It can't be read as a durable state: {error.detail}.")
     return found
 
 
-def _missing_bodies(sealed: SealedRecords, records: Records) -> list[str]:
+def _missing_bodies(encoded: EncodedRecords, records: Records) -> list[str]:
     """Sentences on bodies that a proposal names and that are not there."""
     found = []
     for name in (ACCEPTED, CHOSEN):
@@ -164,7 +164,7 @@
             digest = codec.decode_value(records[name][1]).digest if records.get(name) else None
         except (PepperrunError, LookupError, TypeError):
             continue  # `read_state` tells of it
-        if digest is not None and f"{BODY_PREFIX}{digest}".encode() not in sealed:
+        if digest is not None and f"{BODY_PREFIX}{digest}".encode() not in encoded:
             found.append(f"The body {digest} that {name} names is missing.")
     return found
 
--- a/pepperrun/storage/store.py
+++ b/pepperrun/storage/store.py
@@ -29,7 +29,15 @@
 )
 from pepperrun.foundation.logs import event, trouble
 from pepperrun.storage.formats import IDENTITY
-from pepperrun.storage.records import BODY_PREFIX, owner_of, read_state, seal, seal_text, to_records, unseal
+from pepperrun.storage.records import (
+    BODY_PREFIX,
+    decode_record,
+    encode_record,
+    encode_record_text,
+    owner_of,
+    read_state,
+    to_records,
+)
 
 MAX_MAP_MB = 64  # of the map: some dozens of bodies, and the pages of transactions
 MB = 1024 * 1024  # bytes
@@ -67,7 +75,7 @@
         self._saved: dict[bytes, Any] = {}  # by record, what was saved of it last
         self._encoder = CachedJsonEncoder(sort_keys=False)
 
-    def begin(self, node_name: str, own_ip: str, first_contacts: Sequence[str]) -> DurableState:
+    def load_or_create(self, node_name: str, own_ip: str, first_contacts: Sequence[str]) -> DurableState:
         """Load the state, count one start and sync. An empty disk begins a new incarnation.
 
         A disk with damaged state is emptied, and its incarnation is over.
@@ -98,7 +106,7 @@
         self.owner = own_ip
         state.starts += 1
         self.save(state)
-        self.sync_file_names()
+        self.sync_file_and_folder()
         return state
 
     def _load_or_discard(self) -> tuple[DurableState | None, bool]:
@@ -119,19 +127,19 @@
         Raises
         ------
         CorruptStateError, NewerFormatError, DiskUnavailableError
-            See `begin`.
+            See `load_or_create`.
         """
         try:
             self.folder.mkdir(parents=True, exist_ok=True)
             with self._open().begin() as transaction:
-                sealed = {bytes(key): bytes(data) for key, data in transaction.cursor()}
+                encoded = {bytes(key): bytes(data) for key, data in transaction.cursor()}
         except _LMDB_FAILURES as error:
             kind = DiskUnavailableError if is_unavailable(error) else CorruptStateError
             raise kind("opening", _describe(error)) from None
-        if not sealed:
+        if not encoded:
             return None  # nothing was ever synced, so nothing was ever said
-        state = read_state(sealed)
-        self.owner = owner_of(unseal(sealed[IDENTITY.encode()], IDENTITY))
+        state = read_state(encoded)
+        self.owner = owner_of(decode_record(encoded[IDENTITY.encode()], IDENTITY))
         return state
 
     def save(self, state: DurableState) -> None:
@@ -145,26 +153,26 @@
             It could not be written or synced.
         """
         records, bodies = to_records(state, self.owner)
-        sealed_names = {name.encode(): data for name, data in records.items()}
-        body_names = {name.encode(): body for name, body in bodies.items()}
-        changed = {key: data for key, data in sealed_names.items() if self._differs(key, data)}
-        added = {key: body for key, body in body_names.items() if key not in self._saved}
+        records_by_key = {name.encode(): data for name, data in records.items()}
+        bodies_by_key = {name.encode(): body for name, body in bodies.items()}
+        changed = {key: data for key, data in records_by_key.items() if self._differs(key, data)}
+        added = {key: body for key, body in bodies_by_key.items() if key not in self._saved}
         if not changed and not added:
             return
         try:
             with self._open().begin(write=True) as transaction:
-                for key in list(self._obsolete(transaction, {*sealed_names, *body_names})):
+                for key in list(self._obsolete(transaction, {*records_by_key, *bodies_by_key})):
                     transaction.delete(key)
                 for key, body in added.items():
-                    transaction.put(key, seal_text(self._encoder.encode(body)))
+                    transaction.put(key, encode_record_text(self._encoder.encode(body)))
                 for key, data in changed.items():
-                    transaction.put(key, seal(data))
+                    transaction.put(key, encode_record(data))
             self._open().sync(True)
         except _LMDB_FAILURES as error:
             self.close()
             self._saved = {}
             raise DiskUnavailableError("saving", _describe(error)) from None
-        self._saved = sealed_names | dict.fromkeys(body_names, True)
+        self._saved = records_by_key | dict.fromkeys(bodies_by_key, True)
 
     def _differs(self, key: bytes, data: Any) -> bool:
         return key not in self._saved or self._saved[key] != data
@@ -207,7 +215,7 @@
         with contextlib.suppress(FileNotFoundError):
             (self.folder / DATA_FILE).unlink()
 
-    def sync_file_names(self) -> None:
+    def sync_file_and_folder(self) -> None:
         """Sync file and folder: only then does a new file survive a loss of power.
 
         Raises
--- a/tests/test_catch_up.py
+++ b/tests/test_catch_up.py
@@ -68,7 +68,7 @@
 def saved(folder: Path, make: type[DiskStore], saves: int) -> list[int]:
     """Bytes of the file after each save of another body, some of them long."""
     dice, disk, sizes = random.Random(2), make(str(folder), 64), list[int]()
-    memory = disk.begin("s", ME, CONTACTS)
+    memory = disk.load_or_create("s", ME, CONTACTS)
     assert memory.chosen is not None
     for number in range(1, saves + 1):
         body = {"number": number, "fill": "x" * dice.choice([500, 40_000, 40_300, 300_000])}
@@ -85,7 +85,7 @@
 def test_the_disk_is_no_longer_after_hundreds_of_changes_than_after_some(tmp_path: Path) -> None:
     sizes = saved(tmp_path / "a", DiskStore, 300)
     assert sizes[-1] <= 1.5 * sizes[60] and sizes[-1] < 6 * 300_000
-    kept = records.NAMES
+    kept = records.RECORD_NAMES
     raw = DiskStore(str(tmp_path / "a"), 64)
     raw.load()
     assert raw._environment is not None
@@ -103,7 +103,7 @@
     tmp_path: Path, monkeypatch: Any
 ) -> None:
     disk = DiskStore(str(tmp_path), 64)
-    memory = disk.begin("s", ME, CONTACTS)
+    memory = disk.load_or_create("s", ME, CONTACTS)
     body, ops = {"m": ["0"]}, [{"m": str(at)} for at in range(1, 40)]
     assert memory.chosen is not None
     value = replace(memory.chosen.value, version=1, digest=digest_of(body))
@@ -119,7 +119,7 @@
             transaction.put(name, data)
     monkeypatch.setitem(formats.MIGRATIONS, 0, apart)
     disk = DiskStore(str(tmp_path), 64)
-    back = disk.begin("s", ME, [])
+    back = disk.load_or_create("s", ME, [])
     assert back.disk_id == memory.disk_id and back.promised == Ballot(7, "y") and back.chosen == memory.chosen
     one = Register(ME, back, disk, mark, seed=1, now=0)
     new = {"m": [str(at) for at in range(40)]}
@@ -127,6 +127,6 @@
     one.receive(CONTACTS[1], Chosen(Ballot(40, "x"), value, BodyDelta(digest_of(body), ops)), 1)
     one.flush(include_deferred=True)
     disk.close()
-    again = DiskStore(str(tmp_path), 64).begin("s", ME, [])
+    again = DiskStore(str(tmp_path), 64).load_or_create("s", ME, [])
     assert again.chosen is not None and json.dumps(again.chosen.body) == json.dumps(new)
     assert [change.version for change in one.changes] == [*range(2, 41)]
--- a/tests/test_orders_again.py
+++ b/tests/test_orders_again.py
@@ -93,13 +93,13 @@
     digest = digest_of(state)
     assert texts.encoded_items - before <= 3 and len(json.dumps(state["older"])) < 25 * 700
     disk = DiskStore(str(tmp_path), 64)
-    memory = disk.begin("s", "10.0.0.1", ["10.0.0.1"])
+    memory = disk.load_or_create("s", "10.0.0.1", ["10.0.0.1"])
     assert memory.chosen is not None
     value: Value = memory.chosen.value.__class__(9, memory.chosen.value.voters, (), "10.0.0.1", digest)
     memory.accepted = memory.chosen = Proposal(Ballot(3, "x"), value, state)
     disk.save(memory)
     disk.close()
-    again = DiskStore(str(tmp_path), 64).begin("s", "10.0.0.1", [])
+    again = DiskStore(str(tmp_path), 64).load_or_create("s", "10.0.0.1", [])
     assert again.chosen is not None and again.chosen.ballot > NO_BALLOT
     body = again.chosen.body
     assert body == state and digest_of(body) == digest and apply(body, put(whole()))[1][0] == 200
--- a/tests/test_recorded.py
+++ b/tests/test_recorded.py
@@ -48,7 +48,7 @@
 
 
 def test_a_disk_is_opened_with_its_promise_its_proposals_and_one_start_more(disk_folder: Path) -> None:
-    state = DiskStore(str(disk_folder), 4).begin("s1", NODES[0], [])
+    state = DiskStore(str(disk_folder), 4).load_or_create("s1", NODES[0], [])
     assert (state.disk_id, state.starts) == ("first", 2)
     assert state.promised == Ballot(44, "10.0.0.2/first/1")
     assert state.accepted is not None and state.chosen is not None
@@ -60,7 +60,7 @@
 
 
 def test_orders_of_the_recorded_build_are_repeats(disk_folder: Path) -> None:
-    state = DiskStore(str(disk_folder), 4).begin("s1", NODES[0], [])
+    state = DiskStore(str(disk_folder), 4).load_or_create("s1", NODES[0], [])
     assert state.chosen is not None
     body = state.chosen.body
     for edition in (2, 30, EDITION - RECENT, EDITION):
@@ -78,7 +78,7 @@
     for number, ip in enumerate(NODES):
         folder = disk_folder if ip == NODES[0] else disk_folder / ip  # the others begin on empty disks
         stores[ip] = DiskStore(str(folder), 4)
-        state = stores[ip].begin(ip, ip, NODES)
+        state = stores[ip].load_or_create(ip, ip, NODES)
         replicas[ip] = Replica(
             ip, state, stores[ip], apply, zone="z0", regions=ZONES, max_voters=3, seed=number, now=0
         )
@@ -100,7 +100,7 @@
     assert [(result.token, result.verdict.status) for result in results] == [(token, 200)]
     assert all(replica.body["edition"] == 200 for replica in replicas.values())
     stores[NODES[0]].close()
-    again = DiskStore(str(disk_folder), 4).begin("s1", NODES[0], [])
+    again = DiskStore(str(disk_folder), 4).load_or_create("s1", NODES[0], [])
     assert again.starts == 3 and again.chosen is not None
     assert again.chosen.body["edition"] in (EDITION, EDITION + 1, 200)
     assert again.accepted is not None and again.accepted.body["edition"] == 200
@@ -109,7 +109,7 @@
 def test_the_recorded_disk_has_no_problem_by_the_tools(disk_folder: Path) -> None:
     from pepperrun.operator.state import raw_records
 
-    assert records.problems(raw_records(disk_folder)) == []
+    assert records.find_problems(raw_records(disk_folder)) == []
 
 
 def test_a_handed_over_state_is_taken_over_with_what_was_spent() -> None:
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -30,13 +30,13 @@
     """Records of a made-up format before the first: bodies stand in what names them."""
     raw = state.raw_records(folder)
     out: dict[bytes, bytes] = {}
-    for name in records.NAMES:
-        data = records.unseal(raw[name.encode()], name)
+    for name in records.RECORD_NAMES:
+        data = records.decode_record(raw[name.encode()], name)
         if name == "life":
             data = [0, *data[1:]]
         elif name != "promised":
-            data.append(records.unseal(raw[f"body:{data[1][4]}".encode()], "body"))
-        out[name.encode()] = records.seal(data)
+            data.append(records.decode_record(raw[f"body:{data[1][4]}".encode()], "body"))
+        out[name.encode()] = records.encode_record(data)
     return out
 
 
@@ -62,15 +62,15 @@
     with disk._open().begin(write=True) as transaction:
         for key in [bytes(key) for key in transaction.cursor().iternext(values=False)]:
             transaction.delete(key)
-        for key, data in (raw | {b"extra": records.seal(1)}).items():
+        for key, data in (raw | {b"extra": records.encode_record(1)}).items():
             transaction.put(key, data)
     disk.close()
-    assert DiskStore(str(tmp_path)).begin("s", ME, []) == replace(memory, starts=memory.starts + 1)
+    assert DiskStore(str(tmp_path)).load_or_create("s", ME, []) == replace(memory, starts=memory.starts + 1)
     monkeypatch.delitem(formats.MIGRATIONS, 0)
     again = state.raw_records(tmp_path)
-    assert not records.problems(again) and b"extra" not in again
+    assert not records.find_problems(again) and b"extra" not in again
     with pytest.raises(PepperrunError, match="disk-newer"):
-        records.read_state({b"life": records.seal([formats.FORMAT + 1])})
+        records.read_state({b"life": records.encode_record([formats.CURRENT_FORMAT + 1])})
 
 
 def test_a_copy_never_goes_on_as_the_same_life(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
@@ -83,7 +83,7 @@
     assert run("restore", tmp_path / "b", file, "--same-life") == 1 and "retire" in capsys.readouterr().err
     assert run("restore", tmp_path / "a", file) == 1  # not empty
     assert run("restore", tmp_path / "b", file) == 0
-    made = DiskStore(str(tmp_path / "b")).begin("s", ME, CONTACTS)
+    made = DiskStore(str(tmp_path / "b")).load_or_create("s", ME, CONTACTS)
     # Neither its votes nor what was chosen: both are for the others to say, even where first_run is true.
     assert (
         made.disk_id not in (memory.disk_id, FIRST_DISK_ID)
@@ -95,9 +95,12 @@
     assert run("restore", tmp_path / "c", file, "--same-life") == 0
     assert run("restore", tmp_path / "d", file, "--same-life") == 1
     with pytest.raises(PepperrunError, match="disk-other"):
-        DiskStore(str(tmp_path / "c")).begin("s", "10.0.0.2", [])  # it, too, has a life named `first`
-    assert DiskStore(str(tmp_path / "c")).begin("s", ME, []) == replace(memory, starts=memory.starts + 1)
-    assert DiskStore(str(tmp_path / "a")).begin("s", ME, CONTACTS).disk_id not in (
+        # The first disk id of that machine, too, is `first`.
+        DiskStore(str(tmp_path / "c")).load_or_create("s", "10.0.0.2", [])
+    assert DiskStore(str(tmp_path / "c")).load_or_create("s", ME, []) == replace(
+        memory, starts=memory.starts + 1
+    )
+    assert DiskStore(str(tmp_path / "a")).load_or_create("s", ME, CONTACTS).disk_id not in (
         memory.disk_id,
         FIRST_DISK_ID,
     )
@@ -113,9 +116,9 @@
     data[at : at + 2] = b"ab"
     file.write_bytes(data)
     raw = state.raw_records(tmp_path)
-    assert len(records.problems({**raw, b"chosen": b"x" * 40})) == 2
+    assert len(records.find_problems({**raw, b"chosen": b"x" * 40})) == 2
     del raw[b"promised"]
-    assert "The record promised is missing." in records.problems(raw)
+    assert "The record promised is missing." in records.find_problems(raw)
     assert operatorctl.main(["state", "check", str(tmp_path)]) == 1
     assert capsys.readouterr().out.count("The checksum of body:") == 1
     assert operatorctl.main(["state", "check", str(tmp_path / "none")]) == 2
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -22,7 +22,7 @@
 def filled(folder: Path, size: int = 300_000) -> DurableState:
     """A machine that has taken a value, not known as chosen; its disk is closed."""
     disk = DiskStore(str(folder), 64)
-    memory = disk.begin("s", ME, CONTACTS)
+    memory = disk.load_or_create("s", ME, CONTACTS)
     assert memory.chosen is not None
     body = {"routes": "é" * (size // 2)}
     value = replace(memory.chosen.value, version=1, digest=digest_of(body))
@@ -37,13 +37,14 @@
     memory = filled(tmp_path)
     for starts in (2, 3):
         disk = DiskStore(str(tmp_path), 64)
-        assert disk.begin("s", ME, CONTACTS) == replace(memory, starts=starts)  # first_run may still be true
+        # The setting first_run may still be true.
+        assert disk.load_or_create("s", ME, CONTACTS) == replace(memory, starts=starts)
         disk.close()
 
 
 def test_only_a_first_contact_with_an_empty_disk_begins(tmp_path: Path) -> None:
     lives = [
-        DiskStore(str(tmp_path / str(at))).begin("s", me, contacts)
+        DiskStore(str(tmp_path / str(at))).load_or_create("s", me, contacts)
         for at, (me, contacts) in enumerate([(ME, CONTACTS), ("10.0.0.4", CONTACTS), (ME, []), (ME, [])])
     ]
     assert lives[0].disk_id == FIRST_DISK_ID and lives[0].chosen == lives[0].accepted is not None
@@ -54,7 +55,7 @@
 def test_a_file_that_never_got_its_first_record_is_an_empty_disk(tmp_path: Path) -> None:
     lmdb.open(str(tmp_path), lock=False).close()
     assert (tmp_path / "data.mdb").exists()
-    assert DiskStore(str(tmp_path)).begin("s", ME, CONTACTS).disk_id == FIRST_DISK_ID
+    assert DiskStore(str(tmp_path)).load_or_create("s", ME, CONTACTS).disk_id == FIRST_DISK_ID
 
 
 @pytest.mark.parametrize("where", ["head", "body", "record", "lost record"])
@@ -75,17 +76,17 @@
         with lmdb.open(str(tmp_path), lock=False) as env, env.begin(write=True) as transaction:
             transaction.delete(b"promised")
     disk = DiskStore(str(tmp_path), 64)
-    again = disk.begin("s", ME, CONTACTS)
+    again = disk.load_or_create("s", ME, CONTACTS)
     assert again.disk_id not in (memory.disk_id, FIRST_DISK_ID)
     assert again.chosen is None and again.accepted is None and again.starts == 1
     disk.close()
-    assert DiskStore(str(tmp_path), 64).begin("s", ME, []).disk_id == again.disk_id
+    assert DiskStore(str(tmp_path), 64).load_or_create("s", ME, []).disk_id == again.disk_id
 
 
 def test_a_promise_does_not_write_the_body_again(tmp_path: Path) -> None:
     filled(tmp_path)
     disk = DiskStore(str(tmp_path), 64)
-    memory = disk.begin("s", ME, [])
+    memory = disk.load_or_create("s", ME, [])
     written: list[int] = []
     seal = disk._saved.copy()
     memory.promised, memory.chosen = Ballot(4, "y"), memory.accepted
@@ -102,7 +103,7 @@
 
 def test_after_a_failure_all_is_written_anew(tmp_path: Path) -> None:
     disk = DiskStore(str(tmp_path), 1)  # of which half is the map's
-    memory = disk.begin("s", ME, CONTACTS)
+    memory = disk.load_or_create("s", ME, CONTACTS)
     assert memory.chosen is not None
     small = memory.accepted
     body = {"fill": "x" * 1_000_000}
@@ -114,7 +115,7 @@
     memory.accepted, memory.promised = small, Ballot(9, "z")
     disk.save(memory)
     disk.close()
-    assert DiskStore(str(tmp_path), 1).begin("s", ME, []).promised == Ballot(9, "z")
+    assert DiskStore(str(tmp_path), 1).load_or_create("s", ME, []).promised == Ballot(9, "z")
 
 
 @pytest.mark.parametrize("error", [lmdb.DiskError("full"), lmdb.Error("x: Input/output error")])
@@ -129,8 +130,8 @@
     with monkeypatch.context() as patch:
         patch.setattr(lmdb, "open", refuses)
         with pytest.raises(PepperrunError, match="disk-failed"):
-            DiskStore(str(tmp_path), 64).begin("s", ME, [])
-    assert DiskStore(str(tmp_path), 64).begin("s", ME, []).disk_id == memory.disk_id
+            DiskStore(str(tmp_path), 64).load_or_create("s", ME, [])
+    assert DiskStore(str(tmp_path), 64).load_or_create("s", ME, []).disk_id == memory.disk_id
 
 
 def test_a_change_writes_the_text_of_what_it_changed() -> None:
