--- a/pepperrun/consensus/__init__.py
+++ b/pepperrun/consensus/__init__.py
@@ -1,8 +1,8 @@
-"""Consensus of the control nodes: a CASPaxos register, its durable state and the choice of its voters.
+"""Consensus of the control nodes: a CASPaxos register, its durable state and the selection of its voters.
 
-`register` proposes, `acceptor` promises and accepts, `learner` knows what is chosen; `replica` adds quorum
-reads and the upkeep of the voters. None of them does I/O. `messages` are their typed messages and `codec`
-alone knows the words that these have on the wire and on the disk.
+`register` is the proposer, `acceptor` the acceptor and `learner` the learner of one node. `replica` combines
+them with quorum reads and voter maintenance. None of them does I/O. `messages` defines the typed messages.
+Only `codec` knows the field names that they have on the wire and on the disk.
 
-Times (`now`, `deadline`, names that end in `_at`) are nanoseconds of the steady clock of one process.
+Times (`now`, `deadline`, names that end in `_at`) are nanoseconds of the monotonic clock of one process.
 """
--- a/pepperrun/consensus/acceptor.py
+++ b/pepperrun/consensus/acceptor.py
@@ -1,7 +1,7 @@
-"""The acceptor: promises, accepts and keeps its word over losses of power. No I/O but `StateStore.save`.
+"""The acceptor: promises and accepts, and keeps both over power failures. No I/O but `StateStore.save`.
 
-A promise or an acceptance is synced before it is said: `flush` saves, and what is to be sent goes out after
-it. Replies of a node to itself are held back until then as well.
+A promise or an acceptance is synced to disk before any node receives it: `flush` saves the state, and the
+outgoing messages are sent after that. Messages of a node to itself are handled only after the sync as well.
 """
 
 from __future__ import annotations
@@ -29,12 +29,12 @@
     """One node as an acceptor and learner."""
 
     def receive(self, ip: str, message: Message, now: int) -> None:
-        """Handle a message of the node `ip`, which may be this one.
+        """Handle a message from the node `ip`, which may be this one.
 
         Raises
         ------
         RemoteProtocolError
-            A body is not the one that its value names.
+            The digest of a body differs from the digest that its value names.
         """
         self.now = now
         self._observe_ballots(message)
@@ -53,7 +53,7 @@
                 self._on_reply(ip, message)
 
     def _observe_ballots(self, message: Message) -> None:
-        """Keep the highest ballot, so that a round of this node begins above it."""
+        """Record the highest ballot received, so that the next round of this node uses a higher one."""
         match message:
             case Prepare() | Accept() | Accepted() | BodyNeeded() | Chosen():
                 self.highest_ballot = max(self.highest_ballot, message.ballot)
@@ -64,9 +64,10 @@
                 self.highest_ballot = max(self.highest_ballot, message.ballot, message.promised)
 
     def _on_reply(self, ip: str, message: Message) -> None:
-        """Handle a reply to a round of this node: the proposer's part."""
+        """Handle a reply to a round of this node. The proposer overrides this method."""
 
-    # A reply carries the sender's incarnation; who counts replies looks whether that one votes.
+    # Any node answers, voter or not. A reply names the sender's incarnation, and whoever counts the replies
+    # checks whether that incarnation votes.
 
     def _on_prepare(self, ip: str, message: Prepare) -> None:
         state = self.state
@@ -110,7 +111,7 @@
         return True
 
     def _remember_unsaved(self, message: Accept) -> None:
-        """Keep a proposal that can't be accepted: should it be chosen, its ballot alone tells this node."""
+        """Keep a proposal that can't be saved: if it is chosen, a `Chosen` with only its ballot is enough."""
         body = self._resolve_body(message)
         if body is not None:
             proposal = Proposal(message.ballot, message.value, body)
@@ -119,15 +120,15 @@
     # Syncing.
 
     def flush(self, *, include_deferred: bool = False) -> None:
-        """Sync what messages rest on, then handle those of this node to itself, until nothing is left.
+        """Sync the state that outgoing messages depend on, then handle loopback messages, until none is left.
 
-        Where the disk fails, what rests on it is not said, and nothing as an acceptor until a flush with
-        `include_deferred` finds the disk well again.
+        If the save fails, promises and acceptances that depend on it are dropped. The node then promises and
+        accepts nothing until a flush with `include_deferred` saves the state successfully.
 
         Parameters
         ----------
         include_deferred : bool
-            Sync also what may be synced later.
+            Sync also changes whose sync may be deferred, and retry after a failed save.
         """
         while True:
             required = self.must_sync and not self.disk_failed
@@ -148,7 +149,7 @@
             self._on_disk_failure(error)
             return
         if self.disk_failed:
-            event("disk-recovered", ip=self.own_ip)  # all was written anew: this node votes again
+            event("disk-recovered", ip=self.own_ip)  # the complete state was written: this node votes again
         self.must_sync = False
         self.may_sync_later = False
         self.disk_failed = False
--- a/pepperrun/consensus/canonical_json.py
+++ b/pepperrun/consensus/canonical_json.py
@@ -1,8 +1,8 @@
-"""JSON text of bodies, encoded item by item: what did not change since the last body is not encoded again.
+"""JSON text of bodies, encoded item by item; the text of items that did not change is cached.
 
-A change touches a few items of thousands, and bodies share what did not change (`control.changes`). So the
-text of an item is cached for as long as that very object is in one of the last two bodies. Items are never
-changed in place.
+A change modifies a few items out of thousands, and bodies share the objects that did not change
+(`control.changes`). The text of an item is cached as long as the same object is in one of the last two
+bodies. This relies on items never being modified in place.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 class _CachedItem(NamedTuple):
-    """An item of a table with its name and the text of both."""
+    """An item of a table, its name, and the JSON text of `"name":item`."""
 
     name: str
     item: Any
@@ -21,24 +21,24 @@
 
 
 class CachedJsonEncoder:
-    """Encode bodies as `json.dumps` does, without spaces.
+    """Encodes bodies to the same text as `json.dumps` without spaces, reusing the text of unchanged items.
 
     Parameters
     ----------
     sort_keys : bool
-        Write all keys in order, as digests need it.
+        Write all keys in sorted order, so that equal bodies have equal digests.
     """
 
     def __init__(self, sort_keys: bool) -> None:
         self.sort_keys = sort_keys
         self.encoded_items = 0  # items whose text was not in the cache
         self._dump = json.JSONEncoder(separators=(",", ":"), sort_keys=sort_keys, ensure_ascii=False).encode
-        # By id(item). An entry holds its item, so no other object has that id meanwhile.
+        # By id(item). An entry references its item, so no other object can get that id while it is cached.
         self._last: dict[int, _CachedItem] = {}
         self._before_last: dict[int, _CachedItem] = {}
 
     def encode(self, body: dict[str, Any]) -> str:
-        """Return the text of a body."""
+        """Return the JSON text of a body, and keep the texts of its items for the next two bodies."""
         used: dict[int, _CachedItem] = {}
         names = sorted(body) if self.sort_keys else body
         parts = [f"{encode_basestring(name)}:{self._section(body[name], used)}" for name in names]
@@ -47,7 +47,7 @@
         return "{" + ",".join(parts) + "}"
 
     def _section(self, section: Any, used: dict[int, _CachedItem]) -> str:
-        """Encode a table of items by name; anything else is encoded as it is."""
+        """Return the text of one top-level field: a table of items item by item, anything else at once."""
         if not isinstance(section, dict) or not all(type(item) is dict for item in section.values()):
             return self._dump(section)
         texts: list[str] = []
--- a/pepperrun/consensus/codec.py
+++ b/pepperrun/consensus/codec.py
@@ -1,7 +1,7 @@
-"""Codec of the consensus: typed messages to the JSON objects of the wire and back.
+"""Codec of the consensus: converts typed messages to the JSON objects on the wire and back.
 
-Only this module knows the short field names; `storage.records` uses its ballots and values for the disk. A
-message is an object with its kind under `t`:
+Only this module knows the short field names; `storage.records` uses its encoding of ballots and values for
+the disk. A message is an object with its kind under `t`:
 
 | `t` | message | fields |
 | --- | --- | --- |
@@ -12,14 +12,14 @@
 | taken | `Accepted` | b ballot, l disk id |
 | refuse | `Rejected` | b ballot, a promised ballot |
 | chosen | `Chosen` | b ballot, v value, f and o delta, w full body |
-| news | `CatchUpRequest` | c chosen ballot, h held digests |
+| news | `CatchUpRequest` | c chosen ballot, h known digests |
 | want, body | `BodyRequest`, `BodyReply` | d digest, w body |
 | read | `QuorumRead` | s read id, c chosen ballot, l disk id |
-| seen | `QuorumReadReply` | s read id, l disk id, a accepted ballot, c chosen ballot, q silent coordinator |
+| seen | `QuorumReadReply` | s read id, l disk id, a accepted, c chosen ballot, q suspected coordinator |
 | leave | `StoppingNotice` | l disk id |
 
 A ballot is `[round, proposer]`, a value `[version, voters, outgoing voters, coordinator, digest]`, a voter
-`[ip, disk id]`. Fields that a kind does not have are passed over, so that later versions may add some.
+`[ip, disk id]`. Unknown fields are ignored, so that later versions can add some.
 """
 
 from __future__ import annotations
@@ -52,64 +52,64 @@
 MAX_TEXT = 200  # characters of a disk id, an ip, a digest
 MAX_VOTERS = 64
 MAX_OPERATIONS = 64
-MAX_INTEGER = (1 << 53) - 1  # JSON numbers above it may lose digits on the way
+MAX_INTEGER = (1 << 53) - 1  # larger JSON numbers can lose digits in a decoder that uses doubles
 
 _MISSING = object()
 
 
-def _invalid(what: str) -> RemoteProtocolError:
-    return RemoteProtocolError("bad-message", "consensus", what)
+def _invalid(detail: str) -> RemoteProtocolError:
+    return RemoteProtocolError("bad-message", "consensus", detail)
 
 
-# Parts of messages.
+# Fields of messages.
 
 
 def _text(data: Any) -> str:
     if not isinstance(data, str) or len(data) > MAX_TEXT:
-        raise _invalid("a name is no text or too long")
+        raise _invalid("a text field is not a string or is too long")
     return data
 
 
 def _integer(data: Any) -> int:
     if type(data) is not int or not -1 <= data <= MAX_INTEGER:
-        raise _invalid("a number is no integer or out of range")
+        raise _invalid("a number is not an integer or is out of range")
     return data
 
 
 def decode_ballot(data: Any) -> Ballot:
-    """Return the ballot that JSON data holds.
+    """Return the ballot that JSON data encodes.
 
     Raises
     ------
     RemoteProtocolError
-        It holds none.
+        The data is not a valid ballot.
     """
     if not isinstance(data, list | tuple) or len(data) != 2:
-        raise _invalid("a ballot is no pair")
+        raise _invalid("a ballot is not a pair")
     return Ballot(_integer(data[0]), _text(data[1]))
 
 
 def _decode_voters(data: Any) -> tuple[Incarnation, ...]:
     if not isinstance(data, list) or len(data) > MAX_VOTERS:
-        raise _invalid("voters are no list or too many")
+        raise _invalid("the voters are not a list or are too many")
     voters = []
     for voter in data:
         if not isinstance(voter, list) or len(voter) != 2:
-            raise _invalid("a voter is no pair")
+            raise _invalid("a voter is not a pair")
         voters.append(Incarnation(_text(voter[0]), _text(voter[1])))
     return tuple(voters)
 
 
 def decode_value(data: Any) -> Value:
-    """Return the value that JSON data holds.
+    """Return the value that JSON data encodes.
 
     Raises
     ------
     RemoteProtocolError
-        It holds none, or one without voters.
+        The data is not a valid value, or the value has no voters.
     """
     if not isinstance(data, list) or len(data) != 5:
-        raise _invalid("a value has not five parts")
+        raise _invalid("a value is not a list of five elements")
     version, voters, outgoing_voters, coordinator, digest = data
     value = Value(
         version=_integer(version),
@@ -124,7 +124,7 @@
 
 
 def encode_value(value: Value) -> list[Any]:
-    """Return a value as JSON data."""
+    """Return the JSON data of a value, which `decode_value` reads."""
     voters = [list(voter) for voter in value.voters]
     outgoing_voters = [list(voter) for voter in value.outgoing_voters]
     return [value.version, voters, outgoing_voters, value.coordinator, value.digest]
@@ -132,29 +132,29 @@
 
 def _decode_body(data: Any) -> Body:
     if not isinstance(data, dict):
-        raise _invalid("a body is no object")
+        raise _invalid("a body is not an object")
     return data
 
 
 def _decode_operations(data: Any) -> list[Operation]:
     if not isinstance(data, list) or len(data) > MAX_OPERATIONS:
-        raise _invalid("operations are no list or too many")
+        raise _invalid("the operations are not a list or are too many")
     if not all(isinstance(operation, dict) for operation in data):
-        raise _invalid("an operation is no object")
+        raise _invalid("an operation is not an object")
     return data
 
 
 def _decode_digests(data: Any) -> list[str]:
     if not isinstance(data, list) or len(data) > MAX_VOTERS:
-        raise _invalid("digests are no list or too many")
+        raise _invalid("the digests are not a list or are too many")
     return [_text(digest) for digest in data]
 
 
 def _required(data: Mapping[str, Any], field: str) -> Any:
-    part = data.get(field, _MISSING)
-    if part is _MISSING:
+    content = data.get(field, _MISSING)
+    if content is _MISSING:
         raise _invalid(f"the field {field} of {data['t']} is missing")
-    return part
+    return content
 
 
 def _ballot(data: Mapping[str, Any]) -> Ballot:
@@ -244,7 +244,7 @@
         disk_id=_disk_id(data),
         accepted_ballot=_optional_ballot(data, "a"),
         chosen_ballot=_optional_ballot(data, "c"),
-        silent_coordinator=_text(data["q"]) if "q" in data else None,
+        suspected_coordinator=_text(data["q"]) if "q" in data else None,
     )
 
 
@@ -270,14 +270,17 @@
 
 
 def is_known(data: Any) -> bool:
-    """Whether this version reads the kind of a message. One without any kind is for `decode` to refuse."""
+    """Whether this version knows the kind of a message. True also for data without a kind.
+
+    `decode` then rejects that data.
+    """
     if not isinstance(data, dict) or not isinstance(data.get("t"), str):
         return True
     return data["t"] in _DECODERS
 
 
 def decode(data: Any) -> Message:
-    """Return the typed message of JSON data.
+    """Return the typed message that JSON data encodes.
 
     Raises
     ------
@@ -307,7 +310,7 @@
 
 
 def _encode_accept(message: Accept) -> WireMessage:
-    return _with_content({"t": "put", "b": message.ballot}, message)
+    return _with_value_and_body({"t": "put", "b": message.ballot}, message)
 
 
 def _encode_body_needed(message: BodyNeeded) -> WireMessage:
@@ -323,11 +326,11 @@
 
 
 def _encode_chosen(message: Chosen) -> WireMessage:
-    return _with_content({"t": "chosen", "b": message.ballot}, message)
+    return _with_value_and_body({"t": "chosen", "b": message.ballot}, message)
 
 
-def _with_content(data: WireMessage, message: Accept | Chosen) -> WireMessage:
-    """Add the value and what its body is made of."""
+def _with_value_and_body(data: WireMessage, message: Accept | Chosen) -> WireMessage:
+    """Add the value, and its body as a delta or in full, where the message has them."""
     if message.value is not None:
         data["v"] = encode_value(message.value)
     if message.delta is not None:
@@ -339,7 +342,7 @@
 
 
 def _encode_catch_up_request(message: CatchUpRequest) -> WireMessage:
-    return {"t": "news", "c": message.chosen_ballot, "h": message.held_digests}
+    return {"t": "news", "c": message.chosen_ballot, "h": message.known_digests}
 
 
 def _encode_body_request(message: BodyRequest) -> WireMessage:
@@ -360,8 +363,8 @@
         data["a"] = message.accepted_ballot
     if message.chosen_ballot is not None:
         data["c"] = message.chosen_ballot
-    if message.silent_coordinator is not None:
-        data["q"] = message.silent_coordinator
+    if message.suspected_coordinator is not None:
+        data["q"] = message.suspected_coordinator
     return data
 
 
@@ -387,5 +390,5 @@
 
 
 def encode(message: Message) -> WireMessage:
-    """Return a message as JSON data, ballots as named tuples."""
+    """Return the JSON data of a message. Ballots stay named tuples, which JSON encodes as lists."""
     return _ENCODERS[type(message)](message)
--- a/pepperrun/consensus/learner.py
+++ b/pepperrun/consensus/learner.py
@@ -1,7 +1,7 @@
-"""The learner: which value is chosen, how its body changed, and how a node catches up with others. No I/O.
+"""The learner: which value is chosen, how its body changed, and how a node catches up with its peers. No I/O.
 
-Messages go to `outbox`, those of a node to itself to `loopback`: both may be used only after `flush` has
-synced what they rest on.
+Messages go to `outbox`, those of a node to itself to `loopback`. Both may be used only after `flush` has
+synced the state that they depend on.
 """
 
 from __future__ import annotations
@@ -35,20 +35,20 @@
 from pepperrun.consensus.timeouts import Timeouts
 from pepperrun.foundation.errors import RemoteProtocolError
 
-MAX_CATCH_UP_DOUBLINGS = 3  # of the wait for an answer to a `CatchUpRequest`
+MAX_CATCH_UP_DOUBLINGS = 3  # of the time-out of a `CatchUpRequest`
 
 
 class OutgoingMessage(NamedTuple):
-    """A message and the ip of the node that it goes to."""
+    """A message and the ip of its destination node."""
 
     ip: str
     message: Message
 
 
 class BodyChange(NamedTuple):
-    """The chosen body went from `base_version` to `version`.
+    """The chosen body changed from `base_version` to `version`.
 
-    `operation` is None where it was not one known operation: the body itself has to be taken.
+    `operation` is None unless exactly one known operation made the change. Without it, take the body itself.
     """
 
     base_version: int
@@ -57,15 +57,15 @@
 
 
 class UnsavedProposal(NamedTuple):
-    """A proposal that could not be saved, and how its body came about."""
+    """A proposal that could not be saved, and the delta from which its body was made, if any."""
 
     proposal: Proposal
     delta: BodyDelta | None
 
 
 @dataclass(slots=True)
-class CatchUp:
-    """The last request to catch up: from which chosen ballot, when, and how often from there."""
+class CatchUpProgress:
+    """State of catching up: the last request's chosen ballot and time, and the attempts from that ballot."""
 
     chosen_ballot: Ballot
     requested_at: int
@@ -73,20 +73,26 @@
 
 
 class Learner:
-    """What one node knows as chosen. Give it messages; read `outbox` and `changes` after a `flush`.
+    """What one node knows as chosen. Feed it messages; read `outbox` and `changes` after a `flush`.
 
     Attributes
     ----------
     state : DurableState
-        As it is in memory; what of it is synced is told by `must_sync` and `may_sync_later`.
-    highest_ballot : Ballot
-        Of all that were received.
+        The state in memory, which may be newer than the state on disk.
+    must_sync : bool
+        `state` has a change that must be synced before any further message is sent.
+    may_sync_later : bool
+        `state` has a change whose sync may be deferred.
     disk_failed : bool
         The last save failed: nothing is promised or accepted until one succeeds.
+    chosen_learned_at : int
+        When the newest chosen value was learned; the start of this process before that.
+    highest_ballot : Ballot
+        The highest ballot received in any message.
     deltas : dict of Ballot to BodyDelta
-        How the bodies of proposals that were accepted and are not yet chosen came about.
+        Delta of each proposal that was accepted and is not yet chosen.
     unsaved : UnsavedProposal or None
-        What this node was asked to accept while its disk failed.
+        The last proposal that this node was asked to accept while its disk failed.
     """
 
     def __init__(
@@ -101,12 +107,12 @@
         self.must_sync = False
         self.may_sync_later = False
         self.disk_failed = False
-        self.chosen_since = now
+        self.chosen_learned_at = now
         self.highest_ballot = max(state.promised, self.accepted_ballot)
         self.deltas: dict[Ballot, BodyDelta] = {}
         self.unsaved: UnsavedProposal | None = None
         self.recent_changes = RecentChanges()
-        self.catch_up = CatchUp(NO_BALLOT, now)
+        self.catch_up = CatchUpProgress(NO_BALLOT, now)
         # By ip, the chosen ballot to which a delta was sent last.
         self.delta_sent_for: dict[str, Ballot] = {}
         self.loopback: list[Message] = []
@@ -115,35 +121,37 @@
 
     @property
     def incarnation(self) -> Incarnation:
-        """The node itself as a voter."""
+        """Ip and disk id of this node: its identity as a voter."""
         return Incarnation(self.own_ip, self.state.disk_id)
 
     @property
     def chosen_ballot(self) -> Ballot:
-        """Ballot of the newest proposal known as chosen."""
+        """Ballot of the newest proposal known as chosen; `NO_BALLOT` before the first."""
         return self.state.chosen.ballot if self.state.chosen else NO_BALLOT
 
     @property
     def accepted_ballot(self) -> Ballot:
-        """Ballot of the proposal that was accepted last."""
+        """Ballot of the proposal that was accepted last; `NO_BALLOT` before the first."""
         return self.state.accepted.ballot if self.state.accepted else NO_BALLOT
 
     # Bodies.
 
     def body_of(self, digest: str) -> Body | None:
-        """Return the body with this digest, where it is here."""
+        """Return the body with this digest; None if neither the chosen nor the accepted proposal has it."""
         for proposal in (self.state.chosen, self.state.accepted):
             if proposal is not None and proposal.value.digest == digest:
                 return proposal.body
         return None
 
     def _resolve_body(self, message: Accept | Chosen) -> Body | None:
-        """Return the body of a message's value: one that is here, the full one sent, or made by the delta.
+        """Return the body of a message's value: the local copy, the full body sent, or the delta's result.
+
+        None if none of them gives the body with the value's digest.
 
         Raises
         ------
         RemoteProtocolError
-            The full body sent has another digest than the value names.
+            The digest of the full body sent differs from the one that the value names.
         """
         if message.value is None:
             return None
@@ -153,7 +161,7 @@
             return body
         if message.full_body is not None:
             if digest_of(message.full_body) != digest:
-                raise RemoteProtocolError("wrong-body", "consensus", f"not of digest {digest}")
+                raise RemoteProtocolError("wrong-body", "consensus", f"the body's digest is not {digest}")
             return message.full_body
         if message.delta is None:
             return None
@@ -174,7 +182,7 @@
     # What is chosen.
 
     def learn_accepted_by(self, incarnations: Iterable[Incarnation]) -> None:
-        """Learn that these have all accepted what was accepted last here: with a quorum it is chosen."""
+        """Learn that these incarnations accepted the same ballot as this node: with a quorum it is chosen."""
         accepted = self.state.accepted
         if accepted is None or accepted.ballot <= self.chosen_ballot:
             return
@@ -201,17 +209,17 @@
         self._learn_chosen(Proposal(message.ballot, message.value, body), message.delta)
 
     def _learn_chosen(self, proposal: Proposal, delta: BodyDelta | None) -> None:
-        """Keep a proposal as chosen, and as accepted: one more disk that has it.
+        """Record a proposal as chosen, and as accepted too, so that one more disk has it.
 
-        What is known never goes back: replies to a round of this node may come late, when a later ballot is
-        known as chosen already.
+        An older proposal is ignored: replies to a round of this node may arrive after a later ballot became
+        known as chosen.
         """
         if proposal.ballot <= self.chosen_ballot:
             return
         before = self.state.chosen
         self.state.chosen = proposal
         self.may_sync_later = True
-        self.chosen_since = self.now
+        self.chosen_learned_at = self.now
         if self.accepted_ballot < proposal.ballot:
             self.state.accepted = proposal
             self.state.promised = max(self.state.promised, proposal.ballot)
@@ -219,7 +227,7 @@
         self._record_change(before, proposal, delta)
 
     def _record_change(self, before: Proposal | None, proposal: Proposal, delta: BodyDelta | None) -> None:
-        """Note how the chosen body changed, operation by operation where the delta tells."""
+        """Append the change of the chosen body, one entry per operation where the delta continues it."""
         version = proposal.value.version
         if before is None:
             self.changes.append(BodyChange(-1, version, None))
@@ -243,12 +251,14 @@
     # Catching up.
 
     def request_catch_up(self, ip: str) -> None:
-        """Ask a node for what it knows as chosen: one node at a time, the next where that one is silent.
+        """Ask a node for its newest chosen value, unless another request is still within its time-out.
 
-        Each answer may be a full body, which takes its time on the way, and all others have the same.
+        Only one peer is asked at a time: a reply may be a full body, which takes long to transfer, and the
+        replies of the other peers would hold the same. Once the time-out has passed, the next call asks its
+        node. The time-out doubles with each attempt, at most `MAX_CATCH_UP_DOUBLINGS` times.
         """
         if self.catch_up.chosen_ballot != self.chosen_ballot:
-            self.catch_up = CatchUp(self.chosen_ballot, self.now)
+            self.catch_up = CatchUpProgress(self.chosen_ballot, self.now)
         if self.catch_up.attempts:
             doublings = min(MAX_CATCH_UP_DOUBLINGS, self.catch_up.attempts - 1)
             wait_ns = (self.timeouts.read_interval_ns // 2) << doublings
@@ -256,20 +266,23 @@
                 return
         self.catch_up.requested_at = self.now
         self.catch_up.attempts += 1
-        held = (self.state.chosen, self.state.accepted)
-        digests = [proposal.value.digest for proposal in held if proposal is not None]
+        proposals = (self.state.chosen, self.state.accepted)
+        digests = [proposal.value.digest for proposal in proposals if proposal is not None]
         self._send(ip, CatchUpRequest(self.chosen_ballot, digests))
 
     def _on_catch_up_request(self, ip: str, message: CatchUpRequest) -> None:
-        """Answer with the newest value, its body as short as the bodies that the other holds allow."""
+        """Reply with the newest value: without its body, with a delta, or with the full body.
+
+        The shortest form is used that the bodies known to the peer allow.
+        """
         chosen = self.state.chosen
         if chosen is None or chosen.ballot <= message.chosen_ballot:
             return
-        if chosen.value.digest in message.held_digests:
+        if chosen.value.digest in message.known_digests:
             self._send(ip, Chosen(chosen.ballot, chosen.value))
             return
-        delta = self.recent_changes.delta(message.held_digests, chosen.value.digest)
-        # Asked again from the same ballot, it could make nothing of the delta: then the full body.
+        delta = self.recent_changes.delta(message.known_digests, chosen.value.digest)
+        # A repeated request from the same ballot means that the peer could not apply the delta.
         if delta is None or self.delta_sent_for.get(ip) == message.chosen_ballot:
             self._send(ip, Chosen(chosen.ballot, chosen.value, full_body=chosen.body))
             return
--- a/pepperrun/consensus/messages.py
+++ b/pepperrun/consensus/messages.py
@@ -1,15 +1,15 @@
-"""Typed messages of the consensus; `codec` has their words on the wire.
+"""Typed messages of the consensus; `codec` defines their representation on the wire.
 
 | phase or purpose | request | replies |
 | --- | --- | --- |
 | prepare, the first phase | `Prepare` | `Promise`, `Rejected` |
 | accept, the second phase | `Accept` | `Accepted`, `BodyNeeded`, `Rejected` |
-| what is chosen | `Chosen`, `CatchUpRequest` | `Chosen` |
-| a body by its digest | `BodyRequest` | `BodyReply` |
+| learn what is chosen | `Chosen`, `CatchUpRequest` | `Chosen` |
+| fetch a body by its digest | `BodyRequest` | `BodyReply` |
 | quorum read | `QuorumRead` | `QuorumReadReply` |
 | graceful shutdown | `StoppingNotice` | |
 
-Bodies are long, so `Accept` and `Chosen` carry a `BodyDelta` wherever the receiver may hold the base.
+Bodies are long, so `Accept` and `Chosen` carry a `BodyDelta` wherever the receiver may have its base.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BodyDelta:
-    """Operations that lead from the body with digest `base_digest` to another."""
+    """Operations that turn the body with digest `base_digest` into another body, in order."""
 
     base_digest: str
     operations: list[Operation]
@@ -29,14 +29,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Prepare:
-    """A round begins: promise `ballot` and tell what was accepted."""
+    """Start of a round: asks for a promise of `ballot` and for the proposal that was accepted last."""
 
     ballot: Ballot
 
 
 @dataclass(frozen=True, slots=True)
 class Promise:
-    """The sender's incarnation promises `ballot`; it accepted `accepted_value` under `accepted_ballot`."""
+    """The sender's incarnation promises `ballot`; it last accepted `accepted_value` at `accepted_ballot`."""
 
     ballot: Ballot
     disk_id: str
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Accept:
-    """Accept `value`; its body comes as `delta` or as `full_body`."""
+    """Asks to accept `value` at `ballot`; its body comes as `delta` or as `full_body`."""
 
     ballot: Ballot
     value: Value
@@ -56,7 +56,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Accepted:
-    """The sender's incarnation has the proposal of `ballot` on its disk."""
+    """The sender's incarnation has the proposal of `ballot` synced on its disk."""
 
     ballot: Ballot
     disk_id: str
@@ -64,14 +64,14 @@
 
 @dataclass(frozen=True, slots=True)
 class BodyNeeded:
-    """The sender has no body for the `Accept` of `ballot`: send it with the full one."""
+    """The sender lacks the body for the `Accept` of `ballot` and asks for it with the full body."""
 
     ballot: Ballot
 
 
 @dataclass(frozen=True, slots=True)
 class Rejected:
-    """The round of `ballot` is over: `promised` is higher."""
+    """The sender rejects `ballot` because it has promised the higher ballot `promised`."""
 
     ballot: Ballot
     promised: Ballot
@@ -79,7 +79,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Chosen:
-    """The proposal of `ballot` is chosen. `value` is left out where the receiver has accepted it."""
+    """The proposal of `ballot` is chosen. `value` is None if the receiver is known to have accepted it."""
 
     ballot: Ballot
     value: Value | None = None
@@ -89,22 +89,22 @@
 
 @dataclass(frozen=True, slots=True)
 class CatchUpRequest:
-    """Ask for what is chosen later than `chosen_ballot`; bodies with `held_digests` are here."""
+    """Asks for the value chosen after `chosen_ballot`; the sender has the bodies with `known_digests`."""
 
     chosen_ballot: Ballot
-    held_digests: list[str]
+    known_digests: list[str]
 
 
 @dataclass(frozen=True, slots=True)
 class BodyRequest:
-    """Ask for the body with `digest`."""
+    """Asks for the full body with `digest`."""
 
     digest: str
 
 
 @dataclass(frozen=True, slots=True)
 class BodyReply:
-    """The body with `digest`."""
+    """The full body with `digest`, in reply to a `BodyRequest`."""
 
     digest: str
     body: Body
@@ -112,7 +112,7 @@
 
 @dataclass(frozen=True, slots=True)
 class QuorumRead:
-    """Ask whether anything later than `chosen_ballot` was accepted."""
+    """Asks whether the receiver accepted anything later than `chosen_ballot`."""
 
     read_id: int
     chosen_ballot: Ballot
@@ -121,22 +121,23 @@
 
 @dataclass(frozen=True, slots=True)
 class QuorumReadReply:
-    """Answer to a `QuorumRead`. A ballot that is left out is the one that was asked about.
+    """Reply to a `QuorumRead`. A ballot that is None equals the `chosen_ballot` of the request.
 
-    `disk_id` is empty where the disk fails, so the reply does not count as a vote. `silent_coordinator` is
-    the coordinator that the sender has not received from for long.
+    `disk_id` is empty while the sender's disk fails, so that the reply does not count as a vote.
+    `suspected_coordinator` is the coordinator from which the sender has received nothing for
+    `Timeouts.coordinator_ns`.
     """
 
     read_id: int
     disk_id: str
     accepted_ballot: Ballot | None = None
     chosen_ballot: Ballot | None = None
-    silent_coordinator: str | None = None
+    suspected_coordinator: str | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class StoppingNotice:
-    """The sender was told to stop: its vote should go to another. Repeated with each `QuorumRead`."""
+    """The sender shuts down: its vote should move to another node. Repeated with each `QuorumRead`."""
 
     disk_id: str
 
--- a/pepperrun/consensus/peer_liveness.py
+++ b/pepperrun/consensus/peer_liveness.py
@@ -1,4 +1,7 @@
-"""Which control nodes are alive as one node sees it, and which coordinator a quorum suspects. No I/O."""
+"""Failure detector of one node: which control nodes are alive, and whether a quorum suspects the coordinator.
+
+No I/O.
+"""
 
 from __future__ import annotations
 
@@ -8,7 +11,7 @@
 
 
 class Suspicion(NamedTuple):
-    """A voter's report, received `at`, that nothing came from `coordinator` for long."""
+    """A voter's report, received `at`, that it has received nothing from `coordinator` for long."""
 
     disk_id: str
     coordinator: str
@@ -16,22 +19,24 @@
 
 
 class PeerLiveness:
-    """Connections to the other control nodes and the times of their last messages.
+    """Connections to the other control nodes and the times of their last messages, each by ip.
 
     Attributes
     ----------
+    observing_since : int
+        Start of the observation: a node without any message counts as received from at this time.
     zones : dict of str to str
-        Zone by ip, of this node and of all that were ever connected.
+        Zone of this node and of every node that was ever connected.
     links : set of str
-        Ips of the nodes that are connected.
+        Ips of the connected nodes.
     received_at : dict of str to int
-        When something was received last.
+        When the last message was received.
     answered_at : dict of str to int
-        When the last question was sent that the node has answered.
+        When the latest request was sent that the node has answered.
     disk_ids : dict of str to str
-        As the nodes themselves gave them last.
+        The disk id that the node reported last.
     suspicions : dict of str to Suspicion
-        The last report of each voter, by its ip.
+        The last suspicion that each voter reported.
     """
 
     def __init__(self, own_ip: str, own_disk_id: str, zone: str, now: int) -> None:
@@ -46,17 +51,17 @@
         self.suspicions: dict[str, Suspicion] = {}
 
     def connected(self, ip: str, zone: str, now: int) -> None:
-        """Record that a link is up. What was known of the disk and of answers is void."""
+        """Record that a link is up, and discard the disk id and the answers from the link before."""
         self.links.add(ip)
         self.zones[ip] = zone
         self.received_at[ip] = now
-        # Its hello may have been sent before anything of this node got there.
+        # The peer may have sent its hello before any message of this node reached it.
         self.answered_at.pop(ip, None)
-        # Its disk may be another than on the link before.
+        # The peer may have another disk than on the link before.
         self.disk_ids.pop(ip, None)
 
     def disconnected(self, ip: str) -> None:
-        """Record that the link is gone; the time of the last message still counts."""
+        """Record that the link is lost. The time of the last message is kept."""
         self.links.discard(ip)
 
     def record_message(self, ip: str, disk_id: str | None, now: int) -> None:
@@ -66,11 +71,11 @@
             self.disk_ids[ip] = disk_id
 
     def record_answer(self, ip: str, asked_at: int) -> None:
-        """Record an answer to a question sent at `asked_at`: messages passed both ways since."""
+        """Record a reply to a request sent at `asked_at`: since then messages passed in both directions."""
         self.answered_at[ip] = max(asked_at, self.answered_at.get(ip, asked_at))
 
     def resumed(self, now: int) -> None:
-        """Forgive all peers a time in which this process itself was suspended."""
+        """Restart all time-outs after this process was suspended, when it could not receive messages."""
         self.observing_since = now
         self.suspicions.clear()
         for ip in self.links:
@@ -79,13 +84,13 @@
                 self.answered_at[ip] = now
 
     def since_last_message(self, ip: str, now: int) -> int:
-        """Nanoseconds without a message from `ip`; 0 for this node itself."""
+        """Nanoseconds since the last message from `ip`; 0 for this node itself."""
         if ip == self.own_ip:
             return 0
         return now - max(self.received_at.get(ip, self.observing_since), self.observing_since)
 
     def alive(self, now: int, within_ns: int) -> dict[str, str]:
-        """Disk ids (empty while not known) by ip of the connected nodes with a message within `within_ns`."""
+        """Disk ids by ip, empty if unknown, of connected nodes with a message within the last `within_ns`."""
         alive = {
             ip: self.disk_ids.get(ip, "")
             for ip in self.links
@@ -95,7 +100,7 @@
         return alive
 
     def reachable(self, now: int, within_ns: int) -> dict[str, str]:
-        """Those of `alive` that answered a question within `within_ns`: messages pass both ways."""
+        """Return nodes of `alive` that answered a request sent within `within_ns`: both directions work."""
         return {
             ip: disk_id
             for ip, disk_id in self.alive(now, within_ns).items()
@@ -106,9 +111,9 @@
         return ip in self.answered_at and now - self.answered_at[ip] <= within_ns
 
     def quorum_suspects_coordinator(self, value: Value, *, own_vote: bool, now: int, within_ns: int) -> bool:
-        """Whether a quorum of `value` reported its coordinator silent within `within_ns`.
+        """Whether a quorum of the voters of `value` reported its coordinator as suspected within `within_ns`.
 
-        `own_vote` says whether this node suspects it too, as a voter.
+        `own_vote` says whether this node counts as a suspecting voter too.
         """
         suspecting = [
             Incarnation(ip, suspicion.disk_id)
--- a/pepperrun/consensus/register.py
+++ b/pepperrun/consensus/register.py
@@ -1,25 +1,26 @@
 """A register that a majority of the voters agrees on (Rystsov's CASPaxos): no log, no leader, no I/O.
 
-Each change is a round of Lamport's Synod: prepare learns from a majority what was accepted, the proposer
-applies the change to that, accept puts the result to a majority. Ballots order the rounds; who has promised
-a higher one rejects a lower. What is promised and accepted is synced before it is said.
+Each change is a round of Lamport's Synod protocol: the prepare phase learns from a majority what was
+accepted, the proposer applies the change to it, and the accept phase proposes the result to a majority.
+Ballots order the rounds: an acceptor that has promised a ballot rejects all lower ones. Promises and
+acceptances are synced to disk before they are sent.
 
 | phase of a round | event | next phase |
 | --- | --- | --- |
 | IDLE | a change is pending | PREPARING |
-| PREPARING | a quorum of the latest value has promised; it is chosen and stays as it is | IDLE |
-| PREPARING | the same, but it is to be changed, or it is not known whether it was chosen | ACCEPTING |
-| ACCEPTING | a quorum of the new value has accepted: it is chosen, all are notified | IDLE |
-| PREPARING, ACCEPTING | rejected, or nothing for `timeouts.phase_ns` | BACKING_OFF |
-| BACKING_OFF | its time is over | IDLE |
-
-Voters are incarnations of machines: a machine with an empty disk is another voter. They are changed in two
-steps, as by the joint consensus of Raft. A value that some accepted and that was never chosen may be what a
-next round starts from, and two such values may name voters whose majorities have nobody in common. So a value
-first names both the voters and the outgoing voters, and a majority of each has to accept. Only when it is
-known as chosen does the next value drop the outgoing ones. So quorums of neighbouring values always have an
-incarnation in common, however old the knowledge of the proposer is; voters that it learns of in a round are
-prepared too.
+| PREPARING | a quorum of the latest value has promised; it is chosen and does not change | IDLE |
+| PREPARING | the same, but it changes, or it is not known whether it was chosen | ACCEPTING |
+| ACCEPTING | a quorum of the new value has accepted: it is chosen, all nodes are notified | IDLE |
+| PREPARING, ACCEPTING | rejected, or no quorum within `timeouts.phase_ns` | BACKING_OFF |
+| BACKING_OFF | the delay is over | IDLE |
+
+Voters are incarnations of machines: a machine with an empty disk is another voter. The voters are changed in
+two steps, as in the joint consensus of Raft. A round may start from a value that some voters accepted and
+that was never chosen, and two such values may name voters whose majorities do not intersect. So a value first
+names both the voters and the outgoing voters, and a majority of each group has to accept it. The next value
+drops the outgoing voters only when the joint value is known as chosen. So the quorums of consecutive values
+always intersect, however old the knowledge of the proposer is. A proposer also sends `Prepare` to voters that
+it learns of during the round.
 """
 
 from __future__ import annotations
@@ -62,30 +63,32 @@
 MAX_BACKOFF_DOUBLINGS = 4
 MAX_OPERATIONS_PER_ROUND = 4  # each may be a whole configuration
 
-# Returns the value with other voters or another coordinator, or itself; told whether it is known as chosen.
+# Returns the value with its voters and coordinator updated, or the same value if they are right. The second
+# argument says whether the value is known as chosen.
 VoterPlan = Callable[[Value, bool], Value]
 
 
 class FailureReason(enum.Enum):
-    """Why it is not known what became of a change."""
+    """Why the outcome of a change is not known."""
 
     NO_QUORUM = "no-quorum"
     TIMED_OUT = "timed-out"
 
 
 class ChangeResult(NamedTuple):
-    """What became of a change.
+    """The outcome of a change.
 
     Attributes
     ----------
     token : int
-        As `Register.submit` returned it.
+        The token that `Register.submit` returned.
     verdict : any JSON, or None
-        Of the operation; None where it may have been applied or not, for the reason `failure`.
+        Verdict of the operation. None if the outcome is not known: the operation may have been applied or
+        not, for the reason `failure`.
     version : int
-        Of the body with the change, or that refused it.
+        Version of the body with the change, or of the body that refused it.
     failure : FailureReason or None
-        Set where nothing is certain.
+        Set if the outcome is not known.
     """
 
     token: int
@@ -95,7 +98,7 @@
 
 
 class Phase(enum.Enum):
-    """Phase of the round of this node."""
+    """Phase of the round that this node proposes; the module's table lists the transitions."""
 
     IDLE = "idle"
     PREPARING = "preparing"
@@ -105,7 +108,7 @@
 
 @dataclass(slots=True)
 class PendingChange:
-    """An operator's change that waits for its round until `deadline`."""
+    """An operator's change that waits for a round, at most until `deadline`."""
 
     token: int
     operation: Operation
@@ -113,7 +116,7 @@
 
 
 class ReceivedPromise(NamedTuple):
-    """A promise of one node in the round; `value` is None where it has accepted nothing."""
+    """The promise of one node in the round; `value` is None if that node has accepted nothing."""
 
     disk_id: str
     accepted_ballot: Ballot
@@ -127,23 +130,23 @@
     Attributes
     ----------
     ballot : Ballot
-        Of the round.
+        Ballot of all messages of the round.
     last_token : int
-        Last token that was given when it began: later changes are not settled by its promises.
+        Last token issued when the round started. The promises of the round say nothing about later changes.
     prepare_sent : set of str
-        Ips that were asked to promise.
+        Ips to which `Prepare` was sent.
     promises : dict of str to ReceivedPromise
-        By ip.
+        Received promises by ip.
     fetching_digest, fetched_body
-        A body that was asked for, and what came.
+        Digest of a body that was requested from a peer, and the body once it has arrived.
     proposal, base_digest, operations
-        What was proposed, from which body, by which operations.
+        The value proposed, the digest of the body that it is based on, and the operations applied to that.
     evaluated : list of ChangeResult
-        Results that become certain when the round ends well.
+        Results that become final when the round succeeds.
     accept_sent : set of str
-        Ips that were asked to accept.
+        Ips to which `Accept` was sent.
     accepted_by : set of Incarnation
-        Those that have the proposal on their disks.
+        Incarnations that have the proposal on their disks.
     """
 
     ballot: Ballot
@@ -160,11 +163,11 @@
     accepted_by: set[Incarnation] = field(default_factory=set)
 
     def promised_by(self) -> list[Incarnation]:
-        """Incarnations that have promised."""
+        """Incarnations that have promised the ballot of the round."""
         return [Incarnation(ip, promise.disk_id) for ip, promise in self.promises.items()]
 
     def accepted_at(self, ballot: Ballot) -> list[Incarnation]:
-        """Incarnations whose promise tells that they accepted `ballot` last."""
+        """Incarnations whose promise names `ballot` as the last ballot that they accepted."""
         return [
             Incarnation(ip, promise.disk_id)
             for ip, promise in self.promises.items()
@@ -172,12 +175,12 @@
         ]
 
     def delta(self) -> BodyDelta:
-        """How the body of the proposal came about."""
+        """Return the delta from the base body to the body of the proposal."""
         return BodyDelta(self.base_digest, self.operations)
 
 
 class _Latest(NamedTuple):
-    """The latest value that this node knows of, and the ballot under which it was accepted."""
+    """The latest value known in the round, and the ballot at which it was accepted."""
 
     ballot: Ballot
     value: Value
@@ -190,8 +193,8 @@
 class Register(Acceptor):
     """One node of the register: proposer, acceptor and learner.
 
-    Submit changes, give it messages and the time; `flush`, then send `outbox` and read `results`.
-    `plan_voters` may be replaced; it must depend on nothing but what this node knows.
+    Submit changes, feed it messages and the time; `flush`, then send `outbox` and read `results`.
+    `plan_voters` may be replaced; it may depend only on the local knowledge of this node.
     """
 
     def __init__(
@@ -215,19 +218,19 @@
         self.rejections = 0
         self.pending: list[PendingChange] = []
         self.last_token = 0
-        self.observers: set[str] = set()  # ips that are notified of what is chosen, beside the voters
+        self.observers: set[str] = set()  # ips notified of chosen values besides the voters
         self.results: list[ChangeResult] = []
 
     # Changes and time.
 
     def submit(self, operation: Operation, deadline: int) -> int:
-        """Add a change for the next round; return the token under which its result is reported."""
+        """Queue a change for the next round; return the token under which its result is reported."""
         self.last_token += 1
         self.pending.append(PendingChange(self.last_token, operation, deadline))
         return self.last_token
 
     def fail_pending(self, failure: FailureReason) -> None:
-        """Fail all pending changes. One that a round is under way for may be chosen or not."""
+        """Fail all pending changes. A change whose round is in progress may still be chosen or not."""
         self._fail(self.pending, failure)
         self.pending = []
 
@@ -236,14 +239,14 @@
         self.results += [ChangeResult(change.token, None, version, failure) for change in changes]
 
     def next_tick_at(self) -> int | None:
-        """When `tick` is to be called at the latest; None while nothing is to be done."""
+        """When `tick` must be called at the latest; None while no deadline is pending."""
         times = [change.deadline for change in self.pending]
         if self.phase is not Phase.IDLE:
             times.append(self.phase_ends_at)
         return min(times, default=None)
 
     def tick(self, now: int) -> None:
-        """Fail changes past their deadline and end a phase that takes too long."""
+        """Fail changes past their deadline, and end a phase that has exceeded its time."""
         self.now = now
         expired = [change for change in self.pending if change.deadline <= now]
         if expired:
@@ -259,7 +262,7 @@
     # The proposer's phases.
 
     def start_round(self, now: int) -> None:
-        """Start a round, where none is under way and a value is known to start from."""
+        """Start a round. Does nothing while a round is in progress or no value is known to start from."""
         self.now = now
         known = [proposal for proposal in (self.state.chosen, self.state.accepted) if proposal is not None]
         if self.phase is not Phase.IDLE or not known:
@@ -287,8 +290,8 @@
     def _on_round_reply(self, ip: str, message: Promise | Accepted | BodyNeeded | Rejected) -> None:
         match message:
             case Rejected():
-                under_way = self.phase in (Phase.PREPARING, Phase.ACCEPTING)
-                if under_way and message.promised > message.ballot:
+                in_progress = self.phase in (Phase.PREPARING, Phase.ACCEPTING)
+                if in_progress and message.promised > message.ballot:
                     self._back_off()
             case Promise() if self.phase is Phase.PREPARING:
                 self._on_promise(ip, message)
@@ -300,7 +303,7 @@
                 self._choose_if_quorum_accepted()
 
     def body_of(self, digest: str) -> Body | None:
-        """Return the body with this digest, where it is here or was fetched in this round."""
+        """Return the body with this digest, if it is stored here or was fetched in this round, else None."""
         body = super().body_of(digest)
         if body is None and self.round.fetching_digest == digest:
             return self.round.fetched_body
@@ -315,7 +318,7 @@
         self._propose_if_quorum_promised()
 
     def _latest(self) -> _Latest | None:
-        """Return the latest value that a promise tells of or that is known as chosen here."""
+        """Return the latest value among those in the promises and the one known as chosen here."""
         chosen = self.state.chosen
         latest = None if chosen is None else _Latest(chosen.ballot, chosen.value)
         for promise in self.round.promises.values():
@@ -326,18 +329,21 @@
         return latest
 
     def _propose_if_quorum_promised(self) -> None:
-        """Go on to accept once a quorum of the latest value has promised and its body is here."""
+        """Enter the accept phase once a quorum of the latest value has promised and its body is here.
+
+        If the body is missing, request it from a node that accepted the value.
+        """
         latest = self._latest()
         if latest is None or not latest.value.has_quorum(self.round.promised_by()):
             return
-        holders = self.round.accepted_at(latest.ballot)
-        is_chosen = latest.ballot <= self.chosen_ballot or latest.value.has_quorum(holders)
+        acceptors = self.round.accepted_at(latest.ballot)
+        is_chosen = latest.ballot <= self.chosen_ballot or latest.value.has_quorum(acceptors)
         body = self.body_of(latest.value.digest)
         if body is not None:
             self._evaluate(Proposal(latest.ballot, latest.value, body), is_chosen)
         elif self.round.fetching_digest != latest.value.digest:
             self.round.fetching_digest = latest.value.digest
-            self._send(holders[0].ip, BodyRequest(latest.value.digest))
+            self._send(acceptors[0].ip, BodyRequest(latest.value.digest))
 
     def _on_body_reply(self, message: BodyReply) -> None:
         if self.phase is not Phase.PREPARING or self.round.fetching_digest != message.digest:
@@ -350,7 +356,7 @@
             self._propose_if_quorum_promised()
 
     def _evaluate(self, base: Proposal, is_chosen: bool) -> None:
-        """Apply pending changes and the plan for the voters to the latest value; propose the result."""
+        """Apply pending changes and `plan_voters` to the latest value, and propose the result if needed."""
         body = self._evaluate_pending(base)
         value = self.plan_voters(base.value, is_chosen)
         if self.round.operations:
@@ -362,7 +368,7 @@
             self._propose(Proposal(self.round.ballot, value, body), base.value.digest)
 
     def _evaluate_pending(self, base: Proposal) -> Body:
-        """Evaluate the first pending changes one after the other; return the body after them."""
+        """Evaluate up to `MAX_OPERATIONS_PER_ROUND` pending changes in order; return the resulting body."""
         body = base.body
         for change in self.pending[:MAX_OPERATIONS_PER_ROUND]:
             evaluation = self.apply(body, change.operation)
@@ -374,11 +380,11 @@
         return body
 
     def _finish_unchanged(self, base: Proposal) -> None:
-        """End the round after its first phase: the latest value is chosen and stays."""
+        """End the round after the prepare phase: the latest value is chosen and does not change."""
         if base.ballot > self.chosen_ballot:
             self._learn_chosen(base, self.deltas.get(base.ballot))
             self._broadcast(Chosen(base.ballot), self.round.prepare_sent)
-        # Promises may be older than a change that came meanwhile: that one is evaluated by the next round.
+        # A change submitted during the round may be newer than the promises: the next round evaluates it.
         last_token = self.round.last_token
         self.round.evaluated = [result for result in self.round.evaluated if result.token <= last_token]
         self._finish_round()
@@ -405,19 +411,19 @@
         self._finish_round()
 
     def _finish_round(self) -> None:
-        """End the round: what it evaluated is certain."""
+        """End a successful round: the results of the changes that it evaluated are final."""
         self.phase = Phase.IDLE
         self.rejections = 0
         pending = {change.token for change in self.pending}
         self.results += [result for result in self.round.evaluated if result.token in pending]
-        settled = {result.token for result in self.round.evaluated}
-        self.pending = [change for change in self.pending if change.token not in settled]
+        finished_tokens = {result.token for result in self.round.evaluated}
+        self.pending = [change for change in self.pending if change.token not in finished_tokens]
 
     def _back_off(self) -> None:
         self.phase = Phase.BACKING_OFF
-        shortest = self.timeouts.backoff_ns << min(MAX_BACKOFF_DOUBLINGS, self.rejections)
+        min_delay_ns = self.timeouts.backoff_ns << min(MAX_BACKOFF_DOUBLINGS, self.rejections)
         self.rejections += 1
-        self.phase_ends_at = self.now + shortest + int(shortest * self.rng.random())
+        self.phase_ends_at = self.now + min_delay_ns + int(min_delay_ns * self.rng.random())
 
     def _broadcast(self, message: Message, ips: Iterable[str]) -> None:
         for ip in sorted(ips):
--- a/pepperrun/consensus/replica.py
+++ b/pepperrun/consensus/replica.py
@@ -1,9 +1,9 @@
-"""The consensus of one control node: register, quorum reads and upkeep of the voters. No I/O.
+"""The consensus of one control node: register, quorum reads and voter maintenance. No I/O.
 
-Messages, links and the time come in; messages, results and changes are taken out, after what they rest on is
-synced. Nobody leads: each node proposes the changes that it was given (`register`). Each node reads at
-intervals whether what it knows is the newest (`quorum_reads`). One node, the coordinator, changes the voters
-(`voter_maintenance`).
+The caller passes in messages, link events and the time, and takes out messages, results and changes, after
+the state that they depend on is synced. There is no leader: each node proposes the changes that it received
+from operators (`register`). Each node checks at intervals whether its value is the newest (`quorum_reads`).
+One node, the coordinator, changes the voters (`voter_maintenance`).
 """
 
 from __future__ import annotations
@@ -39,29 +39,29 @@
 from pepperrun.consensus.timeouts import Timeouts
 from pepperrun.consensus.voter_maintenance import VoterMaintenance
 
-_WITH_DISK_ID = (Promise, Accepted, QuorumRead, QuorumReadReply, StoppingNotice)
+_MESSAGES_WITH_DISK_ID = (Promise, Accepted, QuorumRead, QuorumReadReply, StoppingNotice)
 
 
 def _disk_id_of(message: Message) -> str | None:
-    """Disk id of the sender, where the message carries it."""
-    return message.disk_id if isinstance(message, _WITH_DISK_ID) else None
+    """Return the disk id of the sender, None if the message does not carry one."""
+    return message.disk_id if isinstance(message, _MESSAGES_WITH_DISK_ID) else None
 
 
 class Replica:
-    """One control node. After each call take out what is there: messages, results, changes.
+    """One control node. After each call, take out the messages, results and changes.
 
     Parameters
     ----------
     own_ip : str
-        Names this node.
+        Ip of this node, which identifies it among the control nodes.
     state : DurableState
-        From the disk (`storage.store.DiskStore.load_or_create`).
+        The state loaded from the disk (`storage.store.DiskStore.load_or_create`).
     store : StateStore
-        Saves the state before messages are given out.
+        Saves the state before messages are returned.
     regions : mapping of str to str
         Region of each zone.
     max_voters : int
-        Odd.
+        Largest number of voters; odd.
     """
 
     def __init__(
@@ -90,11 +90,11 @@
         self.now = now
         self.next_read_at = now
         self.last_tick_at = now
-        # The highest ballot that somebody has accepted and that is not known as chosen, and since when.
+        # The highest ballot that some node accepted and that is not known as chosen, and when it was noticed.
         self.unconfirmed_ballot = NO_BALLOT
         self.unconfirmed_since = now
 
-    # What is held.
+    # State.
 
     @property
     def version(self) -> int:
@@ -116,42 +116,42 @@
 
     @property
     def confirmed_at(self) -> int | None:
-        """Steady ns at which `body` was surely the newest; None: not known in this life of the process."""
+        """Monotonic ns at which `body` was confirmed as the newest; None before this process confirmed it."""
         return self.reads.confirmed_at
 
     @property
     def voter_ips(self) -> set[str]:
-        """Ips of the machines that vote: links to them are wanted."""
+        """Ips of the machines that vote; this node should keep links to them."""
         return self._known_value.voter_ips if self._known_value else set()
 
     @property
     def is_voter(self) -> bool:
-        """Whether this incarnation votes."""
+        """Whether this incarnation is a voter of the chosen value."""
         return self.value is not None and self.register.incarnation in self.value.voters
 
     @property
     def coordinator(self) -> str:
-        """Ip of the node that changes the voters; empty while not known."""
+        """Ip of the node that changes the voters; empty while unknown."""
         return self.value.coordinator if self.value else ""
 
     @property
     def lacks_quorum(self) -> bool:
-        """Whether fewer voters than a quorum are reachable: changes fail at once then."""
+        """Whether fewer voters than a quorum are reachable; changes then fail at once."""
         return not self._has_reachable_quorum()
 
     @property
     def stopping_peers(self) -> set[str]:
-        """Nodes that were told to stop, and have not started anew since."""
+        """Ips of nodes that are shutting down and have not restarted since."""
         return set(self.voter_maintenance.stopping_peers)
 
     @property
     def stop_requested_at(self) -> int:
-        """When this process was told to stop; its start before."""
+        """When this process was asked to stop; before that, when it started."""
         return self.voter_maintenance.stop_requested_at
 
     @property
     def safe_to_stop(self) -> bool:
-        """Whether this node, told to stop, may end with no vote and no role left behind."""
+        """Whether this node, asked to stop, may exit: no other node could still take its vote or its role."""
         value = self.value
         if value is None:
             return True
@@ -164,7 +164,7 @@
 
     @property
     def _known_value(self) -> Value | None:
-        """The value that is chosen, else the accepted one: who votes, as far as is known here."""
+        """The chosen value, else the accepted one: the best local knowledge of who votes."""
         accepted = self.register.state.accepted
         return self.value or (accepted.value if accepted else None)
 
@@ -173,7 +173,7 @@
         if value is None:
             return False
         reachable = self.liveness.reachable(self.now, self.timeouts.liveness_ns)
-        # A linked node that has not given its disk id yet may well be the incarnation that votes.
+        # A linked node that has not reported its disk id yet may be the incarnation that votes.
         return value.has_quorum(
             voter
             for group in value.voter_groups
@@ -183,55 +183,55 @@
 
     # Events.
 
-    def _advance(self, now: int) -> None:
-        """Set the time. A process that was suspended can't say who was silent meanwhile."""
+    def _set_time(self, now: int) -> None:
+        """Set the time. After a suspension of this process, restart the time-outs of all peers."""
         if now - max(self.last_tick_at, self.next_read_at) > 2 * self.timeouts.read_interval_ns:
             self.liveness.resumed(now)
             self.last_tick_at = now
         self.now = now
 
     def connected(self, ip: str, zone: str, now: int) -> None:
-        """Handle a new link to another control node (after its hello)."""
+        """Handle a new link to another control node, after its hello message."""
         if ip == self.own_ip:
             return
-        self._advance(now)
+        self._set_time(now)
         self.liveness.connected(ip, zone, now)
-        self.voter_maintenance.peer_restarted(ip)
+        self.voter_maintenance.record_peer_restart(ip)
         self.register.observers = set(self.liveness.links)
         if self.value is None or ip in self.value.voter_ips:
-            self._read_soon()
+            self._schedule_read_soon()
 
     def disconnected(self, ip: str, now: int) -> None:
         """Handle the loss of the last link to a node."""
-        self._advance(now)
+        self._set_time(now)
         self.liveness.disconnected(ip)
         self.register.observers = set(self.liveness.links)
 
     def receive(self, ip: str, data: Any, now: int) -> None:
         """Handle a wire message of another control node.
 
-        Kinds of a later version are passed over, so that its nodes and this one can agree meanwhile.
+        Kinds of a later version are ignored, so that nodes of both versions can agree during an upgrade.
 
         Raises
         ------
         RemoteProtocolError
-            The message is not allowed; nothing was done.
+            The message is invalid and was not handled.
         """
         if not codec.is_known(data):
             return
         message = codec.decode(data)
         if ip == self.own_ip:
             return
-        self._advance(now)
+        self._set_time(now)
         self.liveness.record_message(ip, _disk_id_of(message), now)
         review_voters = self._dispatch(ip, message, now)
         self._start_round_if_needed(review_voters=review_voters)
 
     def _dispatch(self, ip: str, message: Message, now: int) -> bool:
-        """Handle a message; return whether the voters should be reviewed after it."""
+        """Handle a message; return whether it calls for a review of the voters."""
         match message:
             case QuorumRead():
-                self.voter_maintenance.peer_reads(ip, now)
+                self.voter_maintenance.record_peer_read(ip, now)
                 self._on_quorum_read(ip, message)
                 return False
             case QuorumReadReply():
@@ -239,7 +239,7 @@
                 return False
             case StoppingNotice():
                 is_new = ip not in self.voter_maintenance.stopping_peers
-                self.voter_maintenance.peer_stops(ip, now)
+                self.voter_maintenance.record_peer_stopping(ip, now)
                 return is_new
             case _:
                 return self._on_register_message(ip, message, now)
@@ -249,36 +249,37 @@
         self.register.receive(ip, message, now)
         is_new = self.register.chosen_ballot != chosen_ballot
         if is_new and self.confirmed_at is None:
-            self._read_soon()  # the first value that is known: is it the newest?
+            self._schedule_read_soon()  # to confirm whether the first known value is the newest
         return is_new
 
     def propose(self, operation: Operation, now: int, timeout_ns: int | None = None) -> int:
         """Propose an operator's change; return the token under which its result is reported."""
-        self._advance(now)
+        self._set_time(now)
         timeout_ns = self.timeouts.change_ns if timeout_ns is None else timeout_ns
         token = self.register.submit(operation, now + timeout_ns)
         self._start_round_if_needed()
         return token
 
     def request_stop(self, now: int) -> None:
-        """Prepare a graceful shutdown: the role and the vote of this node go to others.
+        """Start a graceful shutdown: the vote and the coordinator role of this node move to others.
 
-        The node goes on otherwise. It should end when it is `safe_to_stop`, or when its time is over.
+        The node otherwise works as before. It should exit when it is `safe_to_stop`, or when the caller's
+        time-out is over.
         """
-        self._advance(now)
+        self._set_time(now)
         self.voter_maintenance.request_stop(now)
         self._announce_stop()
         self._review_coordinator()
         self._start_round_if_needed(review_voters=True)
 
     def next_tick_at(self) -> int:
-        """When `tick` is to be called at the latest (steady ns)."""
+        """When `tick` must be called at the latest (monotonic ns)."""
         register_tick_at = self.register.next_tick_at()
         return self.next_read_at if register_tick_at is None else min(register_tick_at, self.next_read_at)
 
     def tick(self, now: int) -> None:
-        """Do what is due."""
-        self._advance(now)
+        """Handle time-outs, and at each read interval start a quorum read and a voter review."""
+        self._set_time(now)
         self.last_tick_at = now
         self.register.tick(now)
         reads = now >= self.next_read_at
@@ -286,14 +287,14 @@
             self.next_read_at = now + self.timeouts.read_interval_ns
             self._start_quorum_read()
             self._review_coordinator()
-            overdue = now - self.register.chosen_since >= self.timeouts.deferred_sync_ns
+            overdue = now - self.register.chosen_learned_at >= self.timeouts.deferred_sync_ns
             self.register.flush(include_deferred=self.register.disk_failed or overdue)
         self._start_round_if_needed(review_voters=reads)
 
     # Rounds.
 
     def _start_round_if_needed(self, *, review_voters: bool = False) -> None:
-        """Start a round where there is need of one; fail pending changes where none can succeed."""
+        """Start a round if one is needed; fail pending changes if no quorum is reachable."""
         register = self.register
         review_voters = self._may_change_voters(review_voters)
         unconfirmed = self.unconfirmed_ballot > register.chosen_ballot
@@ -312,11 +313,11 @@
         register.start_round(self.now)
 
     def _may_change_voters(self, review_voters: bool) -> bool:
-        """Whether a review is due and this node coordinates or is to."""
+        """Whether a review is due and this node is the coordinator or wants to change the coordinator."""
         value = self.value
         if value is None:
             return False
-        self.voter_maintenance.coordinator_changed(value)
+        self.voter_maintenance.clear_completed_succession(value)
         coordinates = bool(self.voter_maintenance.next_coordinator) or self.own_ip == value.coordinator
         return review_voters and coordinates
 
@@ -325,10 +326,13 @@
         return value is not None and self._plan_voters(value, True) != value
 
     def _completion_delay_ns(self) -> int:
-        """How long another may take to finish its round: their order keeps voters from doing it at once."""
+        """How long to wait for another node to finish its round before finishing it here.
+
+        The delay grows with the rank of this node, so that the voters do not all propose at once.
+        """
         order = sorted(self.voter_ips)
         rank = order.index(self.own_ip) if self.own_ip in order else len(order)
-        # Just started: nobody's round is under way.
+        # Before its first confirmed read this node has just started: no round is assumed to be in progress.
         round_ns = 0 if self.confirmed_at is None else self.timeouts.read_interval_ns
         return round_ns + rank * self.timeouts.phase_ns // 2
 
@@ -342,17 +346,17 @@
             self.voter_maintenance.review_coordinator(self.value, is_voter=self.is_voter, now=self.now)
 
     def _announce_stop(self) -> None:
-        """Notify all linked nodes, so that none of them names this one anew."""
+        """Notify all linked nodes, so that none of them selects this node as a voter again."""
         notice = StoppingNotice(self.register.state.disk_id)
         self.register.outbox += [OutgoingMessage(ip, notice) for ip in sorted(self.liveness.links)]
 
     # Quorum reads.
 
-    def _read_soon(self) -> None:
+    def _schedule_read_soon(self) -> None:
         self.next_read_at = min(self.next_read_at, self.now + self.timeouts.read_interval_ns // 8)
 
     def _start_quorum_read(self) -> None:
-        """Ask the voters, or all that are linked while no value is known."""
+        """Ask the linked voters, or all linked nodes while no value is known."""
         register = self.register
         read_id = self.reads.start(self.now)
         message = QuorumRead(read_id, register.chosen_ballot, register.state.disk_id)
@@ -367,13 +371,13 @@
     def _on_quorum_read(self, ip: str, message: QuorumRead) -> None:
         register = self.register
         coordinator = self.coordinator
-        silent = bool(coordinator) and self.voter_maintenance.is_silent(coordinator, self.now)
+        suspected = bool(coordinator) and self.voter_maintenance.has_timed_out(coordinator, self.now)
         reply = QuorumReadReply(
             read_id=message.read_id,
             disk_id="" if register.disk_failed else register.state.disk_id,
             accepted_ballot=_unless_equal(register.accepted_ballot, message.chosen_ballot),
             chosen_ballot=_unless_equal(register.chosen_ballot, message.chosen_ballot),
-            silent_coordinator=coordinator if silent else None,
+            suspected_coordinator=coordinator if suspected else None,
         )
         register.outbox.append(OutgoingMessage(ip, reply))
         if message.chosen_ballot > register.chosen_ballot:
@@ -388,46 +392,46 @@
         self.liveness.record_answer(ip, read.sent_at)
         if message.chosen_ballot is not None and message.chosen_ballot > register.chosen_ballot:
             register.request_catch_up(ip)
-        # What is left out is the same as what was asked about, which this node knows as chosen.
+        # A missing ballot equals the one in the request, which this node knows as chosen.
         accepted_ballot = NO_BALLOT if message.accepted_ballot is None else message.accepted_ballot
         read.accepted[Incarnation(ip, message.disk_id)] = accepted_ballot
-        self._note_unconfirmed(accepted_ballot)
+        self._record_unconfirmed(accepted_ballot)
         self._evaluate_read(read)
 
     def _record_suspicion(self, ip: str, message: QuorumReadReply) -> None:
-        if message.silent_coordinator is None:
+        if message.suspected_coordinator is None:
             self.liveness.suspicions.pop(ip, None)
         else:
-            suspicion = Suspicion(message.disk_id, message.silent_coordinator, self.now)
+            suspicion = Suspicion(message.disk_id, message.suspected_coordinator, self.now)
             self.liveness.suspicions[ip] = suspicion
 
-    def _note_unconfirmed(self, accepted_ballot: Ballot) -> None:
+    def _record_unconfirmed(self, accepted_ballot: Ballot) -> None:
         if accepted_ballot > max(self.register.chosen_ballot, self.unconfirmed_ballot):
             self.unconfirmed_ballot = accepted_ballot
             self.unconfirmed_since = self.now
 
     def _evaluate_read(self, read: QuorumReadRound) -> None:
-        """Learn from the replies so far what is chosen, and whether that is the newest."""
+        """Learn from the replies so far which value is chosen, and whether the known one is the newest."""
         register = self.register
         register.learn_accepted_by(read.accepted_exactly(register.accepted_ballot))
         if self.value is None:
             return
-        self._note_unconfirmed(register.accepted_ballot)
+        self._record_unconfirmed(register.accepted_ballot)
         unchanged_at = read.accepted_at_most(register.chosen_ballot)
         if register.accepted_ballot <= register.chosen_ballot and not register.disk_failed:
             unchanged_at.append(register.incarnation)
         self.reads.confirm(read, self.value, unchanged_at)
 
-    # What is taken out. Each call first syncs what it rests on.
+    # Output. Each call first syncs the state that its result depends on.
 
     def take_messages(self) -> list[tuple[str, WireMessage]]:
-        """Return wire messages with the ips they go to."""
+        """Return and remove the outgoing wire messages, each with its destination ip."""
         self._flush()
         outbox = self.register.outbox
         if not outbox:
             return []
         self.register.outbox = []
-        # A message to several is encoded once: the same object goes to each of them.
+        # A message to several nodes is encoded once, and all of them share the same object.
         encoded: dict[int, WireMessage] = {}
         for outgoing in outbox:
             if id(outgoing.message) not in encoded:
@@ -435,21 +439,21 @@
         return [(outgoing.ip, encoded[id(outgoing.message)]) for outgoing in outbox]
 
     def take_results(self) -> list[ChangeResult]:
-        """Return what became of changes."""
+        """Return and remove the results of changes."""
         self._flush()
         results = self.register.results
         self.register.results = []
         return results
 
     def take_changes(self) -> list[BodyChange]:
-        """Return how `body` changed, in order."""
+        """Return and remove the changes of `body`, in order."""
         self._flush()
         changes = self.register.changes
         self.register.changes = []
         return changes
 
     def _flush(self) -> None:
-        """Sync; where that ends a round of this node, pending changes go on."""
+        """Sync; if that completes a round of this node, start the next one for pending changes."""
         register = self.register
         register.flush()
         while register.pending and register.phase is Phase.IDLE and not self.lacks_quorum:
@@ -458,5 +462,5 @@
 
 
 def _unless_equal(ballot: Ballot, asked: Ballot) -> Ballot | None:
-    """Return a ballot of a reply, None where it is the one that was asked about."""
+    """Return a ballot for a reply, None if it equals the ballot of the request."""
     return None if ballot == asked else ballot
--- a/pepperrun/consensus/state.py
+++ b/pepperrun/consensus/state.py
@@ -1,4 +1,4 @@
-"""State of the register: ballots, incarnations of voters, values, and what a disk keeps of them."""
+"""State of the register: ballots, incarnations of voters, values, and the durable state of a node."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from pepperrun.consensus.canonical_json import CachedJsonEncoder
 
-# The replicated state and an operation on it, JSON objects that the consensus does not look into.
+# The replicated state and an operation on it: JSON objects whose content the consensus does not interpret.
 Body = dict[str, Any]
 Operation = dict[str, Any]
 
@@ -19,35 +19,35 @@
 class Evaluation(NamedTuple):
     """Result of an operation on a body.
 
-    `body` is the new one, None where the operation changes nothing; `verdict` (any JSON) is for the operator.
+    `body` is the new body, None if the operation changes nothing. `verdict` (any JSON) goes to the operator.
     """
 
     body: Body | None
     verdict: Any
 
 
-# Evaluates an operation: pure, the same on all machines, leaving the body that it is given as it is. An
-# operation that the body has applied already gives no body and the verdict of then.
+# Evaluates an operation. It must be pure, give the same result on all nodes, and not modify the given body.
+# For an operation that the body already contains, it returns no body and the original verdict.
 Apply = Callable[[Body, Operation], Evaluation]
 
 
 class Ballot(NamedTuple):
-    """Proposal number: a later round wins, then the proposer's id.
+    """Proposal number: the higher round wins, then the higher proposer id.
 
-    `proposer` names one start of one process and no other.
+    `proposer` is unique to one start of one process.
     """
 
     round: int
     proposer: str
 
 
-NO_BALLOT = Ballot(-1, "")  # below all ballots
-INITIAL_BALLOT = Ballot(0, "")  # of the initial value, which no round chose
-FIRST_DISK_ID = "first"  # of the first contacts, at the very first start of the system
+NO_BALLOT = Ballot(-1, "")  # lower than all ballots
+INITIAL_BALLOT = Ballot(0, "")  # of the initial value, which is chosen without a round
+FIRST_DISK_ID = "first"  # disk id of the first contacts (bootstrap nodes) at the first start of the system
 
 
 class Incarnation(NamedTuple):
-    """A voter: a machine together with one disk of it. A machine with an empty disk is another voter."""
+    """A voter: a machine together with its current disk. After the loss of its disk it is another voter."""
 
     ip: str
     disk_id: str
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Value:
-    """The value of the register, without the body that it names.
+    """The value of the register, with the digest of its body in place of the body.
 
     While the voters are being changed the value is a joint configuration (as in Raft): a majority of `voters`
     and a majority of `outgoing_voters` both have to accept.
@@ -63,13 +63,13 @@
     Attributes
     ----------
     version : int
-        Grows by one with each operation on the body.
+        Increases by one with each operation on the body.
     voters : tuple of Incarnation
-        A majority of them decides.
+        The current voters; a majority of them has to accept.
     outgoing_voters : tuple of Incarnation
-        The voters before; empty unless the voters are being changed.
+        The previous voters; empty unless the voters are being changed.
     coordinator : str
-        Ip of the machine that alone changes the voters.
+        Ip of the only machine that changes the voters.
     digest : str
         Digest of the body.
     """
@@ -82,14 +82,14 @@
 
     @property
     def voter_groups(self) -> tuple[tuple[Incarnation, ...], ...]:
-        """Groups of each of which a majority has to accept."""
+        """The groups of voters; a majority of each group has to accept."""
         if self.outgoing_voters:
             return (self.voters, self.outgoing_voters)
         return (self.voters,)
 
     @property
     def voter_ips(self) -> set[str]:
-        """Machines that have a vote in any group."""
+        """Ips of the machines that vote in any group."""
         return {voter.ip for group in self.voter_groups for voter in group}
 
     def has_quorum(self, incarnations: Iterable[Incarnation]) -> bool:
@@ -99,7 +99,7 @@
 
 
 class Proposal(NamedTuple):
-    """A value with its body, under the ballot that proposed it."""
+    """A value with its body and the ballot at which it was proposed."""
 
     ballot: Ballot
     value: Value
@@ -108,20 +108,20 @@
 
 @dataclass(slots=True)
 class DurableState:
-    """What the disk of a voter keeps.
+    """The state that a node keeps on its disk.
 
     Attributes
     ----------
     disk_id : str
-        Names this state; a disk that was emptied gets another.
+        Identifies this state; a disk that was erased gets another id.
     starts : int
-        Starts of the process on this disk, the present one included.
+        Number of starts of the process on this disk, including the current one.
     promised : Ballot
-        No lower ballot is promised or accepted any more.
+        Lower ballots are no longer promised or accepted.
     accepted : Proposal or None
-        Accepted last.
+        The proposal accepted last.
     chosen : Proposal or None
-        The newest one known as chosen.
+        The newest proposal known as chosen.
     """
 
     disk_id: str
@@ -132,26 +132,26 @@
 
 
 class StateStore(Protocol):
-    """Keeps the durable state of one voter."""
+    """Stores the durable state of one node."""
 
     def save(self, state: DurableState) -> None:
-        """Return once all of it is synced.
+        """Store `state`, and return once all of it is synced.
 
         Raises
         ------
         StorageError
-            The state may or may not have been kept.
+            The save failed; the state may or may not have been stored.
         """
 
 
 @dataclass(slots=True)
 class InMemoryStore:
-    """Store that loses its state with the process: for models and tests."""
+    """Store without persistence, for simulations, tests and nodes without a disk. Only counts the saves."""
 
     saves: int = field(default=0)
 
     def save(self, state: DurableState) -> None:
-        """Count the call."""
+        """Count the save, and store nothing."""
         self.saves += 1
 
 
@@ -159,12 +159,12 @@
 
 
 def digest_of(body: Body) -> str:
-    """Digest of a body, the same whatever the order of its keys."""
+    """Return the hex digest of a body, which does not depend on the order of its keys."""
     return hashlib.blake2b(_sorted_encoder.encode(body).encode(), digest_size=DIGEST_BYTES).hexdigest()
 
 
 def initial_proposal(contacts: Iterable[str]) -> Proposal:
-    """Return the proposal before all others: the first contacts (ips) vote on an empty body."""
+    """Return the proposal that precedes all rounds: an empty body, the first contacts (ips) as voters."""
     voters = tuple(Incarnation(ip, FIRST_DISK_ID) for ip in sorted(set(contacts)))
     value = Value(
         version=0, voters=voters, outgoing_voters=(), coordinator=voters[0].ip, digest=digest_of({})
--- a/pepperrun/consensus/timeouts.py
+++ b/pepperrun/consensus/timeouts.py
@@ -1,4 +1,4 @@
-"""Lengths of time of the consensus, in nanoseconds."""
+"""Time-outs and intervals of the consensus, in nanoseconds."""
 
 from __future__ import annotations
 
@@ -9,26 +9,27 @@
 
 @dataclass(frozen=True, slots=True)
 class Timeouts:
-    """How often a control node reads and how long it waits, ns.
+    """Intervals and time-outs of a control node, ns.
 
     Attributes
     ----------
     read_interval_ns : int
-        Between two quorum reads.
+        Interval between two quorum reads.
     phase_ns : int
-        For each of the two phases of a round.
+        Time-out of each of the two phases of a round.
     backoff_ns : int
-        After a rejected round, at least; at random up to twice as long, doubled with each further one.
+        Minimum delay after a rejected or timed-out round. A random part of up to the same length is added.
+        The delay doubles with each further one, at most `register.MAX_BACKOFF_DOUBLINGS` times.
     change_ns : int
-        For an operator's change, unless the caller says otherwise.
+        Default time-out of an operator's change.
     liveness_ns : int
-        A peer that was received from within it is alive.
+        A peer is alive if a message from it was received within this time.
     coordinator_ns : int
-        A coordinator without a message for so long gets a successor.
+        A coordinator without a message for this long is replaced by its successor.
     voter_ns : int
-        A voter without a message for so long gives its place to a machine that is alive.
+        A voter without a message for this long is replaced by a machine that is alive.
     deferred_sync_ns : int
-        Until it is synced that something was chosen: not right after it was acknowledged.
+        How long the sync of a newly chosen value may be deferred: it need not precede the acknowledgement.
     """
 
     read_interval_ns: int = 400 * MS
--- a/pepperrun/consensus/voter_maintenance.py
+++ b/pepperrun/consensus/voter_maintenance.py
@@ -1,8 +1,8 @@
-"""Upkeep of the voters by their coordinator, its succession, and when a node may stop. No I/O.
+"""Voter maintenance by the coordinator, coordinator succession, and when a node may stop. No I/O.
 
-One node at a time, the coordinator, changes the voters, so that no two do it at once. It is part of the value
-that is agreed on. When it stops it names its successor; where a quorum suspects it of being down, the next
-voter in order takes over by a round.
+Only one node at a time, the coordinator, changes the voters, so that no two nodes do it at once. The
+coordinator is part of the agreed value. When it shuts down, it names its successor. When a quorum suspects
+that it is down, the next voter in order takes over by proposing itself in a round.
 """
 
 from __future__ import annotations
@@ -17,23 +17,23 @@
 
 
 class VoterMaintenance:
-    """What one node holds of who should vote and who should coordinate.
+    """One node's view of which nodes should vote and which one should be the coordinator.
 
     Parameters
     ----------
     regions : mapping of str to str
         Region of each zone.
     max_voters : int
-        Odd.
+        Largest number of voters; odd.
 
     Attributes
     ----------
     stopping : bool
-        This process was told to stop, at `stop_requested_at`.
+        This process was asked to stop, at `stop_requested_at`.
     stopping_peers : dict of str to int
-        When nodes that stop said so last, by ip.
+        When each node that is shutting down last sent its notice, by ip.
     next_coordinator : str
-        Who should be the coordinator instead of the present one; empty for no change.
+        Ip of the node that should replace the current coordinator; empty for no change.
     """
 
     def __init__(
@@ -55,59 +55,59 @@
         self.stopping_peers: dict[str, int] = {}
         self.next_coordinator = ""
 
-    # Who stops.
+    # Nodes that shut down.
 
     def request_stop(self, now: int) -> None:
-        """Note that this process was told to stop; its vote and its role should go to others."""
+        """Record that this process was asked to stop: its vote and its role should move to other nodes."""
         self.stopping = True
-        self.stop_requested_at = now  # voters that answer a later read know of it
+        self.stop_requested_at = now  # voters that answer a read sent later have received the notice
 
-    def peer_stops(self, ip: str, now: int) -> None:
-        """Note that a peer was told to stop."""
+    def record_peer_stopping(self, ip: str, now: int) -> None:
+        """Record the notice of a peer that shuts down."""
         self.stopping_peers[ip] = now
 
-    def peer_reads(self, ip: str, now: int) -> None:
-        """Forget that a peer stops where its reads come, for some time, without the notice."""
+    def record_peer_read(self, ip: str, now: int) -> None:
+        """Clear the stopping mark of a peer that sent reads but no notice for `Timeouts.liveness_ns`."""
         if now - self.stopping_peers.get(ip, now) > self.timeouts.liveness_ns:
             del self.stopping_peers[ip]
 
-    def peer_restarted(self, ip: str) -> None:
-        """Forget that a peer stops: its link is new."""
+    def record_peer_restart(self, ip: str) -> None:
+        """Clear the stopping mark of a peer whose link is new, because its process may have restarted."""
         self.stopping_peers.pop(ip, None)
 
     def safe_to_stop(
         self, value: Value, *, change_in_flight: bool, confirmed_at: int | None, now: int
     ) -> bool:
-        """Whether this node, told to stop, may end with no vote and no role left behind.
+        """Whether this node, asked to stop, may exit without leaving a vote or the coordinator role behind.
 
-        True as well where nobody is there to take its place: then it stays named, like one that is down.
+        Also true if no other node can take over: then this node stays a voter, like a node that is down.
 
         Parameters
         ----------
         change_in_flight : bool
-            Something later than `value` was accepted here.
+            This node has accepted a value later than `value`.
         confirmed_at : int or None
-            When `value` was surely the newest.
+            When `value` was last confirmed as the newest.
         """
         candidates = set(self._alive(now)) - set(self.stopping_peers) - {self.own_ip}
         if value.coordinator == self.own_ip and candidates & value.voter_ips:
             return False
         if value.outgoing_voters or change_in_flight:
-            return False  # the change may concern this node
+            return False  # the change may concern the vote of this node
         if self.own_ip in value.voter_ips:
             return not candidates - value.voter_ips
-        # A newer value that this node has not received yet may name it again.
+        # A newer value that this node has not received yet may name it as a voter again.
         return not candidates or (confirmed_at is not None and confirmed_at >= self.stop_requested_at)
 
-    # Who votes.
+    # Selection of the voters.
 
     def plan(self, value: Value, *, is_chosen: bool, known: Value | None, now: int) -> Value:
-        """Return `value` with voters and coordinator as they should be.
+        """Return `value` with the voters and the coordinator that it should have.
 
         Parameters
         ----------
         is_chosen : bool
-            `value` is known as chosen: outgoing voters may go.
+            `value` is known as chosen, so its outgoing voters may be dropped.
         known : Value or None
             The newest value that this node knows as chosen.
         """
@@ -125,18 +125,24 @@
     def _select(self, value: Value, now: int) -> tuple[Incarnation, ...]:
         stopping = set(self.stopping_peers)
         alive = {ip: disk_id for ip, disk_id in self._alive(now).items() if ip not in stopping}
-        silent = {
-            voter.ip for voter in value.voters if self._silent_for(voter.ip, now) > self.timeouts.voter_ns
+        timed_out = {
+            voter.ip
+            for voter in value.voters
+            if self._since_last_message(voter.ip, now) > self.timeouts.voter_ns
         }
         domains = {
             ip: FailureDomain(self.regions.get(zone, ""), zone) for ip, zone in self.liveness.zones.items()
         }
-        return select_voters(value, alive, silent | stopping, domains, self.max_voters)
+        return select_voters(value, alive, timed_out | stopping, domains, self.max_voters)
 
-    # Who coordinates.
+    # Succession of the coordinator.
 
     def review_coordinator(self, value: Value, *, is_voter: bool, now: int) -> None:
-        """Set `next_coordinator`: the present one names it when it stops, else a quorum finds it silent."""
+        """Set `next_coordinator`, if this node should propose a new coordinator.
+
+        The current coordinator names its successor when it shuts down. Any other candidate names itself once
+        the coordinator has timed out and a quorum suspects it.
+        """
         self.next_coordinator = ""
         candidates = set(self._alive(now)) - set(self.stopping_peers)
         order = [ip for ip in successors(value, candidates) if ip != value.coordinator]
@@ -146,10 +152,10 @@
             return
         if self.own_ip not in order or self.stopping:
             return
-        silent_ns = self._silent_for(value.coordinator, now)
-        # Each further candidate waits two phases longer, so that the first one succeeds alone.
+        since_last_message_ns = self._since_last_message(value.coordinator, now)
+        # Each further candidate waits two phases longer, so that the first one can finish without rivals.
         wait_ns = self.timeouts.coordinator_ns + order.index(self.own_ip) * self.timeouts.phase_ns * 2
-        if silent_ns >= wait_ns and self._quorum_suspects(value, is_voter, now):
+        if since_last_message_ns >= wait_ns and self._quorum_suspects(value, is_voter, now):
             self.next_coordinator = self.own_ip
 
     def _quorum_suspects(self, value: Value, is_voter: bool, now: int) -> bool:
@@ -158,16 +164,16 @@
             value, own_vote=is_voter, now=now, within_ns=within_ns
         )
 
-    def coordinator_changed(self, value: Value) -> None:
-        """Drop the wish for another coordinator once it is the one that was wanted."""
+    def clear_completed_succession(self, value: Value) -> None:
+        """Reset `next_coordinator` once it is the coordinator of `value`."""
         if value.coordinator == self.next_coordinator:
             self.next_coordinator = ""
 
-    def is_silent(self, ip: str, now: int) -> bool:
-        """Whether nothing came from `ip` for as long as a coordinator may be silent."""
-        return self._silent_for(ip, now) >= self.timeouts.coordinator_ns
+    def has_timed_out(self, ip: str, now: int) -> bool:
+        """Whether no message came from `ip` for the time-out of a coordinator."""
+        return self._since_last_message(ip, now) >= self.timeouts.coordinator_ns
 
-    def _silent_for(self, ip: str, now: int) -> int:
+    def _since_last_message(self, ip: str, now: int) -> int:
         return self.liveness.since_last_message(ip, now)
 
     def _alive(self, now: int) -> dict[str, str]:
--- a/pepperrun/consensus/voter_selection.py
+++ b/pepperrun/consensus/voter_selection.py
@@ -1,4 +1,4 @@
-"""Which machines should vote: lost ones give their places away, regions get even shares. Pure functions."""
+"""Selection of the voters: replaces lost machines and spreads the voters over regions. Pure functions."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class FailureDomain(NamedTuple):
-    """Region and zone of a machine; both empty while not known."""
+    """Region and zone of a machine; both empty while unknown."""
 
     region: str
     zone: str
@@ -19,43 +19,45 @@
 UNKNOWN_DOMAIN = FailureDomain("", "")
 
 Domains = Mapping[str, FailureDomain]  # by ip
-DiskIds = dict[str, str]  # by ip; empty while the machine has not given it
+DiskIds = dict[str, str]  # by ip; empty while the machine has not reported it
 
 
 def select_voters(
     value: Value, alive: Mapping[str, str], lost: Set[str], domains: Domains, max_voters: int
 ) -> tuple[Incarnation, ...]:
-    """Return the voters as they should be: those of `value`, the same object, where nothing is to be changed.
+    """Return the voters that `value` should have; the same object `value.voters` if they need no change.
 
-    There are never fewer than before: a lost voter stays named until another machine is there. A machine with
-    an empty disk comes in for its former incarnation.
+    There are never fewer voters than before: a lost voter stays until another machine can replace it. A
+    machine that lost its disk replaces its previous incarnation.
 
     Parameters
     ----------
     alive : mapping of str to str
-        Disk id by ip, empty while not known.
+        Disk id by ip of the machines that are alive; empty while unknown.
     lost : set of str
-        Ips of voters without a message for long.
+        Ips of machines that have timed out or are shutting down.
     max_voters : int
-        Odd.
+        Largest number of voters; odd.
     """
     voters = {voter.ip: voter.disk_id for voter in value.voters}
-    stay = {ip: alive.get(ip) or disk_id for ip, disk_id in voters.items() if ip in alive or ip not in lost}
-    gone = {ip: disk_id for ip, disk_id in voters.items() if ip not in stay}
-    spare = {ip: disk_id for ip, disk_id in alive.items() if disk_id and ip not in voters}
-    size = max(len(voters), _round_down_to_odd(min(max_voters, len(stay) + len(spare))))
-    while len(stay) < size and spare:
-        ip = _least_crowded(spare, stay, domains)
-        stay[ip] = spare.pop(ip)
-    for ip in sorted(gone)[: size - len(stay)]:
-        stay[ip] = gone[ip]
-    _balance_regions(stay, spare, value.coordinator, domains)
-    selected = tuple(Incarnation(ip, stay[ip]) for ip in sorted(stay))
+    new_voters = {
+        ip: alive.get(ip) or disk_id for ip, disk_id in voters.items() if ip in alive or ip not in lost
+    }
+    lost_voters = {ip: disk_id for ip, disk_id in voters.items() if ip not in new_voters}
+    spares = {ip: disk_id for ip, disk_id in alive.items() if disk_id and ip not in voters}
+    target_size = max(len(voters), _round_down_to_odd(min(max_voters, len(new_voters) + len(spares))))
+    while len(new_voters) < target_size and spares:
+        ip = _least_represented(spares, new_voters, domains)
+        new_voters[ip] = spares.pop(ip)
+    for ip in sorted(lost_voters)[: target_size - len(new_voters)]:
+        new_voters[ip] = lost_voters[ip]
+    _balance_regions(new_voters, spares, value.coordinator, domains)
+    selected = tuple(Incarnation(ip, new_voters[ip]) for ip in sorted(new_voters))
     return value.voters if set(selected) == set(value.voters) else selected
 
 
 def _round_down_to_odd(count: int) -> int:
-    """Leave out one of an even number of voters: that bears as many losses."""
+    """Reduce an even number of voters by one, which tolerates as many failures."""
     return count if count % 2 else count - 1
 
 
@@ -63,33 +65,38 @@
     return domains.get(ip, UNKNOWN_DOMAIN)
 
 
-def _least_crowded(spare: Mapping[str, str], stay: Mapping[str, str], domains: Domains) -> str:
+def _least_represented(spares: Mapping[str, str], new_voters: Mapping[str, str], domains: Domains) -> str:
     """Return the spare machine whose region, then whose zone, has the fewest voters."""
-    regions = Counter(_domain(ip, domains).region for ip in stay)
-    zones = Counter(_domain(ip, domains) for ip in stay)
+    regions = Counter(_domain(ip, domains).region for ip in new_voters)
+    zones = Counter(_domain(ip, domains) for ip in new_voters)
 
-    def crowding(ip: str) -> tuple[int, int, str]:
+    def sort_key(ip: str) -> tuple[int, int, str]:
         domain = _domain(ip, domains)
         return regions[domain.region], zones[domain], ip
 
-    return min(spare, key=crowding)
+    return min(spares, key=sort_key)
 
 
-def _balance_regions(stay: DiskIds, spare: Mapping[str, str], coordinator: str, domains: Domains) -> None:
-    """Move one voter out of a region that holds a majority, so that the loss of a region can be borne."""
-    regions = Counter(_domain(ip, domains).region for ip in stay)
-    fullest, count = regions.most_common(1)[0]
-    if 2 * count <= len(stay):
+def _balance_regions(
+    new_voters: DiskIds, spares: Mapping[str, str], coordinator: str, domains: Domains
+) -> None:
+    """Move one voter out of a region that has a majority, so that the loss of a region is tolerated."""
+    regions = Counter(_domain(ip, domains).region for ip in new_voters)
+    largest, count = regions.most_common(1)[0]
+    if 2 * count <= len(new_voters):
         return
-    # Two regions alone can't be balanced: the other one would hold the majority then, and so on for ever.
-    elsewhere = {
-        ip: disk_id for ip, disk_id in spare.items() if regions[_domain(ip, domains).region] + 1 < count
+    # The target region must end up with fewer voters than the largest one has now. Otherwise, with only two
+    # regions, the majority would shift to the other region and back for ever.
+    incoming_candidates = {
+        ip: disk_id for ip, disk_id in spares.items() if regions[_domain(ip, domains).region] + 1 < count
     }
-    movable = [ip for ip in stay if _domain(ip, domains).region == fullest and ip != coordinator]
-    if elsewhere and movable:
-        del stay[max(movable)]
-        incoming = _least_crowded(elsewhere, stay, domains)
-        stay[incoming] = elsewhere[incoming]
+    outgoing_candidates = [
+        ip for ip in new_voters if _domain(ip, domains).region == largest and ip != coordinator
+    ]
+    if incoming_candidates and outgoing_candidates:
+        del new_voters[max(outgoing_candidates)]
+        incoming = _least_represented(incoming_candidates, new_voters, domains)
+        new_voters[incoming] = incoming_candidates[incoming]
 
 
 def successors(value: Value, alive: Set[str]) -> list[str]:
--- a/pepperrun/storage/__init__.py
+++ b/pepperrun/storage/__init__.py
@@ -1,1 +1,1 @@
-"""Storage: what a control node keeps on its disk, synced before anything is said that rests on it."""
+"""Storage of a control node's durable state on disk, synced before any message that depends on it is sent."""
--- a/pepperrun/storage/formats.py
+++ b/pepperrun/storage/formats.py
@@ -23,31 +23,33 @@
 
 
 def check_format(found: Any) -> int:
-    """Return a format that this version may read.
+    """Return the format number `found` if this version can read that format.
 
     Raises
     ------
     CorruptStateError
-        It is no number.
+        `found` is not an integer.
     NewerFormatError
-        It is of a later version.
+        `found` is the format of a later version.
     """
     if type(found) is not int:
-        raise CorruptStateError("reading", f"format {found!r} is no number")
+        raise CorruptStateError("reading", f"format {found!r} is not an integer")
     if found > CURRENT_FORMAT:
-        raise NewerFormatError("reading", f"it is of format {found}, {CURRENT_FORMAT} is known here")
+        raise NewerFormatError(
+            "reading", f"the disk has format {found}; this version reads formats up to {CURRENT_FORMAT}"
+        )
     return found
 
 
 def migrate(records: Records, found: Any, migrations: Mapping[int, Migration] | None = None) -> Records:
-    """Return records of the format `found` in the present one.
+    """Return the records, which have the format `found`, migrated to the current format.
 
     Raises
     ------
     CorruptStateError
-        No migrations lead from `found` to the present format, or one left another format behind.
+        A migration between `found` and the current format is missing, or one did not set its format.
     NewerFormatError
-        It is of a later version.
+        `found` is the format of a later version.
     """
     migrations = MIGRATIONS if migrations is None else migrations
     current = check_format(found)
@@ -58,5 +60,5 @@
         records = migration(records)
         current += 1
         if records[IDENTITY][0] != current:
-            raise CorruptStateError("reading", f"the migration to format {current} left another one behind")
+            raise CorruptStateError("reading", f"the migration to format {current} did not set that format")
     return records
--- a/pepperrun/storage/records.py
+++ b/pepperrun/storage/records.py
@@ -1,6 +1,6 @@
 """Records on the disk: encoding with checksums, conversion of the durable state, and consistency checks.
 
-This module is the codec of the stored state; only it and `formats` know the names of the records.
+This module is the codec of the stored state. Only this module and `formats` know the names of the records.
 """
 
 from __future__ import annotations
@@ -16,12 +16,12 @@
 from pepperrun.storage import formats
 from pepperrun.storage.formats import IDENTITY, Migration, Records, check_format, migrate
 
-CHECKSUM_BYTES = 16  # before each record
+CHECKSUM_BYTES = 16  # length of the checksum at the start of each record
 PROMISED = "promised"
 ACCEPTED = "accepted"
 CHOSEN = "chosen"
 RECORD_NAMES = (IDENTITY, PROMISED, ACCEPTED, CHOSEN)
-BODY_PREFIX = "body:"  # before the digest
+BODY_PREFIX = "body:"  # name of a body's record, followed by the body's digest
 
 EncodedRecords = Mapping[bytes, bytes]
 
@@ -38,12 +38,12 @@
 
 
 def decode_record(encoded: bytes, name: str) -> Any:
-    """Return the data of a record.
+    """Return the data of a record, after verifying its checksum.
 
     Raises
     ------
     CorruptStateError
-        The checksum is wrong, or the text is no JSON.
+        The checksum is wrong, or the text is not JSON.
     """
     checksum, text = encoded[:CHECKSUM_BYTES], encoded[CHECKSUM_BYTES:]
     if hashlib.blake2b(text, digest_size=CHECKSUM_BYTES).digest() != checksum:
@@ -55,13 +55,14 @@
 
 
 def to_records(state: DurableState, owner: str) -> tuple[Records, dict[str, Body]]:
-    """Return the records of a state in the present format, and its bodies by their records' names.
+    """Return the records of a state in the current format, and its bodies by the names of their records.
 
     Parameters
     ----------
     owner : str
-        Ip of the machine, empty while it has none. The disks of the first contacts have one id, so a disk in
-        the wrong machine could vote as an incarnation that promised other things.
+        Ip of the machine that owns the disk; empty while it has no owner. The owner is stored because the
+        disks of all first contacts have the same id: a disk moved to another machine could otherwise vote as
+        an incarnation that made other promises.
     """
     records: Records = {
         IDENTITY: [formats.CURRENT_FORMAT, state.disk_id, state.starts, owner],
@@ -82,13 +83,13 @@
     Raises
     ------
     CorruptStateError
-        A record is missing or is not what was written.
+        A record is missing or damaged.
     NewerFormatError
-        A later version wrote them.
+        A later version wrote the records.
     """
     try:
         found, *_ = decode_record(encoded[IDENTITY.encode()], IDENTITY)
-        # Checked before anything else is read: a later version may encode records in another way.
+        # Checked before any other record is read: a later version may encode records in another way.
         if check_format(found) < formats.CURRENT_FORMAT:
             records = {key.decode(): decode_record(data, key.decode()) for key, data in encoded.items()}
             return from_records(migrate(records, found, migrations))
@@ -108,7 +109,7 @@
 
 
 def owner_of(identity: Any) -> str:
-    """Return the ip that the identity record names; empty where an earlier version wrote none."""
+    """Return the ip of the owner in the identity record; empty if an earlier version wrote none."""
     return str(identity[3]) if len(identity) > 3 else ""
 
 
@@ -118,13 +119,13 @@
     Raises
     ------
     PepperrunError
-        A record holds something else.
+        A record has invalid content.
     KeyError
         A record is missing.
     """
     _, disk_id, starts, *_ = records[IDENTITY]
     if not isinstance(disk_id, str) or type(starts) is not int:
-        raise CorruptStateError("reading", f"{IDENTITY}: no disk id or no count of starts")
+        raise CorruptStateError("reading", f"{IDENTITY}: the disk id or the count of starts is invalid")
     return DurableState(
         disk_id=disk_id,
         starts=starts,
@@ -135,7 +136,7 @@
 
 
 def find_problems(encoded: EncodedRecords) -> list[str]:
-    """Return what is wrong, one sentence each; nothing where a start would find its complete state."""
+    """Return one sentence for each problem; an empty list if a start would load the complete state."""
     found = [f"The record {name} is missing." for name in RECORD_NAMES if name.encode() not in encoded]
     records: Records = {}
     for key, data in sorted(encoded.items()):
@@ -146,24 +147,24 @@
             found.append(f"{error.detail[:1].upper()}{error.detail[1:]}.")
             continue
         if name.startswith(BODY_PREFIX) and digest_of(records[name]) != name.removeprefix(BODY_PREFIX):
-            found.append(f"The record {name} holds a body of another digest.")
+            found.append(f"The record {name} contains a body with another digest.")
     found += _missing_bodies(encoded, records)
     if not found:
         try:
             read_state(encoded)
         except PepperrunError as error:
-            found.append(f"It can't be read as a durable state: {error.detail}.")
+            found.append(f"The durable state can't be read: {error.detail}.")
     return found
 
 
 def _missing_bodies(encoded: EncodedRecords, records: Records) -> list[str]:
-    """Sentences on bodies that a proposal names and that are not there."""
+    """Return one sentence for each body that a proposal names and that has no record."""
     found = []
     for name in (ACCEPTED, CHOSEN):
         try:
             digest = codec.decode_value(records[name][1]).digest if records.get(name) else None
         except (PepperrunError, LookupError, TypeError):
-            continue  # `read_state` tells of it
+            continue  # `read_state` reports this
         if digest is not None and f"{BODY_PREFIX}{digest}".encode() not in encoded:
             found.append(f"The body {digest} that {name} names is missing.")
     return found
@@ -177,10 +178,10 @@
     value = codec.decode_value(data[1])
     body: Body = records[BODY_PREFIX + value.digest]
     if digest_of(body) != value.digest:
-        raise CorruptStateError("reading", f"{BODY_PREFIX}{value.digest} is of another digest")
+        raise CorruptStateError("reading", f"{BODY_PREFIX}{value.digest} contains a body with another digest")
     return Proposal(ballot, value, body)
 
 
 def _proposal_record(proposal: Proposal | None) -> list[Any] | None:
-    """Return the record of a proposal without its body, which has a record of its own."""
+    """Return the record of a proposal without its body, which is stored in a record of its own."""
     return None if proposal is None else [proposal.ballot, codec.encode_value(proposal.value)]
--- a/pepperrun/storage/store.py
+++ b/pepperrun/storage/store.py
@@ -1,7 +1,8 @@
-"""The disk of a control node, on lmdb: what was promised, accepted and chosen, each with a checksum.
+"""The disk of a control node, in lmdb: what was promised, accepted and chosen, each record with a checksum.
 
-Bodies are kept by their digests, apart from what names them: a promise or a change of voters writes some
-hundred bytes, however long the configuration is. Each save is one transaction, synced when it returns.
+Bodies are stored by digest, apart from the proposals that name them: so a promise or a change of voters
+writes only some hundred bytes, however long the configuration is. Each save is one transaction, synced when
+the call returns.
 """
 
 from __future__ import annotations
@@ -39,7 +40,7 @@
     to_records,
 )
 
-MAX_MAP_MB = 64  # of the map: some dozens of bodies, and the pages of transactions
+MAX_MAP_MB = 64  # size of the lmdb map: room for some dozens of bodies, and for the pages of transactions
 MB = 1024 * 1024  # bytes
 DISK_ID_BYTES = 8
 DATA_FILE = "data.mdb"
@@ -48,7 +49,7 @@
 
 
 def is_unavailable(error: Exception) -> bool:
-    """Whether the disk refuses just now. Any other error at reading tells of damage to what lies there."""
+    """Whether an error says that the disk is unavailable now. Any other read error means damaged data."""
     return isinstance(error, lmdb.DiskError) or any(text in str(error) for text in _UNAVAILABLE)
 
 
@@ -57,41 +58,42 @@
 
 
 class DiskStore:
-    """The durable state in one folder.
+    """Stores the durable state of one node in one folder.
 
     Parameters
     ----------
     folder : str
-        Made where it is missing.
+        Created if it is missing.
     disk_mb : float
-        Size of the disk, MB; 0 where it is not known.
+        Size of the disk in MB, of which at most half is used; 0 if unknown.
     """
 
     def __init__(self, folder: str, disk_mb: float = 0) -> None:
         self.folder = Path(folder)
         self.map_bytes = int(min(MAX_MAP_MB, disk_mb / 2 if disk_mb else MAX_MAP_MB) * MB)
-        self.owner = ""  # the ip of the machine whose state this is
+        self.owner = ""  # ip of the machine that owns the state
         self._environment: lmdb.Environment | None = None
-        self._saved: dict[bytes, Any] = {}  # by record, what was saved of it last
+        self._saved: dict[bytes, Any] = {}  # by key, the data of the record that was saved last
         self._encoder = CachedJsonEncoder(sort_keys=False)
 
     def load_or_create(self, node_name: str, own_ip: str, first_contacts: Sequence[str]) -> DurableState:
-        """Load the state, count one start and sync. An empty disk begins a new incarnation.
+        """Load the state, or create one on an empty disk; increment its count of starts, and sync.
 
-        A disk with damaged state is emptied, and its incarnation is over.
+        An empty disk starts a new incarnation. A disk with damaged state is erased: its incarnation ends, and
+        a new one starts.
 
         Parameters
         ----------
         first_contacts : sequence of str
-            Ips, only at the first start of the system, else none: a node among them whose disk is empty
-            begins as one of the first voters.
+            Ips of the first contacts at the first start of the system, empty later. A node among them whose
+            disk is empty starts as one of the first voters.
 
         Raises
         ------
         NewerFormatError, ForeignDiskError
-            A later version or another machine wrote it; it is left alone.
+            A later version or another machine wrote the state, which is left unchanged.
         DiskUnavailableError
-            It can't be read or written now; it is left alone.
+            The disk can't be read or written now. Its state is left unchanged.
         """
         state, damaged = self._load_or_discard()
         if state is None:
@@ -102,7 +104,9 @@
             event("new-disk", node=node_name, disk_id=state.disk_id, damaged=damaged)
         if self.owner not in ("", own_ip):
             self.close()
-            raise ForeignDiskError("reading", f"it holds the state of {self.owner}, this is {own_ip}")
+            raise ForeignDiskError(
+                "reading", f"the disk has the state of {self.owner}, but this machine is {own_ip}"
+            )
         self.owner = own_ip
         state.starts += 1
         self.save(state)
@@ -110,7 +114,7 @@
         return state
 
     def _load_or_discard(self) -> tuple[DurableState | None, bool]:
-        """Return the state, None where there is none, and whether there was a damaged one."""
+        """Return the state, None if there is none, and whether a damaged state was erased."""
         try:
             return self.load(), False
         except (NewerFormatError, DiskUnavailableError):
@@ -122,7 +126,7 @@
             return None, True
 
     def load(self) -> DurableState | None:
-        """Return what is there, or None where nothing ever was.
+        """Return the stored state, or None if nothing was ever saved.
 
         Raises
         ------
@@ -137,20 +141,20 @@
             kind = DiskUnavailableError if is_unavailable(error) else CorruptStateError
             raise kind("opening", _describe(error)) from None
         if not encoded:
-            return None  # nothing was ever synced, so nothing was ever said
+            return None  # nothing was ever synced, so this incarnation has sent no promise or acceptance
         state = read_state(encoded)
         self.owner = owner_of(decode_record(encoded[IDENTITY.encode()], IDENTITY))
         return state
 
     def save(self, state: DurableState) -> None:
-        """Sync what differs from what was saved last.
+        """Write and sync the records that differ from those of the last save.
 
-        After a failure nobody knows what the disk has: the next save opens it anew and writes all.
+        After a failure the content of the disk is unknown: the next save reopens it and writes all records.
 
         Raises
         ------
         DiskUnavailableError
-            It could not be written or synced.
+            The state could not be written or synced.
         """
         records, bodies = to_records(state, self.owner)
         records_by_key = {name.encode(): data for name, data in records.items()}
@@ -178,9 +182,10 @@
         return key not in self._saved or self._saved[key] != data
 
     def _obsolete(self, transaction: lmdb.Transaction, kept: set[bytes]) -> Iterator[bytes]:
-        """Keys to delete: bodies that nothing names any more.
+        """Return the keys to delete: bodies that no proposal names any more.
 
-        Where nothing was saved yet, whatever lies there is of an older format, or of a save that failed.
+        If this process has saved nothing yet, or the last save failed, all keys on the disk are checked: some
+        may be of an older format or of the failed save.
         """
         if self._saved:
             prefix = BODY_PREFIX.encode()
@@ -189,22 +194,22 @@
         return (key for key in keys if key not in kept)
 
     def close(self) -> None:
-        """End the use of the folder."""
+        """Close the database; the next access opens it again."""
         if self._environment is not None:
             self._environment.close()
             self._environment = None
 
     def used_bytes(self) -> int:
-        """Bytes of the pages that hold something now."""
+        """Return the bytes of all pages in use, without free pages of the file."""
         statistics = self._open().stat()
         pages = statistics["branch_pages"] + statistics["leaf_pages"] + statistics["overflow_pages"]
         return int(pages * statistics["psize"])
 
     def _open(self) -> lmdb.Environment:
         if self._environment is None:
-            # One process alone uses the folder, and locks do nothing on some disks. lmdb syncs the pages of a
-            # commit and then writes which of them hold through a descriptor with O_DSYNC; not each disk heeds
-            # that, so `save` syncs that write.
+            # No lock, because only one process uses the folder, and locks have no effect on some disks. lmdb
+            # syncs the data pages of a commit, and then writes the meta page, which names the valid pages,
+            # through a descriptor with O_DSYNC. Some disks ignore O_DSYNC, so `save` syncs the meta page too.
             self._environment = lmdb.open(
                 str(self.folder), map_size=self.map_bytes, lock=False, readahead=False, metasync=False
             )
@@ -216,12 +221,12 @@
             (self.folder / DATA_FILE).unlink()
 
     def sync_file_and_folder(self) -> None:
-        """Sync file and folder: only then does a new file survive a loss of power.
+        """Sync the data file and its folder: a new file survives a power failure only after both.
 
         Raises
         ------
         DiskUnavailableError
-            One of them can't be synced.
+            The file or the folder can't be synced.
         """
         try:
             for path in (self.folder / DATA_FILE, self.folder):
@@ -231,10 +236,13 @@
                 finally:
                     os.close(descriptor)
         except OSError as error:
-            raise DiskUnavailableError("syncing file names", str(error)) from None
+            raise DiskUnavailableError("syncing the file and its folder", str(error)) from None
 
 
 def new_disk_id(node_name: str) -> str:
-    """Return an id that no other disk has: chance, and clocks where chance is seeded alike at each start."""
+    """Return a unique id, from random bytes, both clocks and the process id.
+
+    The clocks keep it unique on machines whose random generator has the same seed at each start.
+    """
     text = f"{node_name}/{secrets.token_hex(16)}/{time.monotonic_ns()}/{time.time_ns()}/{os.getpid()}"
     return hashlib.blake2b(text.encode(), digest_size=DISK_ID_BYTES).hexdigest()
--- a/tests/test_many_changes.py
+++ b/tests/test_many_changes.py
@@ -13,7 +13,7 @@
 from pepperrun.consensus import codec
 from pepperrun.consensus.codec import WireMessage
 from pepperrun.consensus.messages import Chosen
-from pepperrun.consensus.recent_changes import MAX_SIZE, RecentChanges, json_size
+from pepperrun.consensus.recent_changes import MAX_TOTAL_SIZE, RecentChanges, json_size
 from pepperrun.consensus.register import Register
 from pepperrun.consensus.state import DurableState, InMemoryStore, Proposal, digest_of, initial_proposal
 from pepperrun.consensus.timeouts import MS
@@ -98,12 +98,12 @@
     recent = RecentChanges()
     for at in range(500):
         recent.add(f"d{at}", [{"at": at}], f"d{at + 1}")
-        assert recent.operation_count <= codec.MAX_OPERATIONS and recent.size <= MAX_SIZE
+        assert recent.operation_count <= codec.MAX_OPERATIONS and recent.size <= MAX_TOTAL_SIZE
     way = recent.delta(["d1", "d480"], "d500")
     assert way is not None and way.base_digest == "d480"
     assert [op["at"] for op in way.operations] == [*range(480, 500)]
     assert recent.delta(["d1"], "d500") is None and recent.delta(["d490"], "d499") is None
-    recent.add("d500", [{"fill": "x" * MAX_SIZE}], "d501")
+    recent.add("d500", [{"fill": "x" * MAX_TOTAL_SIZE}], "d501")
     assert not recent.changes and recent.size == recent.operation_count == 0  # too long to be sent again
     recent.add("d501", [{}], "d502")
     recent.add("elsewhere", [{}], "d503")
