--- a/pepperrun/storage/formats.py
+++ b/pepperrun/storage/formats.py
@@ -36,7 +36,7 @@
         raise CorruptStateError("reading", f"format {found!r} is not an integer")
     if found > CURRENT_FORMAT:
         raise NewerFormatError(
-            "reading", f"the disk has format {found}; this version reads formats up to {CURRENT_FORMAT}"
+            "reading", f"the disk has format {found}, but {CURRENT_FORMAT} is the newest known format"
         )
     return found
 
--- a/pepperrun/storage/records.py
+++ b/pepperrun/storage/records.py
@@ -33,8 +33,8 @@
 
 def encode_record_text(text: str) -> bytes:
     """Return the bytes of a record whose data is JSON text already."""
-    encoded = text.encode()
-    return hashlib.blake2b(encoded, digest_size=CHECKSUM_BYTES).digest() + encoded
+    content = text.encode()
+    return hashlib.blake2b(content, digest_size=CHECKSUM_BYTES).digest() + content
 
 
 def decode_record(encoded: bytes, name: str) -> Any:
