--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -11,7 +11,7 @@
 import pytest
 from standins import SECOND, StandIn, answer, going
 from test_dataplane import Cluster, ok, route
-from test_storage import CONTACTS, ME, filled
+from test_storage import CONTACTS, ME, disk_with_accepted_value
 
 from pepperrun import operatorctl
 from pepperrun.consensus.state import FIRST_DISK_ID
@@ -52,7 +52,7 @@
 def test_an_older_format_is_read_by_steps_and_written_as_the_present_one(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    memory = filled(tmp_path, 2000)
+    memory = disk_with_accepted_value(tmp_path, 2000)
     raw = older(tmp_path)
     with pytest.raises(PepperrunError, match="no migration leads on from format 0"):
         records.read_state(raw)
@@ -74,7 +74,7 @@
 
 
 def test_a_copy_never_goes_on_as_the_same_life(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
-    memory, file = filled(tmp_path / "a", 2000), tmp_path / "copy.json"
+    memory, file = disk_with_accepted_value(tmp_path / "a", 2000), tmp_path / "copy.json"
 
     def run(*words: object) -> int:
         return operatorctl.main(["state", *map(str, words)])
@@ -109,7 +109,7 @@
 
 
 def test_faults_of_a_folder_are_told(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
-    filled(tmp_path, 2000)
+    disk_with_accepted_value(tmp_path, 2000)
     file = tmp_path / "data.mdb"
     data = bytearray(file.read_bytes())
     at = data.rindex("é".encode() * 100)
