--- a/benchmarks/ill_workers.py
+++ b/benchmarks/ill_workers.py
@@ -69,14 +69,14 @@
     def __init__(self, ejection: OutlierEjection | None) -> None:
         self.ejection, self.safe_at = ejection, dict[int, int]()
 
-    def open(self, lot: object, now: int) -> int:
+    def wait_ns(self, lot: object, now: int) -> int:
         return 0
 
-    def may(self, lot: tuple[int, bool], backend: int, now: int) -> bool:
+    def may_send(self, lot: tuple[int, bool], backend: int, now: int) -> bool:
         safe = lot[1] or now - self.safe_at.get(lot[0], -5 * SECOND) >= 5 * SECOND
         return self.ejection is None or self.ejection.may_send(backend, now, safe)
 
-    def sent(self, lot: tuple[int, bool], backend: int, now: int) -> None:
+    def on_sent(self, lot: tuple[int, bool], backend: int, now: int) -> None:
         if lot[1]:
             self.safe_at[lot[0]] = now
         if self.ejection is not None:
@@ -103,7 +103,7 @@
             line = self.numbering.service(service)
             own = [self.rng.getrandbits(32) for _ in range(number)]
             self.of |= {one: own for one in own}
-            self.rows += [Backend(one, at % ZONES, line=line) for at, one in enumerate(own)]
+            self.rows += [Backend(one, at % ZONES, service=line) for at, one in enumerate(own)]
             self.ill |= set(self.rng.sample(own, round(part * number)))
         self.gates: list[Gate] = []
         self.nodes: list[Gateway] = []
@@ -125,7 +125,8 @@
             self.nodes.append(Gateway(self.numbering.settings(), self.rng.getrandbits(32), self.gates[-1]))
             zone = node // EACH
             rows = [
-                Backend(b.id, b.zone, line=b.line, far=1.0 if b.zone == zone else 1.02) for b in self.rows
+                Backend(b.id, b.zone, service=b.service, distance_factor=1.0 if b.zone == zone else 1.02)
+                for b in self.rows
             ]
             self.tell(node, BackendList(ListKind.DELTA, tuple(rows)))
             self.at(self.rng.expovariate(rate), lambda node=node: self.ask(node))
@@ -149,7 +150,10 @@
         line, id = self.numbering.service(service), next(self.order)
         self.info[id] = name, self.now
         self.asked += FROM <= self.now < FROM + FOR + 2 * SECOND
-        self.tell(node, Request(id, 1, 0, self.classes[name], deadline * MS, line=line, lot=(line, safe)))
+        self.tell(
+            node,
+            Request(id, 1, 0, self.classes[name], deadline * MS, service=line, gate_context=(line, safe)),
+        )
 
     def tell(self, node: int, event: Event) -> None:
         for action in self.nodes[node].handle(self.now + SECOND, [event]):
--- a/features/playing.py
+++ b/features/playing.py
@@ -40,7 +40,7 @@
     PeerMessage,
     Request,
     Send,
-    TellPeer,
+    SendPeerMessage,
     TimerFired,
 )
 from pepperrun.dataplane.numbering import Numbering, number_of
@@ -330,7 +330,7 @@
             )
             peer_messages.connection_made(Air())
             self.gateways[name], self.hums[name] = gateway, peer_messages
-            gateway.handle(START, [BackendList(ListKind.DELTA, (Backend(7, 0, line=self.line),))])
+            gateway.handle(START, [BackendList(ListKind.DELTA, (Backend(7, 0, service=self.line),))])
         self.now, number = START, 0
         for step in range(300):
             self.now += 10 * MS
@@ -354,7 +354,7 @@
 
     def does(self, name, events):
         for action in self.gateways[name].handle(self.now, events):
-            if isinstance(action, TellPeer):
+            if isinstance(action, SendPeerMessage):
                 self.hums[name].tell(action.peer, action.data)
             elif isinstance(action, Send):  # served at once
                 self.does(name, [AttemptEnded(action.request, 0, 7, Outcome.OK, MS, True)])
--- a/pepperrun/admin/figures.py
+++ b/pepperrun/admin/figures.py
@@ -25,6 +25,6 @@
     yield Figure("relayed", servers.written, True)
     yield Figure("open_requests", gatekeeper.waiting(), False)
     yield Figure("registry_entries", len(directory.lines), False)
-    avoided = gatekeeper.gateway.avoided()
+    avoided = gatekeeper.gateway.ejected()
     out = sum(directory.address(number) is None or number in avoided for number in directory.lines)
     yield Figure("out_of_rotation", out, False)
--- a/pepperrun/bench/replay.py
+++ b/pepperrun/bench/replay.py
@@ -52,13 +52,13 @@
         "Classes": [
             {
                 "Name": kind.name,
-                "OnTimeNs": kind.aim_ns,
+                "OnTimeNs": kind.target_ns,
                 "DeadlineNs": kind.deadline_ns,
                 "Semantics": repeats[kind.repeat.value],
                 "Group": kind.group.value,
                 "WindowNs": kind.window_ns,
-                "Worth": kind.worth,
-                "LateWorth": kind.late_worth,
+                "Worth": kind.value,
+                "LateWorth": kind.late_value,
             }
             for kind in own.classes
         ],
@@ -71,26 +71,30 @@
                 "NeverOverDepth": plan.ceiling_depth,
                 "CeilingSlack": plan.ceiling_slack,
                 "WorthFactor": plan.price,
-                "ExtraWorth": plan.over_worth,
-                "BeyondCosts": plan.over_cost,
+                "ExtraWorth": plan.over_quota_value,
+                "BeyondCosts": plan.over_quota_cost,
             }
             for plan in own.plans
         ],
         "Limits": {
             "MostTries": own.max_attempts,
-            "MayDuplicate": own.second_copies,
+            "MayDuplicate": own.hedging,
             "MayCancel": own.may_cancel,
             "PeerMessages": own.peer_messages,
             "RetryAfter": own.retry_after,
             "MaxRetryAfterNs": own.max_retry_after_ns,
             "KeepaliveNs": 15_000_000_000,
         },
-        "Domain": {"PeerIntake": own.peer_intake, "PostPaid": own.settles, "MostUnits": own.max_units},
+        "Domain": {
+            "PeerIntake": own.peer_message_rate,
+            "PostPaid": own.reconciles_units,
+            "MostUnits": own.max_units,
+        },
         "Rules": {
-            "ColdFrom": own.cold_from,
-            "ColdNs": own.cold_ns,
-            "TipMultiple": own.tip_multiple,
-            "OverloadForNs": own.tip_for_ns,
+            "ColdFrom": own.slow_start_min_capacity,
+            "ColdNs": own.slow_start_ns,
+            "TipMultiple": own.overload_multiple,
+            "OverloadForNs": own.overload_for_ns,
         },
     }
     peers = [f"{HOST}:{port}" for port in peer_ports]
--- a/pepperrun/capture/recorder.py
+++ b/pepperrun/capture/recorder.py
@@ -54,11 +54,11 @@
         tuple(
             Class(
                 kind.name,
-                kind.aim_ns / ms,
+                kind.target_ns / ms,
                 kind.deadline_ns / ms,
                 kind.repeat.value,
-                kind.worth,
-                kind.late_worth,
+                kind.value,
+                kind.late_value,
             )
             for kind in settings.classes
         ),
@@ -70,8 +70,8 @@
                 plan.ceiling_rate,
                 plan.ceiling_depth,
                 plan.price,
-                plan.over_worth,
-                plan.over_cost,
+                plan.over_quota_value,
+                plan.over_quota_cost,
             )
             for plan in settings.plans
         ),
--- a/pepperrun/config.py
+++ b/pepperrun/config.py
@@ -71,13 +71,13 @@
     classes = tuple(
         io.RequestClass(
             name=get(item, "Name", str, ""),
-            aim_ns=get(item, "OnTimeNs", int, required=True),
+            target_ns=get(item, "OnTimeNs", int, required=True),
             deadline_ns=get(item, "DeadlineNs", int, required=True),
             repeat=_choice(item, "Semantics", _REPEATS),
             group=_choice(item, "Group", groups, "all"),
             window_ns=get(item, "WindowNs", int, 0),
-            worth=get(item, "Worth", float, 1.0),
-            late_worth=get(item, "LateWorth", float, 0.0),
+            value=get(item, "Worth", float, 1.0),
+            late_value=get(item, "LateWorth", float, 0.0),
         )
         for item in get(params, "Classes", list, required=True)
     )
@@ -91,8 +91,8 @@
             ceiling_depth=get(item, "NeverOverDepth", float, 0.0),
             ceiling_slack=get(item, "CeilingSlack", float, 0.0),
             price=get(item, "WorthFactor", float, 1.0),
-            over_worth=get(item, "ExtraWorth", float, 0.0),
-            over_cost=get(item, "BeyondCosts", float, 0.0),
+            over_quota_value=get(item, "ExtraWorth", float, 0.0),
+            over_quota_cost=get(item, "BeyondCosts", float, 0.0),
         )
         for item in get(params, "Tariffs", list, required=True)
     )
@@ -104,21 +104,21 @@
         plans=plans,
         tick_ns=get(params, "PeriodNs", int, 1_000_000),
         max_attempts=get(limits, "MostTries", int, 1),
-        second_copies=get(limits, "MayDuplicate", bool, False),
+        hedging=get(limits, "MayDuplicate", bool, False),
         may_cancel=get(limits, "MayCancel", bool, False),
         may_probe=get(limits, "MayProbe", bool, False),
         peer_messages=get(limits, "PeerMessages", bool, False),
-        peer_intake=get(domain, "PeerIntake", float, 0.0),
+        peer_message_rate=get(domain, "PeerIntake", float, 0.0),
         retry_after=get(limits, "RetryAfter", bool, False),
         max_retry_after_ns=get(limits, "MaxRetryAfterNs", int, 0),
         must_ask_for_list=get(params, "MembershipMode", str, "pushed") == "on_request",
         answer_grace_ns=get(rules, "GraceToAnswerNs", int, 0),
         drain_grace_ns=get(rules, "StopSendingWithinNs", int, 0),
-        cold_from=get(rules, "ColdFrom", float, 1.0),
-        cold_ns=get(rules, "ColdNs", int, 0),
-        tip_multiple=get(rules, "TipMultiple", float, 1.0),
-        tip_for_ns=get(rules, "OverloadForNs", int, 1_000_000_000),
-        settles=get(domain, "PostPaid", bool, False),
+        slow_start_min_capacity=get(rules, "ColdFrom", float, 1.0),
+        slow_start_ns=get(rules, "ColdNs", int, 0),
+        overload_multiple=get(rules, "TipMultiple", float, 1.0),
+        overload_for_ns=get(rules, "OverloadForNs", int, 1_000_000_000),
+        reconciles_units=get(domain, "PostPaid", bool, False),
         max_units=get(domain, "MostUnits", float, 1.0),
         report_columns=tuple(str(name) for name in get(report, "Columns", list, [])),
         cross_zone_price=get(fees, "CrossZone", float, 0.0),
@@ -381,7 +381,7 @@
         classes=tuple(
             io.RequestClass(
                 name=get(item, "name", str, required=True),
-                aim_ns=_positive(item, "wanted_ms") * _MS,
+                target_ns=_positive(item, "wanted_ms") * _MS,
                 deadline_ns=_positive(item, "deadline_ms") * _MS,
                 repeat=io.Repeat.SAFE,
             )
@@ -397,11 +397,11 @@
             for item in plans
         ),
         max_attempts=_positive(table, "max_attempts", 3),
-        second_copies=get(table, "second_copies", bool, False),
+        hedging=get(table, "second_copies", bool, False),
         may_cancel=True,
         cancel_when_client_left=True,
         peer_messages=peers > 1,
-        peer_intake=100.0,
+        peer_message_rate=100.0,
         retry_after=True,
         max_retry_after_ns=_positive(table, "max_retry_after_ms", 60_000) * _MS,
     )
--- a/pepperrun/core/clock.py
+++ b/pepperrun/core/clock.py
@@ -23,7 +23,7 @@
         return self.level
 
 
-class Decayed:
+class DecayingSum:
     """A sum that halves over a half-life."""
 
     def __init__(self, half_life: int, now: int) -> None:
@@ -41,7 +41,7 @@
         self.value = self.read(now) + amount
 
 
-class Agenda:
+class TimerQueue:
     """What is to be done at what time, in the order of time and then of asking."""
 
     def __init__(self) -> None:
@@ -67,14 +67,14 @@
         return self.entries[0][0]
 
 
-class Seldom:
+class Throttle:
     """Lets one of a kind through in each span of time."""
 
     def __init__(self, span: int) -> None:
         self.span = span
         self.last: dict[str, int] = {}
 
-    def now(self, kind: str, now: int) -> bool:
+    def allows(self, kind: str, now: int) -> bool:
         """Is it time for one of this kind?"""
         if now - self.last.get(kind, now - self.span) < self.span:
             return False
--- a/pepperrun/core/gossip.py
+++ b/pepperrun/core/gossip.py
@@ -26,8 +26,8 @@
 from collections.abc import Container
 from dataclasses import dataclass, field
 
-from pepperrun.core.clock import SECOND, Decayed
-from pepperrun.core.interface import MOST_PLANS
+from pepperrun.core.clock import SECOND, DecayingSum
+from pepperrun.core.interface import MAX_PLANS
 
 USED_HALF_LIFE = SECOND
 USED_RATE = 0.69  # a second, of a sum that halves in one
@@ -172,7 +172,7 @@
         if out > 0:
             parts.append(bytes((out,)))
     for ask in message.asks:
-        word = ask.customer % _CUSTOMER + (ask.plan % MOST_PLANS << _PLAN_AT)
+        word = ask.customer % _CUSTOMER + (ask.plan % MAX_PLANS << _PLAN_AT)
         units, owed = _steps(ask.units), int(owed_on_wire(ask.owed) * STEP)
         parts.append(_ASK.pack(word.to_bytes(5, "little"), ask.request, units, owed, ask.first, ask.spread))
     for answer in message.answers:
@@ -263,7 +263,7 @@
     incarnation: int
     entry: Entry
     at: int
-    used: Decayed
+    used: DecayingSum
 
     def unseen(self, now: int, most: int) -> float:
         """What it will have used since, at the rate of late, for at most so long."""
@@ -284,7 +284,7 @@
         if told is not None and told.incarnation == incarnation:
             more = _since(round(entry.total * STEP), round(told.entry.total * STEP), TOTALS) / STEP
             used = min(entry.debt, more)
-        lately = told.used if told is not None else Decayed(USED_HALF_LIFE, now)
+        lately = told.used if told is not None else DecayingSum(USED_HALF_LIFE, now)
         lately.add(max(0.0, used), now)
         self.told[peer] = Told(incarnation, entry, now, lately)
         return used
--- a/pepperrun/core/interface.py
+++ b/pepperrun/core/interface.py
@@ -63,7 +63,7 @@
     FAILED = "failed"
 
 
-MOST_PLANS = 128  # gateways tell each other of plans in seven bits
+MAX_PLANS = 128  # gateways tell each other of plans in seven bits
 
 
 def _require(ok: bool, name: str, wanted: str) -> None:
@@ -76,17 +76,17 @@
     """A class of requests: how soon it is wanted and whether it may run again."""
 
     name: str
-    aim_ns: int
+    target_ns: int
     deadline_ns: int
     repeat: Repeat
     group: Group = Group.ALL
     window_ns: int = 0
-    worth: float = 1.0
-    late_worth: float = 0.0
-    tries: int = 0  # attempts of a request at most; 0: as the settings say
+    value: float = 1.0
+    late_value: float = 0.0
+    max_attempts: int = 0  # attempts of a request at most; 0: as the settings say
 
     def __post_init__(self) -> None:
-        _require(self.aim_ns > 0, "classes.aim_ns", "above 0")
+        _require(self.target_ns > 0, "classes.target_ns", "above 0")
         _require(self.deadline_ns > 0, "classes.deadline_ns", "above 0")
         _require(isinstance(self.repeat, Repeat), "classes.repeat", "a Repeat")
         _require(isinstance(self.group, Group), "classes.group", "a Group")
@@ -105,8 +105,8 @@
     ceiling_depth: float = 0.0
     ceiling_slack: float = 0.0
     price: float = 1.0
-    over_worth: float = 0.0
-    over_cost: float = 0.0
+    over_quota_value: float = 0.0
+    over_quota_cost: float = 0.0
 
     def __post_init__(self) -> None:
         for name in (
@@ -150,52 +150,52 @@
     plans: tuple[Plan, ...]
     tick_ns: int = 1_000_000
     max_attempts: int = 1
-    second_copies: bool = False
+    hedging: bool = False
     may_cancel: bool = False
     cancel_when_client_left: bool = False
     may_probe: bool = False
     peer_messages: bool = False
-    peer_intake: float = 0.0
+    peer_message_rate: float = 0.0
     retry_after: bool = False
     max_retry_after_ns: int = 0
     must_ask_for_list: bool = False
     answer_grace_ns: int = 0
     drain_grace_ns: int = 0
-    cold_from: float = 1.0
-    cold_ns: int = 0
-    tip_multiple: float = 1.0
-    tip_for_ns: int = 1_000_000_000
-    settles: bool = False
+    slow_start_min_capacity: float = 1.0
+    slow_start_ns: int = 0
+    overload_multiple: float = 1.0
+    overload_for_ns: int = 1_000_000_000
+    reconciles_units: bool = False
     max_units: float = 1.0
     report_columns: tuple[str, ...] = ()
     cross_zone_price: float = 0.0
-    lines: int = 1
-    seats: int = 0
-    further_share: float = 0.1
-    further_burst: float = 10.0
-    strict_further: bool = False
-    follows_best: bool = False
-    marks: bool = True
-    own_plans: bool = False
+    services: int = 1
+    min_quota_shares: int = 0
+    retry_budget_ratio: float = 0.1
+    retry_budget_burst: float = 10.0
+    strict_retry_budget: bool = False
+    adaptive_latency_goal: bool = False
+    share_backend_reports: bool = True
+    local_plan_numbers: bool = False
 
     def __post_init__(self) -> None:
         _require(self.gateways >= 1, "gateways", "1 or more")
         _require(0 <= self.me < self.gateways, "me", "from 0 up to, not including, gateways")
         _require(self.zone >= 0, "zone", "0 or more")
         _require(len(self.classes) > 0, "classes", "at least one class")
-        most = len(self.plans) if self.own_plans else MOST_PLANS
-        _require(0 < len(self.plans) <= most, "plans", f"one to {MOST_PLANS} plans")
+        most = len(self.plans) if self.local_plan_numbers else MAX_PLANS
+        _require(0 < len(self.plans) <= most, "plans", f"one to {MAX_PLANS} plans")
         _require(self.tick_ns > 0, "tick_ns", "above 0")
         _require(self.max_attempts >= 1, "max_attempts", "1 or more")
-        _require(self.peer_intake >= 0, "peer_intake", "0 or more")
-        _require(0 < self.cold_from <= 1, "cold_from", "above 0 and at most 1")
-        _require(self.cold_ns >= 0, "cold_ns", "0 or more")
-        _require(self.tip_multiple > 0, "tip_multiple", "above 0")
-        _require(self.tip_for_ns > 0, "tip_for_ns", "above 0")
+        _require(self.peer_message_rate >= 0, "peer_intake", "0 or more")
+        _require(0 < self.slow_start_min_capacity <= 1, "cold_from", "above 0 and at most 1")
+        _require(self.slow_start_ns >= 0, "cold_ns", "0 or more")
+        _require(self.overload_multiple > 0, "tip_multiple", "above 0")
+        _require(self.overload_for_ns > 0, "tip_for_ns", "above 0")
         _require(self.max_units > 0, "max_units", "above 0")
-        _require(self.lines >= 1, "lines", "1 or more")
-        _require(self.further_share >= 0, "further_share", "0 or more")
-        _require(self.further_burst >= 0, "further_burst", "0 or more")
+        _require(self.services >= 1, "lines", "1 or more")
+        _require(self.retry_budget_ratio >= 0, "further_share", "0 or more")
+        _require(self.retry_budget_burst >= 0, "further_burst", "0 or more")
 
 
 class Gate(Protocol):
@@ -205,15 +205,15 @@
     this backend now? `sent`: it does. All are asked in the turn in which the attempt goes out.
     """
 
-    def open(self, lot: object, now: int) -> int:
+    def wait_ns(self, context: object, now: int) -> int:
         """Return 0 where it may go out now, else the ns after which it may be tried again."""
         ...
 
-    def may(self, lot: object, backend: int, now: int) -> bool:
+    def may_send(self, context: object, backend: int, now: int) -> bool:
         """Whether it may go to this backend now."""
         ...
 
-    def sent(self, lot: object, backend: int, now: int) -> None:
+    def on_sent(self, context: object, backend: int, now: int) -> None:
         """It goes there."""
         ...
 
@@ -229,9 +229,9 @@
     zone: int
     cell: int = 0
     state: BackendState = BackendState.READY
-    born_ns: int = 0
-    line: int = 0
-    far: float = 0.0
+    started_ns: int = 0
+    service: int = 0
+    distance_factor: float = 0.0
 
 
 @dataclass(slots=True)
@@ -250,8 +250,8 @@
     this route start with; one that has less left has waited before.
     """
 
-    aim_ns: int
-    tries: int
+    target_ns: int
+    max_attempts: int
     initial_ns: int = 0
 
 
@@ -274,9 +274,9 @@
     units: float = 1.0
     spread: int = 1
     first: int = 0
-    once: bool = False
-    line: int = 0
-    lot: object = None
+    unbuffered: bool = False
+    service: int = 0
+    gate_context: object = None
     rank: int = 0
     limits: RequestLimits | None = None
 
@@ -305,7 +305,7 @@
     complete: bool = False
     units: float = 0.0
     report: tuple[float, ...] = ()
-    spent: bool = False
+    body_consumed: bool = False
 
 
 @dataclass(slots=True)
@@ -390,7 +390,7 @@
 
     request: int
     wait_ns: int = 0
-    beyond: bool = False
+    over_quota: bool = False
 
 
 @dataclass(slots=True)
@@ -431,7 +431,7 @@
 
 
 @dataclass(slots=True)
-class TellPeer:
+class SendPeerMessage:
     """Send a message of at most 256 bytes to another gateway."""
 
     peer: int
@@ -457,4 +457,6 @@
     """Ask for the whole list once."""
 
 
-Action = Send | Refuse | Fail | Cancel | SetTimer | Probe | CloseIdle | TellPeer | Log | Watch | FetchList
+Action = (
+    Send | Refuse | Fail | Cancel | SetTimer | Probe | CloseIdle | SendPeerMessage | Log | Watch | FetchList
+)
--- a/pepperrun/core/keepers.py
+++ b/pepperrun/core/keepers.py
@@ -8,7 +8,7 @@
 from typing import Any, Protocol
 
 from pepperrun.core import gossip
-from pepperrun.core.clock import SECOND, Bucket, Decayed
+from pepperrun.core.clock import SECOND, Bucket, DecayingSum
 from pepperrun.core.interface import Plan, Settings
 from pepperrun.core.quota_keepers import QuotaKeepers
 from pepperrun.core.standing import Standing
@@ -23,7 +23,7 @@
 
 def period_of(settings: Settings) -> int:
     """How often a gateway may tell each of its peers, in nanoseconds: all together fill no intake."""
-    intake = max(settings.peer_intake, 0.1) * INTAKE_USED
+    intake = max(settings.peer_message_rate, 0.1) * INTAKE_USED
     return max(2 * settings.tick_ns, int(max(1, settings.gateways - 1) / intake * SECOND))
 
 
@@ -37,7 +37,7 @@
     plan: Plan
     whole: Bucket
     ceiling: Bucket
-    asked: Decayed
+    asked: DecayingSum
     granted: dict[tuple[int, int], int]
     keepers: list[int]
     owed: float
@@ -93,7 +93,7 @@
     def grant(self, account: Holding, peer: int, request: int, units: float, now: int) -> gossip.Answer:
         """As a keeper: units of the store and of this keeper's part of the ceiling, or how long to wait."""
         plan, ceiling = account.plan, account.ceiling
-        most = min(self.quotas.settings.peer_intake * INTAKE_USED, 2 * plan.rate / max(units, 0.1))
+        most = min(self.quotas.settings.peer_message_rate * INTAKE_USED, 2 * plan.rate / max(units, 0.1))
         level, took = account.whole.fill(now), self.quotas.unit_ns * units
         account.asked.add(1.0, now)
         account.granted = {key: at for key, at in account.granted.items() if now - at < SECOND}
--- a/pepperrun/core/quota_keepers.py
+++ b/pepperrun/core/quota_keepers.py
@@ -19,7 +19,7 @@
 from typing import Any, Protocol
 
 from pepperrun.core import gossip
-from pepperrun.core.clock import SECOND, Bucket, Decayed
+from pepperrun.core.clock import SECOND, Bucket, DecayingSum
 from pepperrun.core.interface import Plan, Settings
 
 Places = dict[str, tuple[str, ...]]
@@ -42,7 +42,7 @@
     whole: Bucket
     peers: list[int]
     keepers: list[int]
-    asked: Decayed
+    asked: DecayingSum
     begins: int
     seen: int
 
@@ -209,7 +209,7 @@
                 if bucket.fill(now) < units:
                     lacks = int((units - bucket.level) / max(bucket.rate, 1e-9) * SECOND)
                     wait = max(wait, 1_000_000, lacks, bucket.at - now)
-            most = min(settings.peer_intake * INTAKE_USED, 2 * plan.rate / max(units, 0.1))
+            most = min(settings.peer_message_rate * INTAKE_USED, 2 * plan.rate / max(units, 0.1))
             if wait and account.asked.value > max(RUSH, 1.4 * most):
                 # Far more is asked for than there is: each asks so seldom that the intake takes it.
                 wait = max(wait, int(settings.gateways / most * SECOND))
--- a/pepperrun/core/quotas.py
+++ b/pepperrun/core/quotas.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from pepperrun.core import gossip
-from pepperrun.core.clock import SECOND, Bucket, Decayed
+from pepperrun.core.clock import SECOND, Bucket, DecayingSum
 from pepperrun.core.escrow import LOW, hand_over, hungry
 from pepperrun.core.interface import Request, Settings
 from pepperrun.core.keepers import HEARD_FOR, NEAR, Keepers, keepers_of, period_of
@@ -33,14 +33,14 @@
         self.slice.level = self.slice.depth
         self.owed = 0.0  # units used without asking a keeper, less those given back
         self.near_told, self.closed_until = False, now  # what a keeper last told of it
-        self.asked = Decayed(SECOND, now)  # asks, where this gateway is keeper
+        self.asked = DecayingSum(SECOND, now)  # asks, where this gateway is keeper
         self.granted: dict[tuple[int, int], int] = {}  # as keeper: peer and request, when granted
         # Not from 0: peers remember the count of an account that was dropped, and a lower one gives back.
         self.total, self.untold = quotas.counted, 0.0
         self.out, self.seen, self.period, self.fed_at = 0, now, quotas.period, now
         self.told_at = self.asked_at = quotas.start - HEARD_FOR
         self.told, self.begged = gossip.Heard(), set[int]()  # and peers that are short of units
-        self.used = Decayed(SHARE_HALF_LIFE, now)
+        self.used = DecayingSum(SHARE_HALF_LIFE, now)
 
     def divide(self, now: int) -> None:
         """Its parts among the gateways that it comes through, anew where their number has changed."""
@@ -48,7 +48,11 @@
         count, me = quotas.settings.gateways, quotas.settings.me
         self.plan, self.spread = plan, min(self.seats, count) if quotas.members is None else count
         self.weight = plan.rate or plan.open_limit or 1.0  # no rate: the open limit stands in, else one
-        self.peers, self.keepers, hard = list[int](), list[int](), 1 / max(self.spread, quotas.settings.seats)
+        self.peers, self.keepers, hard = (
+            list[int](),
+            list[int](),
+            1 / max(self.spread, quotas.settings.min_quota_shares),
+        )
         if quotas.members is not None:
             self.peers = list(quotas.members)
             hard = quotas.quota_keepers.seat(self, now) if quotas.quota_keepers else hard
@@ -81,7 +85,7 @@
             # A full slice may be smaller than one request; it pays for one all the same and owes the rest.
             return self.slice.fill(now) if self.slice.level < self.slice.depth else self.plan.burst
         room = self.whole.fill(now)
-        if self.plan.over_cost <= 0:
+        if self.plan.over_quota_cost <= 0:
             return room  # what two let go at once costs nothing
         # The rest is split by use: each leaves the others what they will use before it hears of it.
         return room - sum(told.unseen(now, 2 * self.period) for told in heard)
--- a/pepperrun/core/lanes.py
+++ b/pepperrun/core/services.py
@@ -5,18 +5,18 @@
 import random
 from collections.abc import Callable
 
-from pepperrun.core.bound import Bound
+from pepperrun.core.concurrency_limiter import ConcurrencyLimiter
+from pepperrun.core.fair_scheduler import FairScheduler
 from pepperrun.core.fleet import Fleet
 from pepperrun.core.interface import Gate, Settings
-from pepperrun.core.turns import Turns
 
 
-class Lane:
+class ServiceState:
     """One service: its backends, the bound on attempts at them, and the queues before it."""
 
     def __init__(
         self, settings: Settings, rng: random.Random, log: Callable[[str, str], None], gate: Gate | None
     ):
-        self.turns = Turns(rng)
-        self.bound = Bound(settings.gateways, settings.follows_best)
+        self.scheduler = FairScheduler(rng)
+        self.limiter = ConcurrencyLimiter(settings.gateways, settings.adaptive_latency_goal)
         self.fleet = Fleet(settings, rng, log, gate)
--- a/pepperrun/core/state.py
+++ b/pepperrun/core/state.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Sequence
 from typing import Any
 
-from pepperrun.core.clock import Agenda
+from pepperrun.core.clock import TimerQueue
 from pepperrun.core.interface import (
     Action,
     Backend,
@@ -26,14 +26,14 @@
 
     def __init__(self, line: Backend, now: int) -> None:
         self.id, self.zone, self.cell = line.id, line.zone, line.cell
-        self.state, self.born = line.state, line.born_ns
-        self.pending: dict[tuple[int, int], tuple[int, float]] = {}  # attempt: sent at, expected to take
-        self.down_at = 0  # when it last could not be reached
-        self.slow, self.sampled = 1.0, now  # latency over expected, and when last seen
-        self.far = line.far
+        self.state, self.started_at = line.state, line.started_ns
+        self.in_flight: dict[tuple[int, int], tuple[int, float]] = {}  # attempt: sent at, expected to take
+        self.unreachable_at = 0  # when it last could not be reached
+        self.slowdown, self.sampled_at = 1.0, now  # latency over expected, and when last seen
+        self.distance_factor = line.distance_factor
 
 
-class Roster:
+class BackendTable:
     """The backends that the list has named."""
 
     def __init__(self) -> None:
@@ -44,10 +44,15 @@
         started = []
         for line in event.backends:
             server = self.servers.setdefault(line.id, Server(line, now))
-            if line.born_ns > server.born:
-                server.born = line.born_ns
+            if line.started_ns > server.started_at:
+                server.started_at = line.started_ns
                 started.append(server)
-            server.zone, server.cell, server.state, server.far = line.zone, line.cell, line.state, line.far
+            server.zone, server.cell, server.state, server.distance_factor = (
+                line.zone,
+                line.cell,
+                line.state,
+                line.distance_factor,
+            )
         if event.kind is not ListKind.DELTA:
             listed = {line.id for line in event.backends}
             for server in self.servers.values():
@@ -66,29 +71,37 @@
     """One attempt of a request."""
 
     def __init__(self, backend: Server, sent: int) -> None:
-        self.backend, self.sent, self.out, self.may_have_run = backend, sent, True, True
-        self.counts = True  # against the bound
+        self.backend, self.sent_at, self.in_flight, self.may_have_run = backend, sent, True, True
+        self.counted = True  # against the bound
         self.abandoned = False  # its client has left: it is to end
 
 
-class HeldState:
+class RequestState:
     """A request taken and not yet ended, or ended with attempts still out."""
 
     def __init__(self, event: Request, account: Any, kind: RequestClass, lane: Any, now: int) -> None:
-        self.account, self.lane, self.lot, self.rank = account, lane, event.lot, event.rank
-        self.id, self.cls, self.units, self.kind = event.id, event.cls, event.units, kind
+        self.account, self.service, self.gate_context, self.rank = (
+            account,
+            lane,
+            event.gate_context,
+            event.rank,
+        )
+        self.id, self.cls, self.units, self.request_class = event.id, event.cls, event.units, kind
         limits = event.limits
-        self.aim_ns = kind.aim_ns if limits is None else limits.aim_ns
-        self.tries = kind.tries if limits is None else limits.tries
-        self.deadline, self.aim = now + event.left_ns, now + min(self.aim_ns, event.left_ns)
+        self.target_ns = kind.target_ns if limits is None else limits.target_ns
+        self.max_attempts = kind.max_attempts if limits is None else limits.max_attempts
+        self.deadline, self.target_at = now + event.left_ns, now + min(self.target_ns, event.left_ns)
         self.attempts: list[Attempt] = []
-        self.once, self.spent = event.once, False  # a body that is not held whole; some of it has gone out
+        self.unbuffered, self.body_consumed = (
+            event.unbuffered,
+            False,
+        )  # a body that is not held whole; some of it has gone out
         self.asking = self.waiting = self.done = self.stream = False
         self.asks = self.asked_at = 0  # asks sent to keepers since the last answer, and when the last one
 
-    def out(self) -> int:
+    def in_flight(self) -> int:
         """How many attempts are out."""
-        return sum(attempt.out for attempt in self.attempts)
+        return sum(attempt.in_flight for attempt in self.attempts)
 
 
 class Queues:
@@ -97,7 +110,7 @@
     def __init__(self) -> None:
         self.waiting: dict[int, deque[Any]] = {}
 
-    def add(self, customer: int, held: HeldState) -> None:
+    def add(self, customer: int, held: RequestState) -> None:
         """To the end of a customer's queue, but before those of lower standing."""
         held.waiting = True
         queue = self.waiting.setdefault(customer, deque())
@@ -116,23 +129,23 @@
         return queue[0] if queue else None
 
     def pop(self, customer: int) -> Any:
-        """Takes the first one off; `back` undoes it."""
+        """Takes the first one off; `push_front` undoes it."""
         held = self.waiting[customer].popleft()
         held.waiting = False
         return held
 
-    def back(self, customer: int, held: HeldState) -> None:
+    def push_front(self, customer: int, held: RequestState) -> None:
         """To the front of a customer's queue."""
         held.waiting = True
         self.waiting.setdefault(customer, deque()).appendleft(held)
 
 
-class Desk:
+class EventDispatcher:
     """Gives each event to its handler, keeps the agenda and its timer, and collects the actions."""
 
     def __init__(self) -> None:
         self.handlers: dict[type, Callable[[Any], None]] = {}
-        self.agenda = Agenda()
+        self.agenda = TimerQueue()
         self.now, self.armed = -1, 0
         self.actions: list[Action] = []
 
--- a/pepperrun/dataplane/gate.py
+++ b/pepperrun/dataplane/gate.py
@@ -49,7 +49,7 @@
         at = self.fresh_at()
         return at > 0 and now - at <= most_ns
 
-    def open(self, lot: object, now: int) -> int:
+    def wait_ns(self, lot: object, now: int) -> int:
         """0, or the nanoseconds after which it may be tried again."""
         table = self.table
         assert isinstance(lot, Lot)
@@ -59,7 +59,7 @@
             return AGAIN_NS
         return 0
 
-    def may(self, lot: object, backend: int, now: int) -> bool:
+    def may_send(self, lot: object, backend: int, now: int) -> bool:
         """May it go to this worker now?"""
         assert isinstance(lot, Lot)
         workers = self.workers
@@ -78,7 +78,7 @@
         rate = self._cold_per_s(known.service)
         return rate is None or self.shares.may(backend, known.record.id, known.record.zone, rate, now)
 
-    def sent(self, lot: object, backend: int, now: int) -> None:
+    def on_sent(self, lot: object, backend: int, now: int) -> None:
         """It goes there."""
         assert isinstance(lot, Lot)
         if lot.safe:
@@ -93,7 +93,7 @@
 
     def still(self, lot: Lot, backend: int, now: int) -> bool:
         """May what was sent off to this worker still be written now? It may have waited for a connection."""
-        if self.open(lot, now):
+        if self.wait_ns(lot, now):
             return False
         known = self.workers.by_number.get(backend)
         if known is None or self.workers.address(backend) is None:
--- a/pepperrun/dataplane/inspection.py
+++ b/pepperrun/dataplane/inspection.py
@@ -102,7 +102,7 @@
             out.append({"tenant": name, "rate": None, "depth": None, "level": None})
             continue
         places = plane.quota_keepers.places
-        part = 1 / max(1, settings.gateways, settings.seats)
+        part = 1 / max(1, settings.gateways, settings.min_quota_shares)
         if places:  # kept by some for all: a part that is this gatekeeper's, or none
             part = 0.0 if plane.quota_keepers.begins(tenant.customer) is None else 1 / len(places)
         row = {"tenant": name, "rate": plan.ceiling_rate * part, "depth": plan.ceiling_depth * part}
--- a/pepperrun/dataplane/numbering.py
+++ b/pepperrun/dataplane/numbering.py
@@ -122,8 +122,12 @@
             # within as long as fills what the rate's excess and a quarter of the slack leave room for.
             late = excess * plan.rate * self.bounds.quota_window_s / 2 + slack / 4
             late = min(max(late, LEAST_LATE_S * rate), rate * GRANT_NS / SECOND)
-            return replace(plan, ceiling_rate=rate, ceiling_depth=least, ceiling_slack=late, over_cost=1.0)
-        return replace(plan, ceiling_rate=rate, ceiling_depth=deep, ceiling_slack=2 * deep, over_cost=1.0)
+            return replace(
+                plan, ceiling_rate=rate, ceiling_depth=least, ceiling_slack=late, over_quota_cost=1.0
+            )
+        return replace(
+            plan, ceiling_rate=rate, ceiling_depth=deep, ceiling_slack=2 * deep, over_quota_cost=1.0
+        )
 
     def agreed(self, seats: int) -> None:
         """The number of gatekeepers that is agreed on."""
@@ -148,18 +152,18 @@
             tick_ns=TICK_NS,
             max_attempts=self.most_tries,
             peer_messages=True,
-            peer_intake=PEER_INTAKE,
+            peer_message_rate=PEER_INTAKE,
             retry_after=True,
             max_retry_after_ns=MOST_WAIT_NS,
-            lines=max(1, len(self.services)),
-            further_share=bounds.retry_ratio * RATIO_PART,
-            further_burst=bounds.retry_slack * SLACK_PART / self.parts,
-            seats=self.parts,
-            strict_further=True,
+            services=max(1, len(self.services)),
+            retry_budget_ratio=bounds.retry_ratio * RATIO_PART,
+            retry_budget_burst=bounds.retry_slack * SLACK_PART / self.parts,
+            min_quota_shares=self.parts,
+            strict_retry_budget=True,
             cancel_when_client_left=True,
-            follows_best=True,
-            marks=False,
-            own_plans=True,
+            adaptive_latency_goal=True,
+            share_backend_reports=False,
+            local_plan_numbers=True,
         )
 
     def meet(self, gateways: int) -> None:
--- a/pepperrun/dataplane/plane.py
+++ b/pepperrun/dataplane/plane.py
@@ -71,7 +71,7 @@
             self.numbering.settings(), seed, clock, loop, self._tell, log=self._log, gate=self.gate
         )
         self.gatekeeper.gateway.quotas.members = ()
-        self.gatekeeper.gateway.further.level = 1.0  # the life before may have spent what was saved up
+        self.gatekeeper.gateway.retry_budget.level = 1.0  # the life before may have spent what was saved up
         self.peer_messages = PeerMessages(self.peers, life, self.gatekeeper.heard)
         self.reports = AttemptReports(
             clock, lambda worker: self.workers.names.get(worker, "?"), lambda: self.listener.draining
--- a/pepperrun/dataplane/routes.py
+++ b/pepperrun/dataplane/routes.py
@@ -87,7 +87,7 @@
         self.shares = [share for _, share in parts]
         aim_ns = max(1, int(route.target_ms * MS))
         self.limits = RequestLimits(aim_ns, max(1, route.tries))
-        numbering.allow_tries(self.limits.tries)
+        numbering.allow_tries(self.limits.max_attempts)
         # What it asks of a service takes as long as before, whatever time it is now given.
         known: dict[int, int] = {}
         if before is not None and before.safe == self.safe:
--- a/pepperrun/dataplane/trace.py
+++ b/pepperrun/dataplane/trace.py
@@ -131,7 +131,7 @@
             return "worker-failed"
         if exchange.ran:
             return "may-have-run" if exchange.end is not End.OUT_OF_TIME else "out-of-time"
-        if self.front.gate.open(exchange.lot, now):
+        if self.front.gate.wait_ns(exchange.lot, now):
             return "fence"
         if exchange.end is End.OUT_OF_TIME or (final is not None and final.late):
             return "out-of-time"
--- a/pepperrun/dataplane/workers.py
+++ b/pepperrun/dataplane/workers.py
@@ -59,7 +59,7 @@
                 self.by_number.pop(number, None)
                 service = self.numbering.service(worker.service)
                 changed.append(
-                    Backend(number, self.zone_number(worker.zone), state=BackendState.GONE, line=service)
+                    Backend(number, self.zone_number(worker.zone), state=BackendState.GONE, service=service)
                 )
                 continue
             try:
@@ -124,7 +124,7 @@
         near = 1.0 if known.record.zone == self.zone else FAR_ZONE
         far = near if known.region == self.region else FAR_REGION
         zone = self.zone_number(known.record.zone)
-        return Backend(known.number, zone, state=state, line=known.service, far=far)
+        return Backend(known.number, zone, state=state, service=known.service, distance_factor=far)
 
     # For `ServerSide`.
 
--- a/pepperrun/gatekeeper.py
+++ b/pepperrun/gatekeeper.py
@@ -33,9 +33,9 @@
     Request,
     RequestExpired,
     Send,
+    SendPeerMessage,
     SetTimer,
     Settings,
-    TellPeer,
     TimerFired,
     Watch,
 )
@@ -132,7 +132,7 @@
         self.catch_up()
         self.settings, self._margin = settings, 4 * settings.tick_ns
         self.by_class += [dict.fromkeys(End, 0) for _ in settings.classes[len(self.by_class) :]]
-        self.gateway.resettle(settings)
+        self.gateway.update_settings(settings)
 
     # Events.
 
@@ -175,7 +175,9 @@
         if done:
             self._over.append(exchange)
         spent = exchange.spent
-        self._event(AttemptEnded(exchange.id, attempt, backend, outcome, elapsed, done, units, spent=spent))
+        self._event(
+            AttemptEnded(exchange.id, attempt, backend, outcome, elapsed, done, units, body_consumed=spent)
+        )
 
     def may_repeat(self, exchange: AnyExchange) -> bool:
         """May its request run more than once?"""
@@ -315,14 +317,14 @@
                 self._send(action, now)
             case Refuse():
                 late = self._late(action.request, now)
-                final = Final[Any](End.REFUSED, None, action.wait_ns, late, action.beyond)
+                final = Final[Any](End.REFUSED, None, action.wait_ns, late, action.over_quota)
                 self._give_up(action.request, final)
             case Fail():
                 late = self._late(action.request, now)
                 self._give_up(action.request, Final(End.OUT_OF_TIME if late else End.FAILED, late=late))
             case SetTimer():
                 self._arm(now + action.delay_ns)
-            case TellPeer():
+            case SendPeerMessage():
                 if self.telling:
                     self.tell(action.peer, action.data)
             case Cancel():
--- a/pepperrun/handover/state.py
+++ b/pepperrun/handover/state.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from pepperrun.core import gossip
-from pepperrun.core.clock import SECOND, Decayed
+from pepperrun.core.clock import SECOND, DecayingSum
 from pepperrun.core.gateway import Gateway
 from pepperrun.core.quotas import Account
 
@@ -36,7 +36,7 @@
 def _need(gateway: Gateway) -> dict[int, float]:
     """Units by customer that requests taken and not sent on will use."""
     need: dict[int, float] = {}
-    for held in gateway.held.values():
+    for held in gateway.pending.values():
         if (held.waiting or held.asking) and not held.attempts:
             need[held.account.customer] = need.get(held.account.customer, 0.0) + held.units
     return need
@@ -87,7 +87,7 @@
 
 def export(gateway: Gateway, now: int) -> tuple[dict[str, Any], list[Kept]]:
     """The state, and what is kept back: from now on this gateway fills no store and tells no peer."""
-    quotas, fleet, bound = gateway.quotas, gateway.fleet, gateway.bound
+    quotas, fleet, bound = gateway.quotas, gateway.fleet, gateway.limiter
     need, spare = _need(gateway), gateway.settings.max_units
     accounts, kept = [], []
     for account in quotas.accounts.values():
@@ -106,13 +106,15 @@
         "accounts": accounts,
         "depth": bound.depth,
         "latency": bound.latency,
-        "typical": fleet.typical,
-        "seen": fleet.seen,
-        "tail": fleet.tail,
-        "further": gateway.further.level,
-        "most_left": gateway.most_left,
-        "backends": [[s.id, s.slow, s.sampled, s.born, s.down_at] for s in fleet.servers.values()],
-        "news": [[*key, *seen] for key, seen in fleet.news.known.items()],
+        "typical": fleet.unit_latency_ns,
+        "seen": fleet.answer_counts,
+        "tail": fleet.tail_ratio,
+        "further": gateway.retry_budget.level,
+        "most_left": gateway.max_remaining_ns,
+        "backends": [
+            [s.id, s.slowdown, s.sampled_at, s.started_at, s.unreachable_at] for s in fleet.servers.values()
+        ],
+        "news": [[*key, *seen] for key, seen in fleet.backend_reports.known.items()],
     }, kept
 
 
@@ -195,7 +197,7 @@
     for peer, incarnation, at, used, used_at, total, debt, ceiling, out in read.rows(
         row["told"], settings.gateways, 9
     ):
-        lately = Decayed(gossip.USED_HALF_LIFE, read.moment(used_at))
+        lately = DecayingSum(gossip.USED_HALF_LIFE, read.moment(used_at))
         lately.value = read.number(used, 0)
         far = gossip.FAR if ceiling is None else read.number(ceiling)
         entry = gossip.Entry(customer, read.number(total, 0), read.number(debt), far, 0.0, read.whole(out))
@@ -259,17 +261,17 @@
         quotas.outbox.incarnation, quotas.outbox.sequence = incarnation, sequence
         quotas.inbox.peers = peers
         quotas.accounts = {account.customer: account for account in accounts}
-        gateway.bound.depth, gateway.bound.latency = depth, latency
-        fleet.typical, fleet.seen, fleet.tail = typical, seen, tail
-        gateway.further.level = min(gateway.further.depth, further)
-        gateway.most_left = most_left
+        gateway.limiter.depth, gateway.limiter.latency = depth, latency
+        fleet.unit_latency_ns, fleet.answer_counts, fleet.tail_ratio = typical, seen, tail
+        gateway.retry_budget.level = min(gateway.retry_budget.depth, further)
+        gateway.max_remaining_ns = most_left
         for number, (slow, (sampled, born, down)) in backends.items():
             if (server := fleet.servers.get(number)) is not None:
-                server.slow, server.sampled, server.down_at = slow, sampled, down
-                server.born = max(server.born, born)
+                server.slowdown, server.sampled_at, server.unreachable_at = slow, sampled, down
+                server.started_at = max(server.started_at, born)
         for number, cls, bad, at in news:
             if number in fleet.servers:
-                fleet.news.see(number, cls, bad, at, False)
+                fleet.backend_reports.see(number, cls, bad, at, False)
 
     return apply
 
--- a/pepperrun/log.py
+++ b/pepperrun/log.py
@@ -6,11 +6,11 @@
 import time
 from collections.abc import Callable
 
-from pepperrun.core.clock import SECOND, Seldom
+from pepperrun.core.clock import SECOND, Throttle
 
 EACH = SECOND
 
-_seldom = Seldom(EACH)
+_seldom = Throttle(EACH)
 Sink = Callable[[str, str, int], None]  # the line's kind, its text, and how many more of its kind there were
 _sink: Sink | None = None
 _dropped: dict[str, int] = {}
@@ -49,7 +49,7 @@
 
 def say(kind: str, text: str, clock: Callable[[], int] = time.monotonic_ns) -> None:
     """Prints the line, or counts it where one of its kind was printed within the last second."""
-    if not _seldom.now(kind, clock()):
+    if not _seldom.allows(kind, clock()):
         _dropped[kind] = _dropped.get(kind, 0) + 1
         return
     more = _dropped.pop(kind, 0)
--- a/pepperrun/simulation/conversations/play.py
+++ b/pepperrun/simulation/conversations/play.py
@@ -96,7 +96,9 @@
         plane = self.plane = Plane(settings(), self.script.seed, now, lambda: 1, now, now)
         self._agree()
         plane.listener.open((own_address(), 0))
-        plane.gatekeeper.gateway.further.depth = plane.gatekeeper.gateway.further.level = FURTHER_TRIES
+        plane.gatekeeper.gateway.retry_budget.depth = plane.gatekeeper.gateway.retry_budget.level = (
+            FURTHER_TRIES
+        )
 
     def _agree(self) -> None:
         assert self.plane is not None
--- a/pepperrun/tool/application.py
+++ b/pepperrun/tool/application.py
@@ -247,6 +247,6 @@
         if 0 < plan.ceiling_rate < plan.rate:
             out.append(f"settings.Tariffs.{plan.name}: the ceiling's rate is below the quota's")
     for kind in settings.classes:
-        if kind.aim_ns > kind.deadline_ns:
+        if kind.target_ns > kind.deadline_ns:
             out.append(f"settings.Classes.{kind.name}: wanted later than its deadline")
     return out
--- a/pepperrun/wirehost.py
+++ b/pepperrun/wirehost.py
@@ -195,7 +195,7 @@
                 self.record(_ID, 60, instance, backend)
             case io.CloseIdle(backend):
                 self.record(_ID, 70, instance, backend)
-            case io.TellPeer(peer, data):
+            case io.SendPeerMessage(peer, data):
                 self.record(_NOTIFY, 80, instance, peer, len(self.tail), len(data))
                 self.tail += data
             case io.Log(text):
--- a/tests/test_client_leaves.py
+++ b/tests/test_client_leaves.py
@@ -21,7 +21,7 @@
 from standins import HOST, Client, StandIn, going, stall, wait_then
 from test_dataplane import Cluster, ok, route
 
-from pepperrun.core.gateway import ABANDONED_NS
+from pepperrun.core.gateway import ABANDONED_GRACE_NS
 from pepperrun.core.interface import (
     AttemptEnded,
     AttemptSuspected,
@@ -94,15 +94,15 @@
 
     def at_rest(self) -> bool:
         """Is nothing of any request left, neither of its client's side nor of its attempts'?"""
-        return not (self.gatekeeper.exchanges or self.gatekeeper.gateway.held or self.servers.attempts)
+        return not (self.gatekeeper.exchanges or self.gatekeeper.gateway.pending or self.servers.attempts)
 
     def blames_nobody(self) -> bool:
         """Is there no failure of a worker, and no place in the bound that is still taken?"""
         gateway, sharing = self.gatekeeper.gateway, self.plane.outcome_sharing
-        fleets = [lane.fleet for lane in gateway.lanes]
-        marks = [bad for fleet in fleets for bad, _ in fleet.news.known.values()]
+        fleets = [lane.fleet for lane in gateway.services]
+        marks = [bad for fleet in fleets for bad, _ in fleet.backend_reports.known.values()]
         blamed = sharing.ejection.records or any(marks) or sharing.late
-        return not blamed and not any(fleet.out for fleet in fleets)
+        return not blamed and not any(fleet.in_flight for fleet in fleets)
 
 
 def run_at(worker: StandIn) -> Any:
@@ -219,7 +219,7 @@
 
 def waiting_in(cluster: Leavers) -> int:
     """How many requests wait for a turn."""
-    return sum(held.waiting for held in cluster.gatekeeper.gateway.held.values())
+    return sum(held.waiting for held in cluster.gatekeeper.gateway.pending.values())
 
 
 # Not yet at work.
@@ -232,7 +232,7 @@
         client = await cluster.ask_long("gone")
         await until(lambda: cluster.gatekeeper.exchanges)
         client.writer.close()
-        await until(lambda: cluster.heard_leaving() and not cluster.gatekeeper.gateway.held)
+        await until(lambda: cluster.heard_leaving() and not cluster.gatekeeper.gateway.pending)
         cluster.work("w1", worker.port)
         assert (await (await cluster.ask_long()).answer())[0] == 200
         assert len(worker.heads) == 1 and b"gone" not in worker.heads[0]
@@ -493,11 +493,11 @@
     assert sent(driver.feed(AttemptSuspected(both.request, 0))).request == both.request
     unsafe = sent(driver.ask(cls=UNSAFE))
     driver.feed(ClientLeft(both.request), ClientLeft(unsafe.request))
-    assert only(driver.run(ABANDONED_NS), Cancel) == [Cancel(both.request, 0), Cancel(both.request, 1)]
+    assert only(driver.run(ABANDONED_GRACE_NS), Cancel) == [Cancel(both.request, 0), Cancel(both.request, 1)]
     cancelled = [AttemptEnded(both.request, number, 0, Outcome.CANCELLED, 50 * MS, True) for number in (0, 1)]
     assert only(driver.feed(*cancelled), Send) == []
-    assert set(driver.gateway.held) == {kept.request, unsafe.request}
-    assert not any(bad for bad, _ in driver.gateway.fleet.news.known.values())
+    assert set(driver.gateway.pending) == {kept.request, unsafe.request}
+    assert not any(bad for bad, _ in driver.gateway.fleet.backend_reports.known.values())
 
 
 def test_an_attempt_that_ends_right_after_its_client_left_keeps_its_connection() -> None:
@@ -505,9 +505,9 @@
     driver = ending()
     send = sent(driver.ask(cls=SAFE))
     assert only(driver.feed(ClientLeft(send.request)), Cancel) == []
-    driver.run(ABANDONED_NS // 2)
+    driver.run(ABANDONED_GRACE_NS // 2)
     driver.end(send, Outcome.OK)
-    assert only(driver.run(2 * ABANDONED_NS), Cancel) == [] and not driver.gateway.held
+    assert only(driver.run(2 * ABANDONED_GRACE_NS), Cancel) == [] and not driver.gateway.pending
 
 
 def test_many_who_leave_do_not_make_answers_look_quick() -> None:
@@ -521,10 +521,10 @@
             times.add(work_ms * MS)
             continue
         driver.feed(ClientLeft(send.request))
-        driver.run(ABANDONED_NS)
+        driver.run(ABANDONED_GRACE_NS)
         driver.feed(AttemptEnded(send.request, 0, send.backend, Outcome.CANCELLED, 500 * MS, True))
         times.add_cut_short(500 * MS)
-    (expected, *_) = driver.gateway.fleet.typical
+    (expected, *_) = driver.gateway.fleet.unit_latency_ns
     assert 700 * MS < expected < 1400 * MS and 600 * MS < times.mean_ns < 1500 * MS
 
 
@@ -533,7 +533,9 @@
     driver = ending()
     send = sent(driver.ask(cls=SAFE))
     driver.feed(RequestExpired(send.request))
-    assert only(driver.run(2 * ABANDONED_NS), Cancel) == [] and list(driver.gateway.held) == [send.request]
+    assert only(driver.run(2 * ABANDONED_GRACE_NS), Cancel) == [] and list(driver.gateway.pending) == [
+        send.request
+    ]
 
 
 def test_work_that_outlives_its_client_is_reported() -> None:
@@ -560,9 +562,9 @@
     send = sent(driver.ask(cls=SAFE))
     answered = AttemptEnded(send.request, 0, send.backend, Outcome.OK, 50 * MS, True)
     driver.feed(answered, ClientLeft(send.request))
-    assert only(driver.run(2 * ABANDONED_NS), Cancel) == []
+    assert only(driver.run(2 * ABANDONED_GRACE_NS), Cancel) == []
     asked = Request(99, 1, 0, SAFE, left_ns=3000 * MS, units=1.0, spread=1, first=0)
-    assert only(driver.feed(asked, ClientLeft(99)), Send) == [] and not driver.gateway.held
+    assert only(driver.feed(asked, ClientLeft(99)), Send) == [] and not driver.gateway.pending
 
 
 def test_where_answers_settle_what_was_charged_attempts_run_on() -> None:
@@ -570,4 +572,6 @@
     driver = Driver()
     send = sent(driver.ask(cls=SAFE))
     driver.feed(ClientLeft(send.request))
-    assert only(driver.run(2 * ABANDONED_NS), Cancel) == [] and list(driver.gateway.held) == [send.request]
+    assert only(driver.run(2 * ABANDONED_GRACE_NS), Cancel) == [] and list(driver.gateway.pending) == [
+        send.request
+    ]
--- a/tests/test_conversations.py
+++ b/tests/test_conversations.py
@@ -164,7 +164,7 @@
 def test_a_refusal_without_an_id_counts_only_as_a_connections_first_answer():
     async def test():
         cluster = Cluster(route("r", "/p/", route_kind="unsafe"))
-        cluster.plane.gatekeeper.gateway.further.level = 1.0
+        cluster.plane.gatekeeper.gateway.retry_budget.level = 1.0
         # Its own answer to the second comes late; what stands in its place belongs to nothing.
         stray = wait_then(b"")
         no = answer(503, b"", b"Not-Run: 1")
@@ -188,7 +188,7 @@
 
     async def test():
         cluster = Cluster(route("r", "/p/", route_kind="unsafe"))
-        further = cluster.plane.gatekeeper.gateway.further
+        further = cluster.plane.gatekeeper.gateway.retry_budget
         further.depth = further.level = 10.0
         no = answer(503, b"", b"Not-Run: 1", b"Attempt-Id: i1")
         workers = [await StandIn(no, no + ok()).start() for _ in range(2)]
--- a/tests/test_dataplane.py
+++ b/tests/test_dataplane.py
@@ -123,7 +123,7 @@
     body["carrier_lines"] = {"columns": ["name", "berth_cap"], "rows": [["one", 9.0]]}
     held = read_replace(json.dumps(body).encode(), 0) | {"evacuated": []}
     way = Table(1, held, Numbering(Bounds())).find(b"h.example", b"/x")
-    assert way is not None and not way.safe and (way.limits.tries, way.route.target_ms) == (2, 900)
+    assert way is not None and not way.safe and (way.limits.max_attempts, way.route.target_ms) == (2, 900)
 
 
 def test_a_request_reaches_a_worker_with_its_tenants_name_and_without_its_key():
@@ -270,7 +270,7 @@
 def test_what_a_worker_has_not_run_goes_to_another(no):
     async def test():
         cluster, worker, other = Cluster(route("r", "/p/", route_kind="unsafe")), StandIn(no), StandIn(ok())
-        cluster.plane.gatekeeper.gateway.further.level = 1.0  # what is saved up for it
+        cluster.plane.gatekeeper.gateway.retry_budget.level = 1.0  # what is saved up for it
         await worker.start()
         await other.start()
         cluster.work("w1", worker.port, zone="a")
@@ -357,8 +357,8 @@
             cluster.plane.table, cluster.plane.table.ways["u"], b"h.example", b"/u/", None, None, 0
         )
         cluster.fresh = 100 * SECOND
-        assert gate.open(keyed, 104 * SECOND) == 0 and gate.open(open_one, 200 * SECOND) == 0
-        assert gate.open(keyed, 105 * SECOND) > 0
+        assert gate.wait_ns(keyed, 104 * SECOND) == 0 and gate.wait_ns(open_one, 200 * SECOND) == 0
+        assert gate.wait_ns(keyed, 105 * SECOND) > 0
 
     going(test)
 
@@ -372,20 +372,24 @@
         gate, number = cluster.plane.gate, cluster.plane.workers.ids["w1"]
         waits = lot(cluster.plane.table)
         now = time.monotonic_ns()
-        assert gate.open(waits, now) == 0 and gate.may(waits, number, now) and gate.still(waits, number, now)
+        assert (
+            gate.wait_ns(waits, now) == 0
+            and gate.may_send(waits, number, now)
+            and gate.still(waits, number, now)
+        )
         cluster.agree(route("r", "/p/"), evacuated=["a"])
         assert (
-            gate.open(waits, now) == 0
-            and not gate.may(waits, number, now)
+            gate.wait_ns(waits, now) == 0
+            and not gate.may_send(waits, number, now)
             and not gate.still(waits, number, now)
         )
         cluster.agree(route("r", "/p/", home_regions=["r2"]))
-        assert gate.open(waits, now) == 0 and not gate.may(waits, number, now)
+        assert gate.wait_ns(waits, now) == 0 and not gate.may_send(waits, number, now)
         cluster.agree(route("r", "/p/"), senders={"ann": {"name": "ann", "stamps": ["k2"]}})
-        assert gate.open(waits, now) > 0
+        assert gate.wait_ns(waits, now) > 0
         waits = lot(cluster.plane.table, b"k2")
         cluster.agree(route("r", "/p/", line="two"), senders={"ann": {"name": "ann", "stamps": ["k2"]}})
-        assert gate.open(waits, now) > 0
+        assert gate.wait_ns(waits, now) > 0
 
     going(test)
 
@@ -425,9 +429,9 @@
         waits = lot(cluster.plane.table)
         cluster.agree(way, senders=owners(ann=["k2"], bob=["k1", "k3"]))
         moved, now = lot(cluster.plane.table), time.monotonic_ns()
-        assert cluster.plane.gate.open(waits, now) > 0 and cluster.plane.gate.open(moved, now) == 0
+        assert cluster.plane.gate.wait_ns(waits, now) > 0 and cluster.plane.gate.wait_ns(moved, now) == 0
         cluster.agree(way, senders=owners(ann=["k2"], bob=["k3"]))
-        assert cluster.plane.gate.open(waits, now) > 0 and cluster.plane.gate.open(moved, now) > 0
+        assert cluster.plane.gate.wait_ns(waits, now) > 0 and cluster.plane.gate.wait_ns(moved, now) > 0
         assert (await ask("k1", 9))[0] == 401
 
     going(test)
@@ -477,9 +481,9 @@
         assert workers.address(one.number) and workers.cold(one, now)
         assert not workers.cold(one, now + 10 * SECOND)
         # Its share of a cold worker is nobody's until it is known who is there.
-        assert not cluster.plane.gate.may(lot(cluster.plane.table), two.number, now + 60 * SECOND)
+        assert not cluster.plane.gate.may_send(lot(cluster.plane.table), two.number, now + 60 * SECOND)
         cluster.cells = now - 10 * SECOND  # nothing has been heard: any may have turned cold
-        assert not cluster.plane.gate.may(lot(cluster.plane.table), one.number, now + 60 * SECOND)
+        assert not cluster.plane.gate.may_send(lot(cluster.plane.table), one.number, now + 60 * SECOND)
 
     going(test)
 
@@ -505,7 +509,7 @@
     line = numbering.service("one")
     cls = numbering.kind(line, True, 1000 * MS)
     gateway = Gateway(numbering.settings(), 1)
-    gateway.handle(SECOND, [BackendList(ListKind.DELTA, (Backend(7, 0, line=line),))])
+    gateway.handle(SECOND, [BackendList(ListKind.DELTA, (Backend(7, 0, service=line),))])
     return gateway, numbering, cls
 
 
@@ -513,7 +517,7 @@
     """Its client has lost a second at a dead directory; work alone takes half of the aim."""
     gateway, _, cls = decisions()
     first = gateway.handle(SECOND, [CoreRequest(1, 5, 0, cls, 3000 * MS)])
-    gateway.lanes[0].bound.latency = 0.5
+    gateway.services[0].limiter.latency = 0.5
     late = gateway.handle(SECOND + MS, [CoreRequest(2, 5, 0, cls, 1500 * MS)])
     for actions in (first, late):
         assert [type(action) for action in actions if not isinstance(action, SetTimer)] == [Send]
@@ -522,8 +526,10 @@
 def test_a_request_waits_a_part_of_its_aim_for_its_slice():
     gateway, numbering, cls = decisions()
     plan = numbering.plan(Sender("ann", ["k"], rate_per_s=100.0, surge=10.0))
-    gateway.resettle(numbering.settings())
-    gateway.lanes[0].fleet.tail = 9.0  # nearly all of the aim, were it to be kept free for slow answers
+    gateway.update_settings(numbering.settings())
+    gateway.services[
+        0
+    ].fleet.tail_ratio = 9.0  # nearly all of the aim, were it to be kept free for slow answers
     started = gateway.handle(SECOND, [CoreRequest(1, 5, plan, cls, 3000 * MS)])
     assert not any(
         isinstance(action, Refuse) for action in started + gateway.handle(SECOND + MS, [TimerFired(0)])
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -156,7 +156,7 @@
     full = listing(line("x", 1, zone="b", cell=3, started_ms=5), line("y", 2, "Terminating", started_ms=0))
     event = directory.take(full, ListKind.FULL)
     x, y = directory.id_of("x"), directory.id_of("y")
-    assert [(b.id, b.zone, b.cell, b.state, b.born_ns) for b in event.backends] == [
+    assert [(b.id, b.zone, b.cell, b.state, b.started_ns) for b in event.backends] == [
         (x, 1, 3, BackendState.READY, 5_000_000),
         (y, 0, 0, BackendState.DRAINING, 0),
     ]
@@ -174,7 +174,7 @@
         (backend,) = backends.directory.take(
             listing(line("w", 1, started_ms=started_ms)), ListKind.FULL
         ).backends
-        assert 2_990_000_000 < backends.clock() - backend.born_ns < 3_500_000_000
+        assert 2_990_000_000 < backends.clock() - backend.started_ns < 3_500_000_000
 
     going(test)
 
--- a/tests/test_ejection.py
+++ b/tests/test_ejection.py
@@ -172,7 +172,7 @@
             await worker.start()
             cluster.work(name, worker.port)
         for _ in range(4):
-            cluster.plane.gatekeeper.gateway.further.level = 1.0
+            cluster.plane.gatekeeper.gateway.retry_budget.level = 1.0
             assert (await (await cluster.ask()).answer())[0] in (502, 503)
         assert full.heads and failing.heads
         charts, ids = cluster.plane.outcome_sharing.ejection.records, cluster.plane.workers.ids
--- a/tests/test_forward_auth.py
+++ b/tests/test_forward_auth.py
@@ -279,7 +279,7 @@
         while service.gatekeeper.counts[End.LEFT] < len(clients):
             await asyncio.sleep(0)
         auth.go.set()  # it answers after they have given up
-        while service.gatekeeper.exchanges or service.gatekeeper.gateway.held:
+        while service.gatekeeper.exchanges or service.gatekeeper.gateway.pending:
             await asyncio.sleep(0)
         assert not worker.heads and not front.gatekeeper.exchanges and not front.listener.clients
 
--- a/tests/test_gatekeeper.py
+++ b/tests/test_gatekeeper.py
@@ -22,8 +22,8 @@
     Refuse,
     Request,
     Send,
+    SendPeerMessage,
     SetTimer,
-    TellPeer,
     TimerFired,
 )
 from pepperrun.exchange import End, Exchange, Final
@@ -236,7 +236,7 @@
 
     driven.keeper.tell = broken
     driven.decisions.say = lambda event: (
-        [TellPeer(0, b""), Refuse(event.id)] if isinstance(event, Request) else []
+        [SendPeerMessage(0, b""), Refuse(event.id)] if isinstance(event, Request) else []
     )
     driven.loop.run(10 * MS)
     assert driven.ask().end is End.REFUSED
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -21,7 +21,8 @@
 )
 
 from pepperrun.core import gossip
-from pepperrun.core.bound import Bound
+from pepperrun.core.concurrency_limiter import ConcurrencyLimiter
+from pepperrun.core.fair_scheduler import FairScheduler, PendingRequest
 from pepperrun.core.gateway import Gateway
 from pepperrun.core.interface import (
     AttemptEnded,
@@ -40,12 +41,11 @@
     Refuse,
     Request,
     Send,
+    SendPeerMessage,
     StreamStarted,
-    TellPeer,
     TimerFired,
 )
 from pepperrun.core.quotas import Account, Quotas
-from pepperrun.core.turns import Held, Turns
 
 
 def sends(actions: list) -> list[Send]:  # type: ignore[type-arg]
@@ -127,7 +127,7 @@
     driver.ask(RATE, customer=1, units=3.0, spread=2)
     driver.ask(FREE, customer=2, units=1.0, spread=2)
     told: dict[int, list[int]] = {1: [], 2: []}
-    for action in only(driver.run(3 * driver.gateway.quotas.period), TellPeer):
+    for action in only(driver.run(3 * driver.gateway.quotas.period), SendPeerMessage):
         message = gossip.unpack(action.data)
         assert message is not None
         told[action.peer] += [entry.customer for entry in message.entries]
@@ -135,11 +135,11 @@
 
 
 def test_messages_are_no_faster_than_receivers_take_them_in() -> None:
-    driver = Driver(peer_intake=40.0)
+    driver = Driver(peer_message_rate=40.0)
     count = 0
     for _ in range(200):
         driver.ask(FREE, units=4.0, spread=3)
-        count += len([a for a in only(driver.run(10 * MS), TellPeer) if a.peer == 1])
+        count += len([a for a in only(driver.run(10 * MS), SendPeerMessage) if a.peer == 1])
     assert 0 < count * 2 <= 40 * 2
 
 
@@ -161,7 +161,7 @@
     messages: list[bytes] = []
     for _ in range(20):
         for source, target, me in ((taker, giver, 1), (giver, taker, 0)):
-            for action in only(source.run(source.gateway.quotas.period), TellPeer):
+            for action in only(source.run(source.gateway.quotas.period), SendPeerMessage):
                 if action.peer == target.settings.me:
                     target.feed(PeerMessage(me, action.data))
                     messages += [action.data] if source is giver else []
@@ -179,9 +179,9 @@
     assert len(sends(driver.end(first[0][0], Outcome.OK))) == 1
 
 
-def held(account: Account, number: int) -> Held:
+def held(account: Account, number: int) -> PendingRequest:
     event = Request(number, account.customer, 0, 0, SECOND)
-    return Held(event, account, make_settings().classes[0], None, START)
+    return PendingRequest(event, account, make_settings().classes[0], None, START)
 
 
 def accounts(*rates: float) -> list[Account]:
@@ -194,7 +194,7 @@
 
 
 def test_turns_go_to_customers_at_or_below_their_share() -> None:
-    turns = Turns(random.Random(1))
+    turns = FairScheduler(random.Random(1))
     small, large = accounts(10.0, 30.0)
     for number in range(10):
         turns.add(0, held(small, number))
@@ -203,7 +203,7 @@
     large.used.add(3.0, START)
     order = []
     for _ in range(6):
-        taken = turns.take(START)
+        taken = turns.pop_next(START)
         assert taken is not None
         taken.account.used.add(2.0, START)
         order.append(taken.account.customer)
@@ -211,25 +211,25 @@
 
 
 def test_a_round_gives_each_below_goal_customer_one_turn() -> None:
-    turns = Turns(random.Random(1))
+    turns = FairScheduler(random.Random(1))
     for account in accounts(10.0, 10.0, 10.0):
         for number in range(2):
             turns.add(account.customer, held(account, number))
-    taken = [turns.take(START) for _ in range(3)]
+    taken = [turns.pop_next(START) for _ in range(3)]
     assert sorted(one.account.customer for one in taken if one) == [0, 1, 2]
 
 
 def test_without_a_customer_below_goal_one_gets_a_turn_at_random(monkeypatch: pytest.MonkeyPatch) -> None:
     winners = set()
     for seed in range(20):
-        turns = Turns(random.Random(seed))
+        turns = FairScheduler(random.Random(seed))
         group = accounts(10.0, 10.0, 10.0)
         for account in group:
             turns.add(account.customer, held(account, 1))
         group[0].used.add(5.0, START)
         group[1].used.add(5.0, START)
         monkeypatch.setattr(group[2], "ready", lambda *_: False)  # the one below goal can't go
-        taken = turns.take(START)
+        taken = turns.pop_next(START)
         assert taken is not None
         winners.add(taken.account.customer)
     assert winners == {0, 1}
@@ -248,7 +248,7 @@
     assert sends(driver.ask()) == []
     done = driver.run(SECOND)
     assert len(only(done, Refuse)) == 1
-    assert driver.gateway.held == {}
+    assert driver.gateway.pending == {}
 
 
 @pytest.mark.parametrize(
@@ -280,7 +280,7 @@
         (again,) = sends(driver.end(send, Outcome.STALE))
         driver.end(again, Outcome.OK, attempt=1)
         driver.run(100 * MS)
-    assert driver.gateway.fleet.bad(driver.gateway.fleet.servers[0], 0, driver.now) == 0.0
+    assert driver.gateway.fleet.failure_score(driver.gateway.fleet.servers[0], 0, driver.now) == 0.0
 
 
 def test_further_attempts_cost_the_budget_by_what_they_load_the_fleet() -> None:
@@ -288,7 +288,7 @@
     def tried(pressed: bool) -> int:
         driver, count = Driver(backends=3), 0
         for _ in range(40):
-            driver.gateway.bound.latency = 1.0 if pressed else 0.1
+            driver.gateway.limiter.latency = 1.0 if pressed else 0.1
             for again in [
                 again for send in sends(driver.ask()) for again in sends(driver.end(send, Outcome.ERROR))
             ]:
@@ -302,8 +302,8 @@
 
 def test_a_second_copy_waits_until_the_aim_needs_it() -> None:
     # A copy of each attempt past the usual latency was mostly work wasted: nearly all came in time alone.
-    driver = Driver(second_copies=True)
-    driver.gateway.fleet.typical = [10.0 * MS] * 4
+    driver = Driver(hedging=True)
+    driver.gateway.fleet.unit_latency_ns = [10.0 * MS] * 4
     (send,) = sends(driver.ask())  # wanted within a second, overdue after 30 ms
     assert sends(driver.run(SECOND * 3 // 10)) == []
     (copy,) = sends(driver.run(SECOND // 5))
@@ -360,7 +360,7 @@
 def test_a_cold_backend_gets_its_part_of_what_a_warm_one_gets() -> None:
     driver = Driver(backends=3)
     count = {0: 0, 1: 0, 2: 0}
-    cold = Backend(2, 2, born_ns=driver.now)
+    cold = Backend(2, 2, started_ns=driver.now)
     driver.feed(BackendList(ListKind.DELTA, (cold,)))
     for _ in range(200):
         for send in sends(driver.ask()):
@@ -389,9 +389,9 @@
 def test_when_most_backends_fail_nobody_is_ejected() -> None:
     driver = Driver(backends=3)
     for server in driver.gateway.fleet.servers:
-        driver.gateway.fleet.news.known[server, 0] = (1.0, driver.now + 100 * SECOND)
+        driver.gateway.fleet.backend_reports.known[server, 0] = (1.0, driver.now + 100 * SECOND)
         for cls in range(1, 4):
-            driver.gateway.fleet.news.known[server, cls] = (1.0, driver.now + 100 * SECOND)
+            driver.gateway.fleet.backend_reports.known[server, cls] = (1.0, driver.now + 100 * SECOND)
     driver.run(SECOND)
     assert len(sends(driver.ask())) == 1
 
@@ -436,7 +436,7 @@
         driver.run(10 * MS)
     driver.run(20 * SECOND)
     assert len(driver.gateway.quotas.accounts) == 0
-    assert driver.gateway.held == {}
+    assert driver.gateway.pending == {}
 
 
 def test_quotas_are_shared_with_nobody_when_there_is_one_gateway() -> None:
@@ -451,7 +451,13 @@
     assert len(sends(driver.ask(RATE, units=4.5, spread=3))) == 1  # 12 / 3 units, all there
     assert len(sends(driver.ask(RATE, units=1.0, spread=3))) == 0
     assert (
-        len([a for a in only(driver.run(2 * driver.gateway.quotas.period), TellPeer) if len(a.data) > 18])
+        len(
+            [
+                a
+                for a in only(driver.run(2 * driver.gateway.quotas.period), SendPeerMessage)
+                if len(a.data) > 18
+            ]
+        )
         == 2
     )
 
@@ -484,11 +490,11 @@
     for bad, cut in (({2}, False), ({0, 1, 2, 3}, True)):
         driver = Driver(backends=0)
         driver.feed(BackendList(ListKind.FULL, tuple(Backend(number, 0) for number in range(4))))
-        before = driver.gateway.bound.depth
+        before = driver.gateway.limiter.depth
         for _ in range(30):
             answer_all(driver, sends(driver.ask()), bad)
             driver.run(50 * MS)
-        assert (driver.gateway.bound.depth < before) is cut
+        assert (driver.gateway.limiter.depth < before) is cut
 
 
 def test_an_ask_that_nobody_answers_counts_as_no_use_by_peers() -> None:
@@ -505,13 +511,13 @@
 
 def test_a_slow_spell_does_not_lock_out_what_needs_no_waiting() -> None:
     driver = Driver()
-    driver.gateway.fleet.typical = [2.0 * SECOND] * 4
+    driver.gateway.fleet.unit_latency_ns = [2.0 * SECOND] * 4
     assert len(sends(driver.ask(units=4.0))) == 1
 
 
 def test_waiting_work_is_shed_while_it_still_has_time_for_a_retry() -> None:
     driver = Driver(backends=0)
-    driver.gateway.fleet.typical, driver.gateway.fleet.tail = [0.2 * SECOND] * 4, 2.0
+    driver.gateway.fleet.unit_latency_ns, driver.gateway.fleet.tail_ratio = [0.2 * SECOND] * 4, 2.0
     driver.ask()
     assert only(driver.run(SECOND // 2), Refuse) == []
     assert len(only(driver.run(SECOND // 5), Refuse)) == 1
@@ -519,7 +525,7 @@
 
 def test_the_room_less_what_peers_use_meanwhile_is_this_gateways() -> None:
     # An even split among the gateways that used anything within a second refused 5% of the worth with room.
-    driver = Driver(gateways=8, plans=(Plan("costly", rate=10.0, burst=12.0, over_cost=1.0),))
+    driver = Driver(gateways=8, plans=(Plan("costly", rate=10.0, burst=12.0, over_quota_cost=1.0),))
     driver.ask(0, units=0.5, spread=8)
     for peer in range(1, 8):
         for number, total in ((1, 0.0), (2, 0.5)):
@@ -536,7 +542,9 @@
 def test_peers_are_told_of_use_that_matters_and_of_small_use_within_a_second() -> None:
     # Each message costs: a customer whose requests are all refused has no news, one with much room little.
     def entries(actions: list) -> int:  # type: ignore[type-arg]
-        messages = [gossip.unpack(action.data) for action in only(actions, TellPeer) if action.peer == 1]
+        messages = [
+            gossip.unpack(action.data) for action in only(actions, SendPeerMessage) if action.peer == 1
+        ]
         return sum(len(message.entries) for message in messages if message is not None)
 
     driver = Driver(backends=3)
@@ -554,17 +562,17 @@
 
 def test_the_better_rank_goes_first_and_below_goal_turns_hold_among_equals():
     rng = random.Random(3)
-    turns = Turns(rng)
+    turns = FairScheduler(rng)
     quotas = Quotas(make_settings())
 
-    def held(customer: int, number: int, rank: int) -> Held:
+    def held(customer: int, number: int, rank: int) -> PendingRequest:
         event = Request(number, customer, 0, 0, SECOND, rank=rank)
         account = quotas.accounts.setdefault(customer, Account(event, START, quotas))
-        return Held(event, account, make_settings().classes[0], None, START)
+        return PendingRequest(event, account, make_settings().classes[0], None, START)
 
     for number, (customer, rank) in enumerate([(1, 2), (1, 2), (1, 0), (2, 1), (2, 2)]):
         turns.add(customer, held(customer, number, rank))
-    order = [one.id for _ in range(5) if (one := turns.take(START)) is not None]
+    order = [one.id for _ in range(5) if (one := turns.pop_next(START)) is not None]
     assert order[:2] == [2, 3]  # of customer 1 the late one of rank 0, then customer 2's of rank 1
     assert sorted(order[2:]) == [0, 1, 4] and order.index(0) < order.index(
         1
@@ -573,13 +581,19 @@
 
 def test_who_has_had_a_unit_lately_waits_and_who_has_not_is_told_at_once_when_to_come_back():
     plan = Plan(
-        "tenant", rate=5.0, burst=5.0, ceiling_rate=5.0, ceiling_depth=8.0, ceiling_slack=16.0, over_cost=1.0
+        "tenant",
+        rate=5.0,
+        burst=5.0,
+        ceiling_rate=5.0,
+        ceiling_depth=8.0,
+        ceiling_slack=16.0,
+        over_quota_cost=1.0,
     )
     settings = replace(
         make_settings(),
         plans=(plan,),
         gateways=8,
-        seats=8,
+        min_quota_shares=8,
         peer_messages=True,
         retry_after=True,
         max_retry_after_ns=5 * SECOND,
@@ -601,36 +615,36 @@
                 refused.append((action.request == events[0].id, action))
     assert sent <= 1 + 8 * 5.0 / 8  # its part of the rate among the seats, begun empty
     at_once = [action for same_turn, action in refused if same_turn]
-    assert len(at_once) > len(refused) / 4 and all(one.beyond and one.wait_ns > 0 for one in at_once)
+    assert len(at_once) > len(refused) / 4 and all(one.over_quota and one.wait_ns > 0 for one in at_once)
 
 
 @pytest.mark.parametrize("seed", range(3))
 def test_a_bound_does_not_shrink_by_luck_while_backends_are_idle(seed):
-    dice, bound = random.Random(seed), Bound(11, follows_best=True)
+    dice, bound = random.Random(seed), ConcurrencyLimiter(11, adaptive_latency_goal=True)
     bound.capacity, limits = 12.0, []
     for _ in range(3000):  # work takes 0.26 of its aim in the middle, with nothing waiting anywhere
-        bound.sample(dice.lognormvariate(-1.35, 0.5), 0.8 * bound.limit())
+        bound.add_sample(dice.lognormvariate(-1.35, 0.5), 0.8 * bound.limit())
         limits.append(bound.limit())
     assert min(limits) > 6
 
 
 def test_a_bound_shrinks_where_answers_take_longer_as_more_are_out():
-    dice, bound = random.Random(1), Bound(2, follows_best=True)
+    dice, bound = random.Random(1), ConcurrencyLimiter(2, adaptive_latency_goal=True)
     bound.capacity = 4.0
     for _ in range(1000):
         out = bound.limit()
-        bound.sample(dice.lognormvariate(-1.35, 0.3) * max(1.0, out / 8), out)
+        bound.add_sample(dice.lognormvariate(-1.35, 0.3) * max(1.0, out / 8), out)
     assert bound.limit() < 24
 
 
 @pytest.mark.parametrize("backends", [1, 2])
 def test_an_attempt_is_given_up_only_while_another_backend_would_take_it(backends: int) -> None:
     driver = Driver(backends=backends)
-    driver.gateway.fleet.typical = [10.0 * MS] * 4
-    driver.gateway.further.level = 5.0
+    driver.gateway.fleet.unit_latency_ns = [10.0 * MS] * 4
+    driver.gateway.retry_budget.level = 5.0
     (send,) = sends(driver.ask())
     slow = driver.gateway.fleet.servers[send.backend]
-    slow.slow, slow.sampled = 20.0, driver.now
+    slow.slowdown, slow.sampled_at = 20.0, driver.now
     given_up = only(driver.run(SECOND // 2), Cancel)
     assert [cancel.request for cancel in given_up[:1]] == ([send.request] if backends > 1 else [])
 
@@ -641,15 +655,17 @@
     (send,) = sends(driver.ask())
     driver.run(SECOND // 10)
     (other,) = sends(driver.feed(AttemptSuspected(send.request, 0)))
-    assert other.backend != send.backend and driver.gateway.fleet.out == 1  # what may hang holds no place
+    assert (
+        other.backend != send.backend and driver.gateway.fleet.in_flight == 1
+    )  # what may hang holds no place
     assert sends(driver.feed(AttemptSuspected(send.request, 0))) == []  # two are out: no third
     after = driver.end(other, beside, attempt=1)
     assert not only(after, Refuse) + only(after, Fail) + only(after, Cancel)
     late = driver.end(send, Outcome.CANCELLED if beside is Outcome.OK else Outcome.OK)
-    assert not only(late, Refuse) + only(late, Fail) and not driver.gateway.held
-    assert driver.gateway.fleet.out == 0
+    assert not only(late, Refuse) + only(late, Fail) and not driver.gateway.pending
+    assert driver.gateway.fleet.in_flight == 0
     if beside is Outcome.OK:  # that another was quicker says nothing of the first one's backend
-        assert not driver.gateway.fleet.news.known.get((send.backend, 0), (0.0, 0))[0]
+        assert not driver.gateway.fleet.backend_reports.known.get((send.backend, 0), (0.0, 0))[0]
 
 
 def test_past_the_aim_another_goes_beside_while_the_retry_budget_is_half_full() -> None:
@@ -657,7 +673,7 @@
         driver = Driver()
         (send,) = sends(driver.ask())
         driver.run(3 * SECOND // 2)
-        driver.gateway.further.level = level * driver.gateway.further.depth
+        driver.gateway.retry_budget.level = level * driver.gateway.retry_budget.depth
         assert len(sends(driver.feed(AttemptSuspected(send.request, 0)))) == count
 
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -54,8 +54,8 @@
 @pytest.mark.parametrize("spread", [1, 3])
 def test_a_quota_that_is_spent_stays_spent(spread):
     # With the stores copied or new, both processes together would let twice the burst go.
-    old, new = pair(peer_intake=1000.0)
-    alone = Driver(peer_intake=1000.0)
+    old, new = pair(peer_message_rate=1000.0)
+    alone = Driver(peer_message_rate=1000.0)
     most = sent(alone, 40, plan=RATE, spread=spread)
     first = sent(old, 5, plan=RATE, spread=spread)
     kept = passed(old, new)
@@ -107,7 +107,7 @@
     passed(old, new)
     while sends:
         sends = only(old.end(sends.pop(0), Outcome.OK) + old.run(5 * MS), Send) + sends
-    assert not old.gateway.turns.waiting and not only(old.actions, Refuse)
+    assert not old.gateway.scheduler.waiting and not only(old.actions, Refuse)
 
 
 def test_a_process_whose_successor_is_gone_fills_again_and_takes_a_new_incarnation():
@@ -142,9 +142,9 @@
     for _ in range(200):
         for one in only(old.ask(), Send):
             old.end(one, Outcome.OK)
-    assert old.gateway.fleet.warmth(old.gateway.fleet.servers[cold], old.now) < 1
+    assert old.gateway.fleet.capacity_share(old.gateway.fleet.servers[cold], old.now) < 1
     kept = passed(old, new)
-    assert kept and new.gateway.fleet.warmth(new.gateway.fleet.servers[cold], new.now) < 1
+    assert kept and new.gateway.fleet.capacity_share(new.gateway.fleet.servers[cold], new.now) < 1
     fresh = Driver(seed=2, backends=3, gateways=1, peer_messages=False)
     assert to_backend(new, 300, cold) < 0.9 * to_backend(fresh, 300, cold)
 
@@ -173,12 +173,12 @@
     old.ask(plan=RATE)
     new.now = old.now
     table, _ = state.export(old.gateway, old.now)
-    before = (new.gateway.quotas.start, new.gateway.bound.depth, new.gateway.quotas.outbox.incarnation)
+    before = (new.gateway.quotas.start, new.gateway.limiter.depth, new.gateway.quotas.outbox.incarnation)
     with pytest.raises(ValueError):
         state.take_in(new.gateway, table | {key: value}, new.now)
     with pytest.raises(ValueError):
         state.take_in(new.gateway, {name: part for name, part in table.items() if name != key}, new.now)
-    after = (new.gateway.quotas.start, new.gateway.bound.depth, new.gateway.quotas.outbox.incarnation)
+    after = (new.gateway.quotas.start, new.gateway.limiter.depth, new.gateway.quotas.outbox.incarnation)
     assert before == after and not new.gateway.quotas.accounts
 
 
--- a/tests/test_late_attempts.py
+++ b/tests/test_late_attempts.py
@@ -134,10 +134,15 @@
         clients += [await cluster.ask(Attempt_Id="i1", Deadline_Ms="1500")]
         await worker.arrived.get()
         first, second = (
-            cluster.plane.gatekeeper.gateway.held[one] for one in cluster.plane.gatekeeper.exchanges
+            cluster.plane.gatekeeper.gateway.pending[one] for one in cluster.plane.gatekeeper.exchanges
         )
         assert first.cls == second.cls and len(cluster.plane.numbering.rows) == 2
-        assert (first.aim_ns, first.tries, second.aim_ns, second.tries) == (3000 * MS, 1, 500 * MS, 3)
+        assert (first.target_ns, first.max_attempts, second.target_ns, second.max_attempts) == (
+            3000 * MS,
+            1,
+            500 * MS,
+            3,
+        )
         assert cluster.plane.gatekeeper.settings.max_attempts == 3
 
     going(test)
@@ -182,7 +187,7 @@
         cluster.work("hung", hung.port)
         (client,) = await sent_to(hung, cluster, 1)
         cluster.work("well", well.port)
-        cluster.plane.gatekeeper.gateway.further.level = 1.0
+        cluster.plane.gatekeeper.gateway.retry_budget.level = 1.0
         answers_taken(cluster, 40, 20 * MS)
         begun, number = begun_at(cluster), cluster.plane.workers.ids["hung"]
         shared = check_at(cluster, begun + 500 * MS)
@@ -248,7 +253,7 @@
         worker, other = await StandIn(pausing(whole, len(whole) - 2)).start(), await StandIn(whole).start()
         cluster.work("w1", worker.port)
         cluster.plane.servers.wire.stall_s = 0.01
-        cluster.plane.gatekeeper.gateway.further.level = 1.0
+        cluster.plane.gatekeeper.gateway.retry_budget.level = 1.0
         (client,) = await sent_to(worker, cluster, 1)
         cluster.work("w2", other.port)
         await other.arrived.get()
--- a/tests/test_long_running.py
+++ b/tests/test_long_running.py
@@ -17,7 +17,7 @@
     PeerMessage,
     Request,
     Send,
-    TellPeer,
+    SendPeerMessage,
     TimerFired,
 )
 from pepperrun.core.quotas import Account, Quotas
@@ -39,7 +39,7 @@
             if busy[me] or me == 0 and ms == 16_200:
                 events.append(Request(2 * ms + me, 7, RATE, 0, 3 * SECOND, 4.0, 2, 0))
             for action in gateway.handle(START + ms * MS, events):
-                if isinstance(action, TellPeer):
+                if isinstance(action, SendPeerMessage):
                     inbox[action.peer].append(PeerMessage(me, action.data))
                 elif isinstance(action, Send):
                     ended = AttemptEnded(action.request, 0, action.backend, Outcome.OK, 10 * MS, True)
@@ -124,5 +124,5 @@
             driver.feed(directory.take(listing(line(f"w{day}", 9000)), ListKind.FULL))
     fleet = driver.gateway.fleet
     assert len(directory.ids) == len(directory.names) == len(directory.lines) == 1
-    assert list(fleet.servers) == [number] == list({backend for backend, _ in fleet.news.known})
-    assert {backend for backend, _ in fleet.news.fresh} <= {number} and fleet.out == 0
+    assert list(fleet.servers) == [number] == list({backend for backend, _ in fleet.backend_reports.known})
+    assert {backend for backend, _ in fleet.backend_reports.fresh} <= {number} and fleet.in_flight == 0
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -22,8 +22,8 @@
     Refuse,
     Request,
     Send,
+    SendPeerMessage,
     SetTimer,
-    TellPeer,
     TimerFired,
 )
 
@@ -48,7 +48,7 @@
         self.sizes: list[int] = []  # bytes of each message
 
     def make(self, me: int) -> Driver:
-        driver = Driver(0, me, self.now, me=me, gateways=self.count, peer_intake=INTAKE)
+        driver = Driver(0, me, self.now, me=me, gateways=self.count, peer_message_rate=INTAKE)
         driver.feed(BackendList(ListKind.FULL, self.backends))
         return driver
 
@@ -88,7 +88,7 @@
                 self.attempts[action.request] += 1
                 ended = AttemptEnded(action.request, number, action.backend, Outcome.OK, 80 * MS, True)
                 self.later.append((self.now + 80 * MS, me, ended))
-            elif isinstance(action, TellPeer):
+            elif isinstance(action, SendPeerMessage):
                 self.heard[action.peer, (self.now - START) // SECOND] += 1
                 self.sizes.append(len(action.data))
                 if self.rng.random() >= self.loss:
@@ -115,7 +115,7 @@
 
 def test_a_cold_backend_gets_its_part_summed_over_300_gateways_after_a_stall_too() -> None:
     many = Many(300, backends=0)
-    lines = [Backend(number, number % 3, born_ns=many.now * (number == 0)) for number in range(10)]
+    lines = [Backend(number, number % 3, started_ns=many.now * (number == 0)) for number in range(10)]
     for driver in many.drivers:
         driver.feed(BackendList(ListKind.FULL, tuple(lines)))
     stalled = frozenset(range(0, 300, 2))
@@ -125,8 +125,11 @@
     hits = Counter(send.backend for _, send, _ in many.sent)
     warm = sum(hits[number] for number in range(1, 10)) / 9
     settings = many.drivers[0].settings
-    most = settings.cold_from + (1 - settings.cold_from) * 2 * SECOND / settings.cold_ns
-    assert 0 < hits[0] <= settings.tip_multiple * most * warm
+    most = (
+        settings.slow_start_min_capacity
+        + (1 - settings.slow_start_min_capacity) * 2 * SECOND / settings.slow_start_ns
+    )
+    assert 0 < hits[0] <= settings.overload_multiple * most * warm
 
 
 @pytest.mark.parametrize("gateways", [3, 60])
@@ -152,15 +155,15 @@
 
 
 def messages(driver: Driver) -> list[gossip.Message]:
-    found = [gossip.unpack(action.data) for action in only(driver.actions, TellPeer)]
+    found = [gossip.unpack(action.data) for action in only(driver.actions, SendPeerMessage)]
     return [message for message in found if message is not None]
 
 
 def keeper_of(customer: int, gateways: int = 60) -> int:
     """The gateway that the others ask first."""
-    driver = Driver(me=gateways - 1, gateways=gateways, peer_intake=INTAKE)
+    driver = Driver(me=gateways - 1, gateways=gateways, peer_message_rate=INTAKE)
     driver.ask(RATE, customer=customer, spread=gateways)
-    asked = [action.peer for action in only(driver.actions, TellPeer)]
+    asked = [action.peer for action in only(driver.actions, SendPeerMessage)]
     return asked[0] if asked else gateways - 1
 
 
@@ -175,7 +178,7 @@
 
 def test_a_keeper_answers_its_set_and_nobody_else_and_charges_a_repeated_ask_once() -> None:
     keeper = keeper_of(5)
-    driver = Driver(me=keeper, gateways=60, peer_intake=INTAKE)
+    driver = Driver(me=keeper, gateways=60, peer_message_rate=INTAKE)
     other = (keeper + 1) % 60
     assert ask(driver, other, 1)[0].units == 2.0
     assert ask(driver, other, 2)[0].units == 2.0  # the first answer was lost
@@ -191,16 +194,16 @@
 
 def test_an_ask_that_nobody_answers_falls_back_on_the_slice() -> None:
     keeper = keeper_of(5)
-    driver = Driver(me=(keeper + 1) % 60, gateways=60, peer_intake=INTAKE)
+    driver = Driver(me=(keeper + 1) % 60, gateways=60, peer_message_rate=INTAKE)
     assert only(driver.ask(RATE, customer=5, spread=60), Send) == []
     assert len(only(driver.run(SECOND), Send)) == 1
-    asked = [action.peer for action in only(driver.actions, TellPeer)]
+    asked = [action.peer for action in only(driver.actions, SendPeerMessage)]
     assert asked[:2] == [keeper, keeper] and asked[2] != keeper
 
 
 def test_a_granted_request_that_is_not_sent_gives_its_units_back() -> None:
     keeper = keeper_of(5)
-    driver = Driver(backends=0, me=keeper, gateways=60, peer_intake=INTAKE)
+    driver = Driver(backends=0, me=keeper, gateways=60, peer_message_rate=INTAKE)
     driver.run(3 * SECOND)
     driver.ask(RATE, customer=5, spread=60, units=4.0)
     account = driver.gateway.quotas.accounts[5]
@@ -210,18 +213,20 @@
 
 
 def test_what_one_gateway_sees_of_a_backend_and_class_all_hear_and_newer_wins() -> None:
-    driver = Driver(backends=2, gateways=60, peer_intake=INTAKE)
+    driver = Driver(backends=2, gateways=60, peer_message_rate=INTAKE)
     fleet = driver.gateway.fleet
     mark = gossip.Mark(0, 1, 0, 1.0)
     strange = [gossip.Mark(77, 0, 0, 1.0), gossip.Mark(1, 200, 0, 1.0)]
     driver.now += SECOND
     driver.feed(PeerMessage(3, gossip.pack(gossip.Message(5, 1, 0, 0.1, marks=[mark, *strange]))))
     server = fleet.servers[0]
-    assert fleet.bad(server, 1, driver.now) > 0.9 and fleet.bad(server, 0, driver.now) == 0.0
-    assert set(fleet.news.known) == {(0, 1)}
+    assert (
+        fleet.failure_score(server, 1, driver.now) > 0.9 and fleet.failure_score(server, 0, driver.now) == 0.0
+    )
+    assert set(fleet.backend_reports.known) == {(0, 1)}
     old = gossip.Mark(0, 1, SECOND, 0.0)
     driver.feed(PeerMessage(3, gossip.pack(gossip.Message(5, 2, 0, 0.1, marks=[old]))))
-    assert fleet.bad(server, 1, driver.now) > 0.9
+    assert fleet.failure_score(server, 1, driver.now) > 0.9
     hits = {0: set(), 1: set()}  # type: dict[int, set[int]]
     for number in range(12):
         for send in only(driver.ask(cls=number % 2, customer=number), Send):
@@ -231,7 +236,7 @@
 
 
 def test_a_gateway_that_stood_still_answers_what_is_too_late_and_sends_no_burst() -> None:
-    driver = Driver(backends=4, gateways=60, peer_intake=INTAKE)
+    driver = Driver(backends=4, gateways=60, peer_message_rate=INTAKE)
     driver.now += 2 * SECOND
     late = [Request(number, number, FREE, 0, 6 * MS, 1.0, 1, 0) for number in range(1, 10)]
     fresh = [Request(number, number, FREE, 0, 3 * SECOND, 1.0, 1, 0) for number in range(10, 60)]
@@ -244,7 +249,7 @@
     first = keeper_of(5)
     second = (first + 30) % 60
     for keeper, whole in ((first, 12.0), (second, 10.0)):
-        driver = Driver(me=keeper, gateways=60, peer_intake=INTAKE)
+        driver = Driver(me=keeper, gateways=60, peer_message_rate=INTAKE)
         assert ask(driver, (keeper + 1) % 60, 1, units=4.0)[0].units == 4.0
         assert driver.gateway.quotas.accounts[5].whole.fill(driver.now) == whole - 4.0
 
@@ -253,7 +258,7 @@
     for pressed, sent in ((True, 0), (False, 1)):
         driver = Driver()
         driver.ask(customer=1)
-        driver.gateway.bound.latency = 0.2 if pressed else 0.05
+        driver.gateway.limiter.latency = 0.2 if pressed else 0.05
         late = driver.ask(customer=2, left_ns=3 * SECOND - 980 * MS)  # of an aim of 1 s
         assert len(only(late, Send)) == sent and len(only(late, Refuse | Fail)) == 1 - sent
         assert len(only(driver.ask(customer=3, left_ns=3 * SECOND - 100 * MS), Send)) == 1
@@ -266,7 +271,7 @@
     hits: Counter[int] = Counter()
     used = []
     for me, driver in enumerate(many.drivers):
-        driver.gateway.bound.depth = 1.0
+        driver.gateway.limiter.depth = 1.0
         mine = set()
         for number in range(out):
             for send in only(driver.ask(customer=number, spread=1, first=me), Send):
@@ -285,8 +290,8 @@
 
 
 def test_a_gateway_that_sends_more_looks_at_more_backends() -> None:
-    driver = Driver(backends=60, gateways=40, peer_intake=INTAKE)
-    driver.gateway.bound.depth = 1.0
+    driver = Driver(backends=60, gateways=40, peer_message_rate=INTAKE)
+    driver.gateway.limiter.depth = 1.0
     sent = [send for number in range(40) for send in only(driver.ask(customer=number), Send)]
     assert len(sent) == len({send.backend for send in sent}) == 40
 
@@ -302,7 +307,7 @@
 
 def test_units_are_granted_by_a_keeper_of_the_customer_and_nobody_else() -> None:
     keeper = keeper_of(5)
-    driver = Driver(me=(keeper + 1) % 60, gateways=60, peer_intake=INTAKE)
+    driver = Driver(me=(keeper + 1) % 60, gateways=60, peer_message_rate=INTAKE)
     driver.ask(CEILED, customer=5, spread=60, units=2.0)
     asked = messages(driver)[-1].asks[0]
     answer = gossip.Answer(5, asked.request, 2.0, 0, False, False)
@@ -329,7 +334,7 @@
 
 def test_what_is_owed_beyond_what_one_ask_carries_goes_with_the_next() -> None:
     keeper = keeper_of(5)
-    driver = Driver(me=(keeper + 1) % 60, gateways=60, peer_intake=INTAKE)
+    driver = Driver(me=(keeper + 1) % 60, gateways=60, peer_message_rate=INTAKE)
     driver.ask(RATE, customer=5, spread=60)
     driver.gateway.quotas.accounts[5].owed = 3000.0
     before = len(messages(driver))
@@ -356,7 +361,9 @@
 def test_cold_backends_get_their_part_of_the_load_and_no_more_where_most_have_been_replaced() -> None:
     many = Many(40, backends=0)
     born = many.now - SECOND
-    lines = tuple(Backend(n, n % 3, born_ns=born * (n % 5 < 3)) for n in range(60))  # three in five, of 28 %
+    lines = tuple(
+        Backend(n, n % 3, started_ns=born * (n % 5 < 3)) for n in range(60)
+    )  # three in five, of 28 %
     hits: Counter[int] = Counter()
     pairs = set()
     for me, driver in enumerate(many.drivers):
@@ -375,13 +382,13 @@
 
 
 def test_a_fleet_that_is_cold_whole_is_not_loaded_as_if_it_were_warm() -> None:
-    driver = Driver(backends=0, gateways=40, peer_intake=INTAKE)
-    driver.feed(BackendList(ListKind.FULL, tuple(Backend(n, 0, born_ns=driver.now) for n in range(60))))
-    assert sum(bool(driver.gateway.fleet.draw(driver.now)) for _ in range(400)) <= 0.4 * 400
+    driver = Driver(backends=0, gateways=40, peer_message_rate=INTAKE)
+    driver.feed(BackendList(ListKind.FULL, tuple(Backend(n, 0, started_ns=driver.now) for n in range(60))))
+    assert sum(bool(driver.gateway.fleet.draw_candidates(driver.now)) for _ in range(400)) <= 0.4 * 400
 
 
 def test_messages_that_can_not_be_read_are_dropped_and_counted_in_one_line_for_a_while() -> None:
-    driver = Driver(gateways=60, peer_intake=INTAKE)
+    driver = Driver(gateways=60, peer_message_rate=INTAKE)
     good = gossip.pack(gossip.Message(5, 1, 0))
     for data in (b"", b"x", good[:-1], good + bytes(250), bytes([99]) + good[1:], good, good):
         driver.feed(PeerMessage(3, data))
@@ -394,7 +401,7 @@
 
 def test_a_false_figure_of_a_peer_shuts_no_customer_out_for_long() -> None:
     keeper = keeper_of(5)
-    driver = Driver(me=keeper, gateways=60, peer_intake=INTAKE)
+    driver = Driver(me=keeper, gateways=60, peer_message_rate=INTAKE)
     for number in range(1, 20):
         ask(driver, (keeper + 1) % 60, number, request=number, units=0.0, owed=2000.0)
     assert driver.gateway.quotas.accounts[5].whole.fill(driver.now) >= -PLANS[RATE].burst
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -360,7 +360,7 @@
 
 
 def quotas_of(standing: Standing, me: int = 0, gateways: int = 4, intake: float = 100.0) -> Quotas:
-    plan = Plan("p", 10.0, 20.0, 0, 20.0, 40.0, 4.0, over_cost=1.0)
+    plan = Plan("p", 10.0, 20.0, 0, 20.0, 40.0, 4.0, over_quota_cost=1.0)
     quotas = Quotas(
         replace(
             gateway_settings(),
@@ -368,7 +368,7 @@
             gateways=gateways,
             plans=(plan,),
             peer_messages=True,
-            peer_intake=intake,
+            peer_message_rate=intake,
         )
     )
     quotas.standing = standing
@@ -426,7 +426,7 @@
 
 def test_keepers_that_are_not_there_are_not_waited_for() -> None:
     for lost, at_once in ((frozenset[int](), False), (frozenset(range(1, 8)), True)):
-        driver = Driver(gateways=8, peer_intake=1.0)
+        driver = Driver(gateways=8, peer_message_rate=1.0)
         driver.gateway.quotas.standing = Standing(True, lost)
         # A customer whose keepers are others.
         asked = [Request(1, c, RATE, 0, 1, 1.0, 8, 0) for c in range(1, 99)]
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -121,7 +121,7 @@
         while front.gatekeeper.exchanges:
             await asyncio.sleep(0)
         assert not front.side.attempts and front.gatekeeper.counts[End.SERVED] == 0
-        while front.gatekeeper.gateway.held:
+        while front.gatekeeper.gateway.pending:
             await asyncio.sleep(0)
 
     going(test)
@@ -129,10 +129,13 @@
 
 def test_two_copies_that_both_answer_give_one_answer():
     async def test():
-        settings = dataclasses.replace(SETTINGS, second_copies=True, max_attempts=2)
+        settings = dataclasses.replace(SETTINGS, hedging=True, max_attempts=2)
         front = Front(settings)
         workers = [await StandIn(wait_then(ok(b"slow")), wait_then(ok(b"slow"))).start() for _ in range(2)]
-        front.gatekeeper.gateway.fleet.typical = [MS * 5.0, MS * 5.0]  # overdue soon: a second copy goes out
+        front.gatekeeper.gateway.fleet.unit_latency_ns = [
+            MS * 5.0,
+            MS * 5.0,
+        ]  # overdue soon: a second copy goes out
         front.list(*(line(f"w{n}", worker.port) for n, worker in enumerate(workers)))
         client = await front.client()
         client.ask()
--- a/tests/test_quota_keepers.py
+++ b/tests/test_quota_keepers.py
@@ -31,8 +31,8 @@
     PeerMessage,
     Request,
     Send,
+    SendPeerMessage,
     SetTimer,
-    TellPeer,
     TimerFired,
 )
 from pepperrun.core.quota_keepers import ABSENT, GRANT_NS, QuotaKeepers, weight
@@ -71,13 +71,13 @@
     def fresh(self, now: int, most: int) -> bool:
         return self.fresh_at > 0 and now - self.fresh_at <= most
 
-    def open(self, lot: object, now: int) -> int:
+    def wait_ns(self, lot: object, now: int) -> int:
         return 0 if self.fresh(now, FENCE) else 500 * MS
 
-    def may(self, lot: object, backend: int, now: int) -> bool:
+    def may_send(self, lot: object, backend: int, now: int) -> bool:
         return True
 
-    def sent(self, lot: object, backend: int, now: int) -> None:
+    def on_sent(self, lot: object, backend: int, now: int) -> None:
         pass
 
     def number(self, station: str) -> int:
@@ -96,7 +96,7 @@
                 self.gateway.quotas.quota_keepers = self.quota_keepers if self.quota_keepers.places else None
                 self.numbering.keep(bool(self.quota_keepers.places))
         self.gateway.quotas.members = tuple(g.life for g in self.world.nodes.values() if g is not self)
-        self.gateway.resettle(self.numbering.settings())
+        self.gateway.update_settings(self.numbering.settings())
         self.fresh_at = now
 
 
@@ -150,12 +150,12 @@
                 self.spent.append(self.now)
                 end = AttemptEnded(action.request, 0, action.backend, Outcome.OK, 30 * MS, True)
                 self.at(self.now + 30 * MS, lambda end=end: self.feed(node, end))
-            elif isinstance(action, TellPeer):
+            elif isinstance(action, SendPeerMessage):
                 self.tell(node, action)
             elif isinstance(action, SetTimer):
                 self.at(self.now + action.delay_ns, lambda: self.feed(node, TimerFired(0)))
 
-    def tell(self, node: GatewayProcess, action: TellPeer) -> None:
+    def tell(self, node: GatewayProcess, action: SendPeerMessage) -> None:
         dice = self.rng
         for _ in range(1 + (self.trouble and dice.random() < 0.1)):  # some come twice
             if self.trouble and dice.random() < 0.1 or self.now < node.cut_until:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -47,7 +47,7 @@
     """Feeds a gateway and asserts the rules on each action."""
 
     def __init__(self, copies: bool) -> None:
-        self.settings = make_settings(second_copies=copies)
+        self.settings = make_settings(hedging=copies)
         self.gateway = Gateway(self.settings, 3)
         self.now = START
         self.tries: dict[int, Try] = {}
@@ -75,7 +75,7 @@
         kind = CLASSES[one.event.cls]
         assert one.answers == 0  # rule 1
         assert self.states[send.backend] is BackendState.READY  # rule 3
-        assert len(one.out) < (2 if self.settings.second_copies else 1)
+        assert len(one.out) < (2 if self.settings.hedging else 1)
         assert len(one.sends) < self.settings.max_attempts
         ran = one.ran | one.out
         if kind.repeat is Repeat.UNSAFE:
@@ -183,4 +183,4 @@
             world.feed([PeerMessage(1, args[0])])
     world.wait(5 * SECOND)
     assert all(one.answers == 1 for one in world.tries.values())
-    assert world.gateway.held == {}
+    assert world.gateway.pending == {}
--- a/tests/test_tool.py
+++ b/tests/test_tool.py
@@ -26,7 +26,7 @@
     assert one.peers == two.peers == (("127.0.0.1", 7946), ("127.0.0.1", 7947))
     assert one.settings.peer_messages and one.discovery is None
     search, confirm = one.settings.classes
-    assert (search.repeat, search.aim_ns, search.deadline_ns) == (Repeat.SAFE, 2 * 10**9, 8 * 10**9)
+    assert (search.repeat, search.target_ns, search.deadline_ns) == (Repeat.SAFE, 2 * 10**9, 8 * 10**9)
     assert (confirm.repeat, confirm.group, confirm.window_ns) == (Repeat.KEYED, Group.CELL, 10**10)
     large = one.settings.plans[1]
     assert (large.rate, large.burst, large.ceiling_rate, large.ceiling_slack) == (15, 33, 30, 7)
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -74,7 +74,7 @@
     assert (settings.me, settings.gateways, settings.zone, settings.max_attempts) == (1, 3, 2, 6)
     assert settings.classes[1].group is api.Group.ZONE
     assert settings.plans[0].ceiling_depth == 60.0
-    assert settings.settles and not settings.second_copies
+    assert settings.reconciles_units and not settings.hedging
     assert settings.max_retry_after_ns == 0
 
 
@@ -150,7 +150,7 @@
         api.SetTimer(5, 6),
         api.Probe(2),
         api.CloseIdle(2),
-        api.TellPeer(1, b"abc"),
+        api.SendPeerMessage(1, b"abc"),
         api.Log("text"),
         api.Watch(),
         api.FetchList(),
