--- a/benchmarks/parking_options.py
+++ b/benchmarks/parking_options.py
@@ -22,7 +22,7 @@
 
 from pepperrun.bench.rig import usage  # noqa: E402
 from pepperrun.net.buffer import Buffer  # noqa: E402
-from pepperrun.net.http1 import ROOM, RequestParser  # noqa: E402
+from pepperrun.net.http1 import REQUEST_BUFFER_SIZE, RequestParser  # noqa: E402
 
 WAKES = 2000
 
@@ -31,14 +31,14 @@
     """A transport, a protocol, a parser and a buffer each."""
 
     def __init__(self) -> None:
-        self.buffer = Buffer(ROOM)
+        self.buffer = Buffer(REQUEST_BUFFER_SIZE)
         self.parser = RequestParser(self.buffer)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = transport
 
     def get_buffer(self, sizehint: int) -> memoryview:
-        return self.buffer.room()
+        return self.buffer.free_space()
 
     def buffer_updated(self, nbytes: int) -> None:
         self.buffer.drop(len(self.buffer))
--- a/pepperrun/admin/figures.py
+++ b/pepperrun/admin/figures.py
@@ -8,7 +8,7 @@
 from pepperrun.exchange import End
 from pepperrun.gatekeeper import Gatekeeper
 from pepperrun.net.directory import Directory
-from pepperrun.net.server_side import ServerSide
+from pepperrun.net.upstream import UpstreamClient
 
 KINDS = {
     "fulfilled": (End.SERVED,),
@@ -17,14 +17,14 @@
 }
 
 
-def figures(gatekeeper: Gatekeeper, servers: ServerSide, directory: Directory) -> Iterator[Figure]:
+def figures(gatekeeper: Gatekeeper, servers: UpstreamClient, directory: Directory) -> Iterator[Figure]:
     """The figures now."""
     for name, ends in KINDS.items():
         for kind, counts in zip(gatekeeper.settings.classes, gatekeeper.by_class, strict=True):
             yield Figure(f"{name}.{kind.name}", sum(counts[end] for end in ends), True)
-    yield Figure("relayed", servers.written, True)
+    yield Figure("relayed", servers.requests_written, True)
     yield Figure("open_requests", gatekeeper.waiting(), False)
-    yield Figure("registry_entries", len(directory.lines), False)
+    yield Figure("registry_entries", len(directory.endpoints), False)
     avoided = gatekeeper.gateway.ejected()
-    out = sum(directory.address(number) is None or number in avoided for number in directory.lines)
+    out = sum(directory.address(number) is None or number in avoided for number in directory.endpoints)
     yield Figure("out_of_rotation", out, False)
--- a/pepperrun/admin/server.py
+++ b/pepperrun/admin/server.py
@@ -41,13 +41,13 @@
         self.server.callers.pop(self, None)
 
     def get_buffer(self, sizehint: int) -> memoryview:
-        if self.answered or self.buffer.full():
-            self.buffer.forget()  # what comes behind the call is not read
+        if self.answered or self.buffer.is_full():
+            self.buffer.release()  # what comes behind the call is not read
             self.buffer = Buffer(MOST_LINE + 2)
-        return self.buffer.room()
+        return self.buffer.free_space()
 
     def buffer_updated(self, nbytes: int) -> None:
-        self.buffer.filled(nbytes, 0)
+        self.buffer.commit(nbytes, 0)
         if self.answered:
             return
         try:
@@ -55,7 +55,7 @@
         except ValueError as error:
             self.say(f"error {error}\n".encode())
             return
-        if line is None and self.buffer.full():
+        if line is None and self.buffer.is_full():
             self.say(b"error the line is too long\n")
         elif line is not None:
             self.say(self.server.answer(line))
@@ -70,7 +70,7 @@
         self.answered = True
         if self.transport is not None:
             self.transport.write(answer)
-            if self.buffer.full():  # closing on what is unread would reset it, and the answer might be lost
+            if self.buffer.is_full():  # closing on unread bytes resets it: the answer might be lost
                 self.transport.write_eof()
             else:
                 self.transport.close()
--- a/pepperrun/assembly.py
+++ b/pepperrun/assembly.py
@@ -26,14 +26,14 @@
 from pepperrun.handover.predecessor import Predecessor
 from pepperrun.handover.successor import Successor
 from pepperrun.log import say
-from pepperrun.net.backoff import Backoff, Near
-from pepperrun.net.connection import Judge
+from pepperrun.net.backoff import Backoff, LocalAgentBackoff
+from pepperrun.net.connection import ResponseClassifier
 from pepperrun.net.directory import Directory
 from pepperrun.net.discovery import Discovery
 from pepperrun.net.listener import Listener
 from pepperrun.net.peers import Peers, open_peers
-from pepperrun.net.server_side import ServerSide, platform_judge
-from pepperrun.net.stream import Budget
+from pepperrun.net.stream import MemoryBudget
+from pepperrun.net.upstream import UpstreamClient, platform_classifier
 
 if TYPE_CHECKING:
     from pepperrun.membership.config import MembershipConfig
@@ -55,11 +55,11 @@
         settings: Settings,
         seed: int,
         zones: tuple[str, ...],
-        judge: Judge,
+        judge: ResponseClassifier,
         most: int,
         keepalive_ns: int,
         connect_timeout_ns: int,
-        budget: Budget | None = None,
+        budget: MemoryBudget | None = None,
     ) -> None:
         loop = asyncio.get_running_loop()
         self.peers: Peers | None = None
@@ -69,7 +69,7 @@
         self.gatekeeper = Gatekeeper(settings, seed, clock, loop, self._tell, log=self._log)
         self.directory = Directory(zones, clock.of_unix_ms)
         ended = self.gatekeeper.ended
-        self.servers = ServerSide(
+        self.servers = UpstreamClient(
             loop, clock, self.directory, ended, judge, most, keepalive_ns, connect_timeout_ns, budget
         )
         self.gatekeeper.backends = self.servers
@@ -85,7 +85,7 @@
 
     def _tell(self, peer: int, data: bytes) -> None:
         if self.peers is not None:
-            self.peers.tell(peer, data)
+            self.peers.send(peer, data)
 
     async def meet(
         self,
@@ -120,13 +120,13 @@
             except OSError as error:
                 say("peers", f"peers can't be heard yet: {error}")
         if self.members is not None:
-            self.peers.members = self.members.on_datagram
+            self.peers.on_membership = self.members.on_datagram
 
     def told(self, listing: Listing, kind: ListKind | None = None) -> None:
         """Takes in a list of backends."""
         kind = kind or (ListKind.FULL if listing.full else ListKind.DELTA)
-        self.gatekeeper.listed(self.directory.take(listing, kind))
-        self.servers.listed()
+        self.gatekeeper.listed(self.directory.apply(listing, kind))
+        self.servers.on_endpoints_changed()
 
 
 def split_sockets(limit: int) -> tuple[int, int]:
@@ -188,13 +188,13 @@
 ) -> tuple[Core, Listener]:
     """The core before the workers and the platform's front."""
     most_clients, most = split_sockets(sockets) if lot is None else (0, backends)
-    budget = Budget.of_memory(config.memory_mb)
+    budget = MemoryBudget.from_memory_limit(config.memory_mb)
     core = Core(
         clock,
         config.settings,
         config.seed,
         config.zones,
-        platform_judge(config.settings.max_units),
+        platform_classifier(config.settings.max_units),
         most,
         config.keepalive_ns,
         config.connect_timeout_ns,
@@ -252,7 +252,7 @@
     service = MembershipService(members, config.name, names, core.gatekeeper, core._tell, config.seed, before)
     core.members = service
     if core.peers is not None:
-        core.peers.members = service.on_datagram
+        core.peers.on_membership = service.on_datagram
     return service
 
 
@@ -269,7 +269,7 @@
             return core.members.answer_call(call)
         return b"error membership is off\n" if call.split()[:1] == [b"members"] else None
 
-    calls = Calls(listener.taking, all_figures, more)
+    calls = Calls(listener.accepts_clients, all_figures, more)
     server = AdminServer(asyncio.get_running_loop(), calls)
     await server.open(address)
     return server
@@ -278,7 +278,7 @@
 def calls_of(config: Config) -> Backoff:
     """When to call discovery: others call it too, but where lists are pushed it is an agent of one's own."""
     if not config.settings.must_ask_for_list:
-        return Near(config.settings.drain_grace_ns / SECOND)
+        return LocalAgentBackoff(config.settings.drain_grace_ns / SECOND)
     return Backoff(config.settings.gateways, random.Random(config.seed))
 
 
@@ -315,7 +315,7 @@
         if self.discovery is not None:
             try:
                 async with asyncio.timeout(most_s):
-                    await self.discovery.first.wait()
+                    await self.discovery.first_call_done.wait()
             except TimeoutError:
                 pass
 
@@ -375,7 +375,7 @@
 
     def table() -> dict[str, Any]:
         version = watch.discovery.version if watch.discovery is not None else None
-        listing = {"version": version or 0, "full": True, "servers": core.directory.told()}
+        listing = {"version": version or 0, "full": True, "servers": core.directory.discovery_rows()}
         known = {"list": listing, "known": version is not None, "peers": core.peers is not None}
         return known | ({"members": core.members.export_state()} if core.members is not None else {})
 
--- a/pepperrun/bench/askers.py
+++ b/pepperrun/bench/askers.py
@@ -18,7 +18,7 @@
 from hdrh.histogram import HdrHistogram  # type: ignore[import-untyped]
 
 from pepperrun.net.buffered import BufferedConnection
-from pepperrun.net.http1 import ANSWER_ROOM, HttpError, Response, ResponseParser
+from pepperrun.net.http1 import RESPONSE_BUFFER_SIZE, HttpError, Response, ResponseParser
 
 MOST_US = 60_000_000
 LATE_US = 5_000_000  # a client's patience
@@ -30,15 +30,15 @@
     """One request at a time; `done` is told of each answer's status, or 0 where there was none."""
 
     def __init__(self, owner: Askers) -> None:
-        super().__init__(ANSWER_ROOM)
+        super().__init__(RESPONSE_BUFFER_SIZE)
         self.owner = owner
         self.parser = ResponseParser(self.buffer)
         self.intended: int | None = None
 
-    def ended(self) -> None:
+    def on_close(self) -> None:
         self._done(0)
 
-    def came(self) -> None:
+    def on_data(self) -> None:
         try:
             answer = self.parser.next()
         except HttpError:
--- a/pepperrun/bench/fleet_process.py
+++ b/pepperrun/bench/fleet_process.py
@@ -22,7 +22,7 @@
 from pepperrun.model.fleet import Fleet
 from pepperrun.model.node import Node, Taken
 from pepperrun.net.buffered import BufferedConnection
-from pepperrun.net.http1 import ROOM, HttpError, Request, RequestParser, write_response
+from pepperrun.net.http1 import REQUEST_BUFFER_SIZE, HttpError, Request, RequestParser, encode_response
 
 HOST = "127.0.0.1"
 _WORK = re.compile(rb"[?&]work=([0-9]{1,15})")
@@ -34,16 +34,16 @@
     """A gatekeeper's connection to a node."""
 
     def __init__(self, node: StandInNode) -> None:
-        super().__init__(ROOM)
+        super().__init__(REQUEST_BUFFER_SIZE)
         self.node = node
         self.parser = RequestParser(self.buffer)
         self.key: object | None = None
         self.units = b"1"
 
-    def opened(self) -> None:
+    def on_open(self) -> None:
         self.node.connections.add(self)
 
-    def ended(self) -> None:
+    def on_close(self) -> None:
         self.node.connections.discard(self)
         if self.key is not None:
             self.node.give_up(self)
@@ -51,7 +51,7 @@
     def eof_received(self) -> bool:
         return False
 
-    def came(self) -> None:
+    def on_data(self) -> None:
         try:
             request = self.parser.next()
         except HttpError:
@@ -75,7 +75,7 @@
     def answer(self, status: int, fields: list[tuple[bytes, bytes]]) -> None:
         """Sends an answer."""
         if self.transport is not None:
-            self.transport.write(write_response(status, fields, b"done\n", False))
+            self.transport.write(encode_response(status, fields, b"done\n", False))
 
     def done(self) -> None:
         """The request has run."""
--- a/pepperrun/bench/players.py
+++ b/pepperrun/bench/players.py
@@ -32,9 +32,9 @@
 
     def answered(self, answer: Response) -> None:
         self.extra += self.intended is None
-        self.ends = answer.close()
+        self.ends = answer.closes_connection()
         try:
-            self.wait_s = float(answer.names.get(b"retry-after", b"0"))
+            self.wait_s = float(answer.headers.get(b"retry-after", b"0"))
         except ValueError:
             self.wait_s = 0.0
 
--- a/pepperrun/bench/worker.py
+++ b/pepperrun/bench/worker.py
@@ -6,7 +6,7 @@
 import sys
 
 from pepperrun.net.buffered import BufferedConnection
-from pepperrun.net.http1 import ROOM, HttpError, RequestParser, write_response
+from pepperrun.net.http1 import REQUEST_BUFFER_SIZE, HttpError, RequestParser, encode_response
 
 HOST = "127.0.0.1"
 
@@ -15,11 +15,11 @@
     """Answers each request after the service time, one at a time on a connection."""
 
     def __init__(self, service_s: float) -> None:
-        super().__init__(ROOM)
+        super().__init__(REQUEST_BUFFER_SIZE)
         self.service_s = service_s
         self.parser = RequestParser(self.buffer)
 
-    def came(self) -> None:
+    def on_data(self) -> None:
         try:
             while self.parser.next() is not None:
                 asyncio.get_running_loop().call_later(self.service_s, self._answer)
@@ -29,7 +29,7 @@
 
     def _answer(self) -> None:
         if self.transport is not None:
-            self.transport.write(write_response(200, [(b"X-Units-Charged", b"1")], b"served\n", False))
+            self.transport.write(encode_response(200, [(b"X-Units-Charged", b"1")], b"served\n", False))
 
 
 async def serve(port: int, service_s: float) -> None:
--- a/pepperrun/control/server.py
+++ b/pepperrun/control/server.py
@@ -14,7 +14,7 @@
 from pepperrun.foundation.logs import trouble
 from pepperrun.foundation.settings import Address
 from pepperrun.net.buffer import Buffer
-from pepperrun.net.http1 import HttpError, Request, RequestParser, write_response
+from pepperrun.net.http1 import HttpError, Request, RequestParser, encode_response
 
 SECOND = 1_000_000_000
 MAX_BODY_BYTES = 4 * 1024 * 1024  # bytes of a call's body: thousands of routes
@@ -57,16 +57,16 @@
         """Return room for what comes next."""
         if self.ended:
             self.buffer.drop(len(self.buffer))
-        return self.buffer.room()
+        return self.buffer.free_space()
 
     def buffer_updated(self, nbytes: int) -> None:
         """Handle bytes that have come."""
         if not len(self.buffer):
             self.since = time.monotonic_ns()
-        self.buffer.filled(nbytes, 0)
+        self.buffer.commit(nbytes, 0)
         if not self.ended:
             self.process_calls()
-        if self.transport is not None and self.buffer.full():
+        if self.transport is not None and self.buffer.is_full():
             if self.busy is not None:
                 self.transport.pause_reading()
             elif not self.ended:
@@ -88,7 +88,7 @@
                 self.respond(Answer(error.status), close=True)
                 return
             if request is None:
-                if self.parser.waits_for_continue() and not self.continued:
+                if self.parser.expects_continue() and not self.continued:
                     self.continued = True
                     self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
                 return
@@ -100,14 +100,16 @@
         """Handle one call."""
         try:
             path, query = parse_target(request.target)
-            headers = {name.decode("latin-1"): text.decode("latin-1") for name, text in request.names.items()}
+            headers = {
+                name.decode("latin-1"): text.decode("latin-1") for name, text in request.headers.items()
+            }
             call = Call(request.method.decode("latin-1"), path, query, headers, request.body)
             answer = dispatch(self.server.tree, call)
         except PepperrunError as error:
             trouble(error)
             answer = Answer(503, headers=(("Retry-After", "0.5"),))
         if isinstance(answer, Answer):
-            self.respond(answer, request.close())
+            self.respond(answer, request.closes_connection())
             return
         assert isinstance(answer, Awaitable)
         self.busy = asyncio.ensure_future(answer)
@@ -126,7 +128,7 @@
             )
         assert self.request is not None
         answer = done.result() if error is None else Answer(503, headers=(("Retry-After", "0.5"),))
-        self.respond(answer, self.request.close())
+        self.respond(answer, self.request.closes_connection())
         if self.transport is not None and not self.ended:
             self.transport.resume_reading()
             self.process_calls()
@@ -141,7 +143,7 @@
         if answer.body:
             fields.append((b"Content-Type", b"application/json"))
         head = self.request is not None and self.request.method == b"HEAD"
-        transport.write(write_response(answer.status, fields, answer.body, close, head))
+        transport.write(encode_response(answer.status, fields, answer.body, close, head))
         self.since = time.monotonic_ns()
         if close:
             self.ended = True
--- a/pepperrun/dataplane/attempt_reports.py
+++ b/pepperrun/dataplane/attempt_reports.py
@@ -94,7 +94,7 @@
         name = self.worker_name(worker) if worker is not None else "-"
         self.log(
             event,
-            id=exchange.asked.names.get(b"attempt-id", b"-").decode("latin-1")[:MOST_ID],
+            id=exchange.asked.headers.get(b"attempt-id", b"-").decode("latin-1")[:MOST_ID],
             worker=name,
             out_ms=(now - exchange.attempts[number]) // MS,
             left_ms=(exchange.deadline - now) // MS,
--- a/pepperrun/dataplane/draining.py
+++ b/pepperrun/dataplane/draining.py
@@ -58,10 +58,10 @@
     begun = loop.time()
     listener.draining = True
     await asyncio.sleep(min(ACCEPT_S, grace_s * ACCEPT_PART))
-    listener.shut()
+    listener.stop_listening()
     await _until_over(listener, is_at_work, begun + grace_s * IDLE_PART)
     for client in list(listener.clients):
-        if not client.busy():
+        if not client.is_busy():
             client.close()
     await _until_over(listener, is_at_work, begun + grace_s - LAST_S)
     if listener.clients:
@@ -73,6 +73,6 @@
     try:
         async with asyncio.timeout_at(at):
             while listener.clients or is_at_work():
-                await listener.changed()
+                await listener.wait_for_change()
     except TimeoutError:
         pass
--- a/pepperrun/dataplane/front.py
+++ b/pepperrun/dataplane/front.py
@@ -17,8 +17,8 @@
 from pepperrun.fronts.platform import retry_after
 from pepperrun.gatekeeper import Gatekeeper
 from pepperrun.net.http1 import MAX_HEAD, Request, Response
-from pepperrun.net.listener import Listener, Times
-from pepperrun.net.stream import Budget
+from pepperrun.net.listener import ClientTimeouts, Listener
+from pepperrun.net.stream import MemoryBudget
 
 if TYPE_CHECKING:
     from pepperrun.dataplane.numbering import Numbering
@@ -53,11 +53,11 @@
 class FrontListener(Listener):
     """Clients' connections, within the limits of the configuration."""
 
-    limits_of: Callable[[], Times] | None = None
+    limits_of: Callable[[], ClientTimeouts] | None = None
 
     @property
-    def times(self) -> Times:
-        return self.limits_of() if self.limits_of is not None else super().times
+    def timeouts(self) -> ClientTimeouts:
+        return self.limits_of() if self.limits_of is not None else super().timeouts
 
 
 class RequestLog(Protocol):
@@ -79,7 +79,7 @@
         gate: Gate,
         gatekeeper: Gatekeeper,
         clock: Callable[[], int],
-        budget: Budget,
+        budget: MemoryBudget,
         seed: int,
         sure_ns: int,
     ) -> None:
@@ -94,7 +94,7 @@
         self.sure_ns = sure_ns  # what is held may be so old for a word on what there is not
         self.table: Table | None = None
         self.trace: RequestLog | None = None  # where requests are logged
-        self._times, self._keep = Times(), b""
+        self._times, self._keep = ClientTimeouts(), b""
 
     def take(self, table: Table) -> None:
         """A newer configuration."""
@@ -102,15 +102,15 @@
         dwell_ns, whole_ns = int(limits.dwell_ms * MS), int(limits.envelope_ms * MS)
         told_s = dwell_ns // SECOND
         self._keep = b"timeout=%d" % told_s if told_s else b""
-        self._times = Times(
-            silent_ns=dwell_ns + KEPT_OVER_NS,
-            whole_ns=whole_ns + KEPT_OVER_NS,
+        self._times = ClientTimeouts(
+            first_byte_ns=dwell_ns + KEPT_OVER_NS,
+            request_ns=whole_ns + KEPT_OVER_NS,
             idle_ns=dwell_ns + KEPT_OVER_NS,
-            crowded_ns=min(dwell_ns, SECOND),
-            whole_from_made=False,
+            crowded_idle_ns=min(dwell_ns, SECOND),
+            request_from_connect=False,
         )
 
-    def times(self) -> Times:
+    def times(self) -> ClientTimeouts:
         """How long connections last."""
         return self._times
 
@@ -129,7 +129,7 @@
 
     def read(self, request: Request) -> tuple[Lot, dict[str, Any]] | Answer:
         """Where a request is to go and what its exchange is made of, or the answer at once."""
-        names, table = request.names, self.table
+        names, table = request.headers, self.table
         if _ID.match(names.get(b"attempt-id", b"")) is None:
             return 400, [TEXT], b"Attempt-Id: one is needed\n"
         if table is None:
@@ -137,7 +137,7 @@
         host, path = host_of(names.get(b"host", b"")), request.target.partition(b"?")[0]
         way = table.find(host, path)
         if way is None:
-            return self._unsure((404, [TEXT], b"no such route\n"), request.arrived)
+            return self._unsure((404, [TEXT], b"no such route\n"), request.arrived_at)
         left_ns = way.deadline_ns
         if b"deadline-ms" in names:
             if _MS.match(names[b"deadline-ms"]) is None:
@@ -148,7 +148,7 @@
     def _keyed(
         self, request: Request, table: Table, way: Way, host: bytes, path: bytes, left_ns: int
     ) -> tuple[Lot, dict[str, Any]] | Answer:
-        told = request.names.get(b"authorization")
+        told = request.headers.get(b"authorization")
         match = _TOKEN.match(told) if told is not None else None
         key, tenant = match[1] if match is not None else None, None
         plan, customer, dropped = 0, number_of(host.decode("latin-1")), NOT_TO_WORKER
@@ -156,7 +156,7 @@
             tenant = table.keys.get(key) if key is not None else None
             if tenant is None:
                 challenge = b"WWW-Authenticate", b"Token"
-                return self._unsure((401, [challenge, TEXT], b"no such key\n"), request.arrived)
+                return self._unsure((401, [challenge, TEXT], b"no such key\n"), request.arrived_at)
             plan, customer = tenant.plan, tenant.customer
         if told is not None and table.asks_keys and _SCHEME.search(told) is not None:
             dropped = dropped | {b"authorization"}  # it may be a key, and no worker is to see one
@@ -165,15 +165,15 @@
         if lot.homes is not None and not lot.homes:
             # Homes of its route and of its tenant have no region in common: no wait could bring it a worker.
             return self.back_later(MOST_WAIT_NS)
-        request.fields = fields_less(request.fields, request.names, dropped)
+        request.fields = fields_less(request.fields, request.headers, dropped)
         # One whose body is still coming has the time that it takes, and its client's from its last byte on.
-        more_ns = 0 if request.whole else UPLOAD_NS
+        more_ns = 0 if request.complete else UPLOAD_NS
         parts = {
             "cls": way.classes[at],
             "plan": plan,
             "customer": customer,
-            "started": request.arrived,
-            "deadline": request.arrived + left_ns + more_ns,
+            "started": request.arrived_at,
+            "deadline": request.arrived_at + left_ns + more_ns,
             "patience": max(1, left_ns) if more_ns else 0,
             "spread": self.numbering.gateways,
             "first": 0,
@@ -204,11 +204,13 @@
 
     def given(self, given: Response) -> Answer:
         """A worker's own answer, unchanged but for what concerns its connection."""
-        fields = fields_less(given.fields, given.names, NOT_TO_CLIENT)
+        fields = fields_less(given.fields, given.headers, NOT_TO_CLIENT)
         if self._keep:
             fields.append((b"Keep-Alive", self._keep))
         return (
-            (given.status, fields, given.body) if given.whole else (given.status, fields, given.body, given)
+            (given.status, fields, given.body)
+            if given.complete
+            else (given.status, fields, given.body, given)
         )
 
 
@@ -223,14 +225,14 @@
     def _limit(self) -> None:
         table = self.front.table
         if table is not None:
-            self.parser.most_body = table.limits.parcel_bytes
-            self.parser.most_head = min(MOST_HEAD, max(MAX_HEAD // 16, table.limits.envelope_bytes))
+            self.parser.max_body = table.limits.parcel_bytes
+            self.parser.max_head = min(MOST_HEAD, max(MAX_HEAD // 16, table.limits.envelope_bytes))
 
     bad = (400,)  # what is asked at a wrong place may be asked rightly next
 
     def _moving(self) -> int:
         # The limits tell how long a client may be silent, and nothing of how fast it sends.
-        return self.buffer.last_at + self.listener.times.idle_ns
+        return self.buffer.last_byte_at + self.listener.timeouts.idle_ns
 
     def _cut(self, status: int, text: bytes) -> None:
         # 408 would promise that the worker, which has a part of it, runs nothing.
--- a/pepperrun/dataplane/outcome_report.py
+++ b/pepperrun/dataplane/outcome_report.py
@@ -2,8 +2,9 @@
 
 A tag, the hash of the sender's station and its incarnation, as the counts of the quotas have them; two
 numbers, of rows and of rests; rows of a worker's number and what was seen of it, good and bad; a byte for
-each length of rest after which a kept connection was reset unanswered (`net.wear`). What follows is passed
-over. It stays within a zone, goes out only where there is something to report, and is lost without harm.
+each length of rest after which a kept connection was reset unanswered (`net.stale_rates`). What follows is
+passed over. It stays within a zone, goes out only where there is something to report, and is lost without
+harm.
 """
 
 from __future__ import annotations
@@ -22,7 +23,7 @@
 
 @dataclass(frozen=True)
 class OutcomeReport:
-    """What one gatekeeper saw since its last report. `rests`: steps of `net.wear.Wear`."""
+    """What one gatekeeper saw since its last report. `rests`: steps of `net.stale_rates.StaleRates`."""
 
     station: int
     incarnation: int
--- a/pepperrun/dataplane/outcome_sharing.py
+++ b/pepperrun/dataplane/outcome_sharing.py
@@ -25,8 +25,8 @@
 from pepperrun.foundation.logs import event
 from pepperrun.foundation.settings import Address
 from pepperrun.net.connection import AbandonReason, Attempt
-from pepperrun.net.server_side import Ended, ServerSide
-from pepperrun.net.wear import Wear
+from pepperrun.net.stale_rates import StaleRates
+from pepperrun.net.upstream import OnAttemptEnded, UpstreamClient
 
 SECOND = 1_000_000_000
 MAX_RECEIVERS = 16  # gatekeepers that one reports to: of larger zones those next to it by hash
@@ -35,23 +35,23 @@
 FAILED = (Outcome.ERROR, Outcome.RESET, Outcome.TIMEOUT, Outcome.CONNECT_FAILED)
 
 
-class SharedWear(Wear):
+class SharedWear(StaleRates):
     """What is learnt of rested connections, here and by the others of the zone."""
 
     def __init__(self, report: Callable[[int], None]) -> None:
         super().__init__()
         self.report = report
 
-    def saw(self, idle_ns: int, stale: bool) -> None:
+    def record_reuse(self, idle_ns: int, stale: bool) -> None:
         """A rested connection was used; one that proved stale is reported."""
-        super().saw(idle_ns, stale)
+        super().record_reuse(idle_ns, stale)
         if stale:
-            self.report(self._step(idle_ns))
+            self.report(self._bucket(idle_ns))
 
     def reported(self, step: int) -> None:
         """Another has met one: as if it were the first here. Who has met more knows better."""
-        if step < len(self.shares):
-            self.shares[step] = max(self.shares[step], self.ONE)
+        if step < len(self.rates):
+            self.rates[step] = max(self.rates[step], self.SAMPLE_WEIGHT)
 
 
 class OutcomeSharing:
@@ -75,7 +75,7 @@
         clock: Callable[[], int],
         workers: WorkerTable,
         peer_messages: PeerMessages,
-        passed: Ended,
+        passed: OnAttemptEnded,
         suspected: Callable[[Exchange[Any, Any], int], None],
         draw: Callable[[], float],
         reports: AttemptReports,
@@ -86,7 +86,7 @@
         self.answer_times: defaultdict[int, AnswerTime] = defaultdict(AnswerTime)  # by class
         self.ejection = OutlierEjection(self._alternatives, draw, self._on_ejected)
         self.wear = SharedWear(self._on_stale_rest)
-        self.servers: ServerSide | None = None
+        self.servers: UpstreamClient | None = None
         self.receivers: list[int] = []  # peers' numbers: whom this one reports to
         self.unreported_rests: set[int] = set()
         self.late: set[tuple[int, int]] = set()  # attempts that were counted before their end
@@ -95,10 +95,10 @@
         self.check_timer = loop.call_later(CHECK_S, self.check_late_attempts)
         peer_messages.others[TAG] = self.on_report
 
-    def start(self, servers: ServerSide) -> None:
+    def start(self, servers: UpstreamClient) -> None:
         """These carry out the attempts."""
         self.servers = servers
-        servers.wear = self.wear
+        servers.stale_rates = self.wear
         servers.ends_stalled = self.stalled
 
     # Who there is.
--- a/pepperrun/dataplane/plane.py
+++ b/pepperrun/dataplane/plane.py
@@ -27,8 +27,8 @@
 from pepperrun.foundation.logs import event
 from pepperrun.foundation.settings import Settings
 from pepperrun.gatekeeper import Gatekeeper
-from pepperrun.net.server_side import ServerSide
-from pepperrun.net.stream import Budget
+from pepperrun.net.stream import MemoryBudget
+from pepperrun.net.upstream import UpstreamClient
 
 SECOND = 1_000_000_000
 BASE_MB = 90  # of the limit on memory: the program itself with its connections
@@ -89,10 +89,10 @@
         )
         self.gate.ejection = self.outcome_sharing.ejection
         limits = me.limits
-        budget = Budget(max(4, int((limits.memory_mb - BASE_MB) / 2) if limits.memory_mb else 64) << 20)
+        budget = MemoryBudget(max(4, int((limits.memory_mb - BASE_MB) / 2) if limits.memory_mb else 64) << 20)
         sockets = max(64, (limits.file_handles or 2048) - KEPT_FILES)
         wire = WorkerWire(self.workers, self.gate, clock, self._on_misdirected)
-        self.servers = ServerSide(
+        self.servers = UpstreamClient(
             loop,
             clock,
             self.workers,
@@ -111,7 +111,7 @@
         self.front = Front(self.numbering, self.gate, self.gatekeeper, clock, budget, seed, sure_ns)
         self.listener = FrontListener(loop, clock, sockets // 2, self.front.make)
         self.listener.limits_of = self.front.times
-        self.gatekeeper.on_over = self.listener.wake
+        self.gatekeeper.on_over = self.listener.notify_change
         self.table: Table | None = None
 
     def log_requests(self, most: float) -> None:
@@ -195,14 +195,14 @@
     def _listed(self, listing: BackendList | None) -> None:
         if listing is not None and listing.backends:
             self.gatekeeper.listed(listing)
-            self.servers.listed()
+            self.servers.on_endpoints_changed()
 
     def _bound_connections(self) -> None:
         """This gatekeeper's part of the connections that one worker takes from all."""
         services = self.table.services.values() if self.table else ()
         caps = [service.berth_cap for service in services if service.berth_cap > 0]
         each = int(min(caps) * CAP_PART) // self.numbering.gateways if caps else 0
-        self.servers.most_each = max(LEAST_EACH, each) if caps else 0
+        self.servers.max_per_backend = max(LEAST_EACH, each) if caps else 0
 
     def _on_misdirected(self, backend: int) -> None:
         now = self.clock()
@@ -228,7 +228,7 @@
     def ready(self) -> bool:
         """Does it hold a configuration and fresh news, and take clients?"""
         fresh = self.gate.fresh(self.clock(), int(self.settings.tariffs.bounds.edition_ms * MS))
-        return self.table is not None and fresh and self.listener.taking()
+        return self.table is not None and fresh and self.listener.accepts_clients()
 
     def is_at_work(self) -> bool:
         """Is an attempt out, be it for a client who has left? What may not be repeated goes on then."""
--- a/pepperrun/dataplane/trace.py
+++ b/pepperrun/dataplane/trace.py
@@ -72,7 +72,7 @@
             more = {"edition": table.edition if table is not None else 0, "tries": "-"}
             known = {"route": "-", "tenant": "-", "kind": "-", "aim": "-", "status": status}
             reason = "no-configuration" if table is None else reasons.get(status, "-")
-            took = (now - request.arrived) / MS
+            took = (now - request.arrived_at) / MS
             self.tell("request", id=_id(request), **known, reason=reason, ms=took, **more)
 
     def over(self, exchange: Exchange[Any, Any]) -> None:
@@ -155,4 +155,4 @@
 
 
 def _id(request: Request) -> str:
-    return request.names.get(b"attempt-id", b"-")[:MOST_ID].decode("latin-1")
+    return request.headers.get(b"attempt-id", b"-")[:MOST_ID].decode("latin-1")
--- a/pepperrun/dataplane/wire.py
+++ b/pepperrun/dataplane/wire.py
@@ -10,7 +10,7 @@
 from pepperrun.dataplane.numbering import MS
 from pepperrun.dataplane.routes import Lot
 from pepperrun.dataplane.workers import WorkerTable
-from pepperrun.net.connection import Attempt, Connection, Wire, write_asked
+from pepperrun.net.connection import Attempt, Connection, Wire, encode_request
 from pepperrun.net.http1 import Response
 
 SECOND = 1_000_000_000
@@ -24,21 +24,21 @@
 
 def is_rejected(response: Response) -> bool:
     """Does the worker say that it has not run the request, and will not?"""
-    return response.status == 421 or b"not-run" in response.names
+    return response.status == 421 or b"not-run" in response.headers
 
 
 def delimited(response: Response) -> bool:
     """Does the answer itself tell where it ends? One that lasts as long as its connection may be cut."""
-    framed = response.length is not None or b"transfer-encoding" in response.names
+    framed = response.length is not None or b"transfer-encoding" in response.headers
     return framed or response.status in (204, 304)
 
 
 class WorkerWire(Wire):
     """The system's wire towards workers."""
 
-    stall_s = STALL_S
-    silent_ns = SILENT_NS
-    most_answer = MOST_ANSWER
+    stall_timeout_s = STALL_S
+    unresponsive_ns = SILENT_NS
+    max_response_body = MOST_ANSWER
     user_timeout_ms = GONE_MS
 
     def __init__(
@@ -51,7 +51,7 @@
         super().__init__(lambda response: (Outcome.ERROR, 0.0))
         self.workers, self.gate, self.clock, self.on_misdirected = workers, gate, clock, on_misdirected
 
-    def write(self, attempt: Attempt, left_ns: int) -> bytes | None:
+    def encode(self, attempt: Attempt, left_ns: int) -> bytes | None:
         """Return the request as the worker reads it; None where it may no longer go out."""
         exchange = attempt.exchange
         lot: Lot = exchange.lot
@@ -61,50 +61,52 @@
         more = b"Deadline-Ms: %d\r\nExpect-Worker: %b\r\n" % (max(1, left_ns // MS), id)
         if lot.tenant is not None:
             more += b"Sender: %b\r\n" % lot.tenant
-        return write_asked(exchange.asked, more)
+        return encode_request(exchange.asked, more)
 
-    def safe(self, attempt: Attempt) -> bool:
+    def is_idempotent(self, attempt: Attempt) -> bool:
         """Whether its route lets it run again."""
         return bool(attempt.exchange.lot.safe)
 
-    def name(self, attempt: Attempt) -> object:
+    def request_id(self, attempt: Attempt) -> object:
         """The client's `Attempt-Id`."""
-        return attempt.exchange.asked.names[b"attempt-id"]
+        return attempt.exchange.asked.headers[b"attempt-id"]
 
-    def surplus(self, connection: Connection, response: Response) -> bool:
+    def is_surplus(self, connection: Connection, response: Response) -> bool:
         """Whether it answers the request before, in the place of the next."""
-        given = response.names.get(b"attempt-id")
-        return given is not None and given == connection.before and given != connection.asked
+        given = response.headers.get(b"attempt-id")
+        return (
+            given is not None and given == connection.previous_request_id and given != connection.request_id
+        )
 
-    def foreign(self, attempt: Attempt, response: Response) -> bool:
+    def is_foreign(self, attempt: Attempt, response: Response) -> bool:
         """Whether it bears another id than the request, or none where one is needed."""
-        given = response.names.get(b"attempt-id")
+        given = response.headers.get(b"attempt-id")
         if given is None:
             # A refusal without an id, behind answers on the same connection, may be a surplus one.
-            return not is_rejected(response) or attempt.connection is None or attempt.connection.served > 0
-        return given != attempt.exchange.asked.names[b"attempt-id"]
+            return not is_rejected(response) or attempt.connection is None or attempt.connection.responses > 0
+        return given != attempt.exchange.asked.headers[b"attempt-id"]
 
-    def judge(self, attempt: Attempt, response: Response) -> tuple[Outcome, float]:
+    def classify(self, attempt: Attempt, response: Response) -> tuple[Outcome, float]:
         """Return the outcome, by status and by what the worker says of having run; units are not told."""
         status = response.status
         if status == 421:
             self.on_misdirected(attempt.backend)
         if is_rejected(response):
             return Outcome.FULL, 0.0
-        if b"content-encoding" in response.names or not delimited(response):
+        if b"content-encoding" in response.headers or not delimited(response):
             return Outcome.ERROR, 0.0
         if 200 <= status < 300:
-            return (Outcome.OK if b"postmark" in response.names else Outcome.ERROR), 0.0
+            return (Outcome.OK if b"postmark" in response.headers else Outcome.ERROR), 0.0
         if status in (408, 429, 503):  # nothing says that it has not run, and passed on it would be a promise
             return Outcome.ERROR, 0.0
         if status >= 500:
-            attempt.exchange.fault = response if response.whole else None
+            attempt.exchange.fault = response if response.complete else None
             return Outcome.ERROR, 0.0
         return Outcome.OK, 0.0
 
-    def idle_ns(self, response: Response) -> int:
+    def keep_alive_ns(self, response: Response) -> int:
         """How long the worker keeps the connection, by its `Keep-Alive`, less a margin."""
-        told = _TIMEOUT.search(response.names.get(b"keep-alive", b"").lower())
+        told = _TIMEOUT.search(response.headers.get(b"keep-alive", b"").lower())
         if told is None:
             return 0
         whole = int(told[1]) * SECOND
--- a/pepperrun/dataplane/workers.py
+++ b/pepperrun/dataplane/workers.py
@@ -30,7 +30,7 @@
 
 
 class WorkerTable:
-    """All workers that the roster names. Answers what `ServerSide` asks of a directory."""
+    """All workers that the roster names. Answers what `UpstreamClient` asks of a directory."""
 
     def __init__(self, numbering: Numbering, zones: Mapping[str, str], zone: str, region: str) -> None:
         self.numbering, self.zones, self.zone, self.region = numbering, zones, zone, region
@@ -126,7 +126,7 @@
         zone = self.zone_number(known.record.zone)
         return Backend(known.number, zone, state=state, service=known.service, distance_factor=far)
 
-    # For `ServerSide`.
+    # For `UpstreamClient`.
 
     def address(self, backend: int) -> Address | None:
         """Where a worker listens; None for one to which nothing may be sent now."""
@@ -137,7 +137,7 @@
             return None
         return known.address
 
-    def listed(self, backend: int) -> bool:
+    def is_listed(self, backend: int) -> bool:
         """Is it in the roster?"""
         return backend in self.by_number
 
--- a/pepperrun/fronts/forward_auth.py
+++ b/pepperrun/fronts/forward_auth.py
@@ -62,7 +62,7 @@
 
     def about(self, request: Request, client: bytes) -> Request:
         """The question about a request that came to this gatekeeper itself."""
-        values = (request.method, b"http", request.names.get(b"host", b""), request.target, client)
+        values = (request.method, b"http", request.headers.get(b"host", b""), request.target, client)
         return self.question(request, list(zip(FORWARDED, values, strict=True)))
 
     def class_of(self, uri: bytes) -> int | None:
@@ -77,11 +77,11 @@
         deadline: int | None = None,
     ) -> Step | Answer:
         """The exchange that asks, within the class's time and, if given, until the deadline."""
-        cls = self.class_of(asked.names[b"x-forwarded-uri"])
+        cls = self.class_of(asked.headers[b"x-forwarded-uri"])
         if cls is None:
             return 403, [TEXT], b"no class covers this path\n"
         # The last of a list is what the nearest proxy wrote; those before it anyone may have sent.
-        name = asked.names.get(self.customer, b"").rpartition(b",")[2].strip()
+        name = asked.headers.get(self.customer, b"").rpartition(b",")[2].strip()
         digest = hashlib.blake2s(name, digest_size=4).digest()
         latest = started + self.config.settings.classes[cls].deadline_ns
         exchange: Exchange[Request, Response] = Exchange(
@@ -141,11 +141,11 @@
             return self.health(request)
         if request.method != b"GET":
             return 405, [(b"Allow", b"GET"), TEXT], b"not this method\n"
-        missing = [name for name in NEEDED if not request.names.get(name)]
+        missing = [name for name in NEEDED if not request.headers.get(name)]
         if missing:
             return 400, [TEXT], missing[0] + b": missing\n"
-        forwarded = [(name, request.names[name]) for name in FORWARDED if name in request.names]
-        return self.service.step(self.service.question(request, forwarded), self.final, request.arrived)
+        forwarded = [(name, request.headers[name]) for name in FORWARDED if name in request.headers]
+        return self.service.step(self.service.question(request, forwarded), self.final, request.arrived_at)
 
     def follow(self, final: Final[Any]) -> Step | Answer:
         verdict = self.service.verdict(final)
--- a/pepperrun/fronts/http_client.py
+++ b/pepperrun/fronts/http_client.py
@@ -12,17 +12,17 @@
 from pepperrun.core.clock import SECOND
 from pepperrun.exchange import End, Final
 from pepperrun.fronts.kept import KeptClient, Step
-from pepperrun.net.buffer import unread
+from pepperrun.net.buffer import has_unread_input
 from pepperrun.net.http1 import (
     LAST_CHUNK,
     HttpError,
     Message,
     Request,
-    chunk,
-    write_head,
-    write_response,
+    encode_chunk,
+    encode_head,
+    encode_response,
 )
-from pepperrun.net.stream import Stream
+from pepperrun.net.stream import BodyStream
 
 Fields = list[tuple[bytes, bytes]]
 Answer = (
@@ -44,8 +44,8 @@
 def passed_on(request: Message, untrusted: frozenset[bytes] = frozenset()) -> Fields:
     """The fields that go on to the next hop, less those that a client has no right to set."""
     dropped = NOT_PASSED_ON | untrusted if untrusted else NOT_PASSED_ON
-    if b"connection" in request.names:
-        named = request.names[b"connection"].lower().split(b",")
+    if b"connection" in request.headers:
+        named = request.headers[b"connection"].lower().split(b",")
         dropped = dropped | {name.strip() for name in named}
     return [pair for pair in request.fields if pair[0].lower() not in dropped]
 
@@ -72,17 +72,27 @@
 
     def expire(self) -> None:
         """Its time is up: who has sent a part of a request is told so."""
-        if self.transport is not None and not self.busy() and not self.lingering and unread(self.transport):
+        if (
+            self.transport is not None
+            and not self.is_busy()
+            and not self.lingering
+            and has_unread_input(self.transport)
+        ):
             return  # it has been used, and the loop is late
-        if self.partial() and self.transport is not None and not self.lingering and unread(self.transport):
+        if (
+            self.partial()
+            and self.transport is not None
+            and not self.lingering
+            and has_unread_input(self.transport)
+        ):
             return
         if self.upload is not None:
             self._cut(408, b"the request did not come whole in time\n")
             return
         if self.partial() and not self.closing and not self.unwritten() and self.transport is not None:
             text = b"the request did not come whole in time\n"
-            bodiless = self.parser.asks_for_head()
-            self.transport.write(write_response(408, [TEXT], text, close=True, bodiless=bodiless))
+            bodiless = self.parser.is_head_request()
+            self.transport.write(encode_response(408, [TEXT], text, close=True, bodiless=bodiless))
         self.close()
 
     def close(self) -> None:
@@ -112,7 +122,7 @@
         if self.parked:
             return
         if self.paused and self.transport is not None:
-            self.listener.hangups.forget(_descriptor(self.transport))
+            self.listener.hangups.unwatch(_descriptor(self.transport))
         self.transport = None
         self.listener.remove(self)
         self._left()
@@ -120,23 +130,23 @@
     def pause_writing(self) -> None:
         self.stuck = self.clock()
         if self.download is not None:
-            self.download.hold(True)
+            self.download.pause(True)
 
     def resume_writing(self) -> None:
         self.stuck = None
         if self.download is not None:
-            self.download.hold(False)
+            self.download.pause(False)
 
     def get_buffer(self, sizehint: int) -> memoryview:
-        return SCRATCH if self.lingering else self.buffer.room()
+        return SCRATCH if self.lingering else self.buffer.free_space()
 
     def buffer_updated(self, nbytes: int) -> None:
         if not self.lingering:
             first = not len(self.buffer)
-            self.buffer.filled(nbytes, self.clock())
+            self.buffer.commit(nbytes, self.clock())
             if self.woken:
                 if first:  # its time runs from when it spoke, not from when it was taken up
-                    self.buffer.first_at = self.buffer.last_at = self.woken
+                    self.buffer.first_byte_at = self.buffer.last_byte_at = self.woken
                 self.woken = 0
             if self.upload is not None:
                 self._pass_on(self.upload)
@@ -158,7 +168,7 @@
             self.upload.fail()
             self.upload = None
         if self.download is not None:
-            self.download.drop()
+            self.download.abandon()
             self._taken(End.LEFT)
         step, self.step = self.step, None
         if step is not None:
@@ -179,19 +189,19 @@
             if request is None:
                 if self.parser.request is not None:
                     self.head_at = self.head_at or self.clock()
-                if self.parser.waits_for_continue() and self.parser.request is not None:
-                    self.parser.request.names.pop(b"expect")
+                if self.parser.expects_continue() and self.parser.request is not None:
+                    self.parser.request.headers.pop(b"expect")
                     self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
                 return
             self.request = request
-            if request.whole:
+            if request.complete:
                 self.head_at = 0
             elif self.budget is not None:
                 self.head_at = self.head_at or self.clock()
-                request.stream = self.upload = Stream(self.budget, self._pause, self._nobody)
-                self.buffer.widen(self.budget.share())
+                request.stream = self.upload = BodyStream(self.budget, self._pause, self._nobody)
+                self.buffer.set_read_size(self.budget.buffer_limit())
             what = self.begin(request)
-            if len(what) == 3 and (what[0] in self.bad or not request.whole):
+            if len(what) == 3 and (what[0] in self.bad or not request.complete):
                 self._reject(what)  # the rest of its body must not be read as the next request
             else:
                 self._proceed(what)
@@ -204,17 +214,17 @@
 
     # A body that is longer than is held, on its way to a backend.
 
-    def _pass_on(self, upload: Stream) -> None:
+    def _pass_on(self, upload: BodyStream) -> None:
         try:
-            while self.upload is upload and (data := self.parser.pull()):
+            while self.upload is upload and (data := self.parser.read_body()):
                 upload.feed(data)
         except HttpError as error:
             self._cut(error.status, f"{error}\n".encode())
             return
-        if self.upload is not upload or not self.parser.complete():
+        if self.upload is not upload or not self.parser.body_complete():
             return
         self.upload, self.head_at = None, 0
-        self.buffer.widen(0)
+        self.buffer.set_read_size(0)
         self._pause(False)
         step = self.step
         if step is not None:
@@ -239,7 +249,7 @@
             self.paused_at = now
             self._stop_reading(transport)
             return
-        self.buffer.last_at = now  # time in which it was not read is not the client's
+        self.buffer.last_byte_at = now  # time in which it was not read is not the client's
         self.head_at += now - self.paused_at if self.head_at else 0
         self._read_on(transport)
 
@@ -252,7 +262,7 @@
     def _read_on(self, transport: asyncio.Transport) -> None:
         """Reads again."""
         self.paused = False
-        self.listener.hangups.forget(_descriptor(transport))
+        self.listener.hangups.unwatch(_descriptor(transport))
         if not self.held:
             transport.resume_reading()
 
@@ -295,15 +305,15 @@
         transport, request = self.transport, self.request
         assert transport is not None
         self.request = None
-        bodiless = request.method == b"HEAD" if request is not None else self.parser.asks_for_head()
+        bodiless = request.method == b"HEAD" if request is not None else self.parser.is_head_request()
         self.answers, self.since = self.answers + 1, self.clock()
-        transport.write(write_response(*answer[:3], close=True, bodiless=bodiless))
+        transport.write(encode_response(*answer[:3], close=True, bodiless=bodiless))
         self._linger(transport)
 
     def _linger(self, transport: asyncio.Transport) -> None:
         """Nothing more goes out; what still comes is read and dropped, until the client has closed too."""
         self.closing = self.lingering = True
-        self.buffer.forget()
+        self.buffer.release()
         if not transport.is_closing():
             transport.write_eof()
             if self.paused:
@@ -330,13 +340,13 @@
         upload = self.upload
         if upload is not None and len(what) != 2:
             # Answered before it was whole: the rest is read and dropped, as its client may read only then.
-            upload.drop()
+            upload.abandon()
             if len(what) == 4 and what[3].stream is not None:  # nor has the client room for a long answer yet
-                what[3].stream.drop()
+                what[3].stream.abandon()
                 self._taken(End.FAILED)
                 what = 502, [TEXT], b"answered before the request was whole\n"
             request = self.request
-            if self.listener.draining or request is not None and request.close():
+            if self.listener.draining or request is not None and request.closes_connection():
                 self.upload = None
                 self._reject(what)
             else:
@@ -366,7 +376,7 @@
         if self.transport is None:
             return
         request, self.request = self.request, None
-        close = self.closing or self.listener.draining or request is not None and request.close()
+        close = self.closing or self.listener.draining or request is not None and request.closes_connection()
         self.closing = close
         self.answers += 1
         self.since = self.clock()
@@ -374,7 +384,7 @@
         if len(answer) == 4:
             self._begin_taking(answer[:3], answer[3], close, request is None or request.http11)
             return
-        self.transport.write(write_response(*answer, close, bodiless))
+        self.transport.write(encode_response(*answer, close, bodiless))
         self._answered(close)
 
     def _answered(self, close: bool) -> None:
@@ -382,8 +392,8 @@
         if transport is None:
             return
         if not close:
-            self.listener.answered(self)
-        elif self.paused or len(self.buffer) or not transport.is_closing() and unread(transport):
+            self.listener.client_answered(self)
+        elif self.paused or len(self.buffer) or not transport.is_closing() and has_unread_input(transport):
             self._linger(transport)  # a close on unread bytes would reset it, and the answer might be lost
         else:
             transport.close()
@@ -398,20 +408,20 @@
         status, fields, body = answer
         self.chunked = message.length is None and http11
         self.last_one = self.closing = close or message.length is None and not http11
-        transport.set_write_buffer_limits(high=stream.budget.share())
-        head = write_head(status, fields, message.length, self.last_one, self.chunked)
+        transport.set_write_buffer_limits(high=stream.budget.buffer_limit())
+        head = encode_head(status, fields, message.length, self.last_one, self.chunked)
         self.download = stream
-        transport.write(head + (chunk(body) if self.chunked else body))
-        stream.open(self)
+        transport.write(head + (encode_chunk(body) if self.chunked else body))
+        stream.attach(self)
         if self.stuck is not None and self.download is not None:
-            stream.hold(True)
+            stream.pause(True)
 
-    def more(self, data: bytes) -> None:
+    def write_body(self, data: bytes) -> None:
         if self.transport is not None:
             self.since = self.clock()
-            self.transport.write(chunk(data) if self.chunked else data)
+            self.transport.write(encode_chunk(data) if self.chunked else data)
 
-    def whole(self) -> None:
+    def finish_body(self) -> None:
         if self.chunked and self.transport is not None:
             self.transport.write(LAST_CHUNK)
         self._taken(End.SERVED)
@@ -419,7 +429,7 @@
         if not self.last_one:
             self._next()
 
-    def broken(self) -> None:
+    def abort_body(self) -> None:
         """No end is forged: the client must see that it is not whole."""
         self._taken(End.FAILED)
         if self.transport is not None:
--- a/pepperrun/fronts/kept.py
+++ b/pepperrun/fronts/kept.py
@@ -14,10 +14,16 @@
 from pepperrun.core.clock import SECOND
 from pepperrun.exchange import Exchange
 from pepperrun.gatekeeper import Gatekeeper
-from pepperrun.net.buffer import Buffer, unread
-from pepperrun.net.http1 import MAX_BODY, MOST_BODY, ROOM, Request, RequestParser
-from pepperrun.net.listener import CROWDED_NS, Listener, Snapshot
-from pepperrun.net.stream import Budget, Stream
+from pepperrun.net.buffer import Buffer, has_unread_input
+from pepperrun.net.http1 import (
+    MAX_REQUEST_BODY,
+    MAX_STREAMED_BODY,
+    REQUEST_BUFFER_SIZE,
+    Request,
+    RequestParser,
+)
+from pepperrun.net.listener import CROWDED_IDLE_TIMEOUT_NS, ConnectionSnapshot, Listener
+from pepperrun.net.stream import BodyStream, MemoryBudget
 
 STUCK_NS = 10 * SECOND  # for taking an answer
 LINGER_NS = 4 * SECOND  # for reading why a request can't be read, beside sending the rest of it
@@ -31,16 +37,18 @@
 class KeptClient(asyncio.BufferedProtocol):
     """What a client's connection is; `HttpClient` adds what it does."""
 
-    def __init__(self, listener: Listener, clock: Callable[[], int], budget: Budget | None = None) -> None:
+    def __init__(
+        self, listener: Listener, clock: Callable[[], int], budget: MemoryBudget | None = None
+    ) -> None:
         self.listener, self.clock, self.budget = listener, clock, budget
         self.transport: asyncio.Transport | None = None
-        self.buffer = Buffer(ROOM)
+        self.buffer = Buffer(REQUEST_BUFFER_SIZE)
         if budget is None:
             self.parser = RequestParser(self.buffer)
         else:
-            self.parser = RequestParser(self.buffer, MOST_BODY, MAX_BODY)
-        self.upload: Stream | None = None  # the rest of a request's body, which its backend takes
-        self.download: Stream | None = None  # the rest of an answer's body
+            self.parser = RequestParser(self.buffer, MAX_STREAMED_BODY, MAX_REQUEST_BODY)
+        self.upload: BodyStream | None = None  # the rest of a request's body, which its backend takes
+        self.download: BodyStream | None = None  # the rest of an answer's body
         self.chunked = self.last_one = False  # how it goes out, and whether the connection ends after it
         self.taking: Step | None = None  # whose answer it is
         self.patience: asyncio.TimerHandle | None = None  # for a request whose time began with its last byte
@@ -59,14 +67,14 @@
 
     # For the listener.
 
-    def busy(self) -> bool:
+    def is_busy(self) -> bool:
         """Is a request on it, whole or in part, or an answer not yet written?"""
         if self.lingering:
             return self.unwritten()
         owes = self.step is not None or self.download is not None or self.unwritten()
         return owes or self.partial() or self.woken > 0
 
-    def fresh(self) -> bool:
+    def never_answered(self) -> bool:
         """Has it had no answer yet?"""
         return self.answers == 0
 
@@ -74,7 +82,7 @@
         """Has a part of a request come?"""
         return self.parser.request is not None or self.upload is not None or len(self.buffer) > 0
 
-    def due(self, crowded: bool) -> int | None:
+    def expires_at(self, crowded: bool) -> int | None:
         """When the connection ends if nothing more happens on it; None while an answer is owed."""
         if self.lingering:
             return self.since + (STUCK_NS if self.unwritten() else LINGER_NS)
@@ -86,39 +94,43 @@
             return None
         if self.unwritten():
             return self.since + STUCK_NS
-        times = self.listener.times
+        times = self.listener.timeouts
         if self.parser.request is not None:  # its body is on its way
-            begun = self.made if self.fresh() and times.whole_from_made else self.buffer.first_at
-            return max(begun + times.whole_ns, self._moving())
-        if self.fresh() and not self.partial():
-            return self.made + times.silent_ns
-        if self.fresh() and times.whole_from_made:
-            return self.made + times.whole_ns
+            begun = (
+                self.made
+                if self.never_answered() and times.request_from_connect
+                else self.buffer.first_byte_at
+            )
+            return max(begun + times.request_ns, self._moving())
+        if self.never_answered() and not self.partial():
+            return self.made + times.first_byte_ns
+        if self.never_answered() and times.request_from_connect:
+            return self.made + times.request_ns
         if self.partial():
-            return self.buffer.first_at + times.whole_ns
-        return self.since + (times.crowded_ns if crowded else times.idle_ns)
+            return self.buffer.first_byte_at + times.request_ns
+        return self.since + (times.crowded_idle_ns if crowded else times.idle_ns)
 
     def _moving(self) -> int:
         """When a body that comes no further, or hardly, ends its connection."""
         body = self.parser.body
-        got = body.got if body is not None else 0
-        return min(self.buffer.last_at + MOVING_NS, self.head_at + MOVING_NS + got * SECOND // SLOWEST)
+        got = body.received if body is not None else 0
+        return min(self.buffer.last_byte_at + MOVING_NS, self.head_at + MOVING_NS + got * SECOND // SLOWEST)
 
-    def spare(self, now: int) -> tuple[int, int] | None:
+    def eviction_rank(self, now: int) -> tuple[int, int] | None:
         """How readily it gives way to a new connection; None: not at all.
 
         Nobody misses one that has only asked whether this gatekeeper is ready, and stays. Of the others those
         that have come back with a second request are the likeliest to come again.
         """
         transport = self.transport
-        if transport is None or transport.is_closing() or not self.lingering and self.busy():
+        if transport is None or transport.is_closing() or not self.lingering and self.is_busy():
             return None
-        if self.fresh():  # a loop that is late has not read yet what has come long ago
-            silent = now - self.made >= GREEN_NS and not unread(transport)
+        if self.never_answered():  # a loop that is late has not read yet what has come long ago
+            silent = now - self.made >= GREEN_NS and not has_unread_input(transport)
             return (0, self.made) if silent else None
         if self.lingering:
             return (0, self.since) if now - self.since >= GREEN_NS else None
-        if not self.asked or now - self.since >= CROWDED_NS:
+        if not self.asked or now - self.since >= CROWDED_IDLE_TIMEOUT_NS:
             return 0, self.since
         return (1 if self.asked == 1 else 2), self.since
 
@@ -139,22 +151,22 @@
             return None
         if self.unwritten() or len(self.buffer) > most_held:
             return None
-        return self.buffer.last_at if len(self.buffer) else self.since
+        return self.buffer.last_byte_at if len(self.buffer) else self.since
 
-    def snapshot(self) -> Snapshot:
+    def snapshot(self) -> ConnectionSnapshot:
         """What outlasts the object: answers, exchanges, last use, a part of a request and when it began."""
         held = self.buffer.peek(len(self.buffer))
-        return self.answers, self.asked, self.since, held, self.buffer.first_at if held else 0
+        return self.answers, self.asked, self.since, held, self.buffer.first_byte_at if held else 0
 
     def park(self) -> None:
         """Gives up the transport, whose connection lives on in a copy of its descriptor."""
         transport, self.transport = self.transport, None
         self.parked = True
-        self.listener.let_go(self)
+        self.listener.release(self)
         if transport is not None:
             transport.abort()
 
-    def hold(self, on: bool) -> None:
+    def pause_requests(self, on: bool) -> None:
         """Reads no next request until another process has the connection, or reads on."""
         transport = self.transport
         if transport is None or transport.is_closing() or on == self.held:
@@ -168,7 +180,7 @@
             transport.resume_reading()
             self.go_on()
 
-    def give(self, most_held: int) -> tuple[Snapshot, int] | None:
+    def hand_over(self, most_held: int) -> tuple[ConnectionSnapshot, int] | None:
         """What it is and a copy of its descriptor, for another process; None while it owes an answer."""
         if self.lingering or self.idle_since(most_held) is None or self.transport is None:
             return None
@@ -180,7 +192,7 @@
         self.park()
         return snapshot, fd
 
-    def revive(self, snapshot: Snapshot, woken: int) -> None:
+    def revive(self, snapshot: ConnectionSnapshot, woken: int) -> None:
         """Goes on as the connection was; it has spoken at `woken`."""
         self.answers, self.asked, self.since, held, held_at = snapshot
         self.made, self.woken = self.since, woken
--- a/pepperrun/fronts/platform.py
+++ b/pepperrun/fronts/platform.py
@@ -14,7 +14,7 @@
 from pepperrun.gatekeeper import Clock, Gatekeeper
 from pepperrun.net.http1 import Request
 from pepperrun.net.listener import Listener
-from pepperrun.net.stream import Budget
+from pepperrun.net.stream import MemoryBudget
 
 _BUDGET = re.compile(rb"([0-9]{1,15})([mu])\Z")
 _QUOTA = re.compile(rb"[ \t]*(?:units=([0-9]{1,9}(?:\.[0-9]{1,9})?)|(spread|first)=([0-9]{1,9}))[ \t]*\Z")
@@ -40,7 +40,7 @@
         gatekeeper: Gatekeeper,
         clock: Clock,
         auth: AuthService | None = None,
-        budget: Budget | None = None,
+        budget: MemoryBudget | None = None,
     ) -> None:
         self.budget = budget  # for bodies that are longer than is held; None: there are none
         self.settings, self.gatekeeper, self.clock, self.auth = settings, gatekeeper, clock, auth
@@ -56,7 +56,7 @@
 
     def read(self, request: Request) -> dict[str, Any] | str:
         """What the exchange is made of, or what is wrong with the request."""
-        names = request.names
+        names = request.headers
         path, _, query = request.target.partition(b"?")
         cls = self.classes.get(path.lstrip(b"/").partition(b"/")[0])
         if cls is None:
@@ -93,13 +93,13 @@
         if _CALL_ID.match(names.get(b"x-call-id", b"")) is None:
             return "X-Call-Id: one is needed"
         # One that is still coming has the time that it takes, and its client's from its last byte on.
-        more_ns = 0 if request.whole else UPLOAD_NS
+        more_ns = 0 if request.complete else UPLOAD_NS
         return {
             "cls": cls,
             "plan": plan,
             "customer": int(customer[1], 16),
-            "started": request.arrived,
-            "deadline": request.arrived + left_ns + more_ns,
+            "started": request.arrived_at,
+            "deadline": request.arrived_at + left_ns + more_ns,
             "patience": left_ns if more_ns else 0,
             "units": units,
             "spread": spread,
@@ -146,9 +146,9 @@
         match final.end:
             case End.SERVED if final.given is not None:
                 given = final.given
-                kind = given.names.get(b"content-type")
+                kind = given.headers.get(b"content-type")
                 fields = [(b"Content-Type", kind)] if kind else []
-                return (200, fields, given.body) if given.whole else (200, fields, given.body, given)
+                return (200, fields, given.body) if given.complete else (200, fields, given.body, given)
             case End.REFUSED:
                 return 429, [TEXT, *retry_after(final.wait_ns)], b"refused: trying again is harmless\n"
             case End.OUT_OF_TIME:
--- a/pepperrun/handover/predecessor.py
+++ b/pepperrun/handover/predecessor.py
@@ -22,7 +22,7 @@
     from pepperrun.gatekeeper import Gatekeeper
     from pepperrun.net.listener import Client, Listener
     from pepperrun.net.peers import Peers
-    from pepperrun.net.server_side import ServerSide
+    from pepperrun.net.upstream import UpstreamClient
 
 PASS_S = 0.02  # between looks for connections that have come to owe nothing
 YES_S = 0.7  # for the successor to say yes once it has the state: clients wait meanwhile
@@ -44,7 +44,7 @@
         self,
         path: Path,
         gatekeeper: Gatekeeper,
-        servers: ServerSide,
+        servers: UpstreamClient,
         listener: Listener,
         peers: Callable[[], Peers | None],
         table: Callable[[], dict[str, Any]],
@@ -103,17 +103,17 @@
         """From here on the successor decides, once it can."""
         assert self.channel is not None
         self.phase = Phase.GIVING
-        self.listener.hold()
-        self.listener.passing = self._pass_one
+        self.listener.suspend()
+        self.listener.on_client_answered = self._pass_one
         for client in list(self.listener.clients):
-            client.hold(True)
+            client.pause_requests(True)
         self.gatekeeper.catch_up()  # what has been taken needs its part of the stores
         peers, now = self.peers(), self.gatekeeper.clock()
         table, self.kept = state.export(self.gatekeeper.gateway, now)
         self.gatekeeper.telling = False
         for message in wire.state({"gateway": table} | self.table()):
             self.channel.send(message)
-        if peers is not None and (fd := peers.give()) is not None:
+        if peers is not None and (fd := peers.hand_over_socket()) is not None:
             self.channel.send(wire.plain(Kind.PEERS), fd)  # one that it has already is closed there
         say("hand-over: given", f"gave the state to a successor: {len(self.kept)} customers")
         self._timer = self.loop.call_later(YES_S, self._no_yes)
@@ -144,10 +144,10 @@
 
     def _pass_one(self, client: Client) -> None:
         if self.phase is Phase.GIVING:
-            client.hold(True)
+            client.pause_requests(True)
         if self.phase is not Phase.GIVEN or self.channel is None or len(self.channel.queue) >= AHEAD:
             return
-        given = client.give(wire.MOST_HELD)
+        given = client.hand_over(wire.MOST_HELD)
         if given is not None:
             self.passed += 1
             self.channel.send(wire.client(given[0]), given[1])
@@ -164,7 +164,7 @@
             self._timer = None
         if self.phase is Phase.SERVING or self.ending:
             self.phase = Phase.SERVING
-            self.listener.wake()  # `finish` need not wait for it any longer
+            self.listener.notify_change()  # `finish` need not wait for it any longer
             return
         say("hand-over: gone", "the successor is gone: serving on")
         self._serve_on()
@@ -178,12 +178,12 @@
         self.kept = []
         self.gatekeeper.telling = True
         if (peers := self.peers()) is not None:
-            peers.take_back()
+            peers.reclaim_socket()
         self.servers.retire(False)
-        self.listener.passing = None
+        self.listener.on_client_answered = None
         for client in list(self.listener.clients):
-            client.hold(False)
-        self.listener.go_on()
+            client.pause_requests(False)
+        self.listener.end_suspension()
 
     async def finish(self, longest_s: float) -> bool:
         """At SIGTERM: until what was taken has its answer and the connections are passed on.
@@ -197,7 +197,7 @@
         try:
             async with asyncio.timeout(longest_s):
                 while self.listener.clients and self.channel is not None:
-                    await self.listener.changed()
+                    await self.listener.wait_for_change()
         except TimeoutError:
             say("hand-over", "connections could not be passed on in time")
         if self.channel is None:
--- a/pepperrun/handover/successor.py
+++ b/pepperrun/handover/successor.py
@@ -125,7 +125,7 @@
             return
         self.channel.send(wire.plain(Kind.YES))
         if peers is not None:
-            peers.also = self._also
+            peers.on_message_copy = self._also
 
     def _also(self, peer: int, data: bytes) -> None:
         """What peers answer may be for a request that the predecessor has taken."""
--- a/pepperrun/metrics/__init__.py
+++ b/pepperrun/metrics/__init__.py
@@ -13,7 +13,7 @@
 from pepperrun.log import say
 from pepperrun.net.buffered import BufferedConnection
 from pepperrun.net.listener import Listener
-from pepperrun.net.server_side import ServerSide
+from pepperrun.net.upstream import UpstreamClient
 
 CONNECT_S = 2.0
 MOST_UNSENT = 256 * 1024
@@ -30,7 +30,7 @@
 
 
 def samples(
-    name: str, gatekeeper: Gatekeeper, servers: ServerSide, listener: Listener | None
+    name: str, gatekeeper: Gatekeeper, servers: UpstreamClient, listener: Listener | None
 ) -> list[Sample]:
     """The figures of a core and its front. Names are dotted, the core's first."""
     taken = [
@@ -96,10 +96,10 @@
         super().__init__(MOST_UNREAD)
         self.heard = heard
 
-    def came(self) -> None:
+    def on_data(self) -> None:
         while (at := self.buffer.find(b"\n")) >= 0:
             self.heard(self.buffer.take(at + 1).decode("utf-8", "replace").strip())
-        if self.buffer.full():
+        if self.buffer.is_full():
             self.buffer.drop(len(self.buffer))
 
     def eof_received(self) -> bool:
--- a/pepperrun/net/buffered.py
+++ b/pepperrun/net/buffered.py
@@ -17,24 +17,24 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
-        self.opened()
+        self.on_open()
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.transport = None
-        self.ended()
+        self.on_close()
 
     def get_buffer(self, sizehint: int) -> memoryview:
-        return self.buffer.room()
+        return self.buffer.free_space()
 
     def buffer_updated(self, nbytes: int) -> None:
-        self.buffer.filled(nbytes, 0)
-        self.came()
+        self.buffer.commit(nbytes, 0)
+        self.on_data()
 
-    def opened(self) -> None:
+    def on_open(self) -> None:
         """It is up."""
 
-    def came(self) -> None:
+    def on_data(self) -> None:
         """There are more bytes in the buffer."""
 
-    def ended(self) -> None:
+    def on_close(self) -> None:
         """It is over."""
--- a/pepperrun/net/directory.py
+++ b/pepperrun/net/directory.py
@@ -15,10 +15,10 @@
 
     def __init__(self, zones: tuple[str, ...], of_unix_ms: Callable[[int], int]) -> None:
         self.zones = {zone: number for number, zone in enumerate(zones)}
-        self.of_unix_ms = of_unix_ms
+        self.from_unix_ms = of_unix_ms
         self.ids: dict[str, int] = {}
         self.names: dict[int, str] = {}
-        self.lines: dict[int, Line] = {}
+        self.endpoints: dict[int, Line] = {}
 
     def id_of(self, name: str) -> int:
         """The same at all gatekeepers and after each start: they tell each other of workers by it."""
@@ -33,20 +33,20 @@
             self.ids[name], self.names[number] = number, name
         return self.ids[name]
 
-    def take(self, listing: Listing, kind: ListKind) -> BackendList:
+    def apply(self, listing: Listing, kind: ListKind) -> BackendList:
         """Takes in a list."""
         backends = []
-        before = set(self.lines) if kind is not ListKind.DELTA else set()
+        before = set(self.endpoints) if kind is not ListKind.DELTA else set()
         gone = set()
         for line in listing.lines:
             number = self.id_of(line.name)
             if line.state is BackendState.GONE:
                 gone.add(number)
             else:
-                self.lines[number] = line
+                self.endpoints[number] = line
                 gone.discard(number)
                 before.discard(number)
-            born = self.of_unix_ms(line.started_ms) if line.started_ms > 0 else 0
+            born = self.from_unix_ms(line.started_ms) if line.started_ms > 0 else 0
             zone = self.zones.get(line.zone, len(self.zones))
             backends.append(Backend(number, zone, line.cell, line.state, born))
         for number in before | gone:
@@ -55,11 +55,11 @@
 
     def _forget(self, number: int) -> None:
         """Workers under new names replace the old ones day by day: those gone leave nothing behind."""
-        self.lines.pop(number, None)
+        self.endpoints.pop(number, None)
         if (name := self.names.pop(number, None)) is not None:
             del self.ids[name]
 
-    def told(self) -> list[dict[str, Any]]:
+    def discovery_rows(self) -> list[dict[str, Any]]:
         """The list in discovery's form."""
         return [
             {
@@ -70,14 +70,14 @@
                 "state": STATE_NAMES[line.state],
                 "started_ms": line.started_ms,
             }
-            for line in self.lines.values()
+            for line in self.endpoints.values()
         ]
 
     def address(self, backend: int) -> Address | None:
         """Where a worker that is ready listens; None for one that is draining, gone or unknown."""
-        line = self.lines.get(backend)
+        line = self.endpoints.get(backend)
         return line.addr if line is not None and line.state is BackendState.READY else None
 
-    def listed(self, backend: int) -> bool:
+    def is_listed(self, backend: int) -> bool:
         """Is it in the list, whatever its state?"""
-        return backend in self.lines
+        return backend in self.endpoints
--- a/pepperrun/net/hangup.py
+++ b/pepperrun/net/hangup.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 
 BROKEN = select.EPOLLHUP | select.EPOLLERR
-MOST_EVENTS = 256  # in one turn of the loop
+MAX_EVENTS = 256  # in one turn of the loop
 
 OnHangup = Callable[[bool], None]
 
@@ -36,19 +36,19 @@
         """
         if self._epoll is None:
             self._epoll = select.epoll()
-            self.loop.add_reader(self._epoll.fileno(), self._look)
+            self.loop.add_reader(self._epoll.fileno(), self._on_events)
         if descriptor not in self._watched:
             self._epoll.register(descriptor, select.EPOLLRDHUP | select.EPOLLONESHOT)
         self._watched[descriptor] = on_hangup
 
-    def forget(self, descriptor: int) -> None:
+    def unwatch(self, descriptor: int) -> None:
         """Watch it no more."""
         if self._watched.pop(descriptor, None) is not None and self._epoll is not None:
             self._epoll.unregister(descriptor)
 
-    def _look(self) -> None:
+    def _on_events(self) -> None:
         assert self._epoll is not None
-        for descriptor, mask in self._epoll.poll(0, MOST_EVENTS):
+        for descriptor, mask in self._epoll.poll(0, MAX_EVENTS):
             is_broken = bool(mask & BROKEN)
             if not is_broken:
                 self._epoll.modify(descriptor, select.EPOLLONESHOT)  # a break is told of all the same
--- a/pepperrun/net/http1.py
+++ b/pepperrun/net/http1.py
@@ -12,17 +12,17 @@
 from dataclasses import dataclass
 
 from pepperrun.net.buffer import Buffer
-from pepperrun.net.stream import Stream
+from pepperrun.net.stream import BodyStream
 
 MAX_HEAD = 16 * 1024
 MAX_FIELDS = 100
-MAX_BODY = 64 * 1024  # of a request
-MAX_ANSWER = 1024 * 1024  # that is held whole
-MOST_BODY = 36 * 1024 * 1024  # of a message whose body passes through: 32 MB occur
-MAX_INTERIM = 64  # 1xx responses ahead of a final one
-MAX_LINE = 256  # of a chunk's size with its extensions
-ROOM = MAX_HEAD + MAX_BODY
-ANSWER_ROOM = MAX_HEAD + MAX_ANSWER
+MAX_REQUEST_BODY = 64 * 1024  # of a request
+MAX_RESPONSE_BODY = 1024 * 1024  # that is held whole
+MAX_STREAMED_BODY = 36 * 1024 * 1024  # of a message whose body passes through: 32 MB occur
+MAX_INTERIM_RESPONSES = 64  # 1xx responses ahead of a final one
+MAX_CHUNK_LINE = 256  # of a chunk's size with its extensions
+REQUEST_BUFFER_SIZE = MAX_HEAD + MAX_REQUEST_BODY
+RESPONSE_BUFFER_SIZE = MAX_HEAD + MAX_RESPONSE_BODY
 
 _TOKEN = rb"[!#$%&'*+\-.^_`|~0-9A-Za-z]+"
 _FIELDS = re.compile(rb"(?:" + _TOKEN + rb":[^\x00-\x08\x0a-\x1f\x7f]*\r\n)*")
@@ -30,7 +30,7 @@
 _REQUEST = re.compile(rb"(" + _TOKEN + rb") ([\x21-\x7e]+) HTTP/1\.([01])\Z")
 _RESPONSE = re.compile(rb"HTTP/1\.([01]) ([1-5][0-9][0-9])(?: [^\x00-\x08\x0a-\x1f\x7f]*)?\Z")
 _HEAD_METHOD = b"HEAD "
-_CHUNK = re.compile(rb"([0-9A-Fa-f]{1,8})[ \t]*(?:;[^\x00-\x08\x0a-\x1f\x7f]*)?\Z")
+_CHUNK_SIZE = re.compile(rb"([0-9A-Fa-f]{1,8})[ \t]*(?:;[^\x00-\x08\x0a-\x1f\x7f]*)?\Z")
 
 REASONS = {
     200: "OK",
@@ -70,16 +70,16 @@
     """What requests and responses have in common. `names`: the fields by lower-case name, repeats joined."""
 
     fields: list[tuple[bytes, bytes]]
-    names: dict[bytes, bytes]
+    headers: dict[bytes, bytes]
     http11: bool
     body: bytes = b""
-    whole: bool = True  # else `body` is its beginning, and the rest comes in pieces
+    complete: bool = True  # else `body` is its beginning, and the rest comes in pieces
     length: int | None = None  # of the whole body, where the head tells
-    stream: Stream | None = None  # brings the rest
+    stream: BodyStream | None = None  # brings the rest
 
-    def close(self) -> bool:
+    def closes_connection(self) -> bool:
         """Does the connection end after this message?"""
-        options = self.names.get(b"connection", b"").lower()
+        options = self.headers.get(b"connection", b"").lower()
         if not options:
             return not self.http11
         listed = [option.strip() for option in options.split(b",")]
@@ -92,7 +92,7 @@
 
     method: bytes = b"GET"
     target: bytes = b"/"
-    arrived: int = 0
+    arrived_at: int = 0
 
 
 @dataclass(slots=True)
@@ -106,44 +106,44 @@
     """How a body's end is found."""
 
     LENGTH = "length"
-    CHUNKS = "chunks"
-    UNTIL_END = "until the connection ends"
+    CHUNKED = "chunks"
+    UNTIL_CLOSE = "until the connection ends"
 
 
-class Body:
+class BodyDecoder:
     """A body on its way: its framing is taken off piece by piece."""
 
-    __slots__ = ("done", "framing", "got", "left", "most", "trailer")
+    __slots__ = ("done", "framing", "max_length", "received", "remaining", "trailer_bytes")
 
     def __init__(self, framing: Framing, length: int, most: int) -> None:
-        self.framing, self.most = framing, most
-        self.left = length if framing is Framing.LENGTH else -1  # of the chunk; -1: its size comes next
-        self.got = self.trailer = 0
+        self.framing, self.max_length = framing, most
+        self.remaining = length if framing is Framing.LENGTH else -1  # of the chunk; -1: its size comes next
+        self.received = self.trailer_bytes = 0
         self.done = framing is Framing.LENGTH and length == 0
 
-    def pull(self, buffer: Buffer) -> bytes:
+    def decode(self, buffer: Buffer) -> bytes:
         """What of it is there, taken off the buffer; b"" for nothing yet, or nothing more where `done`."""
         if self.done:
             return b""
-        if self.framing is Framing.CHUNKS:
-            return self._chunked(buffer)
-        if self.framing is Framing.UNTIL_END:
+        if self.framing is Framing.CHUNKED:
+            return self._decode_chunks(buffer)
+        if self.framing is Framing.UNTIL_CLOSE:
             some = buffer.take(len(buffer))
             self._count(len(some))
             return some
-        some = buffer.take(self.left)
-        self.left -= len(some)
-        self.got += len(some)
-        self.done = self.left == 0
+        some = buffer.take(self.remaining)
+        self.remaining -= len(some)
+        self.received += len(some)
+        self.done = self.remaining == 0
         return some
 
     def _count(self, more: int) -> None:
-        self.got += more
-        if self.got > self.most:
+        self.received += more
+        if self.received > self.max_length:
             raise HttpError(413, "the body is too long")
 
     @staticmethod
-    def _line(buffer: Buffer, most: int) -> bytes | None:
+    def _read_line(buffer: Buffer, most: int) -> bytes | None:
         at = buffer.find(b"\r\n")
         if (at if at >= 0 else len(buffer)) > most:
             raise HttpError(400, "a line of the chunked body is too long")
@@ -153,71 +153,71 @@
         buffer.drop(2)
         return line
 
-    def _chunked(self, buffer: Buffer) -> bytes:
+    def _decode_chunks(self, buffer: Buffer) -> bytes:
         parts: list[bytes] = []
         while not self.done:
-            if self.trailer:
-                line = self._line(buffer, MAX_HEAD)
+            if self.trailer_bytes:
+                line = self._read_line(buffer, MAX_HEAD)
                 if line is None:
                     break
-                self.trailer += len(line)
-                if self.trailer > MAX_HEAD:
+                self.trailer_bytes += len(line)
+                if self.trailer_bytes > MAX_HEAD:
                     raise HttpError(431, "the trailers are too long")
                 if line and _FIELDS.fullmatch(line + b"\r\n") is None:
                     raise HttpError(400, "a trailer can't be read")
                 self.done = not line
-            elif self.left < 0:
-                line = self._line(buffer, MAX_LINE)
+            elif self.remaining < 0:
+                line = self._read_line(buffer, MAX_CHUNK_LINE)
                 if line is None:
                     break
-                match = _CHUNK.match(line)
+                match = _CHUNK_SIZE.match(line)
                 if match is None:
                     raise HttpError(400, "bad chunk size")
-                self.left = int(match[1], 16)
-                self.trailer = self.left == 0
-                self._count(self.left)
-            elif self.left > 0:
-                some = buffer.take(self.left)
+                self.remaining = int(match[1], 16)
+                self.trailer_bytes = self.remaining == 0
+                self._count(self.remaining)
+            elif self.remaining > 0:
+                some = buffer.take(self.remaining)
                 if not some:
                     break
                 parts.append(some)
-                self.left -= len(some)
+                self.remaining -= len(some)
             else:
                 if len(buffer) < 2:
                     break
                 if buffer.take(2) != b"\r\n":
                     raise HttpError(400, "a chunk is longer than its size")
-                self.left = -1
+                self.remaining = -1
         return parts[0] if len(parts) == 1 else b"".join(parts)
 
 
-NO_BODY = Body(Framing.LENGTH, 0, 0)  # done, and never anything else
+NO_BODY = BodyDecoder(Framing.LENGTH, 0, 0)  # done, and never anything else
 
 
 class _Parser:
-    def __init__(self, buffer: Buffer, most_body: int = MAX_BODY, hold: int | None = None) -> None:
-        self.buffer, self.most_body, self.most_head = buffer, most_body, MAX_HEAD
-        self.hold = hold  # bytes of a body from which on the message is given early; None: never
-        self.seen = 0  # bytes in which the end of the head was looked for
-        self.started = b""  # the start line of a message that is not yet given
-        self.body: Body | None = None  # of the message whose head has been read
+    def __init__(self, buffer: Buffer, most_body: int = MAX_REQUEST_BODY, hold: int | None = None) -> None:
+        self.buffer, self.max_body, self.max_head = buffer, most_body, MAX_HEAD
+        self.buffer_limit = hold  # bytes of a body from which on the message is given early; None: never
+        self.scanned = 0  # bytes in which the end of the head was looked for
+        self.start_line = b""  # the start line of a message that is not yet given
+        self.body: BodyDecoder | None = None  # of the message whose head has been read
         self.parts: list[bytes] = []  # of it, while it is held
 
     def _head(self) -> tuple[bytes, list[tuple[bytes, bytes]], dict[bytes, bytes]] | None:
         """The start line and the fields, once all are there."""
         buffer = self.buffer
-        at = buffer.find(b"\r\n\r\n", max(0, self.seen - 3))
+        at = buffer.find(b"\r\n\r\n", max(0, self.scanned - 3))
         if at < 0:
-            self.seen = len(buffer)
-            if self.seen > self.most_head:
+            self.scanned = len(buffer)
+            if self.scanned > self.max_head:
                 raise HttpError(431, "the head is too long")
             return None
-        self.seen = 0
-        if at > self.most_head:
+        self.scanned = 0
+        if at > self.max_head:
             raise HttpError(431, "the head is too long")
         head = buffer.take(at + 4)
         start, _, rest = head[:-2].partition(b"\r\n")
-        self.started = start
+        self.start_line = start
         if _FIELDS.fullmatch(rest) is None:
             raise HttpError(400, "a header field can't be read")
         fields: list[tuple[bytes, bytes]] = _FIELD.findall(rest)
@@ -238,36 +238,36 @@
                 raise HttpError(400, "ambiguous framing")
             if coding.lower() != b"chunked":
                 raise HttpError(501, "unknown transfer coding")
-            self.body = Body(Framing.CHUNKS, 0, self.most_body)
+            self.body = BodyDecoder(Framing.CHUNKED, 0, self.max_body)
             return None
         if length is None:
             self.body = NO_BODY
             return None
         if not length.isdigit():
             raise HttpError(400, "bad Content-Length")
-        if len(length) > 12 or int(length) > self.most_body:
+        if len(length) > 12 or int(length) > self.max_body:
             raise HttpError(413, "the body is too long")
-        self.body = Body(Framing.LENGTH, int(length), self.most_body)
+        self.body = BodyDecoder(Framing.LENGTH, int(length), self.max_body)
         return int(length)
 
-    def pull(self) -> bytes:
+    def read_body(self) -> bytes:
         """More of the body of a message that was given early."""
-        return self.body.pull(self.buffer) if self.body is not None else b""
+        return self.body.decode(self.buffer) if self.body is not None else b""
 
-    def complete(self) -> bool:
+    def body_complete(self) -> bool:
         """Is there no more of that body to come?"""
         return self.body is None or self.body.done
 
-    def _gather(self, body: Body) -> bool:
+    def _buffer_body(self, body: BodyDecoder) -> bool:
         """Holds what has come of a body; False while there is more to wait for."""
         if body.done:
             return True
-        some = body.pull(self.buffer)
+        some = body.decode(self.buffer)
         if some:
             self.parts.append(some)
-        return body.done or self.hold is not None and body.got > self.hold
+        return body.done or self.buffer_limit is not None and body.received > self.buffer_limit
 
-    def _held(self) -> bytes:
+    def _take_buffered(self) -> bytes:
         if not self.parts:
             return b""
         parts, self.parts = self.parts, []
@@ -277,36 +277,38 @@
 class RequestParser(_Parser):
     """Reads requests off a buffer, one after another."""
 
-    def __init__(self, buffer: Buffer, most_body: int = MAX_BODY, hold: int | None = None) -> None:
+    def __init__(self, buffer: Buffer, most_body: int = MAX_REQUEST_BODY, hold: int | None = None) -> None:
         super().__init__(buffer, most_body, hold)
         self.request: Request | None = None  # its head has been read
 
-    def asks_for_head(self) -> bool:
+    def is_head_request(self) -> bool:
         """Does the request that is being read, or that could not be read, want an answer without a body?"""
-        return (self.started or self.buffer.peek(len(_HEAD_METHOD))).startswith(_HEAD_METHOD)
+        return (self.start_line or self.buffer.peek(len(_HEAD_METHOD))).startswith(_HEAD_METHOD)
 
     def next(self) -> Request | None:
         """The next request, whole or longer than is held, or None until more has come."""
         if self.request is None:
             while self.buffer.peek(2) == b"\r\n":  # some clients end a body with an empty line
                 self.buffer.drop(2)
-            arrived = self.buffer.first_at
+            arrived = self.buffer.first_byte_at
             parts = self._head()
             if parts is None:
                 return None
-            self.request = self._start(*parts)
-            self.request.arrived = arrived
-        if self.buffer.last_at:
-            self.request.arrived = self.buffer.last_at  # a request counts from its last byte
+            self.request = self._parse_start(*parts)
+            self.request.arrived_at = arrived
+        if self.buffer.last_byte_at:
+            self.request.arrived_at = self.buffer.last_byte_at  # a request counts from its last byte
         assert self.body is not None
-        if not self._gather(self.body):
+        if not self._buffer_body(self.body):
             return None
         request, self.request = self.request, None
-        self.started = b""
-        request.body, request.whole = self._held(), self.body.done
+        self.start_line = b""
+        request.body, request.complete = self._take_buffered(), self.body.done
         return request
 
-    def _start(self, start: bytes, fields: list[tuple[bytes, bytes]], names: dict[bytes, bytes]) -> Request:
+    def _parse_start(
+        self, start: bytes, fields: list[tuple[bytes, bytes]], names: dict[bytes, bytes]
+    ) -> Request:
         match = _REQUEST.match(start)
         if match is None:
             raise HttpError(400, "bad request line")
@@ -317,12 +319,12 @@
         length = self._framing(names, http11)
         return Request(fields, names, http11, length=length, method=match[1], target=match[2])
 
-    def waits_for_continue(self) -> bool:
+    def expects_continue(self) -> bool:
         """Does the client wait to be told to send the body?"""
         request = self.request
         return (
             request is not None
-            and request.names.get(b"expect", b"").lower() == b"100-continue"
+            and request.headers.get(b"expect", b"").lower() == b"100-continue"
             and not len(self.buffer)
         )
 
@@ -330,7 +332,7 @@
 class ResponseParser(_Parser):
     """Reads responses off a buffer."""
 
-    def __init__(self, buffer: Buffer, most_body: int = MAX_ANSWER, hold: int | None = None) -> None:
+    def __init__(self, buffer: Buffer, most_body: int = MAX_RESPONSE_BODY, hold: int | None = None) -> None:
         super().__init__(buffer, most_body, hold)
         self.response: Response | None = None
         self.interim = 0
@@ -352,7 +354,7 @@
             status, http11 = int(match[2]), match[1] == b"1"
             if status < 200:
                 self.interim += 1
-                if self.interim > MAX_INTERIM:
+                if self.interim > MAX_INTERIM_RESPONSES:
                     raise HttpError(502, "no end of interim responses")
                 continue
             self.interim = 0
@@ -365,32 +367,32 @@
             else:
                 response.length = self._framing(names, http11)
                 if response.length is None and b"transfer-encoding" not in names:
-                    self.body = Body(Framing.UNTIL_END, 0, self.most_body)
+                    self.body = BodyDecoder(Framing.UNTIL_CLOSE, 0, self.max_body)
             self.response = response
         assert self.body is not None
-        return self.give() if self._gather(self.body) else None
+        return self.take_response() if self._buffer_body(self.body) else None
 
-    def give(self) -> Response | None:
+    def take_response(self) -> Response | None:
         """The response whose head has been read, with what has come of its body."""
         response, self.response = self.response, None
         if response is not None and self.body is not None:
-            response.body, response.whole = self._held(), self.body.done
+            response.body, response.complete = self._take_buffered(), self.body.done
         return response
 
-    def end(self) -> Response | None:
+    def on_eof(self) -> Response | None:
         """The connection has ended: the response whose body lasts until then, if there is one."""
-        if self.body is None or self.body.framing is not Framing.UNTIL_END:
+        if self.body is None or self.body.framing is not Framing.UNTIL_CLOSE:
             return None
         self.body.done = True
-        return self.give()
+        return self.take_response()
 
 
-def write_fields(fields: list[tuple[bytes, bytes]]) -> bytes:
+def encode_fields(fields: list[tuple[bytes, bytes]]) -> bytes:
     """Header lines."""
     return b"".join([b"%b: %b\r\n" % pair for pair in fields])
 
 
-def write_head(
+def encode_head(
     status: int, fields: list[tuple[bytes, bytes]], length: int | None, close: bool, chunked: bool = False
 ) -> bytes:
     """A response's head; without a length and not chunked, its body lasts until the connection ends."""
@@ -399,10 +401,10 @@
     framing = b"Transfer-Encoding: chunked\r\n" if chunked else b""
     if length is not None and status not in (204, 304):
         framing = b"Content-Length: %d\r\n" % length
-    return b"HTTP/1.1 %d %b\r\n%b%b%b" % (status, reason, write_fields(fields), framing, ending)
+    return b"HTTP/1.1 %d %b\r\n%b%b%b" % (status, reason, encode_fields(fields), framing, ending)
 
 
-def chunk(data: bytes) -> bytes:
+def encode_chunk(data: bytes) -> bytes:
     """A chunk; b"" gives none, as that would be the last one."""
     return b"%x\r\n%b\r\n" % (len(data), data) if data else b""
 
@@ -410,9 +412,9 @@
 LAST_CHUNK = b"0\r\n\r\n"
 
 
-def write_response(
+def encode_response(
     status: int, fields: list[tuple[bytes, bytes]], body: bytes, close: bool, bodiless: bool = False
 ) -> bytes:
     """A response with its length; `bodiless` (to HEAD) leaves the body itself out."""
-    head = write_head(status, fields, len(body), close)
+    head = encode_head(status, fields, len(body), close)
     return head if bodiless or status in (204, 304) else head + body
--- a/pepperrun/net/peers.py
+++ b/pepperrun/net/peers.py
@@ -11,20 +11,22 @@
 from pepperrun.config import Address
 from pepperrun.log import say
 
-MOST = 256
-MEMBERS = b"\xb1"  # with it begins a datagram of membership (`pepperrun/membership/wire.py`)
+MAX_DATAGRAM_BYTES = 256
+MEMBERSHIP_TAG = b"\xb1"  # with it begins a datagram of membership (`pepperrun/membership/wire.py`)
 
 
 class Peers(asyncio.DatagramProtocol):
     """Sends from `peer_listen` and takes what comes there from an address of the list."""
 
     def __init__(self, peers: tuple[Address, ...], me: int, hear: Callable[[int, bytes], None]) -> None:
-        self.peers, self.me, self.hear = peers, me, hear
-        self.numbers = {address: number for number, address in enumerate(peers) if number != me}
+        self.peers, self.own_number, self.on_message = peers, me, hear
+        self.numbers_by_address = {address: number for number, address in enumerate(peers) if number != me}
         self.transport: asyncio.DatagramTransport | None = None
-        self.also: Callable[[int, bytes], None] | None = None  # told too while another process ends
-        self.members: Callable[[int, bytes], None] | None = None  # takes what is membership's
-        self._given: socket.socket | None = None  # a copy, while another process has the socket
+        self.on_message_copy: Callable[[int, bytes], None] | None = (
+            None  # told too while another process ends
+        )
+        self.on_membership: Callable[[int, bytes], None] | None = None  # takes what is membership's
+        self._handed_over: socket.socket | None = None  # a copy, while another process has the socket
         self._tasks: set[asyncio.Task[None]] = set()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -35,30 +37,30 @@
         self.transport = None
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        number = self.numbers.get(addr[:2])
-        if number is None or len(data) > MOST:
+        number = self.numbers_by_address.get(addr[:2])
+        if number is None or len(data) > MAX_DATAGRAM_BYTES:
             say("peers", f"dropped a datagram of {len(data)} bytes from {addr[0]}:{addr[1]}")
             return
-        if data[:1] == MEMBERS:
-            if self.members is not None:
-                self.members(number, data)
+        if data[:1] == MEMBERSHIP_TAG:
+            if self.on_membership is not None:
+                self.on_membership(number, data)
             return
-        self.hear(number, data)
-        if self.also is not None:
-            self.also(number, data)
+        self.on_message(number, data)
+        if self.on_message_copy is not None:
+            self.on_message_copy(number, data)
 
-    def give(self) -> int | None:
+    def hand_over_socket(self) -> int | None:
         """A copy of the socket's descriptor, for the process that hears and tells from now on."""
         if self.transport is None:
             return None
         sock = self.transport.get_extra_info("socket")
-        self._given = socket.socket(sock.family, sock.type, fileno=os.dup(sock.fileno()))
+        self._handed_over = socket.socket(sock.family, sock.type, fileno=os.dup(sock.fileno()))
         self.transport.close()
-        return os.dup(self._given.fileno())
+        return os.dup(self._handed_over.fileno())
 
-    def take_back(self) -> None:
+    def reclaim_socket(self) -> None:
         """Hears and tells again."""
-        given, self._given = self._given, None
+        given, self._handed_over = self._handed_over, None
         if given is None:
             return
 
@@ -72,9 +74,14 @@
     def error_received(self, exc: Exception) -> None:
         pass  # a peer that is down refuses; the gossip takes losses as they come
 
-    def tell(self, peer: int, data: bytes) -> None:
+    def send(self, peer: int, data: bytes) -> None:
         """Sends a message; one that is too long, or to nobody, is dropped with a line in the log."""
-        if self.transport is None or peer == self.me or not 0 <= peer < len(self.peers) or len(data) > MOST:
+        if (
+            self.transport is None
+            or peer == self.own_number
+            or not 0 <= peer < len(self.peers)
+            or len(data) > MAX_DATAGRAM_BYTES
+        ):
             say("peers", f"can't send {len(data)} bytes to gatekeeper {peer}")
             return
         self.transport.sendto(data, self.peers[peer])
--- a/pepperrun/net/server_side.py
+++ b/pepperrun/net/upstream.py
@@ -16,23 +16,24 @@
 from pepperrun.core.interface import Outcome
 from pepperrun.exchange import End, Exchange
 from pepperrun.log import say
-from pepperrun.net.buffer import unread
-from pepperrun.net.connection import AbandonReason, Attempt, Connection, Judge, Pool, Wear, Wire
+from pepperrun.net.buffer import has_unread_input
+from pepperrun.net.connection import AbandonReason, Attempt, Connection, Pool, ResponseClassifier, Wire
 from pepperrun.net.http1 import Response
-from pepperrun.net.stream import Budget
+from pepperrun.net.stale_rates import StaleRates
+from pepperrun.net.stream import MemoryBudget
 
-CONNECTS = 3  # that are accepted and reset in a row: nothing has been written, so another one is tried
-STALE_MOST = 0.2  # of kept connections as long idle: past this they are not used again
-STALE_UNSAFE = 0.03  # the same for a request that may not simply be sent anew
-IDLE_PART = 0.8  # of the time after which the other side closes an idle connection: closed here before
+MAX_CONNECTS = 3  # that are accepted and reset in a row: nothing has been written, so another one is tried
+MAX_STALE_RATE = 0.2  # of kept connections as long idle: past this they are not used again
+MAX_STALE_RATE_UNSAFE = 0.03  # the same for a request that may not simply be sent anew
+IDLE_FRACTION = 0.8  # of the time after which the other side closes an idle connection: closed here before
 SWEEP_S = 1.0
 
-Ended = Callable[[Exchange[Any, Any], int, int, Outcome, object, float], None]
+OnAttemptEnded = Callable[[Exchange[Any, Any], int, int, Outcome, object, float], None]
 
 _UNITS = re.compile(rb"[0-9]{1,9}(?:\.[0-9]{1,9})?\Z")
 
 
-def platform_judge(most_units: float) -> Judge:
+def platform_classifier(most_units: float) -> ResponseClassifier:
     """The platform's table of outcomes, and the true units of a good answer; 0 where they are not known.
 
     A figure that can't be read, or is more than any request counts, is not taken for a true one: it would be
@@ -41,61 +42,64 @@
 
     def judge(response: Response) -> tuple[Outcome, float]:
         if response.status == 200:
-            told = response.names.get(b"x-units-charged", b"")
+            told = response.headers.get(b"x-units-charged", b"")
             units = float(told) if _UNITS.match(told) else 0.0
             return Outcome.OK, units if units <= most_units else 0.0
         # Only with this mark does a 503 or 504 prove that the request was turned away unseen.
-        if response.status in (503, 504) and response.names.get(b"x-rejected") == b"1":
+        if response.status in (503, 504) and response.headers.get(b"x-rejected") == b"1":
             return Outcome.FULL, 0.0
         return Outcome.ERROR, 0.0
 
     return judge
 
 
-class Places(Protocol):
+class BackendLookup(Protocol):
     """Where backends are; `net.directory.Directory` is one."""
 
     def address(self, backend: int) -> Address | None:
         """Where one listens; None for one to which nothing may be sent."""
         ...
 
-    def listed(self, backend: int) -> bool:
+    def is_listed(self, backend: int) -> bool:
         """Is it known, whatever its state?"""
         ...
 
 
-class ServerSide:
+class UpstreamClient:
     """Carries out attempts at the backends of a directory."""
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         clock: Callable[[], int],
-        directory: Places,
-        ended: Ended,
-        judge: Judge | Wire,
+        directory: BackendLookup,
+        ended: OnAttemptEnded,
+        judge: ResponseClassifier | Wire,
         most: int,
         keepalive_ns: int,
         connect_timeout_ns: int,
-        budget: Budget | None = None,
+        budget: MemoryBudget | None = None,
     ) -> None:
         self.wire = judge if isinstance(judge, Wire) else Wire(judge)
-        self.most_each = 0  # connections to one backend at most; 0: as many as it takes
+        self.max_per_backend = 0  # connections to one backend at most; 0: as many as it takes
         self.budget = budget  # for long answers; None: all are held whole
         self.loop, self.clock, self.directory = loop, clock, directory
-        self.ended, self.most = ended, most
-        self.idle_ns, self.connect_s = int(keepalive_ns * IDLE_PART), connect_timeout_ns / SECOND
+        self.on_attempt_ended, self.max_connections = ended, most
+        self.max_idle_ns, self.connect_timeout_s = (
+            int(keepalive_ns * IDLE_FRACTION),
+            connect_timeout_ns / SECOND,
+        )
         self.pools: dict[int, Pool] = {}
         self.attempts: dict[tuple[int, int], Attempt] = {}
         self.connections: set[Connection] = set()
-        self.opening: set[asyncio.Task[None]] = set()
-        self.opened = self.written = 0  # connections, and attempts written whole
-        self.wear = Wear()
+        self.connecting: set[asyncio.Task[None]] = set()
+        self.opened = self.requests_written = 0  # connections, and attempts written whole
+        self.stale_rates = StaleRates()
         # Is an attempt given up whose answer has begun and comes no further?
         self.ends_stalled: Callable[[Attempt], bool] = lambda attempt: True
         self.on_abandon: Callable[[Attempt, AbandonReason], None] = lambda attempt, reason: None
         self.retired = False  # another process of this gatekeeper has connections of its own
-        self.sweeper = loop.call_later(SWEEP_S, self._sweep)
+        self.sweep_timer = loop.call_later(SWEEP_S, self._sweep)
 
     # What the gatekeeper asks for.
 
@@ -106,41 +110,41 @@
         self.attempts[exchange.id, number] = attempt
         pool = self._pool(backend)
         if pool is None:
-            self.loop.call_soon(self.end, attempt, Outcome.CONNECT_FAILED)
+            self.loop.call_soon(self.finish_attempt, attempt, Outcome.CONNECT_FAILED)
             return
-        attempt.timer = self.loop.call_later(timeout_ns / SECOND, self._late, attempt)
-        if pool.asked_at and now - pool.asked_at > self.wire.silent_ns:
+        attempt.timer = self.loop.call_later(timeout_ns / SECOND, self._on_deadline, attempt)
+        if pool.unanswered_since and now - pool.unanswered_since > self.wire.unresponsive_ns:
             # A machine that is cut off says nothing, and once it is back its old connections may stay silent:
             # a new connection tells within its time-out, a kept one only at the client's deadline.
             self.close_idle(backend)
-        safe = self.wire.safe(attempt)
+        safe = self.wire.is_idempotent(attempt)
         while pool.idle:
             connection = pool.idle[-1]
-            if not self._fit(connection, now) or self._same(connection, attempt):
+            if not self._is_reusable(connection, now) or self._served_same_request(connection, attempt):
                 pool.idle.pop().close()
-            elif safe or self.wear.trusted(now - connection.idle_since, STALE_UNSAFE):
+            elif safe or self.stale_rates.is_trusted(now - connection.idle_since, MAX_STALE_RATE_UNSAFE):
                 pool.idle.pop()
                 if not connection.start(attempt, now):
                     pool.idle.append(connection)
-                    self.loop.call_soon(self.end, attempt, Outcome.MOOT)
+                    self.loop.call_soon(self.finish_attempt, attempt, Outcome.MOOT)
                 return
             else:
                 break
         pool.waiting.append(attempt)
-        self._open(backend, pool)
+        self._open_connections(backend, pool)
 
     def cancel(self, exchange: Exchange[Any, Any], number: int, reason: AbandonReason | None = None) -> None:
         """Gives an attempt up: its connection closes. HTTP/1.1 has no other way to stop its worker."""
         if reason is None:
             reason = AbandonReason.CLIENT_LEFT if exchange.end is End.LEFT else AbandonReason.DECISION
         if (attempt := self.attempts.get((exchange.id, number))) is not None:
-            self._give_up(attempt, Outcome.CANCELLED, reason)
+            self._abandon(attempt, Outcome.CANCELLED, reason)
 
     def withdraw(self, exchange: Exchange[Any, Any]) -> None:
         """Ends those of its attempts that wait for a connection: they have reached no backend."""
         for attempt in self.attempts_of(exchange):
             if attempt.connection is None:
-                self.end(attempt, Outcome.MOOT)
+                self.finish_attempt(attempt, Outcome.MOOT)
 
     def close_idle(self, backend: int) -> None:
         """Closes the idle connections to a backend."""
@@ -155,15 +159,15 @@
         for backend in list(self.pools) if on else ():
             self.close_idle(backend)
 
-    def listed(self) -> None:
+    def on_endpoints_changed(self) -> None:
         """The list has changed: what waits for a backend no longer wanted ends."""
         for backend, pool in list(self.pools.items()):
             if self.directory.address(backend) is not None:
                 continue
             self.close_idle(backend)
             while pool.waiting:
-                self.end(pool.waiting[0], Outcome.CONNECT_FAILED)
-            if not self.directory.listed(backend):
+                self.finish_attempt(pool.waiting[0], Outcome.CONNECT_FAILED)
+            if not self.directory.is_listed(backend):
                 del self.pools[backend]
 
     def attempts_of(self, exchange: Exchange[Any, Any]) -> list[Attempt]:
@@ -173,7 +177,9 @@
 
     # Attempts.
 
-    def end(self, attempt: Attempt, outcome: Outcome, given: object = None, units: float = 0.0) -> None:
+    def finish_attempt(
+        self, attempt: Attempt, outcome: Outcome, given: object = None, units: float = 0.0
+    ) -> None:
         """An attempt has ended; only the first end counts."""
         if self.attempts.get((attempt.exchange.id, attempt.number)) is not attempt:
             return
@@ -183,32 +189,32 @@
         pool = self.pools.get(attempt.backend) if attempt.connection is None else None
         if pool is not None and attempt in pool.waiting:
             pool.waiting.remove(attempt)
-        self.ended(attempt.exchange, attempt.number, attempt.backend, outcome, given, units)
+        self.on_attempt_ended(attempt.exchange, attempt.number, attempt.backend, outcome, given, units)
 
-    def sent_whole(self, attempt: Attempt) -> None:
+    def on_request_sent(self, attempt: Attempt) -> None:
         """The last byte of a long request has gone out: its attempt began now, and has the client's time."""
         now, exchange = self.clock(), attempt.exchange
         exchange.attempts[attempt.number] = now
         attempt.deadline = min(attempt.deadline, now + exchange.patience)
         if attempt.timer is not None:
             attempt.timer.cancel()
-        attempt.timer = self.loop.call_later((attempt.deadline - now) / SECOND, self._late, attempt)
+        attempt.timer = self.loop.call_later((attempt.deadline - now) / SECOND, self._on_deadline, attempt)
 
-    def _late(self, attempt: Attempt) -> None:
+    def _on_deadline(self, attempt: Attempt) -> None:
         early = attempt.deadline - self.clock()
         if early > 0:
-            attempt.timer = self.loop.call_later(early / SECOND, self._late, attempt)
+            attempt.timer = self.loop.call_later(early / SECOND, self._on_deadline, attempt)
             return
         # One that never got a connection has proved that it did not run.
         outcome = Outcome.TIMEOUT if attempt.connection is not None else Outcome.CONNECT_FAILED
-        self._give_up(attempt, outcome, AbandonReason.DEADLINE)
+        self._abandon(attempt, outcome, AbandonReason.DEADLINE)
 
-    def _give_up(self, attempt: Attempt, outcome: Outcome, reason: AbandonReason) -> None:
+    def _abandon(self, attempt: Attempt, outcome: Outcome, reason: AbandonReason) -> None:
         if (connection := attempt.connection) is not None:
             self.on_abandon(attempt, reason)
             connection.attempt = None
             connection.close()
-        self.end(attempt, outcome)
+        self.finish_attempt(attempt, outcome)
 
     # Connections.
 
@@ -221,76 +227,85 @@
             if pool is not None:
                 self.close_idle(backend)
                 for attempt in pool.waiting:
-                    self.loop.call_soon(self.end, attempt, Outcome.CONNECT_FAILED)
+                    self.loop.call_soon(self.finish_attempt, attempt, Outcome.CONNECT_FAILED)
             pool = self.pools[backend] = Pool(backend, address)
         return pool
 
-    def _fit(self, connection: Connection, now: int) -> bool:
+    def _is_reusable(self, connection: Connection, now: int) -> bool:
         transport = connection.transport
         idle_ns = now - connection.idle_since
-        if transport is None or transport.is_closing() or idle_ns >= (connection.keeps_ns or self.idle_ns):
+        if (
+            transport is None
+            or transport.is_closing()
+            or idle_ns >= (connection.keep_alive_ns or self.max_idle_ns)
+        ):
             return False
-        if not self.wear.trusted(idle_ns, STALE_MOST):
+        if not self.stale_rates.is_trusted(idle_ns, MAX_STALE_RATE):
             return False
         # Bytes that nothing was asked for, or an end that has not been read: neither takes a request.
-        return not unread(transport)
+        return not has_unread_input(transport)
 
-    def _same(self, connection: Connection, attempt: Attempt) -> bool:
+    def _served_same_request(self, connection: Connection, attempt: Attempt) -> bool:
         """Was this very request the last on it? A late second answer to that would be taken for its own."""
-        name = self.wire.name(attempt)
-        return name is not None and name == connection.asked
+        name = self.wire.request_id(attempt)
+        return name is not None and name == connection.request_id
 
-    def free(self, connection: Connection) -> None:
+    def on_connection_free(self, connection: Connection) -> None:
         """A connection can take the next attempt that waits, or is idle."""
         pool, now = connection.pool, self.clock()
         connection.idle_since = now
         while pool.waiting:
             attempt = pool.waiting[0]
-            if self._same(connection, attempt):
+            if self._served_same_request(connection, attempt):
                 connection.close()
                 return  # its end opens another
             pool.waiting.popleft()
             # It may have waited for this connection while the list came to call the backend draining or gone.
             if self.directory.address(pool.backend) != pool.address:
-                self.end(attempt, Outcome.CONNECT_FAILED)
+                self.finish_attempt(attempt, Outcome.CONNECT_FAILED)
             elif connection.start(attempt, now):
                 return
             else:
-                self.end(attempt, Outcome.MOOT)
+                self.finish_attempt(attempt, Outcome.MOOT)
         if self.retired or self.directory.address(pool.backend) != pool.address:
             connection.close()
             return
         pool.idle.append(connection)
 
-    def lost(self, connection: Connection) -> None:
+    def on_connection_lost(self, connection: Connection) -> None:
         """A connection has ended."""
         self.connections.discard(connection)
         if connection in connection.pool.idle:
             connection.pool.idle.remove(connection)
-        self._open_more()
+        self._open_for_waiting()
 
-    def _open(self, backend: int, pool: Pool) -> None:
+    def _open_connections(self, backend: int, pool: Pool) -> None:
         """Opens connections for what waits, within the limit; an idle one elsewhere gives way."""
-        while pool.opening < len(pool.waiting):
-            if self.most_each and pool.up + pool.opening >= self.most_each:
+        while pool.connecting < len(pool.waiting):
+            if self.max_per_backend and pool.open_count + pool.connecting >= self.max_per_backend:
                 if pool.idle:  # not trusted with what waits: it gives way
                     pool.idle.pop(0).close()
                 return  # one that is busy becomes free, or ends
-            if len(self.connections) + len(self.opening) >= self.most and not self._evict():
-                say("limit", f"all {self.most} connections to backends are in use")
-                self.loop.call_later(self.connect_s, self._starved, pool, pool.waiting[-1])
+            if (
+                len(self.connections) + len(self.connecting) >= self.max_connections
+                and not self._evict_idle()
+            ):
+                say("limit", f"all {self.max_connections} connections to backends are in use")
+                self.loop.call_later(
+                    self.connect_timeout_s, self._on_connection_limit, pool, pool.waiting[-1]
+                )
                 return
-            pool.opening += 1
+            pool.connecting += 1
             task = self.loop.create_task(self._connect(pool))
-            self.opening.add(task)
-            task.add_done_callback(self.opening.discard)
+            self.connecting.add(task)
+            task.add_done_callback(self.connecting.discard)
 
-    def _open_more(self) -> None:
+    def _open_for_waiting(self) -> None:
         for backend, pool in self.pools.items():
-            if pool.waiting and pool.opening < len(pool.waiting):
-                self._open(backend, pool)
+            if pool.waiting and pool.connecting < len(pool.waiting):
+                self._open_connections(backend, pool)
 
-    def _evict(self) -> bool:
+    def _evict_idle(self) -> bool:
         idle = [connection for pool in self.pools.values() for connection in pool.idle]
         if not idle:
             return False
@@ -300,16 +315,16 @@
         oldest.close()
         return True
 
-    def _starved(self, pool: Pool, attempt: Attempt) -> None:
+    def _on_connection_limit(self, pool: Pool, attempt: Attempt) -> None:
         if attempt in pool.waiting:
-            self.end(attempt, Outcome.MOOT)  # it never left, which is no fault of the backend's
+            self.finish_attempt(attempt, Outcome.MOOT)  # it never left, which is no fault of the backend's
 
     async def _connect(self, pool: Pool) -> None:
         self.opened += 1
         failed = accepted = False
         begun = self.clock()
         try:
-            async with asyncio.timeout(self.connect_s):
+            async with asyncio.timeout(self.connect_timeout_s):
                 await self.loop.create_connection(
                     lambda: Connection(self, pool, self.clock() - begun), *pool.address
                 )
@@ -318,32 +333,32 @@
         except OSError:  # refused, unreachable, or not up in time
             failed = True
         finally:
-            pool.opening -= 1
+            pool.connecting -= 1
         if not failed or not pool.waiting:
             return
         first = pool.waiting[0]
-        first.connects += 1
-        if accepted and first.connects < CONNECTS:
-            self._open(pool.backend, pool)  # a process that is down would not have accepted it
+        first.connect_resets += 1
+        if accepted and first.connect_resets < MAX_CONNECTS:
+            self._open_connections(pool.backend, pool)  # a process that is down would not have accepted it
         else:
-            self.end(first, Outcome.CONNECT_FAILED)
+            self.finish_attempt(first, Outcome.CONNECT_FAILED)
 
     def _sweep(self) -> None:
         now = self.clock()
-        self.wear.fade()
-        for connection in [one for one in self.connections if one.stands_still(now)]:
+        self.stale_rates.decay()
+        for connection in [one for one in self.connections if one.is_stalled(now)]:
             say("stands still", "a long body came no further: its connection ends")
             connection.close()
         for pool in self.pools.values():
-            for connection in [c for c in pool.idle if not self._fit(c, now)]:
+            for connection in [c for c in pool.idle if not self._is_reusable(c, now)]:
                 pool.idle.remove(connection)
                 connection.close()
-        self.sweeper = self.loop.call_later(SWEEP_S, self._sweep)
+        self.sweep_timer = self.loop.call_later(SWEEP_S, self._sweep)
 
     def close(self) -> None:
         """Closes everything."""
-        self.sweeper.cancel()
-        for task in self.opening:
+        self.sweep_timer.cancel()
+        for task in self.connecting:
             task.cancel()
         for connection in list(self.connections):
             connection.close()
--- a/pepperrun/parking/listener.py
+++ b/pepperrun/parking/listener.py
@@ -11,7 +11,14 @@
 
 from pepperrun.config import Address
 from pepperrun.log import say
-from pepperrun.net.listener import ACCEPT_S, LINGER_S, Client, Listener, Snapshot, Times
+from pepperrun.net.listener import (
+    DRAIN_ACCEPT_S,
+    DRAIN_LINGER_S,
+    Client,
+    ClientTimeouts,
+    ConnectionSnapshot,
+    Listener,
+)
 from pepperrun.parking.lot import SHORT_S, Lot
 
 
@@ -40,11 +47,15 @@
         lot.fronts.append(self)
 
     @property
-    def times(self) -> Times:
+    def timeouts(self) -> ClientTimeouts:
         """The operators' times, as they are now."""
         config = self.lot.config
-        return Times(
-            config.first_byte_ns, config.request_ns, config.idle_ns, config.idle_ns, whole_from_made=False
+        return ClientTimeouts(
+            config.first_byte_ns,
+            config.request_ns,
+            config.idle_ns,
+            config.idle_ns,
+            request_from_connect=False,
         )
 
     def open(self, address: Address, inherited: socket.socket | None = None) -> None:
@@ -88,19 +99,19 @@
 
     def _wait(self) -> None:
         """Accepts no more until a connection ends, or for a moment."""
-        self._pause()
+        self._stop_accepting()
         self.lot.paused = True
         self.loop.call_later(SHORT_S, self.lot.resume)
 
-    def revive(self, snapshot: Snapshot, woken: int) -> asyncio.BufferedProtocol:
+    def revive(self, snapshot: ConnectionSnapshot, woken: int) -> asyncio.BufferedProtocol:
         """The protocol of a connection that is taken up, as it was."""
-        client = self.make(self)
+        client = self.client_factory(self)
         client.revive(snapshot, woken)  # type: ignore[attr-defined]
         return client
 
     def resume(self) -> None:
         """There may be room again."""
-        self._resume()
+        self._start_accepting()
 
     def add(self, client: Client) -> None:
         super().add(client)
@@ -110,36 +121,36 @@
         self.lot.down(client)  # type: ignore[arg-type]
         super().remove(client)
 
-    def answered(self, client: Client) -> None:
+    def client_answered(self, client: Client) -> None:
         self.lot.answered(client)  # type: ignore[arg-type]
 
-    def free(self) -> None:
+    def on_capacity_freed(self) -> None:
         """A connection has ended: the lot sees to it."""
 
     def _sweep(self) -> None:
         """The wheel looks after times."""
 
-    async def drain(self, accept_s: float = ACCEPT_S, linger_s: float = LINGER_S) -> None:
+    async def drain(self, accept_s: float = DRAIN_ACCEPT_S, linger_s: float = DRAIN_LINGER_S) -> None:
         self.draining = True
         for client in list(self.clients):
-            if not client.busy() and not client.fresh():
+            if not client.is_busy() and not client.never_answered():
                 client.close()
         if not self.lot.draining:
             await self.lot.drain()
         await asyncio.sleep(accept_s)
-        self.shut()
+        self.stop_listening()
         await asyncio.sleep(linger_s)
         await self.lot.finish()
         for client in list(self.clients):
-            if not client.busy():
+            if not client.is_busy():
                 client.close()
 
-    def shut(self) -> None:
+    def stop_listening(self) -> None:
         if self.socket is None:
             return
         now = self.clock()
         while self._accept_one(now):
             pass
-        self._pause()
+        self._stop_accepting()
         self.socket.close()
         self.socket = None
--- a/pepperrun/parking/lot.py
+++ b/pepperrun/parking/lot.py
@@ -18,7 +18,7 @@
 
 from pepperrun.core.clock import SECOND
 from pepperrun.log import say
-from pepperrun.net.listener import Snapshot
+from pepperrun.net.listener import ConnectionSnapshot
 from pepperrun.parking import wire
 from pepperrun.parking.config import ClientsConfig
 from pepperrun.parking.holders import SPARE, Holders
@@ -33,14 +33,14 @@
 SHORT_S = 0.1  # when the system has no descriptor or memory for a connection
 
 
-def record_of(front: int, snapshot: Snapshot) -> Record:
+def record_of(front: int, snapshot: ConnectionSnapshot) -> Record:
     """What is kept of a connection."""
     answers, asked, since, held, held_at = snapshot
     rank = Rank(min(Rank.OFTEN, Rank.UNASKED + asked)) if answers else Rank.SILENT
     return Record(front, rank, since, held, held_at)
 
 
-def snapshot_of(record: Record) -> Snapshot:
+def snapshot_of(record: Record) -> ConnectionSnapshot:
     """The other way."""
     answers = 0 if record.rank is Rank.SILENT else 1
     return answers, max(0, record.rank - Rank.UNASKED), record.since, record.held, record.held_at
@@ -63,13 +63,13 @@
     fd: int
     listener: Any
 
-    def due(self, crowded: bool) -> int | None: ...
+    def expires_at(self, crowded: bool) -> int | None: ...
 
     def expire(self) -> None: ...
 
     def idle_since(self) -> int | None: ...
 
-    def snapshot(self) -> Snapshot: ...
+    def snapshot(self) -> ConnectionSnapshot: ...
 
     def park(self) -> None: ...
 
@@ -79,7 +79,7 @@
 
     family: int
 
-    def revive(self, snapshot: Snapshot, woken: int) -> asyncio.BufferedProtocol: ...
+    def revive(self, snapshot: ConnectionSnapshot, woken: int) -> asyncio.BufferedProtocol: ...
 
     def resume(self) -> None: ...
 
@@ -263,7 +263,7 @@
     def _watch(self, fd: int, client: Client) -> None:
         """When to look at it again: once in a while for all that it did meanwhile, not for each request."""
         later = self.clock() + max(LOOK_NS, min(LATER_NS, self.config.park_after_ns))
-        due = client.due(False)
+        due = client.expires_at(False)
         self.ledger.watch(fd, later if due is None else min(due, later))
 
     def _tend(self, fd: int) -> None:
@@ -271,7 +271,7 @@
         client = self.clients.get(fd)
         if client is None:
             return
-        now, due = self.clock(), client.due(False)
+        now, due = self.clock(), client.expires_at(False)
         if due is not None and now >= due:
             client.expire()
             if self.ledger.state[fd] == State.TAKEN:
--- a/pepperrun/parking/shelf.py
+++ b/pepperrun/parking/shelf.py
@@ -11,7 +11,7 @@
 import time
 from collections.abc import Callable, Iterable
 
-from pepperrun.net.http1 import write_response
+from pepperrun.net.http1 import encode_response
 from pepperrun.parking.budget import Budget
 from pepperrun.parking.config import ClientsConfig
 from pepperrun.parking.ledger import Ledger, Record, State
@@ -19,7 +19,7 @@
 EVENTS = select.EPOLLIN | select.EPOLLRDHUP
 OVER = select.EPOLLERR | select.EPOLLHUP
 TEXT = (b"Content-Type", b"text/plain; charset=utf-8")
-LATE = write_response(408, [TEXT], b"the request did not come whole in time\n", close=True)
+LATE = encode_response(408, [TEXT], b"the request did not come whole in time\n", close=True)
 
 
 def unread(fd: int) -> bool:
--- a/pepperrun/serve.py
+++ b/pepperrun/serve.py
@@ -101,7 +101,7 @@
         config = replace(config, discovery=new.discovery)
         core = parts["platform"][0]
         # All gatekeepers are moved at once: with a list in hand none needs to be the first there.
-        watch.move(new.discovery, core.told, calls_of(config), moved=bool(core.directory.lines))
+        watch.move(new.discovery, core.told, calls_of(config), moved=bool(core.directory.endpoints))
     if auth_config is not None and new_auth is not None:
         later += [f"forward-auth {key}" for key in changed(auth_config, new_auth, "servers")]
         if new_auth.servers != auth_config.servers:
@@ -207,7 +207,7 @@
             await asyncio.gather(*(listener.drain() for listener in listeners))
             for listener in listeners:
                 while listener.clients:  # each closes once its request has its answer
-                    await listener.changed()
+                    await listener.wait_for_change()
     except TimeoutError:
         say("stop", "connections were still open at the end")
     watch.stop()
@@ -242,7 +242,7 @@
     directory = core.directory
 
     def place(backend: int) -> tuple[str, str]:
-        line = directory.lines.get(backend)
+        line = directory.endpoints.get(backend)
         return directory.names.get(backend, str(backend)), line.zone if line is not None else ""
 
     path = Path(folder)
--- a/pepperrun/simulation/conversations/bugs.py
+++ b/pepperrun/simulation/conversations/bugs.py
@@ -14,11 +14,11 @@
 from pepperrun.dataplane.wire import WorkerWire
 from pepperrun.exchange import End
 from pepperrun.fronts.http_client import HttpClient
-from pepperrun.net import connection, server_side
+from pepperrun.net import connection, upstream
 from pepperrun.net.connection import Connection
 from pepperrun.net.hangup import HangupWatch
-from pepperrun.net.server_side import ServerSide
-from pepperrun.net.stream import Stream
+from pepperrun.net.stream import BodyStream
+from pepperrun.net.upstream import UpstreamClient
 
 Patches = list[Any]
 
@@ -26,8 +26,8 @@
 def _ids_not_compared() -> Patches:
     """An answer is taken for that of the request that waits, whatever its Attempt-Id."""
     return [
-        mock.patch.object(WorkerWire, "foreign", lambda *_: False),
-        mock.patch.object(WorkerWire, "surplus", lambda *_: False),
+        mock.patch.object(WorkerWire, "is_foreign", lambda *_: False),
+        mock.patch.object(WorkerWire, "is_surplus", lambda *_: False),
     ]
 
 
@@ -35,27 +35,27 @@
     """What came behind an answer stays for the next, and an answer without an id is taken for it."""
 
     def release(self: Connection, response: Any) -> None:
-        self.served, self.head_at = self.served + 1, 0
-        if response.close() or self.unsent:
+        self.responses, self.response_started_at = self.responses + 1, 0
+        if response.closes_connection() or self.request_unsent:
             self.close()
         elif self.transport is not None and not self.transport.is_closing():
-            self.side.free(self)
+            self.owner.on_connection_free(self)
 
     def foreign(self: WorkerWire, attempt: Any, response: Any) -> bool:
-        given = response.names.get(b"attempt-id")
-        return given is not None and bool(given != attempt.exchange.asked.names[b"attempt-id"])
+        given = response.headers.get(b"attempt-id")
+        return given is not None and bool(given != attempt.exchange.asked.headers[b"attempt-id"])
 
     return [
         mock.patch.object(Connection, "_release", release),
-        mock.patch.object(WorkerWire, "foreign", foreign),
-        mock.patch.object(connection, "unread", lambda _: False),
-        mock.patch.object(server_side, "unread", lambda _: False),
+        mock.patch.object(WorkerWire, "is_foreign", foreign),
+        mock.patch.object(connection, "has_unread_input", lambda _: False),
+        mock.patch.object(upstream, "has_unread_input", lambda _: False),
     ]
 
 
 def _sent_again_after_reset() -> Patches:
     """A connection that broke before any answer is taken for one on which nothing was asked."""
-    return [mock.patch.object(Connection, "_broke", lambda self: Outcome.CONNECT_FAILED)]
+    return [mock.patch.object(Connection, "_broken_outcome", lambda self: Outcome.CONNECT_FAILED)]
 
 
 def _promise_after_run() -> Patches:
@@ -71,19 +71,19 @@
 
 def _short_looks_whole() -> Patches:
     """An answer whose worker broke off is ended as if it were whole."""
-    return [mock.patch.object(Stream, "fail", lambda self: self.finish())]
+    return [mock.patch.object(BodyStream, "fail", lambda self: self.finish())]
 
 
 def _encoded_passes() -> Patches:
     """No look at whether a worker's answer is encoded or tells its length."""
-    judge = WorkerWire.judge
+    judge = WorkerWire.classify
 
     def lenient(self: WorkerWire, attempt: Any, response: Any) -> Any:
-        response.names.pop(b"content-encoding", None)
+        response.headers.pop(b"content-encoding", None)
         return judge(self, attempt, response)
 
     return [
-        mock.patch.object(WorkerWire, "judge", lenient),
+        mock.patch.object(WorkerWire, "classify", lenient),
         mock.patch.object(wire, "delimited", lambda _: True),
     ]
 
@@ -101,17 +101,17 @@
     """A refusal without an id is believed on a connection that has brought answers before."""
 
     def foreign(self: WorkerWire, attempt: Any, response: Any) -> bool:
-        given = response.names.get(b"attempt-id")
+        given = response.headers.get(b"attempt-id")
         if given is None:
             return not wire.is_rejected(response)
-        return bool(given != attempt.exchange.asked.names[b"attempt-id"])
+        return bool(given != attempt.exchange.asked.headers[b"attempt-id"])
 
-    return [mock.patch.object(WorkerWire, "foreign", foreign)]
+    return [mock.patch.object(WorkerWire, "is_foreign", foreign)]
 
 
 def _same_connection_again() -> Patches:
     """What a worker refused may go to it again on the same connection, where a late second no is its own."""
-    return [mock.patch.object(ServerSide, "_same", lambda *_: False)]
+    return [mock.patch.object(UpstreamClient, "_served_same_request", lambda *_: False)]
 
 
 def _per_hop_takes_all() -> Patches:
--- a/pepperrun/simulation/nodes.py
+++ b/pepperrun/simulation/nodes.py
@@ -29,7 +29,7 @@
 from pepperrun.membership.gateway_probe_wire import MAGIC
 from pepperrun.net.connection import AbandonReason, Attempt
 from pepperrun.net.http1 import Request, Response
-from pepperrun.net.server_side import ServerSide
+from pepperrun.net.upstream import UpstreamClient
 from pepperrun.simulation import bugs, control_bugs
 from pepperrun.simulation.consensus_world import Disk
 from pepperrun.simulation.measures import Measures
@@ -159,10 +159,10 @@
             *(self.settings, seed, loop.clock, self._known_life),
             *(lambda: book.confirmed_at, lambda: book.records_confirmed_at),
         )
-        self.plane.servers.sweeper.cancel()
+        self.plane.servers.sweep_timer.cancel()
         backends = Backends(self, loop)
         self.plane.gatekeeper.backends = backends
-        self.plane.outcome_sharing.start(cast(ServerSide, backends))
+        self.plane.outcome_sharing.start(cast(UpstreamClient, backends))
         bugs.put_in(self.bug, self.news, self.plane)
         self.trace = self.plane.front.trace = Trace(self.plane.front, EVERY, self.seen.cause)
         self.plane.gatekeeper.observer = self.trace.over
@@ -226,7 +226,7 @@
     def take(self, asked: Request, done: Callable[[int], None]) -> None:
         """A client's request has come; runs in the process."""
         front = self.plane.front
-        asked.arrived = self.loop.clock()
+        asked.arrived_at = self.loop.clock()
         what = front.read(asked)
         if not isinstance(what[0], Lot):
             self.trace.at_once(asked, int(what[0]))
@@ -244,7 +244,7 @@
 
 
 class Backends:
-    """Attempts of one life of a gatekeeper, as `net.server_side.ServerSide` has them."""
+    """Attempts of one life of a gatekeeper, as `net.upstream.UpstreamClient` has them."""
 
     def __init__(self, gate: Gate, loop: Loop) -> None:
         self.gate, self.loop = gate, loop
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -16,8 +16,8 @@
 from pepperrun.net.directory import Directory
 from pepperrun.net.http1 import Request
 from pepperrun.net.listener import Listener
-from pepperrun.net.server_side import ServerSide, platform_judge
-from pepperrun.net.stream import Budget
+from pepperrun.net.stream import MemoryBudget
+from pepperrun.net.upstream import UpstreamClient, platform_classifier
 
 MS = 1_000_000
 SECOND = 1_000_000_000
@@ -154,8 +154,15 @@
         self.directory = Directory(("a",), self.clock.of_unix_ms)
         self.outcomes: asyncio.Queue[tuple[int, Outcome, Any, float]] = asyncio.Queue()
         loop = asyncio.get_running_loop()
-        self.side = ServerSide(
-            loop, self.clock, self.directory, self._ended, platform_judge(6.0), most, keepalive_ns, connect_ns
+        self.side = UpstreamClient(
+            loop,
+            self.clock,
+            self.directory,
+            self._ended,
+            platform_classifier(6.0),
+            most,
+            keepalive_ns,
+            connect_ns,
         )
         self.sent = 0
 
@@ -165,8 +172,8 @@
         self.outcomes.put_nowait((exchange.id, outcome, given, units))
 
     def list(self, *lines: dict[str, Any], full: bool = True) -> None:
-        self.directory.take(listing(*lines, full=full), ListKind.FULL if full else ListKind.DELTA)
-        self.side.listed()
+        self.directory.apply(listing(*lines, full=full), ListKind.FULL if full else ListKind.DELTA)
+        self.side.on_endpoints_changed()
 
     def send(
         self, name: str = "w", timeout_ns: int = 10 * SECOND, body: bytes = b"", method: bytes = b"GET"
@@ -193,18 +200,18 @@
         settings: Settings = SETTINGS,
         most: int = 50,
         auth: AuthService | None = None,
-        budget: Budget | None = None,
+        budget: MemoryBudget | None = None,
     ) -> None:
         loop = asyncio.get_running_loop()
         self.clock = Clock()
         self.gatekeeper = Gatekeeper(settings, 1, self.clock, loop)
         self.directory = Directory(("a",), self.clock.of_unix_ms)
-        self.side = ServerSide(
+        self.side = UpstreamClient(
             loop,
             self.clock,
             self.directory,
             self.gatekeeper.ended,
-            platform_judge(6.0),
+            platform_classifier(6.0),
             20,
             15 * SECOND,
             SECOND,
@@ -216,8 +223,8 @@
         self.listener.open((HOST, 0))
 
     def list(self, *lines: dict[str, Any]) -> None:
-        self.gatekeeper.listed(self.directory.take(listing(*lines), ListKind.FULL))
-        self.side.listed()
+        self.gatekeeper.listed(self.directory.apply(listing(*lines), ListKind.FULL))
+        self.side.on_endpoints_changed()
 
     async def client(self) -> Client:
         return await Client.to(self.listener.address[1])
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -19,15 +19,15 @@
 from test_main import SETTINGS, built, start
 
 from pepperrun.exchange import End
-from pepperrun.net import connection, server_side
+from pepperrun.net import connection, upstream
 from pepperrun.net.buffer import Buffer
 from pepperrun.net.http1 import (
-    ROOM,
+    REQUEST_BUFFER_SIZE,
     HttpError,
     RequestParser,
     ResponseParser,
 )
-from pepperrun.net.stream import LEAST, MOST, Budget, Stream
+from pepperrun.net.stream import MAX_BUFFER_BYTES, MIN_BUFFER_BYTES, BodyStream, MemoryBudget
 
 __all__ = ["built"]  # the fixture that runs the deploy file's build
 MB = 1024 * 1024
@@ -46,16 +46,16 @@
     for cut in [*sorted({cut % (len(data) + 1) for cut in cuts}), len(data)]:
         part, at = data[at:cut], cut
         while part:
-            room = min(len(part), len(parser.buffer.room()))
+            room = min(len(part), len(parser.buffer.free_space()))
             assert room, "it is held in the buffer for good"
             parser.buffer.add(part[:room])
             part = part[room:]
             if message is None:
                 message = parser.next()
                 body += message.body if message is not None else b""
-            while message is not None and (more := parser.pull()):
+            while message is not None and (more := parser.read_body()):
                 body += more
-    return body, message is not None and parser.complete()
+    return body, message is not None and parser.body_complete()
 
 
 @given(st.integers(0, 300_000), st.integers(0, 50_000), st.integers(0, 99), CUTS, st.booleans())
@@ -65,17 +65,17 @@
     if chunk:
         framed = b"Transfer-Encoding: chunked\r\n\r\n" + chunked(body, chunk)
     if answers:
-        parser: Any = ResponseParser(Buffer(ROOM), 1 << 30, 64 * 1024)
+        parser: Any = ResponseParser(Buffer(REQUEST_BUFFER_SIZE), 1 << 30, 64 * 1024)
         data = b"HTTP/1.1 103 Early\r\n\r\nHTTP/1.1 200 OK\r\n" + framed
     else:
-        parser, data = RequestParser(Buffer(ROOM), 1 << 30, 64 * 1024), HEAD + framed
+        parser, data = RequestParser(Buffer(REQUEST_BUFFER_SIZE), 1 << 30, 64 * 1024), HEAD + framed
     assert pieces(parser, data, cuts) == (body, True)
 
 
 @given(st.integers(70_000, 200_000), CUTS, st.binary(max_size=300), st.booleans())
 def test_garbage_within_a_long_body_is_never_its_end(size, cuts, garbage, answers):
     kind: Any = ResponseParser if answers else RequestParser
-    parser = kind(Buffer(ROOM), 1 << 30, 64 * 1024)
+    parser = kind(Buffer(REQUEST_BUFFER_SIZE), 1 << 30, 64 * 1024)
     head = b"HTTP/1.1 200 OK\r\n" if answers else HEAD
     data = head + b"Transfer-Encoding: chunked\r\n\r\n%x\r\n" % size + b"x" * (size // 2)
     try:
@@ -87,59 +87,66 @@
 
 def test_a_body_over_the_limit_is_refused_before_and_while_it_comes():
     with pytest.raises(HttpError, match="too long"):
-        pieces(RequestParser(Buffer(ROOM), MB, 1000), HEAD + b"Content-Length: 1048577\r\n\r\n", [])
+        pieces(
+            RequestParser(Buffer(REQUEST_BUFFER_SIZE), MB, 1000),
+            HEAD + b"Content-Length: 1048577\r\n\r\n",
+            [],
+        )
     data = HEAD + b"Transfer-Encoding: chunked\r\n\r\n" + chunked(bytes(2 * MB), 100_000)
     with pytest.raises(HttpError, match="too long"):
-        pieces(RequestParser(Buffer(ROOM), MB, 1000), data, [])
+        pieces(RequestParser(Buffer(REQUEST_BUFFER_SIZE), MB, 1000), data, [])
 
 
 # Streams.
 
 
-class Taker:
+class Sink:
     def __init__(self) -> None:
         self.got: list[bytes] = []
         self.end = ""
 
-    def more(self, data: bytes) -> None:
+    def write_body(self, data: bytes) -> None:
         self.got.append(data)
 
-    def whole(self) -> None:
-        self.end += "whole"
+    def finish_body(self) -> None:
+        self.end += "complete"
 
-    def broken(self) -> None:
+    def abort_body(self) -> None:
         self.end += "broken"
 
 
-@given(st.lists(st.sampled_from(["feed", "finish", "fail", "open", "hold", "on", "drop"]), max_size=12))
+@given(
+    st.lists(st.sampled_from(["feed", "finish", "fail", "attach", "pause", "resume", "abandon"]), max_size=12)
+)
 def test_a_stream_ends_once_and_gives_its_memory_back(steps):
-    budget, paused, dropped, taker = Budget(MB), [], [], Taker()
-    stream = Stream(budget, paused.append, lambda: dropped.append(1))
+    budget, paused, dropped, sink = MemoryBudget(MB), [], [], Sink()
+    stream = BodyStream(budget, paused.append, lambda: dropped.append(1))
     fed = 0
     for step in steps:
-        if step == "feed" and stream.ended is None:
+        if step == "feed" and stream.ended_complete is None:
             stream.feed(b"x")
             fed += 1
-        elif step == "open" and not stream.opened:
-            stream.open(taker)
-        elif step in ("finish", "fail", "drop"):
+        elif step == "attach" and not stream.attached:
+            stream.attach(sink)
+        elif step in ("finish", "fail", "abandon"):
             getattr(stream, step)()
-        elif step in ("hold", "on"):
-            stream.hold(step == "hold")
-    stream.drop()
+        elif step in ("pause", "resume"):
+            stream.pause(step == "pause")
+    stream.abandon()
     assert budget.bodies == 0 and stream.closed
-    assert taker.end in ("", "whole", "broken") and len(dropped) <= 1
-    if taker.end == "whole":
-        assert len(taker.got) == fed or "drop" in steps
+    assert sink.end in ("", "complete", "broken") and len(dropped) <= 1
+    if sink.end == "complete":
+        assert len(sink.got) == fed or "abandon" in steps
 
 
 def test_what_bodies_hold_together_stays_within_the_budget_however_many_there_are():
-    budget = Budget.of_memory(40)
-    assert budget.share() == MOST
+    budget = MemoryBudget.from_memory_limit(40)
+    assert budget.buffer_limit() == MAX_BUFFER_BYTES
     for bodies in (1, 10, 100, 600):
         budget.bodies = bodies
-        assert LEAST <= budget.share() <= MOST and 3 * bodies * budget.share() <= max(
-            budget.total, 12 * bodies * 1024
+        assert (
+            MIN_BUFFER_BYTES <= budget.buffer_limit() <= MAX_BUFFER_BYTES
+            and 3 * bodies * budget.buffer_limit() <= max(budget.total, 12 * bodies * 1024)
         )
 
 
@@ -147,7 +154,7 @@
 
 
 def long_front() -> Front:
-    return Front(budget=Budget(4 * MB))
+    return Front(budget=MemoryBudget(4 * MB))
 
 
 def test_a_long_answer_passes_as_it_comes_and_counts_once_it_is_whole():
@@ -208,7 +215,7 @@
             parser = ResponseParser(Buffer(MB))
             parser.buffer.add(answered)
             got = parser.next()
-            assert got is not None and got.whole
+            assert got is not None and got.complete
             rest = got.body
         assert rest == body and (version == b"1.1" or b"chunked" not in head)
 
@@ -329,7 +336,7 @@
         whole = got[0] if chunk else worker.arrived.get_nowait().split(b"\r\n\r\n", 1)[1]
         assert status == 200 and whole == body
         assert not chunk or digest.decode() == hashlib.sha256(body).hexdigest()
-        assert front.side.written == 1
+        assert front.side.requests_written == 1
 
     going(test)
 
@@ -377,7 +384,7 @@
             HEAD + b"Transfer-Encoding: chunked\r\n\r\n" + b"18000\r\n" + bytes(0x18000) + b"\r\nzz\r\n"
         )
         assert (await client.answer())[0] == 400
-        assert not got and front.side.written == 0
+        assert not got and front.side.requests_written == 0
 
     going(test)
 
@@ -442,8 +449,8 @@
 @pytest.mark.parametrize("way", ["answer", "request"])
 def test_a_worker_that_stands_still_in_a_long_body_ends_it(monkeypatch, way):
     # Its machine may have vanished: nothing else would ever tell.
-    monkeypatch.setattr(connection, "STILL_NS", SECOND // 5)
-    monkeypatch.setattr(server_side, "SWEEP_S", 0.05)
+    monkeypatch.setattr(connection, "BODY_STALL_NS", SECOND // 5)
+    monkeypatch.setattr(upstream, "SWEEP_S", 0.05)
 
     async def test():
         async def still(server: StandIn, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
--- a/tests/test_capture.py
+++ b/tests/test_capture.py
@@ -243,7 +243,7 @@
             SETTINGS,
             "n0",
             key,
-            lambda backend: (place.names[backend], place.lines[backend].zone),
+            lambda backend: (place.names[backend], place.endpoints[backend].zone),
             files_in(tmp_path, "n0", 9),
             front.clock,
         )
--- a/tests/test_client_leaves.py
+++ b/tests/test_client_disconnects.py
@@ -40,7 +40,7 @@
 from pepperrun.fronts.kept import KeptClient
 from pepperrun.net.connection import AbandonReason, Attempt
 from pepperrun.net.hangup import HangupWatch
-from pepperrun.net.http1 import LAST_CHUNK, chunk
+from pepperrun.net.http1 import LAST_CHUNK, encode_chunk
 from pepperrun.net.http1 import Request as HttpRequest
 
 SAFE, UNSAFE = 0, 3  # classes of `Driver`
@@ -246,7 +246,7 @@
 
     async def test() -> None:
         cluster, worker = Leavers(kind), await StandIn(wait_then(ok(id=b"first")), ok()).start()
-        cluster.servers.most_each = 1
+        cluster.servers.max_per_backend = 1
         cluster.work("w1", worker.port)
         first = await cluster.ask_long("first")
         await run_at(worker)
@@ -350,7 +350,7 @@
         await until(lambda: told == [False])
         peers.close()
         await until(lambda: told == [False, True])
-        watch.forget(ours.fileno())
+        watch.unwatch(ours.fileno())
         watch.close()
         ours.close()
 
@@ -417,7 +417,7 @@
         server = await asyncio.get_running_loop().create_server(lambda: worker, HOST, 0)
         cluster.work("w1", server.sockets[0].getsockname()[1])
         client = await cluster.ask_long(method="POST", Transfer_Encoding="chunked")
-        size = await uploads_until_nobody_reads(cluster, client, chunk)
+        size = await uploads_until_nobody_reads(cluster, client, encode_chunk)
         client.writer.write(LAST_CHUNK)
         client.writer.write_eof()
         await until(lambda: close_has_arrived(cluster))
@@ -461,7 +461,7 @@
         client = await before.ask_long()
         assert (await client.answer())[0] == 200
         (kept,) = before.connections()
-        given = kept.give(2048)
+        given = kept.hand_over(2048)
         assert given is not None
         snapshot, descriptor = given
         await after.plane.listener.adopt(socket.socket(fileno=descriptor), snapshot)
--- a/tests/test_dataplane.py
+++ b/tests/test_dataplane.py
@@ -211,11 +211,11 @@
 def test_a_client_may_rest_for_four_fifths_of_the_configurations_idle_limit():
     async def test():
         cluster = Cluster(route("r", "/p/"), limits={"dwell_ms": 2500, "envelope_ms": 700})
-        times = cluster.plane.listener.times
-        assert times.idle_ns >= 2500 * MS and times.silent_ns >= 2500 * MS
-        assert times.whole_ns >= 700 * MS
+        times = cluster.plane.listener.timeouts
+        assert times.idle_ns >= 2500 * MS and times.first_byte_ns >= 2500 * MS
+        assert times.request_ns >= 700 * MS
         cluster.agree(route("r", "/p/"), limits={"dwell_ms": 9000, "envelope_ms": 700})
-        assert cluster.plane.listener.times.idle_ns >= 9000 * MS  # connections that are open already, too
+        assert cluster.plane.listener.timeouts.idle_ns >= 9000 * MS  # connections that are open already, too
         cluster.plane.close()
 
     going(test)
@@ -561,9 +561,9 @@
         assert (await (await cluster.ask()).answer())[0] == 200
         (kept,) = cluster.plane.servers.connections
         now = time.monotonic_ns()
-        assert cluster.plane.servers._fit(kept, now + 2 * SECOND) and not cluster.plane.servers._fit(
-            kept, now + 3 * SECOND
-        )
+        assert cluster.plane.servers._is_reusable(
+            kept, now + 2 * SECOND
+        ) and not cluster.plane.servers._is_reusable(kept, now + 3 * SECOND)
 
     going(test)
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -32,7 +32,7 @@
 from pepperrun.config import parse_address, read_listing
 from pepperrun.core.interface import BackendState, ListKind
 from pepperrun.net import discovery
-from pepperrun.net.backoff import MOST_S, Backoff
+from pepperrun.net.backoff import MAX_MEAN_DELAY_S, Backoff
 from pepperrun.net.directory import Directory
 from pepperrun.net.discovery import Discovery
 
@@ -44,11 +44,11 @@
 class AtOnce(Backoff):
     """Hardly a pause: what is tested is the order of the calls."""
 
-    def move(self) -> float:
+    def delay_after_move(self) -> float:
         return 0.0
 
-    def failed(self) -> float:
-        super().failed()
+    def delay_after_failure(self) -> float:
+        super().delay_after_failure()
         return 0.001
 
 
@@ -75,7 +75,7 @@
         assert (first.full, second.full) == (True, False)
         assert second.lines[0].state is BackendState.DRAINING
         targets = [await watching.target() for _ in range(3)]
-        wait = discovery.WAIT_MS
+        wait = discovery.LONG_POLL_MS
         assert targets == [
             "/v1/endpoints",
             f"/v1/endpoints?index=41&wait={wait}",
@@ -127,8 +127,8 @@
 
 
 def test_a_silent_agent_is_left_and_a_dead_one_tried_again(monkeypatch):
-    monkeypatch.setattr(discovery, "GRACE_S", 0.02)
-    monkeypatch.setattr(discovery, "WAIT_MS", 10)
+    monkeypatch.setattr(discovery, "RESPONSE_GRACE_S", 0.02)
+    monkeypatch.setattr(discovery, "LONG_POLL_MS", 10)
 
     async def test():
         agent = await StandIn(told(5, full=True), stall, told(6, line("a", 1)), stall).start()
@@ -145,8 +145,8 @@
 def test_a_workers_integer_is_the_same_everywhere_and_always():
     # Gatekeepers tell each other of workers by these integers, in messages of four bytes.
     one, other = Directory(("a",), int), Directory(("a",), int)
-    one.take(listing(line("s-1", 1), line("s-2", 2)), ListKind.FULL)
-    other.take(listing(line("s-2", 2), line("s-1", 9)), ListKind.FULL)
+    one.apply(listing(line("s-1", 1), line("s-2", 2)), ListKind.FULL)
+    other.apply(listing(line("s-2", 2), line("s-1", 9)), ListKind.FULL)
     assert [one.id_of("s-1"), one.id_of("s-2")] == [other.id_of("s-1"), other.id_of("s-2")]
     assert one.id_of("s-1") == 2365212299 and 0 <= one.id_of("s-2") < 2**32
 
@@ -154,24 +154,24 @@
 def test_a_list_becomes_integers_times_and_addresses():
     directory = Directory(("a", "b"), lambda ms: ms * 1_000_000)
     full = listing(line("x", 1, zone="b", cell=3, started_ms=5), line("y", 2, "Terminating", started_ms=0))
-    event = directory.take(full, ListKind.FULL)
+    event = directory.apply(full, ListKind.FULL)
     x, y = directory.id_of("x"), directory.id_of("y")
     assert [(b.id, b.zone, b.cell, b.state, b.started_ns) for b in event.backends] == [
         (x, 1, 3, BackendState.READY, 5_000_000),
         (y, 0, 0, BackendState.DRAINING, 0),
     ]
     assert (directory.address(x), directory.address(y)) == ((HOST, 1), None)
-    directory.take(listing(line("x", 1, "Gone"), full=False), ListKind.DELTA)
-    assert directory.address(x) is None and not directory.listed(x) and directory.listed(y)
-    directory.take(listing(), ListKind.FULL)
-    assert not directory.listed(y)
+    directory.apply(listing(line("x", 1, "Gone"), full=False), ListKind.DELTA)
+    assert directory.address(x) is None and not directory.is_listed(x) and directory.is_listed(y)
+    directory.apply(listing(), ListKind.FULL)
+    assert not directory.is_listed(y)
 
 
 def test_a_workers_start_is_read_on_the_programs_one_clock():
     async def test():
         backends = Backends()
         started_ms = (backends.clock() - 3_000_000_000) // 1_000_000
-        (backend,) = backends.directory.take(
+        (backend,) = backends.directory.apply(
             listing(line("w", 1, started_ms=started_ms)), ListKind.FULL
         ).backends
         assert 2_990_000_000 < backends.clock() - backend.started_ns < 3_500_000_000
@@ -198,7 +198,7 @@
 @given(st.dictionaries(st.sampled_from(["version", "full", "servers"]), JSON))
 def test_a_list_that_is_garbage_raises_value_errors_only(table):
     try:
-        Directory(("a",), int).take(read_listing(table), ListKind.FULL)
+        Directory(("a",), int).apply(read_listing(table), ListKind.FULL)
     except ValueError as error:
         assert str(error)
 
@@ -245,10 +245,10 @@
     calls = []
     for caller in range(callers):
         backoff = Backoff(callers, random.Random(caller))
-        at = backoff.move()
+        at = backoff.delay_after_move()
         while at < 60:
             calls.append(at)
-            at += backoff.failed()
+            at += backoff.delay_after_failure()
     first = [at for at in calls if at < 1.0]
     late = [at for at in calls if 30 <= at < 60]
     assert len(first) <= in_the_first
@@ -257,21 +257,21 @@
     for at in calls:
         slots[int(at * 10)] += 1
     assert max(slots) <= in_100_ms
-    backoff.succeeded()
-    assert backoff.failed() < 1.5 * MOST_S and backoff.failures == 1
+    backoff.reset()
+    assert backoff.delay_after_failure() < 1.5 * MAX_MEAN_DELAY_S and backoff.failures == 1
 
 
 def test_a_service_of_fixed_capacity_lets_all_in_where_calls_in_step_never_end() -> None:
     # Twelve calls a second, each of 40 callers needs one; past a line of four callers are turned away.
     waiting = [(Backoff(40, random.Random(number)), number) for number in range(40)]
-    due = [(backoff.move(), number) for backoff, number in waiting]
+    due = [(backoff.delay_after_move(), number) for backoff, number in waiting]
     served, free_at, turned_away = set(), 0.0, 0
     while due:
         at, number = min(due)
         due.remove((at, number))
         if free_at - at > 4 / 12:
             turned_away += 1
-            due.append((at + waiting[number][0].failed(), number))
+            due.append((at + waiting[number][0].delay_after_failure(), number))
             continue
         free_at = max(free_at, at) + 1 / 12
         served.add(number)
@@ -284,7 +284,7 @@
     class Waits(AtOnce):
         waited = 0
 
-        def move(self) -> float:
+        def delay_after_move(self) -> float:
             self.waited += 1
             return 0.0
 
@@ -310,15 +310,15 @@
         watch = Discovery((HOST, agent.port), lists.put_nowait, Backoff(callers, random.Random(1)), known=41)
         loop = asyncio.get_running_loop()
         begun, task = loop.time(), loop.create_task(watch.run())
-        assert not watch.first.is_set()
+        assert not watch.first_call_done.is_set()
         await agent.arrived.get()
         assert loop.time() - begun < 0.25  # drains are to be kept 250 ms after they are told
-        await watch.first.wait()
+        await watch.first_call_done.wait()
         assert (await lists.get()).version == 42
         task.cancel()
 
     going(test)
-    moves = [Backoff(callers, random.Random(seed)).move() for seed in range(200)]
+    moves = [Backoff(callers, random.Random(seed)).delay_after_move() for seed in range(200)]
     assert max(moves) <= 2.0 and len(set(moves)) > 100
 
 
@@ -327,7 +327,7 @@
         agent = await StandIn(reset).start()
         watch = Discovery((HOST, agent.port), lambda listing: None, Backoff(4, random.Random(1)), known=1)
         task = asyncio.get_running_loop().create_task(watch.run())
-        await watch.first.wait()
+        await watch.first_call_done.wait()
         task.cancel()
 
     going(test)
@@ -341,8 +341,10 @@
 
 def test_only_who_asks_a_service_that_others_ask_too_waits_for_their_sake():
     asking, pushed = calls_of_220(True), calls_of_220(False)
-    assert asking.failed() > 2.0 and asking.near_s is None
-    assert pushed.move() == 0 and {pushed.failed() for _ in range(9)} == {pushed.near_s}
+    assert asking.delay_after_failure() > 2.0 and asking.retry_interval_s is None
+    assert pushed.delay_after_move() == 0 and {pushed.delay_after_failure() for _ in range(9)} == {
+        pushed.retry_interval_s
+    }
 
 
 @pytest.mark.parametrize(
@@ -356,8 +358,8 @@
 def test_an_agent_of_ones_own_is_asked_again_well_within_the_grace_of_drains(silence, monkeypatch):
     # What it gets at its return counts as told in that moment: of 220 gatekeepers those that still paused for
     # each other's sake, up to 12 s, sent to workers of which they had been told that they drain.
-    monkeypatch.setattr(discovery, "WAIT_MS", 10)
-    monkeypatch.setattr(discovery, "GRACE_S", 0.05)
+    monkeypatch.setattr(discovery, "LONG_POLL_MS", 10)
+    monkeypatch.setattr(discovery, "RESPONSE_GRACE_S", 0.05)
 
     async def test():
         loop = asyncio.get_running_loop()
--- a/tests/test_ejection.py
+++ b/tests/test_ejection.py
@@ -153,15 +153,17 @@
 def test_a_rest_that_was_not_safe_elsewhere_is_not_trusted_with_what_may_not_repeat():
     told: list[int] = []
     here, there = SharedWear(told.append), SharedWear(lambda step: None)
-    here.saw(400 * MS, True)
+    here.record_reuse(400 * MS, True)
     there.reported(*told)
     for wear in (here, there):
         assert (
-            not wear.trusted(400 * MS, 0.03) and wear.trusted(400 * MS, 0.2) and wear.trusted(100 * MS, 0.0)
+            not wear.is_trusted(400 * MS, 0.03)
+            and wear.is_trusted(400 * MS, 0.2)
+            and wear.is_trusted(100 * MS, 0.0)
         )
     for _ in range(12):
-        there.saw(400 * MS, False)
-    assert there.trusted(400 * MS, 0.03)
+        there.record_reuse(400 * MS, False)
+    assert there.is_trusted(400 * MS, 0.03)
 
 
 def test_what_is_full_is_not_ill_and_what_fails_is():
@@ -208,14 +210,14 @@
         two.peer_messages.others[TAG] = lambda data, addr: (two.on_report(data, addr), heard.set())
         worker = clusters[0].plane.workers.ids["w1"]
         one._record(worker, False, one.clock())
-        one.wear.saw(400 * MS, True)
+        one.wear.record_reuse(400 * MS, True)
         one.send_report()
         await heard.wait()
         assert two.ejection.records[worker].score == FAILURE_SCORE and two.ejection.records[
             worker
         ].reporters == {clusters[1].plane.peers.lives["g1"][1]}
         assert (
-            not two.wear.trusted(400 * MS, 0.03)
+            not two.wear.is_trusted(400 * MS, 0.03)
             and not three.ejection.records
             and not two.ejection.unreported
         )
--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -8,15 +8,15 @@
 
 from pepperrun.net.buffer import Buffer
 from pepperrun.net.http1 import (
-    MAX_BODY,
     MAX_HEAD,
-    ROOM,
+    MAX_REQUEST_BODY,
+    REQUEST_BUFFER_SIZE,
     HttpError,
     Request,
     RequestParser,
     Response,
     ResponseParser,
-    write_response,
+    encode_response,
 )
 
 TOKEN = st.text("abcdefghijklmnopqrstuvwxyz-", min_size=1, max_size=12).map(lambda t: b"x" + t.encode())
@@ -56,11 +56,11 @@
     for fields, body, chunk in messages:
         head = b"".join(b"%b:  %b \r\n" % pair for pair in fields)
         data += b"POST /a?b HTTP/1.1\r\nHost: h\r\n" + head + framed(body, chunk)
-    got = feed(RequestParser(Buffer(ROOM)), data, cuts)
+    got = feed(RequestParser(Buffer(REQUEST_BUFFER_SIZE)), data, cuts)
     assert [message.body for message in got] == [body for _, body, _ in messages]
     for message, (fields, _, _) in zip(got, messages, strict=True):
         assert [pair for pair in message.fields if pair[0] in dict(fields)] == fields
-        assert (message.method, message.target, message.close()) == (b"POST", b"/a?b", False)
+        assert (message.method, message.target, message.closes_connection()) == (b"POST", b"/a?b", False)
 
 
 @given(st.lists(st.tuples(BODY, st.integers(0, 700)), min_size=1, max_size=3), CUTS)
@@ -68,16 +68,16 @@
     data = b"".join(
         b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\n" + framed(body, chunk) for body, chunk in messages
     )
-    got = feed(ResponseParser(Buffer(ROOM)), data, cuts)
+    got = feed(ResponseParser(Buffer(REQUEST_BUFFER_SIZE)), data, cuts)
     assert [message.body for message in got] == [body for body, _ in messages]
 
 
 @given(BODY, CUTS)
 def test_a_response_without_a_length_lasts_until_the_end(body, cuts):
-    parser = ResponseParser(Buffer(ROOM))
+    parser = ResponseParser(Buffer(REQUEST_BUFFER_SIZE))
     assert feed(parser, b"HTTP/1.0 200 OK\r\n\r\n" + body, cuts) == []
-    whole = parser.end()
-    assert whole is not None and whole.body == body and whole.close()
+    whole = parser.on_eof()
+    assert whole is not None and whole.body == body and whole.closes_connection()
 
 
 GARBAGE = st.one_of(
@@ -110,8 +110,8 @@
 @given(GARBAGE, CUTS, st.sampled_from([RequestParser, ResponseParser]))
 def test_garbage_raises_nothing_but_http_errors(data, cuts, kind):
     try:
-        for message in feed(kind(Buffer(ROOM)), data, cuts):
-            assert len(message.body) <= MAX_BODY
+        for message in feed(kind(Buffer(REQUEST_BUFFER_SIZE)), data, cuts):
+            assert len(message.body) <= MAX_REQUEST_BODY
     except HttpError as error:
         assert error.status in (400, 413, 431, 501, 502)
 
@@ -137,12 +137,16 @@
 def test_what_is_ambiguous_or_too_large_is_rejected(head, status):
     # Two readings of where a body ends are how a second request is smuggled past a proxy.
     with pytest.raises(HttpError) as caught:
-        feed(RequestParser(Buffer(ROOM)), b"POST / HTTP/1.1\r\nHost: h\r\n" + head + b"\r\nabc", [])
+        feed(
+            RequestParser(Buffer(REQUEST_BUFFER_SIZE)),
+            b"POST / HTTP/1.1\r\nHost: h\r\n" + head + b"\r\nabc",
+            [],
+        )
     assert caught.value.status == status
 
 
 def test_an_endless_head_is_rejected_before_it_fills_memory():
-    parser = RequestParser(Buffer(ROOM))
+    parser = RequestParser(Buffer(REQUEST_BUFFER_SIZE))
     with pytest.raises(HttpError) as caught:
         feed(parser, b"GET / HTTP/1.1\r\n" + b"a: b\r\n" * 20_000, list(range(0, 60_000, 1000)))
     assert caught.value.status == 431
@@ -151,7 +155,7 @@
 def test_chunks_beyond_the_largest_body_are_rejected():
     data = b"POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n" + b"8000\r\n" + bytes(0x8000)
     with pytest.raises(HttpError) as caught:
-        feed(RequestParser(Buffer(ROOM)), data + b"\r\n8001\r\n", [])
+        feed(RequestParser(Buffer(REQUEST_BUFFER_SIZE)), data + b"\r\n8001\r\n", [])
     assert caught.value.status == 413
 
 
@@ -173,10 +177,12 @@
     buffer = Buffer(10_000)
     with pytest.raises(ValueError):
         buffer.add(bytes(10_001))
-    assert buffer.full() and len(buffer.data) == 10_000
+    assert buffer.is_full() and len(buffer.data) == 10_000
 
 
 @given(FIELDS, BODY, CUTS)
 def test_what_is_written_can_be_read(fields, body, cuts):
-    (got,) = feed(ResponseParser(Buffer(ROOM)), write_response(200, fields, body, close=True), cuts)
-    assert (got.body, got.fields[: len(fields)], got.close()) == (body, fields, True)
+    (got,) = feed(
+        ResponseParser(Buffer(REQUEST_BUFFER_SIZE)), encode_response(200, fields, body, close=True), cuts
+    )
+    assert (got.body, got.fields[: len(fields)], got.closes_connection()) == (body, fields, True)
--- a/tests/test_late_attempts.py
+++ b/tests/test_late_attempts.py
@@ -20,7 +20,7 @@
 from pepperrun.dataplane.outcome_sharing import OutcomeSharing
 from pepperrun.dataplane.routes import Table
 from pepperrun.foundation.settings import Bounds
-from pepperrun.net.connection import STILL_NS, AbandonReason
+from pepperrun.net.connection import BODY_STALL_NS, AbandonReason
 
 MS = 1_000_000
 SECOND = 1000 * MS
@@ -236,7 +236,7 @@
         worker = await StandIn(pausing(whole, len(whole) - 2)).start()
         cluster.work("w1", worker.port)
         servers, stalled = cluster.plane.servers, asyncio.Event()
-        ends, servers.wire.stall_s = servers.ends_stalled, 0.01
+        ends, servers.wire.stall_timeout_s = servers.ends_stalled, 0.01
         servers.ends_stalled = lambda attempt: (stalled.set(), ends(attempt))[1]
         (client,) = await sent_to(worker, cluster, 1)
         await stalled.wait()
@@ -252,7 +252,7 @@
         whole = ok(b"fine", b"i0")
         worker, other = await StandIn(pausing(whole, len(whole) - 2)).start(), await StandIn(whole).start()
         cluster.work("w1", worker.port)
-        cluster.plane.servers.wire.stall_s = 0.01
+        cluster.plane.servers.wire.stall_timeout_s = 0.01
         cluster.plane.gatekeeper.gateway.retry_budget.level = 1.0
         (client,) = await sent_to(worker, cluster, 1)
         cluster.work("w2", other.port)
@@ -278,10 +278,10 @@
         await worker.arrived.get()
         await client.reader.readuntil(b"\r\n\r\n")
         (connection,) = cluster.plane.servers.connections
-        assert connection.download is not None and STILL_NS < 11 * SECOND
-        assert not connection.stands_still(connection.moved_at + 11 * SECOND)
-        assert connection.stands_still(connection.moved_at + 13 * SECOND)
-        assert connection.deadline < connection.moved_at + 12 * SECOND
+        assert connection.download is not None and BODY_STALL_NS < 11 * SECOND
+        assert not connection.is_stalled(connection.last_progress_at + 11 * SECOND)
+        assert connection.is_stalled(connection.last_progress_at + 13 * SECOND)
+        assert connection.deadline < connection.last_progress_at + 12 * SECOND
         worker.go.set()
         assert len(await client.reader.readexactly(100_000)) == 100_000
 
@@ -328,9 +328,9 @@
 def stop(cluster: Cluster, port: int) -> None:
     """Idle connections of clients, and to workers, end; those in use do not."""
     cluster.plane.listener.draining = True
-    cluster.plane.listener.shut()
+    cluster.plane.listener.stop_listening()
     for client in list(cluster.plane.listener.clients):
-        if not client.busy():
+        if not client.is_busy():
             client.close()
     for backend in list(cluster.plane.servers.pools):
         cluster.plane.servers.close_idle(backend)
--- a/tests/test_long_running.py
+++ b/tests/test_long_running.py
@@ -107,7 +107,7 @@
         number = directory.id_of(f"w{day}")
         changes = [line(f"w{day}", 9000), *([line(f"w{day - 1}", 9000, "Gone")] if day % 2 else [])]
         driver.feed(
-            directory.take(
+            directory.apply(
                 listing(*changes, full=day % 2 == 0), ListKind.FULL if day % 2 == 0 else ListKind.DELTA
             )
         )
@@ -121,8 +121,8 @@
             driver.feed(BackendList(ListKind.FULL, ()))
             assert not driver.gateway.fleet.servers
             driver.end(send, Outcome.RESET)
-            driver.feed(directory.take(listing(line(f"w{day}", 9000)), ListKind.FULL))
+            driver.feed(directory.apply(listing(line(f"w{day}", 9000)), ListKind.FULL))
     fleet = driver.gateway.fleet
-    assert len(directory.ids) == len(directory.names) == len(directory.lines) == 1
+    assert len(directory.ids) == len(directory.names) == len(directory.endpoints) == 1
     assert list(fleet.servers) == [number] == list({backend for backend, _ in fleet.backend_reports.known})
     assert {backend for backend, _ in fleet.backend_reports.fresh} <= {number} and fleet.in_flight == 0
--- a/tests/test_parking.py
+++ b/tests/test_parking.py
@@ -95,7 +95,7 @@
                 await asyncio.sleep(0)
             (taken,) = front.listener.clients
             assert isinstance(taken, HttpClient)
-            assert taken.peer_address() == HOST.encode() and not taken.fresh()
+            assert taken.peer_address() == HOST.encode() and not taken.never_answered()
             assert (await client.answer())[0] == 200
 
     going(test)
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -25,13 +25,13 @@
         )
         to = other.transport.get_extra_info("sockname")
         for sender in (stranger, one):
-            sender.peers, sender.me = (("", 0), to), 0
-        stranger.tell(1, b"not for you")
+            sender.peers, sender.own_number = (("", 0), to), 0
+        stranger.send(1, b"not for you")
         one.transport.sendto(bytes(257), to)
-        one.tell(1, bytes(257))  # a longer one is never sent
-        one.tell(0, b"to itself")
-        one.tell(9, b"to nobody")
-        one.tell(1, b"hello")
+        one.send(1, bytes(257))  # a longer one is never sent
+        one.send(0, b"to itself")
+        one.send(9, b"to nobody")
+        one.send(1, b"hello")
         assert await heard.get() == (0, b"hello")
         assert heard.empty()
         for peers in (one, stranger, other):
@@ -47,7 +47,7 @@
         one.transport.close()
         await asyncio.sleep(0)
         await asyncio.sleep(0)
-        one.tell(1, b"too late")
+        one.send(1, b"too late")
 
     going(test)
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -27,7 +27,7 @@
 from pepperrun.fronts import kept
 from pepperrun.fronts.http_client import HttpClient
 from pepperrun.net import listener as listener_module
-from pepperrun.net.http1 import ROOM
+from pepperrun.net.http1 import REQUEST_BUFFER_SIZE
 
 
 def connections(front: Front) -> list[HttpClient]:
@@ -228,7 +228,7 @@
         (connection,) = connections(front)
         while not connection.paused:
             await asyncio.sleep(0)
-        assert len(connection.buffer) <= ROOM  # what a client sends ahead does not fill memory
+        assert len(connection.buffer) <= REQUEST_BUFFER_SIZE  # what a client sends ahead does not fill memory
         worker.go.set()
         assert [(await client.answer())[2] for _ in range(2)] == [b"1", b"2"]
         for _ in range(10_000):
@@ -261,8 +261,8 @@
 
 def test_slow_requests_and_answers_that_are_not_taken_end(monkeypatch):
     monkeypatch.setattr(kept, "STUCK_NS", 10 * MS)
-    times = listener_module.Times(silent_ns=10 * MS, whole_ns=10 * MS)
-    monkeypatch.setattr(listener_module, "PLATFORM_TIMES", times)
+    times = listener_module.ClientTimeouts(first_byte_ns=10 * MS, request_ns=10 * MS)
+    monkeypatch.setattr(listener_module, "PLATFORM_TIMEOUTS", times)
     monkeypatch.setattr(listener_module, "SWEEP_S", 0.01)
 
     async def test():
@@ -320,14 +320,14 @@
             return clients
 
         few = await open_ones(2)
-        later = listener_module.CROWDED_NS
+        later = listener_module.CROWDED_IDLE_TIMEOUT_NS
         await asyncio.sleep(0.05)
         assert len(front.listener.clients) == 2
-        later = listener_module.IDLE_NS
+        later = listener_module.IDLE_TIMEOUT_NS
         assert [await client.ended() for client in few] == [True, True]
         later = 0
         many = await open_ones(5)
-        later = listener_module.CROWDED_NS
+        later = listener_module.CROWDED_IDLE_TIMEOUT_NS
         assert all([await client.ended() for client in many])
 
     going(test)
@@ -358,7 +358,7 @@
     class Idle:
         closed = 0
 
-        def spare(self, now):
+        def eviction_rank(self, now):
             return None if self.closed else (0, 0)
 
         def close(self):
@@ -370,12 +370,12 @@
         for client in clients:
             listener.add(client)
         for _ in range(10):
-            assert not listener._room()
+            assert not listener._has_capacity()
         gone = [client for client in clients if client.closed]
         assert len(gone) == 8 and all(client.closed == 1 for client in gone)
         for client in gone:
             listener.remove(client)
-        assert listener._room()
+        assert listener._has_capacity()
 
     going(test)
 
@@ -390,11 +390,11 @@
         while not front.listener.clients:
             await asyncio.sleep(0)
         (connection,) = connections(front)
-        assert connection.spare(front.clock()) is not None
+        assert connection.eviction_rank(front.clock()) is not None
         connection.transport.pause_reading()
         client.ask()
         await asyncio.sleep(0)
-        assert connection.spare(front.clock()) is None
+        assert connection.eviction_rank(front.clock()) is None
         connection.transport.resume_reading()
         assert (await client.answer())[0] == 429  # no worker is listed: refused, and taken all the same
 
--- a/tests/test_server_side.py
+++ b/tests/test_upstream.py
@@ -21,8 +21,8 @@
 )
 
 from pepperrun.core.interface import Outcome
-from pepperrun.net.buffer import KEPT, unread
-from pepperrun.net.connection import Wear
+from pepperrun.net.buffer import MAX_IDLE_SIZE, has_unread_input
+from pepperrun.net.stale_rates import StaleRates
 
 
 @pytest.mark.parametrize(
@@ -99,7 +99,7 @@
                 (connection,) = backends.side.connections
                 connection.transport.pause_reading()
                 worker.go.set()
-                while not unread(connection.transport):
+                while not has_unread_input(connection.transport):
                     await asyncio.sleep(0)
             backends.send()
             assert (await backends.outcomes.get())[2].body == b"own"
@@ -143,7 +143,7 @@
         _, outcome, given, _ = await backends.outcomes.get()
         assert outcome is Outcome.OK and len(given.body) == 400_000
         (connection,) = backends.side.connections
-        assert len(connection.buffer.data) <= KEPT
+        assert len(connection.buffer.data) <= MAX_IDLE_SIZE
 
     going(test)
 
@@ -234,7 +234,7 @@
         backends.send()
         assert await backends.outcome() is Outcome.OK
         (kept,) = backends.side.connections
-        kept.up_ns = up_ms * MS
+        kept.connect_ns = up_ms * MS
         backends.send()
         await worker.arrived.get()
         await worker.arrived.get()
@@ -242,7 +242,7 @@
         backends.side.clock = lambda: clock() + 30 * MS
         worker.go.set()
         assert await backends.outcome() is outcome
-        assert any(backends.side.wear.shares) is (outcome is Outcome.STALE)
+        assert any(backends.side.stale_rates.rates) is (outcome is Outcome.STALE)
 
     going(test)
 
@@ -264,27 +264,27 @@
         assert await backends.outcome() is Outcome.OK
         assert worker.connections == 3
         for _ in range(5):
-            backends.side.wear.saw(0, True)
+            backends.side.stale_rates.record_reuse(0, True)
         backends.send()
         assert await backends.outcome() is Outcome.OK
         assert worker.connections == 4
         for _ in range(300):  # in time the risk is taken again
-            backends.side.wear.fade()
-        assert backends.side.wear.trusted(0, 0.0 + 1e-3)
+            backends.side.stale_rates.decay()
+        assert backends.side.stale_rates.is_trusted(0, 0.0 + 1e-3)
 
     going(test)
 
 
 def test_what_is_learnt_of_short_idleness_holds_for_longer():
-    wear = Wear()
+    wear = StaleRates()
     for _ in range(9):
-        wear.saw(100 * MS, True)
-        wear.saw(3 * SECOND, False)
-    assert wear.trusted(10 * MS, 0.01)
-    assert not wear.trusted(100 * MS, 0.5) and not wear.trusted(3 * SECOND, 0.5)
+        wear.record_reuse(100 * MS, True)
+        wear.record_reuse(3 * SECOND, False)
+    assert wear.is_trusted(10 * MS, 0.01)
+    assert not wear.is_trusted(100 * MS, 0.5) and not wear.is_trusted(3 * SECOND, 0.5)
     for _ in range(30):
-        wear.saw_new(True)  # new ones break as well: nothing is gained by opening them
-    assert wear.trusted(3 * SECOND, 0.5)
+        wear.record_first_use(True)  # new ones break as well: nothing is gained by opening them
+    assert wear.is_trusted(3 * SECOND, 0.5)
 
 
 def test_a_connection_that_is_accepted_and_reset_is_tried_again_with_the_same_attempt(monkeypatch):
@@ -338,8 +338,8 @@
         backends.send()
         backends.list(*([] if told == "absent" else [line("w", worker.port, told)]), full=told == "absent")
         assert await backends.outcome() is Outcome.CONNECT_FAILED
-        while backends.side.opening:
-            await asyncio.gather(*backends.side.opening)
+        while backends.side.connecting:
+            await asyncio.gather(*backends.side.connecting)
         backends.list(line("w", worker.port))
         backends.send()
         assert await backends.outcome() is Outcome.OK
