--- a/pepperrun/fronts/kept.py
+++ b/pepperrun/fronts/kept.py
@@ -180,9 +180,9 @@
             transport.resume_reading()
             self.go_on()
 
-    def hand_over(self, most_held: int) -> tuple[ConnectionSnapshot, int] | None:
+    def hand_over(self, max_buffered: int) -> tuple[ConnectionSnapshot, int] | None:
         """What it is and a copy of its descriptor, for another process; None while it owes an answer."""
-        if self.lingering or self.idle_since(most_held) is None or self.transport is None:
+        if self.lingering or self.idle_since(max_buffered) is None or self.transport is None:
             return None
         try:
             fd = os.dup(self.transport.get_extra_info("socket").fileno())
--- a/pepperrun/net/__init__.py
+++ b/pepperrun/net/__init__.py
@@ -1,1 +1,1 @@
-"""What speaks on sockets: buffers, HTTP/1 parsers, connections to backends, discovery and peers."""
+"""Network I/O: buffers, HTTP/1.1 parsers, client listener, backend connections, discovery and peers."""
--- a/pepperrun/net/buffered.py
+++ b/pepperrun/net/buffered.py
@@ -1,4 +1,4 @@
-"""A connection whose bytes come into one buffer: what all small protocols on one share."""
+"""A connection whose input goes into one buffer: the base of all small protocols."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 
 class BufferedConnection(asyncio.BufferedProtocol):
-    """Keeps the transport while it is up and fills the buffer; `came` and `ended` are the protocol's."""
+    """Holds the transport while it is open and fills the buffer. Subclasses override the `on_` methods."""
 
-    def __init__(self, most: int) -> None:
-        self.buffer = Buffer(most)
+    def __init__(self, max_size: int) -> None:
+        self.buffer = Buffer(max_size)
         self.transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -31,10 +31,10 @@
         self.on_data()
 
     def on_open(self) -> None:
-        """It is up."""
+        """Called once the connection is open."""
 
     def on_data(self) -> None:
-        """There are more bytes in the buffer."""
+        """Called when bytes have been added to the buffer."""
 
     def on_close(self) -> None:
-        """It is over."""
+        """Called once the connection has ended; the transport is already None."""
--- a/pepperrun/net/connection.py
+++ b/pepperrun/net/connection.py
@@ -1,7 +1,7 @@
-"""A connection to a backend: one request at a time, its answer, and long bodies in pieces, both ways.
+"""A connection to a backend: one request at a time and its response, with long bodies streamed both ways.
 
-A long request body is spent once its first attempt has a connection; a long answer is the answer once it has
-begun.
+A long request body can be sent once only: it is spent when its first attempt has a connection. A long
+response becomes the final answer as soon as its streaming begins.
 """
 
 from __future__ import annotations
@@ -34,23 +34,17 @@
 from pepperrun.net.stale_rates import StaleRates
 from pepperrun.net.stream import MAX_BUFFER_BYTES, BodyStream, MemoryBudget
 
-SAFE_METHODS = (b"GET", b"HEAD")  # to send again, by HTTP's own word
-STALE_RESET_NS = SECOND // 100  # a kept connection that was no longer one breaks this soon under a request
-MAX_BUFFERED_BODY = (
-    64 * 1024
-)  # bytes of an answer up to which it is held whole, so that a break can be made good
+SAFE_METHODS = (b"GET", b"HEAD")  # HTTP lets these requests be sent again
+STALE_RESET_NS = SECOND // 100  # a stale connection is reset this soon after a request is written to it
+MAX_BUFFERED_BODY = 64 * 1024  # bytes: up to here a response is buffered, so that a break can be retried
 STREAMING_BUFFER_SIZE = MAX_HEAD + MAX_BUFFER_BYTES
-MAX_HOLD_NS = (
-    SECOND // 5
-)  # one whose length is not told, and that comes slowly, is not held for more than this
-BODY_STALL_NS = (
-    10 * SECOND
-)  # a body that a backend brings or takes no further for so long ends, as a client's does
-MIN_EARLY_BODY = 8 * 1024  # bytes of a long answer that are awaited before it is the answer
+MAX_HOLD_NS = SECOND // 5  # longest buffering of a slow response of unknown length
+BODY_STALL_NS = 10 * SECOND  # a body that a backend stalls for this long ends, as a client's does
+MIN_EARLY_BODY = 8 * 1024  # bytes of a long response that must arrive before it is streamed
 
 
-def encode_request(request: Request, more: bytes) -> bytes:
-    """The request as a backend reads it, with `more` header lines."""
+def encode_request(request: Request, extra_headers: bytes) -> bytes:
+    """Returns the request as sent to a backend, followed by the header lines `extra_headers`."""
     if request.complete:
         length = b"Content-Length: %d\r\n" % len(request.body) if request.body else b""
         if not length and request.method not in (b"GET", b"HEAD"):
@@ -63,7 +57,7 @@
         request.method,
         request.target,
         encode_fields(request.fields),
-        more,
+        extra_headers,
         length,
         request.body if request.complete or request.length is not None else encode_chunk(request.body),
     )
@@ -73,59 +67,57 @@
 
 
 class AbandonReason(enum.StrEnum):
-    """Why this side ended an attempt that had been written to its backend."""
+    """Why the gatekeeper ended an attempt that had been written to its backend."""
 
-    DECISION = "decision"  # the decisions asked for it
-    SUPERSEDED = "superseded"  # another attempt of its request has been answered
-    CLIENT_LEFT = "client-left"  # nobody waits for its answer
-    DEADLINE = "deadline"  # the client's time, or the route's, is over
-    STALLED = "stalled"  # its answer had begun and came no further
+    DECISION = "decision"  # the gateway decided it
+    SUPERSEDED = "superseded"  # another attempt of the request has been answered
+    CLIENT_LEFT = "client-left"  # no client waits for the response
+    DEADLINE = "deadline"  # the client's or the route's deadline has passed
+    STALLED = "stalled"  # the response began and then stalled
 
 
 class Wire:
-    """What of a conversation with backends is not plain HTTP: here the platform's; others derive from it."""
+    """What a backend protocol adds to plain HTTP: here the platform's; others derive from it."""
 
-    stall_timeout_s = (
-        0.0  # an answer that has begun may stand still for so long; 0: as a connection takes to come up
-    )
-    unresponsive_ns = SECOND  # one that has been asked and said nothing for so long may have been cut off
-    max_response_body = MAX_STREAMED_BODY  # bytes of a body that passes through
-    user_timeout_ms = 0  # unacknowledged bytes, or probes, for so long end a connection; 0: the system's
+    stall_timeout_s = 0.0  # a response that has begun may stall for this long; 0: the connect timeout
+    unresponsive_ns = SECOND  # a backend that has sent nothing for this long after a request may be cut off
+    max_response_body = MAX_STREAMED_BODY  # bytes of a streamed body
+    user_timeout_ms = 0  # bytes or probes unacknowledged for this long end a connection; 0: system default
 
-    def __init__(self, judge: ResponseClassifier) -> None:
-        self._classifier = judge
+    def __init__(self, classifier: ResponseClassifier) -> None:
+        self._classifier = classifier
 
-    def encode(self, attempt: Attempt, left_ns: int) -> bytes | None:
-        """The request, with the time that this attempt will be waited for; None: it may no longer go out."""
-        return encode_request(attempt.exchange.asked, b"X-Budget: %du\r\n" % max(1, left_ns // 1000))
+    def encode(self, attempt: Attempt, remaining_ns: int) -> bytes | None:
+        """Returns the request with the time that this attempt may take; None: it may no longer be sent."""
+        return encode_request(attempt.exchange.asked, b"X-Budget: %du\r\n" % max(1, remaining_ns // 1000))
 
     def classify(self, attempt: Attempt, response: Response) -> tuple[Outcome, float]:
-        """How the attempt ended, and its true units; 0 where they are not known."""
+        """Returns the attempt's outcome and its true units; 0 units where they are not known."""
         return self._classifier(response)
 
     def request_id(self, attempt: Attempt) -> object:
-        """What answers call the request by."""
+        """Returns the id that responses to this request bear; None where the protocol has no ids."""
         return None
 
     def is_surplus(self, connection: Connection, response: Response) -> bool:
-        """Is it another answer to an earlier request, in the place of the one that is waited for?"""
+        """Whether it is a second response to an earlier request, received before the expected one."""
         return False
 
     def is_foreign(self, attempt: Attempt, response: Response) -> bool:
-        """Does it belong to another request, or to none? Its connection is of no more use."""
+        """Whether it belongs to another request or to none: the connection can't be reused."""
         return False
 
     def is_idempotent(self, attempt: Attempt) -> bool:
-        """May its request simply be sent again?"""
+        """Whether the request may be sent again."""
         return attempt.exchange.asked.method in SAFE_METHODS
 
     def keep_alive_ns(self, response: Response) -> int:
-        """How long the backend keeps the connection now; 0 where it does not say."""
+        """Returns how long the backend keeps the idle connection open; 0 where it does not say."""
         return 0
 
 
 def enable_tcp_keepalive(sock: socket.socket, timeout_ms: int) -> None:
-    """Has the system end a connection whose other machine no longer answers it."""
+    """Lets the system end a connection whose peer machine has stopped acknowledging it."""
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, timeout_ms)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, max(1, timeout_ms // 1000))
@@ -134,7 +126,7 @@
 
 
 class Attempt:
-    """One attempt that has not ended."""
+    """An attempt that has not ended, with its connection once it has one."""
 
     __slots__ = ("backend", "connect_resets", "connection", "deadline", "exchange", "number", "timer")
 
@@ -146,7 +138,7 @@
 
 
 class Pool:
-    """The connections to one backend at one address, and the attempts that wait for one."""
+    """The connections to one backend at one address, and the attempts that wait for a connection."""
 
     __slots__ = ("address", "backend", "connecting", "idle", "open_count", "unanswered_since", "waiting")
 
@@ -155,13 +147,11 @@
         self.idle: list[Connection] = []
         self.waiting: deque[Attempt] = deque()
         self.connecting = self.open_count = 0
-        self.unanswered_since = (
-            0  # when the first request went out that nothing has been heard since; 0: none
-        )
+        self.unanswered_since = 0  # when the oldest request was sent after which nothing has arrived; 0: none
 
 
 class ConnectionOwner(Protocol):
-    """What a connection needs of those who use it: `UpstreamClient`, which knows connections, not they it."""
+    """What a connection needs of its owner. `UpstreamClient` is one; a protocol avoids the import cycle."""
 
     loop: asyncio.AbstractEventLoop
     budget: MemoryBudget | None
@@ -173,77 +163,75 @@
 
     @property
     def clock(self) -> Callable[[], int]:
-        """The steady clock, ns."""
+        """The monotonic clock, in ns."""
         ...
 
     @property
     def ends_stalled(self) -> Callable[[Attempt], bool]:
-        """Whether an attempt is given up whose answer has begun and comes no further."""
+        """Whether to abandon an attempt whose response has begun and then stalled."""
         ...
 
     @property
     def on_abandon(self) -> Callable[[Attempt, AbandonReason], None]:
-        """Told of each written attempt that this side ends."""
+        """Called for each attempt that was written to its backend and is ended by the gatekeeper."""
         ...
 
     def on_connection_free(self, connection: Connection) -> None:
-        """A connection can take another attempt."""
+        """Called when a connection can take another attempt."""
         ...
 
     def on_connection_lost(self, connection: Connection) -> None:
-        """A connection has ended."""
+        """Called when a connection has ended."""
         ...
 
     def on_request_sent(self, attempt: Attempt) -> None:
-        """The last byte of a long request has gone out."""
+        """Called when the last byte of a streamed request has been written."""
         ...
 
     def finish_attempt(
-        self, attempt: Attempt, outcome: Outcome, given: object = None, units: float = 0.0
+        self, attempt: Attempt, outcome: Outcome, response: object = None, units: float = 0.0
     ) -> None:
-        """An attempt has ended."""
+        """Called when an attempt has ended."""
         ...
 
 
 class Connection(asyncio.BufferedProtocol):
-    """A connection to a backend."""
+    """A connection to a backend: a BufferedProtocol that is also the sink of a streamed request body."""
 
-    def __init__(self, side: ConnectionOwner, pool: Pool, up_ns: int = 0) -> None:
-        self.owner, self.pool = side, pool
-        self.connect_ns = up_ns  # how long it took to come up: a way there and back
+    def __init__(self, owner: ConnectionOwner, pool: Pool, connect_ns: int = 0) -> None:
+        self.owner, self.pool = owner, pool
+        self.connect_ns = connect_ns  # how long it took to connect: a round trip
         self.transport: asyncio.Transport | None = None
-        budget = side.budget
+        budget = owner.budget
         if budget is None:
             self.buffer = Buffer(RESPONSE_BUFFER_SIZE)
             self.parser = ResponseParser(self.buffer)
         else:
             self.buffer = Buffer(STREAMING_BUFFER_SIZE)
-            self.parser = ResponseParser(self.buffer, side.wire.max_response_body, MAX_BUFFERED_BODY)
+            self.parser = ResponseParser(self.buffer, owner.wire.max_response_body, MAX_BUFFERED_BODY)
         self.attempt: Attempt | None = None
-        self.upload: BodyStream | None = None  # the rest of the request's body
-        self.chunked = False  # it goes out in chunks
-        self.download: BodyStream | None = None  # the rest of the answer's body, which its client takes
-        self.streamed_response: Response | None = None  # the answer that passes through
-        self.response_started_at = 0  # when the answer's first byte came
-        self.last_progress_at = 0  # when a long body last came on
-        self.deadline = 0  # of the request whose answer passes through
-        self.paused = False  # its client takes no more of the answer now
-        self.request_unsent = False  # the last byte of the request is not yet written
-        self.client_aborted = False  # nor will it be: its client has gone
+        self.upload: BodyStream | None = None  # the rest of the request body
+        self.chunked = False  # the request body is sent with chunked coding
+        self.download: BodyStream | None = None  # the rest of the response body, which the client reads
+        self.streamed_response: Response | None = None  # the response that is being streamed
+        self.response_started_at = 0  # when the response's first byte arrived, ns; 0: not yet
+        self.last_progress_at = 0  # when a streamed body last made progress, ns
+        self.deadline = 0  # of the request whose response is being streamed, ns
+        self.paused = False  # reading is paused: the client does not read the response now
+        self.request_unsent = False  # the last byte of the request has not been written
+        self.client_aborted = False  # it never will be: the client has gone
         self.idle_since = self.last_received_at = self.started_at = 0
-        self.responses = 0  # answers so far
-        self.keep_alive_ns = 0  # how long the backend keeps it while idle, where it has said so
-        self.previous_request_id: object = (
-            None  # the wire's names of the request before, and of the present one
-        )
+        self.responses = 0  # complete responses so far
+        self.keep_alive_ns = 0  # how long the backend keeps it open while idle; 0: not announced
+        self.previous_request_id: object = None  # ids of the previous and the current request
         self.request_id: object = None
-        self.has_surplus = False  # something came that nothing was asked for: it takes no further request
+        self.has_surplus = False  # a response to no request has arrived: no further request is sent here
         self.stall_timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
-        transport.set_write_buffer_limits(high=0)  # told at once whether all is written
+        transport.set_write_buffer_limits(high=0)  # reports at once whether all is written
         if self.owner.wire.user_timeout_ms and (sock := transport.get_extra_info("socket")) is not None:
             enable_tcp_keepalive(sock, self.owner.wire.user_timeout_ms)
         self.owner.connections.add(self)
@@ -252,11 +240,11 @@
         self.owner.on_connection_free(self)
 
     def start(self, attempt: Attempt, now: int) -> bool:
-        """Writes the attempt's request; False where it may no longer go out."""
+        """Writes the attempt's request; returns False where it may no longer be sent."""
         assert self.transport is not None
-        asked = attempt.exchange.asked
+        request = attempt.exchange.asked
         data = self.owner.wire.encode(
-            attempt, attempt.deadline - now if asked.complete else attempt.exchange.patience
+            attempt, attempt.deadline - now if request.complete else attempt.exchange.patience
         )
         if data is None:
             return False
@@ -264,15 +252,15 @@
         self.started_at = now
         self.previous_request_id, self.request_id = self.request_id, self.owner.wire.request_id(attempt)
         self.pool.unanswered_since = self.pool.unanswered_since or now
-        self.request_unsent = not asked.complete
-        self.parser.bodiless = asked.method == b"HEAD"
+        self.request_unsent = not request.complete
+        self.parser.bodiless = request.method == b"HEAD"
         self.transport.write(data)
         if self.transport.is_closing():
-            self.request_unsent = True  # the write itself failed: nothing has gone out
-        elif asked.stream is not None and not asked.complete:
-            self.upload, self.chunked, self.last_progress_at = asked.stream, asked.length is None, now
+            self.request_unsent = True  # the write itself failed: nothing has been sent
+        elif request.stream is not None and not request.complete:
+            self.upload, self.chunked, self.last_progress_at = request.stream, request.length is None, now
             attempt.exchange.spent = True
-            asked.stream.attach(self)
+            request.stream.attach(self)
             if self.write_blocked and self.upload is not None:
                 self.upload.pause(True)
         elif not self.write_blocked:
@@ -281,7 +269,7 @@
 
     @property
     def write_blocked(self) -> bool:
-        """Has the system not taken all that was written?"""
+        """Whether bytes that were written wait in the transport's buffer."""
         return self.transport is not None and self.transport.get_write_buffer_size() > 0
 
     def pause_writing(self) -> None:
@@ -297,29 +285,29 @@
             self.request_unsent = False
             self.owner.requests_written += 1
 
-    # The rest of a request's body, as its client sends it.
+    # The sink of the rest of a request body.
 
     def write_body(self, data: bytes) -> None:
-        """Write a further piece."""
+        """Writes the next bytes of the request body."""
         if self.transport is not None:
             self.transport.write(encode_chunk(data) if self.chunked else data)
 
     def finish_body(self) -> None:
-        """All of it is there: from here on the backend's time counts, and the client's."""
+        """Ends a request body that is complete: the backend's and the client's time count from here."""
         self.upload = None
         attempt, transport = self.attempt, self.transport
         if attempt is None or transport is None:
             return
         if self.chunked:
             transport.write(LAST_CHUNK)
-        attempt.exchange.asked.complete = True  # for this connection's own questions; the body is spent
+        attempt.exchange.asked.complete = True  # read by this connection only; the body is spent
         if not self.write_blocked:
             self.request_unsent = False
             self.owner.requests_written += 1
         self.owner.on_request_sent(attempt)
 
     def abort_body(self) -> None:
-        """The client has gone, or sends what can't be read: what the backend has is no request."""
+        """Closes: the client has gone or sent invalid data, so the backend has no complete request."""
         self.upload, self.client_aborted = None, True
         self.close()
 
@@ -341,14 +329,14 @@
             self._forward_body(self.download)
             return
         attempt = self.attempt
-        if attempt is None:  # nothing was asked
+        if attempt is None:  # input that no request caused
             self.close()
             return
         self.response_started_at = self.response_started_at or now
         try:
             response = self.parser.next()
             if response is not None and response.complete and self.owner.wire.is_surplus(self, response):
-                self.has_surplus = True  # the one that is waited for may follow it
+                self.has_surplus = True  # the expected response may follow it
                 response = self.parser.next()
             if response is None and self.owner.budget is not None and self.parser.response is not None:
                 response = self._take_early_response(now)
@@ -367,34 +355,39 @@
         return self.owner.wire.stall_timeout_s or self.owner.connect_timeout_s
 
     def _on_invalid_response(self, attempt: Attempt, why: str) -> None:
-        """It may have run. Where a next answer would begin is not known: the connection is of no use."""
-        say("backend", f"an answer that can't be read: {why}")
+        """Ends the attempt as an error: the request may have run.
+
+        Where the next response would begin is not known, so the connection closes.
+        """
+        say("backend", f"invalid response from a backend: {why}")
         self.attempt = None
         self.close()
         self.owner.finish_attempt(attempt, Outcome.ERROR)
 
     def _check_stall(self, attempt: Attempt) -> None:
-        """An answer may say that it is longer than it is, and nothing ends then but the client's patience.
+        """Ends the attempt if its response has stalled.
 
-        One that brings nothing more for as long as a connection may take to come up will hardly become whole;
-        whether it ends for that is `UpstreamClient.ends_stalled`'s word.
+        A response may announce more than it has; then only the client's deadline would end the attempt. One
+        that brings nothing for the stall timeout will hardly be completed. `UpstreamClient.ends_stalled`
+        decides whether the attempt ends for that.
         """
         self.stall_timer = None
         if self.attempt is not attempt or self.transport is None:
             return
         left_s = self._stall_timeout_s - (self.owner.clock() - self.last_received_at) / SECOND
-        if left_s > 0 or has_unread_input(self.transport):  # this side may be late, and not the backend
+        if left_s > 0 or has_unread_input(self.transport):  # the event loop may be late, and not the backend
             self.stall_timer = self.owner.loop.call_later(max(left_s, 0.01), self._check_stall, attempt)
         elif not self.owner.ends_stalled(attempt):
             self.stall_timer = self.owner.loop.call_later(self._stall_timeout_s, self._check_stall, attempt)
         else:
             self.owner.on_abandon(attempt, AbandonReason.STALLED)
-            self._on_invalid_response(attempt, "it stops short")
+            self._on_invalid_response(attempt, "the body stopped before its end")
 
     def _take_early_response(self, now: int) -> Response | None:
-        """A long answer's beginning, if its client need not wait for more of it.
+        """Returns the beginning of a long response once it can be streamed, else None.
 
-        Some bytes must be there: a spoilt one that says to be long mostly stops soon, and can be made good.
+        Some bytes must have arrived: a broken response that announces a long body mostly stops early, and can
+        then still be retried.
         """
         body, response = self.parser.body, self.parser.response
         if body is None or response is None or body.received < MIN_EARLY_BODY:
@@ -403,13 +396,13 @@
         return self.parser.take_response() if long or now - self.response_started_at > MAX_HOLD_NS else None
 
     def _on_streamed_response(self, attempt: Attempt, response: Response) -> None:
-        """An answer that is longer than is held: its client gets it as it comes, and it is the answer."""
+        """Streams a response that is too long to buffer; from here on it is the final answer."""
         assert self.owner.budget is not None
         if self.owner.wire.is_foreign(attempt, response):
-            self._on_invalid_response(attempt, "it belongs to another request")
+            self._on_invalid_response(attempt, "the response belongs to another request")
             return
         outcome, units = self.owner.wire.classify(attempt, response)
-        if outcome is not Outcome.OK:  # nobody is given its body
+        if outcome is not Outcome.OK:  # its body is not passed on
             self.attempt = None
             self.close()
             self.owner.finish_attempt(attempt, outcome, response, units)
@@ -422,7 +415,7 @@
         self.buffer.set_read_size(self.owner.budget.buffer_limit())
         self.owner.finish_attempt(attempt, outcome, response, units)
         if not stream.attached:
-            stream.abandon()  # its client has gone, or has another answer
+            stream.abandon()  # the client has gone or has another response
         elif self.download is stream:
             self._forward_body(stream)
 
@@ -432,13 +425,13 @@
             self.stall_timer = None
 
     def is_stalled(self, now: int) -> bool:
-        """Is a long body on it that the backend, and not the client, brings or takes no further?
+        """Whether a streamed body has stalled because of the backend and not of the client.
 
-        Before the client's time is over the backend's silence is no reason to end an answer.
+        Before the client's deadline a silent backend is no reason to end a response.
         """
-        waits = self.download is not None and not self.paused and now >= self.deadline
-        waits = waits or self.upload is not None and self.write_blocked
-        return waits and now - self.last_progress_at > BODY_STALL_NS
+        stalls = self.download is not None and not self.paused and now >= self.deadline
+        stalls = stalls or self.upload is not None and self.write_blocked
+        return stalls and now - self.last_progress_at > BODY_STALL_NS
 
     def _pause(self, on: bool) -> None:
         self.paused, self.last_progress_at = on, self.owner.clock()
@@ -450,14 +443,14 @@
             while data := self.parser.read_body():
                 stream.feed(data)
         except HttpError as error:
-            say("backend", f"an answer that can't be read: {error}")
+            say("backend", f"invalid response from a backend: {error}")
             self.close()
             return
         if self.parser.body_complete() and self.download is stream:
             self._finish_streaming(stream)
 
     def _finish_streaming(self, stream: BodyStream) -> None:
-        """All of it has come."""
+        """Ends a streamed response that is complete."""
         response, self.streamed_response, self.download = self.streamed_response, None, None
         self.buffer.set_read_size(0)
         assert response is not None
@@ -467,7 +460,7 @@
     def _on_response(self, attempt: Attempt, response: Response) -> None:
         self._cancel_stall_timer()
         if self.owner.wire.is_foreign(attempt, response):
-            self._on_invalid_response(attempt, "it belongs to another request")
+            self._on_invalid_response(attempt, "the response belongs to another request")
             return
         self.attempt = None
         outcome, units = self.owner.wire.classify(attempt, response)
@@ -476,21 +469,22 @@
         self.owner.finish_attempt(attempt, outcome, response, units)
 
     def _release(self, response: Response) -> None:
-        """The connection has brought its answer and may take the next request."""
+        """Ends the use for one request: the connection takes the next one or closes."""
         self.responses += 1
         self.response_started_at = 0
-        if self.upload is not None:  # it was answered before it was whole
+        if self.upload is not None:  # the response came before the request was complete
             self.upload.abandon()
             self.upload = None
             self.request_unsent = True
         if response.closes_connection() or len(self.buffer) or self.request_unsent or self.has_surplus:
             self.close()
         elif self.transport is not None and not self.transport.is_closing():
-            # What comes behind an answer would be read as the next one: a request must not meet it.
+            # Input behind a response would be read as the next one, so no request may be sent here.
             if has_unread_input(self.transport):
                 self.close()
             else:
-                self.owner.on_connection_free(self)  # first: what the answer brings about may use it
+                # Before the attempt ends: a request sent because of this response may use the connection.
+                self.owner.on_connection_free(self)
 
     def eof_received(self) -> bool:
         response = self.parser.on_eof()
@@ -514,19 +508,19 @@
             self.upload.abandon()
             self.upload = None
         if self.download is not None:
-            self.download.fail()  # its client must see that it is not whole
+            self.download.fail()  # the client must see that the body is incomplete
             self.download = None
         if attempt is not None:
             self.owner.finish_attempt(attempt, self._lost_outcome())
 
     def _lost_outcome(self) -> Outcome:
-        """How an attempt ended whose connection is gone; a body that its client broke off blames nobody."""
+        """Returns the outcome of an attempt whose connection ended; a client that left blames no backend."""
         if self.client_aborted:
             return Outcome.CANCELLED
         return Outcome.CONNECT_FAILED if self.request_unsent else self._broken_outcome()
 
     def _broken_outcome(self) -> Outcome:
-        """How an attempt ended whose connection broke under it: a kept one that did so at once was stale."""
+        """Returns the outcome for a connection that broke; a reused one that broke at once was stale."""
         now = self.owner.clock()
         if (
             self.last_received_at >= self.started_at
@@ -540,6 +534,6 @@
         return Outcome.STALE
 
     def close(self) -> None:
-        """Closes at once: what is out on it is given up."""
+        """Closes at once: a request in flight is abandoned."""
         if self.transport is not None:
             self.transport.abort()
--- a/pepperrun/net/directory.py
+++ b/pepperrun/net/directory.py
@@ -1,4 +1,4 @@
-"""The workers as the last list has them: their names' integers, addresses and states."""
+"""The workers of the current endpoint list: the integers that stand for their names, addresses and states."""
 
 from __future__ import annotations
 
@@ -11,17 +11,20 @@
 
 
 class Directory:
-    """Turns lists with names into lists with integers, and remembers where each worker is."""
+    """Translates endpoint lists with names into lists with integers, and keeps each worker's address."""
 
-    def __init__(self, zones: tuple[str, ...], of_unix_ms: Callable[[int], int]) -> None:
+    def __init__(self, zones: tuple[str, ...], from_unix_ms: Callable[[int], int]) -> None:
         self.zones = {zone: number for number, zone in enumerate(zones)}
-        self.from_unix_ms = of_unix_ms
+        self.from_unix_ms = from_unix_ms
         self.ids: dict[str, int] = {}
         self.names: dict[int, str] = {}
         self.endpoints: dict[int, Line] = {}
 
     def id_of(self, name: str) -> int:
-        """The same at all gatekeepers and after each start: they tell each other of workers by it."""
+        """Returns the worker's integer.
+
+        All gatekeepers derive the same one, also after a restart: their messages identify workers by it.
+        """
         if name not in self.ids:
             salt = 0
             while True:
@@ -34,9 +37,9 @@
         return self.ids[name]
 
     def apply(self, listing: Listing, kind: ListKind) -> BackendList:
-        """Takes in a list."""
+        """Applies a complete list or a delta and returns its translation."""
         backends = []
-        before = set(self.endpoints) if kind is not ListKind.DELTA else set()
+        unlisted = set(self.endpoints) if kind is not ListKind.DELTA else set()
         gone = set()
         for line in listing.lines:
             number = self.id_of(line.name)
@@ -45,22 +48,22 @@
             else:
                 self.endpoints[number] = line
                 gone.discard(number)
-                before.discard(number)
-            born = self.from_unix_ms(line.started_ms) if line.started_ms > 0 else 0
+                unlisted.discard(number)
+            started_ns = self.from_unix_ms(line.started_ms) if line.started_ms > 0 else 0
             zone = self.zones.get(line.zone, len(self.zones))
-            backends.append(Backend(number, zone, line.cell, line.state, born))
-        for number in before | gone:
-            self._forget(number)
+            backends.append(Backend(number, zone, line.cell, line.state, started_ns))
+        for number in unlisted | gone:
+            self._remove(number)
         return BackendList(kind, tuple(backends))
 
-    def _forget(self, number: int) -> None:
-        """Workers under new names replace the old ones day by day: those gone leave nothing behind."""
+    def _remove(self, number: int) -> None:
+        """Removes all data of a worker: workers with new names replace the old ones daily."""
         self.endpoints.pop(number, None)
         if (name := self.names.pop(number, None)) is not None:
             del self.ids[name]
 
     def discovery_rows(self) -> list[dict[str, Any]]:
-        """The list in discovery's form."""
+        """Returns the list in the format of discovery's JSON."""
         return [
             {
                 "id": line.name,
@@ -74,10 +77,10 @@
         ]
 
     def address(self, backend: int) -> Address | None:
-        """Where a worker that is ready listens; None for one that is draining, gone or unknown."""
+        """Returns the address of a ready worker; None for one that is draining, gone or unknown."""
         line = self.endpoints.get(backend)
         return line.addr if line is not None and line.state is BackendState.READY else None
 
     def is_listed(self, backend: int) -> bool:
-        """Is it in the list, whatever its state?"""
+        """Whether the worker is in the list, in any state."""
         return backend in self.endpoints
--- a/pepperrun/net/discovery.py
+++ b/pepperrun/net/discovery.py
@@ -1,8 +1,8 @@
-"""Watches discovery and hands on each list. When that fails the last list stands.
+"""Watches discovery by long polling and passes on each endpoint list. After failures the last one stays.
 
-All gatekeepers of a tier may ask one service: whoever holds a list asks for its changes only, after pauses
-that `backoff` draws. Whole lists are asked for where none is held, or one that no readable answer follows.
-An agent of one's own, to which lists are pushed, is asked at once and without such pauses.
+All gatekeepers of a tier may poll one service. A caller that has a list requests only changes, after delays
+computed by `backoff`. It requests the complete list where it has none, or after a response it could not
+apply. An agent on the gatekeeper's own machine, to which lists are pushed, is called at once, without delays.
 """
 
 from __future__ import annotations
@@ -18,18 +18,16 @@
 from pepperrun.net.buffer import Buffer
 from pepperrun.net.http1 import MAX_HEAD, HttpError, Response, ResponseParser
 
-LONG_POLL_MS = 2000  # a watch that waits no longer shows a silent agent soon
-RESPONSE_GRACE_S = 1.0  # an answer that comes later than this after its wait does not come
-MIN_LONG_POLL_MS = 1  # a call that shows whether the agent is there, whether or not it has news
-MAX_PARALLEL_CALLS = (
-    8  # calls at once to an agent that is silent: two graces of patience with each, and few descriptors
-)
-MIN_CALL_INTERVAL_S = 0.05  # between calls, should an agent answer watches at once with nothing
+LONG_POLL_MS = 2000  # short, so that an agent that has stopped answering is noticed soon
+RESPONSE_GRACE_S = 1.0  # after the long-poll time; a response later than that is not expected any more
+MIN_LONG_POLL_MS = 1  # for calls that show whether the agent answers, with or without changes
+MAX_PARALLEL_CALLS = 8  # to an agent that does not answer: each has two graces, and descriptors are few
+MIN_CALL_INTERVAL_S = 0.05  # if an agent answers long polls at once without changes
 MAX_LIST_BYTES = 8 * 1024 * 1024
 
 
 class _AgentConnection(asyncio.BufferedProtocol):
-    """A connection to the agent with one call at a time."""
+    """A connection to the agent, with one call at a time."""
 
     def __init__(self) -> None:
         self.buffer = Buffer(MAX_LIST_BYTES + MAX_HEAD)
@@ -54,7 +52,7 @@
         if response is not None:
             self._resolve(response)
         elif self.pending is None or self.buffer.is_full():
-            self._fail(ConnectionError("more than was asked for"))
+            self._fail(ConnectionError("unexpected data from the agent"))
 
     def eof_received(self) -> bool:
         if (response := self.parser.on_eof()) is not None:
@@ -91,44 +89,50 @@
             self.transport.abort()
 
 
-FirstAnswer = tuple[_AgentConnection, int | None, Response]
+FirstResponse = tuple[_AgentConnection, int | None, Response]
 
 
-def _abandon_call(call: asyncio.Task[FirstAnswer]) -> None:
-    """Nobody waits for it any more."""
+def _abandon_call(call: asyncio.Task[FirstResponse]) -> None:
+    """Cancels a call; closes the connection if the call completes all the same."""
 
-    def end(over: asyncio.Task[FirstAnswer]) -> None:
-        if not over.cancelled() and over.exception() is None:
-            over.result()[0].abort()
+    def close(completed: asyncio.Task[FirstResponse]) -> None:
+        if not completed.cancelled() and completed.exception() is None:
+            completed.result()[0].abort()
 
-    call.add_done_callback(end)
+    call.add_done_callback(close)
     call.cancel()
 
 
 class Discovery:
-    """Calls `told` with each list; `full` ones replace all.
+    """Calls `on_list` with each list; one that is `full` replaces all.
 
-    `known`: the version of the list that is held, where this place has told it. `moved`: the list is another
-    place's, and all callers come here at once: the first call waits its turn. Else it goes out at once, as
-    what an agent holds counts as told from the start on; `first` is set once it is answered or has failed.
+    Parameters
+    ----------
+    known_version
+        The version of the list that the caller already has, where it came from this address.
+    moved
+        The list came from another address and all callers move here at once: the first call is delayed. Else
+        it is sent at once, as what an agent has counts as received from the start on.
+
+    `first_call_done` is set once the first call has been answered or has failed.
     """
 
     def __init__(
         self,
         address: Address,
-        told: Callable[[Listing], None],
+        on_list: Callable[[Listing], None],
         backoff: Backoff | None = None,
-        known: int | None = None,
+        known_version: int | None = None,
         moved: bool = False,
     ):
-        self.address, self.on_list = address, told
+        self.address, self.on_list = address, on_list
         self.backoff = backoff or Backoff(1, random.Random())
-        self.version = known  # None: the whole list is asked for
-        self.has_list, self.moved = moved or known is not None, moved
+        self.version = known_version  # None: request the complete list
+        self.has_list, self.moved = moved or known_version is not None, moved
         self.first_call_done = asyncio.Event()
 
     async def run(self) -> None:
-        """Watches until cancelled."""
+        """Polls until cancelled."""
         if self.moved:
             await asyncio.sleep(self.backoff.delay_after_move())
         while True:
@@ -137,65 +141,73 @@
                     self.first_call_done.set()
                     self.backoff.reset()
             except (OSError, HttpError, ValueError, RecursionError) as error:
-                say("discovery", f"discovery: {error or type(error).__name__}; going on with the last list")
+                say("discovery", f"discovery: {error or type(error).__name__}; keeping the last list")
             self.first_call_done.set()
             await asyncio.sleep(self.backoff.delay_after_failure())
 
     async def _watch(self) -> AsyncIterator[Listing]:
-        """One connection's calls, the whole list first where none is held; yields after each answer."""
-        link, held, response = await (
+        """Polls on one connection, for the complete list first where there is none; yields each list."""
+        connection, held_version, response = await (
             self._begin(LONG_POLL_MS) if self.backoff.retry_interval_s is None else self._begin_hedged()
         )
         try:
             while True:
                 if response.status != 200:
-                    raise ValueError(f"status {response.status}")
-                listing = self._read(response.body, held)
+                    raise ValueError(f"unexpected status {response.status}")
+                listing = self._read(response.body, held_version)
                 if listing.full or listing.lines:
                     self.on_list(listing)
                 else:
                     await asyncio.sleep(MIN_CALL_INTERVAL_S)
                 yield listing
-                held = self.version
-                response = await self._call(link, held, LONG_POLL_MS)
+                held_version = self.version
+                response = await self._call(connection, held_version, LONG_POLL_MS)
         finally:
-            link.abort()
+            connection.abort()
+
+    async def _call(self, connection: _AgentConnection, held_version: int | None, wait_ms: int) -> Response:
+        """Requests the changes after a version, for which the agent may wait `wait_ms`.
 
-    async def _call(self, link: _AgentConnection, held: int | None, wait_ms: int) -> Response:
-        """What came after `held`, for which the agent may wait; the whole list where none is held."""
+        Requests the complete list where `held_version` is None.
+        """
         query, wait_s = "", 0.0
-        if held is not None:
-            query, wait_s = f"?index={held}&wait={wait_ms}", wait_ms / 1000
+        if held_version is not None:
+            query, wait_s = f"?index={held_version}&wait={wait_ms}", wait_ms / 1000
         async with asyncio.timeout(wait_s + RESPONSE_GRACE_S):
-            return await link.request(f"/v1/endpoints{query}", f"{self.address[0]}:{self.address[1]}")
+            return await connection.request(f"/v1/endpoints{query}", f"{self.address[0]}:{self.address[1]}")
+
+    async def _begin(self, wait_ms: int) -> FirstResponse:
+        """Connects and makes the first call.
 
-    async def _begin(self, wait_ms: int) -> FirstAnswer:
-        """A connection and the answer to its first call, with the version that was held when it went out."""
+        Returns the connection, the version of the list at the time of the call, and the response.
+        """
         async with asyncio.timeout(RESPONSE_GRACE_S):
-            _, link = await asyncio.get_running_loop().create_connection(_AgentConnection, *self.address)
+            _, connection = await asyncio.get_running_loop().create_connection(
+                _AgentConnection, *self.address
+            )
         try:
-            held = self.version
-            return link, held, await self._call(link, held, wait_ms)
+            held_version = self.version
+            return connection, held_version, await self._call(connection, held_version, wait_ms)
         except BaseException:
-            link.abort()
+            connection.abort()
             raise
 
-    async def _begin_hedged(self) -> FirstAnswer:
-        """The first of several connections to be answered, each with a call that hardly waits.
+    async def _begin_hedged(self) -> FirstResponse:
+        """Returns the first of several hedged connections to be answered, each with a minimal long poll.
 
-        An agent of one's own that does not answer at once is silent, and what it gets at its return counts as
-        told in that moment: calls go out a part of the grace apart. Earlier ones wait on beside them: one
-        that is slow has not failed.
+        A local agent that does not answer at once is down, and what it sends on its return counts as received
+        at that moment. Calls are therefore a part of the drain grace apart. Earlier calls stay open beside
+        later ones: a slow call has not failed.
         """
-        calls: list[asyncio.Task[FirstAnswer]] = []
-        near_s = self.backoff.retry_interval_s
+        calls: list[asyncio.Task[FirstResponse]] = []
+        interval_s = self.backoff.retry_interval_s
         try:
             while True:
                 if len(calls) == MAX_PARALLEL_CALLS:
                     _abandon_call(calls.pop(0))
-                    say("discovery", "discovery: the agent is silent; going on with the last list")
+                    say("discovery", "discovery: the agent does not answer; keeping the last list")
                 calls.append(asyncio.get_running_loop().create_task(self._begin(MIN_LONG_POLL_MS)))
-                done, _ = await asyncio.wait(calls, timeout=near_s, return_when=asyncio.FIRST_COMPLETED)
+                done, _ = await asyncio.wait(calls, timeout=interval_s, return_when=asyncio.FIRST_COMPLETED)
                 for call in done:
                     calls.remove(call)
                     return call.result()
@@ -203,16 +215,20 @@
             for call in calls:
                 _abandon_call(call)
 
-    def _read(self, body: bytes, held: int | None) -> Listing:
-        """The list in an answer; ValueError, and nothing changed, where it can't be one that follows."""
-        self.version = None  # should it be no good: the same changes would be no good again
+    def _read(self, body: bytes, held_version: int | None) -> Listing:
+        """Returns the list in a response body.
+
+        Raises ValueError where the list can't follow `held_version`; the current list then stays.
+        """
+        self.version = None  # if invalid: the same changes would be invalid again
         table = json.loads(body)
         if not isinstance(table, dict):
-            raise ValueError("not an object")
+            raise ValueError("the response is not a JSON object")
         listing = read_listing(table)
-        if not listing.full and (held is None or listing.version < held):
-            raise ValueError("changes to a list that is not held")
+        if not listing.full and (held_version is None or listing.version < held_version):
+            raise ValueError("changes to a list that is not known")
         if listing.full and not listing.lines and self.has_list:
-            raise ValueError("a whole list of nothing")  # an agent starts so; a fleet does not end so
+            # An agent that has just started sends such a list; a fleet does not disappear like that.
+            raise ValueError("a complete list without workers")
         self.version, self.has_list = listing.version, self.has_list or bool(listing.lines)
         return listing
--- a/pepperrun/net/hangup.py
+++ b/pepperrun/net/hangup.py
@@ -1,8 +1,8 @@
-"""Ends of connections that are not being read: one epoll instance that the loop watches.
+"""Detects that a peer has closed a connection that is not being read: one epoll instance in the event loop.
 
-A connection whose reading is paused is in no selector of the loop, and even if it were, an end of stream that
-stands behind unread bytes is not read. The system knows of both: it tells of a peer that has closed its side
-(`EPOLLRDHUP`) or reset the connection (`EPOLLHUP`, `EPOLLERR`) whatever is unread.
+A connection whose reading is paused is in no selector of the loop; even if it were, an end of stream behind
+unread bytes would not be read. The system reports a peer that has closed its side (`EPOLLRDHUP`) or reset the
+connection (`EPOLLHUP`, `EPOLLERR`) regardless of unread bytes.
 """
 
 from __future__ import annotations
@@ -12,15 +12,15 @@
 from collections.abc import Callable
 
 BROKEN = select.EPOLLHUP | select.EPOLLERR
-MAX_EVENTS = 256  # in one turn of the loop
+MAX_EVENTS = 256  # in one iteration of the loop
 
 OnHangup = Callable[[bool], None]
 
 
 class HangupWatch:
-    """Tells of each watched connection whose peer closes its side, and of one that breaks, then or later.
+    """Reports each watched connection whose peer closes its side, and each that breaks, then or later.
 
-    Costs nothing until the first connection is watched. All descriptors have to be forgotten before they are
+    Costs nothing until the first connection is watched. Each descriptor has to be unwatched before it is
     closed.
     """
 
@@ -30,9 +30,9 @@
         self._watched: dict[int, OnHangup] = {}
 
     def watch(self, descriptor: int, on_hangup: OnHangup) -> None:
-        """Call `on_hangup` when the peer is gone: with True where the connection is broken both ways.
+        """Calls `on_hangup` when the peer closes: with True where the connection is broken both ways.
 
-        False, told once, says that the peer will send no more; what it sent before may still be read.
+        False, reported once, is a half-close: the peer sends no more; what it sent before can still be read.
         """
         if self._epoll is None:
             self._epoll = select.epoll()
@@ -42,7 +42,7 @@
         self._watched[descriptor] = on_hangup
 
     def unwatch(self, descriptor: int) -> None:
-        """Watch it no more."""
+        """Stops watching a descriptor; one that is not watched is ignored."""
         if self._watched.pop(descriptor, None) is not None and self._epoll is not None:
             self._epoll.unregister(descriptor)
 
@@ -51,11 +51,11 @@
         for descriptor, mask in self._epoll.poll(0, MAX_EVENTS):
             is_broken = bool(mask & BROKEN)
             if not is_broken:
-                self._epoll.modify(descriptor, select.EPOLLONESHOT)  # a break is told of all the same
+                self._epoll.modify(descriptor, select.EPOLLONESHOT)  # a later break is still reported
             self._watched[descriptor](is_broken)
 
     def close(self) -> None:
-        """Let go of everything."""
+        """Stops watching all descriptors and closes the epoll instance."""
         self._watched.clear()
         if self._epoll is not None:
             self.loop.remove_reader(self._epoll.fileno())
--- a/pepperrun/net/http1.py
+++ b/pepperrun/net/http1.py
@@ -1,8 +1,9 @@
-"""Incremental parsers of HTTP/1.1 requests and responses, and how both are written.
+"""Incremental parsers of HTTP/1.1 requests and responses, and the encoding of both.
 
-A parser reads from a `Buffer` and gives a whole message or None for not yet. Where it is told how much of a
-body to hold, it gives a longer message early, and the rest of its body in pieces. What can't be read, or
-could be read in two ways, raises `HttpError` with the status that tells the peer; the connection ends.
+A parser reads from a `Buffer` and returns a complete message, or None while more bytes are needed. Given a
+buffer limit for bodies, it returns a longer message early and decodes the rest of the body as it arrives.
+Input that is invalid, or ambiguous in its framing, raises `HttpError` with the status for the peer; the
+connection then closes.
 """
 
 from __future__ import annotations
@@ -16,11 +17,11 @@
 
 MAX_HEAD = 16 * 1024
 MAX_FIELDS = 100
-MAX_REQUEST_BODY = 64 * 1024  # of a request
-MAX_RESPONSE_BODY = 1024 * 1024  # that is held whole
-MAX_STREAMED_BODY = 36 * 1024 * 1024  # of a message whose body passes through: 32 MB occur
-MAX_INTERIM_RESPONSES = 64  # 1xx responses ahead of a final one
-MAX_CHUNK_LINE = 256  # of a chunk's size with its extensions
+MAX_REQUEST_BODY = 64 * 1024  # bytes of a request body that is buffered
+MAX_RESPONSE_BODY = 1024 * 1024  # bytes of a response body that is buffered
+MAX_STREAMED_BODY = 36 * 1024 * 1024  # bytes of a streamed body: 32 MB occur
+MAX_INTERIM_RESPONSES = 64  # 1xx responses before a final one
+MAX_CHUNK_LINE = 256  # bytes of a chunk size with its extensions
 REQUEST_BUFFER_SIZE = MAX_HEAD + MAX_REQUEST_BODY
 RESPONSE_BUFFER_SIZE = MAX_HEAD + MAX_RESPONSE_BODY
 
@@ -58,7 +59,7 @@
 
 
 class HttpError(Exception):
-    """A message that can't be read; `status` tells the peer why."""
+    """An invalid message; `status` is the HTTP status that reports the reason to the peer."""
 
     def __init__(self, status: int, reason: str) -> None:
         super().__init__(reason)
@@ -67,18 +68,18 @@
 
 @dataclass(slots=True)
 class Message:
-    """What requests and responses have in common. `names`: the fields by lower-case name, repeats joined."""
+    """A request or response. `headers`: the fields by lower-case name, repeated ones joined by commas."""
 
     fields: list[tuple[bytes, bytes]]
     headers: dict[bytes, bytes]
     http11: bool
     body: bytes = b""
-    complete: bool = True  # else `body` is its beginning, and the rest comes in pieces
-    length: int | None = None  # of the whole body, where the head tells
-    stream: BodyStream | None = None  # brings the rest
+    complete: bool = True  # else `body` is the beginning, and `stream` brings the rest
+    length: int | None = None  # of the complete body, where the head announces it
+    stream: BodyStream | None = None  # the rest of the body
 
     def closes_connection(self) -> bool:
-        """Does the connection end after this message?"""
+        """Whether the connection closes after this message."""
         options = self.headers.get(b"connection", b"").lower()
         if not options:
             return not self.http11
@@ -88,7 +89,7 @@
 
 @dataclass(slots=True)
 class Request(Message):
-    """A request. `arrived`: when its first byte came."""
+    """A request. `arrived_at`: when its last byte so far arrived, ns."""
 
     method: bytes = b"GET"
     target: bytes = b"/"
@@ -97,13 +98,13 @@
 
 @dataclass(slots=True)
 class Response(Message):
-    """A response."""
+    """A response with its status; its reason phrase is dropped."""
 
     status: int = 200
 
 
 class Framing(enum.Enum):
-    """How a body's end is found."""
+    """How the end of a body is determined (RFC 9112, section 6)."""
 
     LENGTH = "length"
     CHUNKED = "chunks"
@@ -111,31 +112,32 @@
 
 
 class BodyDecoder:
-    """A body on its way: its framing is taken off piece by piece."""
+    """Decodes the framing of one body as its bytes arrive."""
 
     __slots__ = ("done", "framing", "max_length", "received", "remaining", "trailer_bytes")
 
-    def __init__(self, framing: Framing, length: int, most: int) -> None:
-        self.framing, self.max_length = framing, most
-        self.remaining = length if framing is Framing.LENGTH else -1  # of the chunk; -1: its size comes next
+    def __init__(self, framing: Framing, length: int, max_length: int) -> None:
+        self.framing, self.max_length = framing, max_length
+        # Bytes left of the body or of the current chunk; -1: a chunk size comes next.
+        self.remaining = length if framing is Framing.LENGTH else -1
         self.received = self.trailer_bytes = 0
         self.done = framing is Framing.LENGTH and length == 0
 
     def decode(self, buffer: Buffer) -> bytes:
-        """What of it is there, taken off the buffer; b"" for nothing yet, or nothing more where `done`."""
+        """Takes available bytes off the buffer and returns them decoded; b"" for none."""
         if self.done:
             return b""
         if self.framing is Framing.CHUNKED:
             return self._decode_chunks(buffer)
         if self.framing is Framing.UNTIL_CLOSE:
-            some = buffer.take(len(buffer))
-            self._count(len(some))
-            return some
-        some = buffer.take(self.remaining)
-        self.remaining -= len(some)
-        self.received += len(some)
+            data = buffer.take(len(buffer))
+            self._count(len(data))
+            return data
+        data = buffer.take(self.remaining)
+        self.remaining -= len(data)
+        self.received += len(data)
         self.done = self.remaining == 0
-        return some
+        return data
 
     def _count(self, more: int) -> None:
         self.received += more
@@ -143,9 +145,9 @@
             raise HttpError(413, "the body is too long")
 
     @staticmethod
-    def _read_line(buffer: Buffer, most: int) -> bytes | None:
+    def _read_line(buffer: Buffer, max_length: int) -> bytes | None:
         at = buffer.find(b"\r\n")
-        if (at if at >= 0 else len(buffer)) > most:
+        if (at if at >= 0 else len(buffer)) > max_length:
             raise HttpError(400, "a line of the chunked body is too long")
         if at < 0:
             return None
@@ -177,11 +179,11 @@
                 self.trailer_bytes = self.remaining == 0
                 self._count(self.remaining)
             elif self.remaining > 0:
-                some = buffer.take(self.remaining)
-                if not some:
+                data = buffer.take(self.remaining)
+                if not data:
                     break
-                parts.append(some)
-                self.remaining -= len(some)
+                parts.append(data)
+                self.remaining -= len(data)
             else:
                 if len(buffer) < 2:
                     break
@@ -191,20 +193,24 @@
         return parts[0] if len(parts) == 1 else b"".join(parts)
 
 
-NO_BODY = BodyDecoder(Framing.LENGTH, 0, 0)  # done, and never anything else
+NO_BODY = BodyDecoder(Framing.LENGTH, 0, 0)  # the body of a message without one
 
 
 class _Parser:
-    def __init__(self, buffer: Buffer, most_body: int = MAX_REQUEST_BODY, hold: int | None = None) -> None:
-        self.buffer, self.max_body, self.max_head = buffer, most_body, MAX_HEAD
-        self.buffer_limit = hold  # bytes of a body from which on the message is given early; None: never
-        self.scanned = 0  # bytes in which the end of the head was looked for
-        self.start_line = b""  # the start line of a message that is not yet given
-        self.body: BodyDecoder | None = None  # of the message whose head has been read
-        self.parts: list[bytes] = []  # of it, while it is held
+    """What the request and the response parser share: head, framing, and a body that is buffered."""
+
+    def __init__(
+        self, buffer: Buffer, max_body: int = MAX_REQUEST_BODY, buffer_limit: int | None = None
+    ) -> None:
+        self.buffer, self.max_body, self.max_head = buffer, max_body, MAX_HEAD
+        self.buffer_limit = buffer_limit  # bytes of a body above which the message is returned early
+        self.scanned = 0  # bytes that were searched for the end of the head
+        self.start_line = b""  # of the message that is being parsed
+        self.body: BodyDecoder | None = None  # of the message whose head has been parsed
+        self.parts: list[bytes] = []  # the body as far as it has been decoded
 
     def _head(self) -> tuple[bytes, list[tuple[bytes, bytes]], dict[bytes, bytes]] | None:
-        """The start line and the fields, once all are there."""
+        """Returns start line, fields and headers; None while the head is incomplete."""
         buffer = self.buffer
         at = buffer.find(b"\r\n\r\n", max(0, self.scanned - 3))
         if at < 0:
@@ -223,17 +229,17 @@
         fields: list[tuple[bytes, bytes]] = _FIELD.findall(rest)
         if len(fields) > MAX_FIELDS:
             raise HttpError(431, "too many header fields")
-        names: dict[bytes, bytes] = {}
+        headers: dict[bytes, bytes] = {}
         for name, value in fields:
             name = name.lower()
-            names[name] = names[name] + b", " + value if name in names else value
-        return start, fields, names
+            headers[name] = headers[name] + b", " + value if name in headers else value
+        return start, fields, headers
 
-    def _framing(self, names: dict[bytes, bytes], http11: bool) -> int | None:
-        """How the body is framed, noted as `body`; its length where that is told, None where it is not."""
-        coding, length = names.get(b"transfer-encoding"), names.get(b"content-length")
+    def _framing(self, headers: dict[bytes, bytes], http11: bool) -> int | None:
+        """Sets `body` to the decoder of the framing; returns the announced length, None if there is none."""
+        coding, length = headers.get(b"transfer-encoding"), headers.get(b"content-length")
         if coding is not None:
-            # Two lengths, or a coding that an HTTP/1.0 peer does not know, are how requests are smuggled.
+            # Two lengths, or a coding that an HTTP/1.0 peer does not know, allow request smuggling.
             if length is not None or not http11:
                 raise HttpError(400, "ambiguous framing")
             if coding.lower() != b"chunked":
@@ -251,20 +257,20 @@
         return int(length)
 
     def read_body(self) -> bytes:
-        """More of the body of a message that was given early."""
+        """Returns more of the body of a message that was returned early; b"" for nothing yet."""
         return self.body.decode(self.buffer) if self.body is not None else b""
 
     def body_complete(self) -> bool:
-        """Is there no more of that body to come?"""
+        """Whether the end of that body has been read."""
         return self.body is None or self.body.done
 
     def _buffer_body(self, body: BodyDecoder) -> bool:
-        """Holds what has come of a body; False while there is more to wait for."""
+        """Buffers the decoded body; returns False while more has to arrive."""
         if body.done:
             return True
-        some = body.decode(self.buffer)
-        if some:
-            self.parts.append(some)
+        data = body.decode(self.buffer)
+        if data:
+            self.parts.append(data)
         return body.done or self.buffer_limit is not None and body.received > self.buffer_limit
 
     def _take_buffered(self) -> bytes:
@@ -275,20 +281,22 @@
 
 
 class RequestParser(_Parser):
-    """Reads requests off a buffer, one after another."""
+    """Parses the requests in a buffer one after another."""
 
-    def __init__(self, buffer: Buffer, most_body: int = MAX_REQUEST_BODY, hold: int | None = None) -> None:
-        super().__init__(buffer, most_body, hold)
-        self.request: Request | None = None  # its head has been read
+    def __init__(
+        self, buffer: Buffer, max_body: int = MAX_REQUEST_BODY, buffer_limit: int | None = None
+    ) -> None:
+        super().__init__(buffer, max_body, buffer_limit)
+        self.request: Request | None = None  # the head has been parsed, and the body has not
 
     def is_head_request(self) -> bool:
-        """Does the request that is being read, or that could not be read, want an answer without a body?"""
+        """Whether the request being parsed, valid or not, is a HEAD: its response has no body."""
         return (self.start_line or self.buffer.peek(len(_HEAD_METHOD))).startswith(_HEAD_METHOD)
 
     def next(self) -> Request | None:
-        """The next request, whole or longer than is held, or None until more has come."""
+        """Returns the next request, complete or over the buffer limit; None while more bytes are needed."""
         if self.request is None:
-            while self.buffer.peek(2) == b"\r\n":  # some clients end a body with an empty line
+            while self.buffer.peek(2) == b"\r\n":  # some clients send an empty line after a body
                 self.buffer.drop(2)
             arrived = self.buffer.first_byte_at
             parts = self._head()
@@ -297,7 +305,7 @@
             self.request = self._parse_start(*parts)
             self.request.arrived_at = arrived
         if self.buffer.last_byte_at:
-            self.request.arrived_at = self.buffer.last_byte_at  # a request counts from its last byte
+            self.request.arrived_at = self.buffer.last_byte_at  # a request's time counts from its last byte
         assert self.body is not None
         if not self._buffer_body(self.body):
             return None
@@ -307,20 +315,20 @@
         return request
 
     def _parse_start(
-        self, start: bytes, fields: list[tuple[bytes, bytes]], names: dict[bytes, bytes]
+        self, start: bytes, fields: list[tuple[bytes, bytes]], headers: dict[bytes, bytes]
     ) -> Request:
         match = _REQUEST.match(start)
         if match is None:
             raise HttpError(400, "bad request line")
         http11 = match[3] == b"1"
-        hosts = names.get(b"host")
+        hosts = headers.get(b"host")
         if http11 and hosts is None or hosts is not None and b"," in hosts:
             raise HttpError(400, "one Host is needed")
-        length = self._framing(names, http11)
-        return Request(fields, names, http11, length=length, method=match[1], target=match[2])
+        length = self._framing(headers, http11)
+        return Request(fields, headers, http11, length=length, method=match[1], target=match[2])
 
     def expects_continue(self) -> bool:
-        """Does the client wait to be told to send the body?"""
+        """Whether the client waits for `100 Continue` before it sends the body."""
         request = self.request
         return (
             request is not None
@@ -330,24 +338,26 @@
 
 
 class ResponseParser(_Parser):
-    """Reads responses off a buffer."""
+    """Parses the responses in a buffer, each after its request."""
 
-    def __init__(self, buffer: Buffer, most_body: int = MAX_RESPONSE_BODY, hold: int | None = None) -> None:
-        super().__init__(buffer, most_body, hold)
+    def __init__(
+        self, buffer: Buffer, max_body: int = MAX_RESPONSE_BODY, buffer_limit: int | None = None
+    ) -> None:
+        super().__init__(buffer, max_body, buffer_limit)
         self.response: Response | None = None
         self.interim = 0
-        self.bodiless = False  # it answers a HEAD: its length is that of a body which does not come
+        self.bodiless = False  # response to a HEAD: its length is that of a body that is not sent
 
     def next(self) -> Response | None:
-        """The next response, whole or longer than is held, or None until more has come.
+        """Returns the next response, complete or over the buffer limit; None while more bytes are needed.
 
-        Interim ones are passed over.
+        Skips interim (1xx) responses.
         """
         while self.response is None:
             parts = self._head()
             if parts is None:
                 return None
-            start, fields, names = parts
+            start, fields, headers = parts
             match = _RESPONSE.match(start)
             if match is None or match[2] == b"101":
                 raise HttpError(502, "bad status line")
@@ -358,29 +368,29 @@
                     raise HttpError(502, "no end of interim responses")
                 continue
             self.interim = 0
-            response = Response(fields, names, http11, status=status)
+            response = Response(fields, headers, http11, status=status)
             if status in (204, 304):
                 self.body = NO_BODY
             elif self.bodiless:
-                length = names.get(b"content-length", b"")
+                length = headers.get(b"content-length", b"")
                 self.body, response.length = NO_BODY, int(length) if length.isdigit() else None
             else:
-                response.length = self._framing(names, http11)
-                if response.length is None and b"transfer-encoding" not in names:
+                response.length = self._framing(headers, http11)
+                if response.length is None and b"transfer-encoding" not in headers:
                     self.body = BodyDecoder(Framing.UNTIL_CLOSE, 0, self.max_body)
             self.response = response
         assert self.body is not None
         return self.take_response() if self._buffer_body(self.body) else None
 
     def take_response(self) -> Response | None:
-        """The response whose head has been read, with what has come of its body."""
+        """Returns the response whose head has been parsed, with the body decoded so far."""
         response, self.response = self.response, None
         if response is not None and self.body is not None:
             response.body, response.complete = self._take_buffered(), self.body.done
         return response
 
     def on_eof(self) -> Response | None:
-        """The connection has ended: the response whose body lasts until then, if there is one."""
+        """Returns the response whose body lasts until the connection ends, if there is one."""
         if self.body is None or self.body.framing is not Framing.UNTIL_CLOSE:
             return None
         self.body.done = True
@@ -388,14 +398,14 @@
 
 
 def encode_fields(fields: list[tuple[bytes, bytes]]) -> bytes:
-    """Header lines."""
+    """Returns the fields as header lines, each with its line end."""
     return b"".join([b"%b: %b\r\n" % pair for pair in fields])
 
 
 def encode_head(
     status: int, fields: list[tuple[bytes, bytes]], length: int | None, close: bool, chunked: bool = False
 ) -> bytes:
-    """A response's head; without a length and not chunked, its body lasts until the connection ends."""
+    """Returns a response head. Without a length and not chunked, the body lasts until the connection ends."""
     reason = REASONS.get(status, "Unknown").encode()
     ending = b"Connection: close\r\n\r\n" if close else b"\r\n"
     framing = b"Transfer-Encoding: chunked\r\n" if chunked else b""
@@ -405,7 +415,7 @@
 
 
 def encode_chunk(data: bytes) -> bytes:
-    """A chunk; b"" gives none, as that would be the last one."""
+    """Returns a chunk; b"" for no data, as an empty chunk would end the body."""
     return b"%x\r\n%b\r\n" % (len(data), data) if data else b""
 
 
@@ -415,6 +425,6 @@
 def encode_response(
     status: int, fields: list[tuple[bytes, bytes]], body: bytes, close: bool, bodiless: bool = False
 ) -> bytes:
-    """A response with its length; `bodiless` (to HEAD) leaves the body itself out."""
+    """Returns a response with its Content-Length; `bodiless` (for HEAD) omits the body itself."""
     head = encode_head(status, fields, len(body), close)
     return head if bodiless or status in (204, 304) else head + body
--- a/pepperrun/net/listener.py
+++ b/pepperrun/net/listener.py
@@ -1,4 +1,4 @@
-"""Accepts client connections within a limit, looks after slow and idle ones, and drains them."""
+"""Accepts client connections up to a limit, enforces their timeouts, and drains them."""
 
 from __future__ import annotations
 
@@ -14,104 +14,122 @@
 from pepperrun.net.hangup import HangupWatch
 
 SWEEP_S = 0.25
-CAPACITY_RETRY_S = 0.05  # between looks for room while there is none
-ACCEPT_RETRY_S = 1.0  # when the system has no descriptor or memory for a connection
-CROWDED_DIVISOR = 3  # past this part of all connections, idle ones end sooner
-EVICTION_DIVISOR = 4  # this part gives way at a time: looking at them all for each new one takes long
+CAPACITY_RETRY_S = 0.05  # between checks for capacity while there is none
+ACCEPT_RETRY_S = 1.0  # after the system had no descriptor or memory for a connection
+CROWDED_DIVISOR = 3  # with more than this fraction of all connections open, idle ones end sooner
+EVICTION_DIVISOR = 4  # fraction evicted at a time: ranking all connections for each new one takes long
 BACKLOG = 512
 DRAIN_ACCEPT_S = 0.5  # after SIGTERM new connections keep coming for up to 0.4 s
-SHARED_DRAIN_S = 2.5  # of the 3.7 s that a planned restart has at the least
-DRAIN_LINGER_S = 0.15  # and the last of them may still send their request this much later
+SHARED_DRAIN_S = 2.5  # of the 3.7 s that a planned restart has at least
+DRAIN_LINGER_S = 0.15  # the last accepted connections may still send their request this much later
 
 
-FIRST_BYTE_TIMEOUT_NS = 2 * SECOND  # a connection on which nothing has been asked
-REQUEST_TIMEOUT_NS = (
-    5 * SECOND // 2
-)  # for the first request, from connecting on; for others, from their first byte on
-IDLE_TIMEOUT_NS = 2 * SECOND  # clients keep no more than a part of the descriptors open, some for nothing
-CROWDED_IDLE_TIMEOUT_NS = SECOND // 5  # the same where many are open
+FIRST_BYTE_TIMEOUT_NS = 2 * SECOND  # for a connection without any request
+REQUEST_TIMEOUT_NS = 5 * SECOND // 2  # first request: from the connect; later ones: from their first byte
+IDLE_TIMEOUT_NS = 2 * SECOND  # clients may keep a part of the descriptors only, some of them unused
+CROWDED_IDLE_TIMEOUT_NS = SECOND // 5  # the same while many are open
 
 
 @dataclass(slots=True, frozen=True)
 class ClientTimeouts:
-    """How long clients' connections last, in nanoseconds; the platform's where no file says more."""
+    """Timeouts of client connections in ns. The defaults are the platform's, for use without a file."""
 
     first_byte_ns: int = FIRST_BYTE_TIMEOUT_NS
     request_ns: int = REQUEST_TIMEOUT_NS
     idle_ns: int = IDLE_TIMEOUT_NS
     crowded_idle_ns: int = CROWDED_IDLE_TIMEOUT_NS
-    request_from_connect: bool = True  # the first request's time counts from connecting on
+    request_from_connect: bool = True  # the first request's timeout starts at the connect
 
 
 PLATFORM_TIMEOUTS = ClientTimeouts()
 
 
-# What outlasts a connection's object: answers, exchanges, last use, a part of a request and when it began.
+# The state that outlives a connection object: answers, exchanges, last use, a partial request, its start.
 ConnectionSnapshot = tuple[int, int, int, bytes, int]
 
 
 class Client(Protocol):
-    """A client's connection, as the listener sees it.
+    """A client's connection, as the listener sees it."""
 
-    `due` is when it ends if nothing more happens on it, `spare` how readily it gives way to a new one: the
-    smallest first, below 1 for one that nobody misses.
-    """
+    def is_busy(self) -> bool:
+        """Whether a request or an unwritten response is on the connection."""
+        ...
 
-    def is_busy(self) -> bool: ...
+    def never_answered(self) -> bool:
+        """Whether the connection has had no response yet."""
+        ...
 
-    def never_answered(self) -> bool: ...
+    def expires_at(self, crowded: bool) -> int | None:
+        """Returns when the connection ends if nothing more happens on it, ns; None: it does not."""
+        ...
 
-    def expires_at(self, crowded: bool) -> int | None: ...
+    def eviction_rank(self, now: int) -> tuple[int, int] | None:
+        """Returns the rank for eviction, smallest first; None: not at all.
 
-    def eviction_rank(self, now: int) -> tuple[int, int] | None: ...
+        The first number is below 1 for a connection whose client would not notice its end.
+        """
+        ...
 
-    def expire(self) -> None: ...
+    def expire(self) -> None:
+        """Ends a connection whose timeout has passed."""
+        ...
 
-    def pause_requests(self, on: bool) -> None: ...
+    def pause_requests(self, on: bool) -> None:
+        """Stops reading further requests (`on`) or starts again."""
+        ...
 
-    def hand_over(self, most_held: int) -> tuple[ConnectionSnapshot, int] | None: ...
+    def hand_over(self, max_buffered: int) -> tuple[ConnectionSnapshot, int] | None:
+        """Gives the connection up: its state and a copy of its descriptor; None while a response is owed."""
+        ...
 
-    def close(self) -> None: ...
+    def close(self) -> None:
+        """Closes the connection once what was written has been sent."""
+        ...
 
 
 class Listener:
-    """Owns the listening socket and the connections that came through it."""
+    """Owns the listening socket and the connections accepted from it."""
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         clock: Callable[[], int],
-        most: int,
-        make: Callable[[Listener], asyncio.BufferedProtocol],
+        max_connections: int,
+        client_factory: Callable[[Listener], asyncio.BufferedProtocol],
     ) -> None:
-        self.loop, self.clock, self.max_connections, self.client_factory = loop, clock, most, make
+        self.loop, self.clock, self.max_connections, self.client_factory = (
+            loop,
+            clock,
+            max_connections,
+            client_factory,
+        )
         self.clients: set[Client] = set()
-        self.evicting: set[Client] = set()  # closed to give way, and not yet gone
+        self.evicting: set[Client] = set()  # being closed to free capacity
         self.pending_accepts = 0
         self.draining = False
-        self.on_client_answered: Callable[[Client], None] | None = None  # told of each that has had an answer
-        self.is_socket_shared = False  # the platform holds the listening socket, and may give it to others
-        self.is_suspended = False  # another process of this gatekeeper accepts
+        self.on_client_answered: Callable[[Client], None] | None = None  # called after each response
+        self.is_socket_shared = False  # inherited from the platform, which may also pass it to others
+        self.is_suspended = False  # another process of this gatekeeper accepts connections
         self.socket: socket.socket | None = None
         self.backlog = BACKLOG
-        self.is_accepting = False  # connections are being accepted
+        self.is_accepting = False  # the loop watches the listening socket
         self.address: Address = ("", 0)
-        self.hangups = HangupWatch(loop)  # of clients that are not read now
+        self.hangups = HangupWatch(loop)  # of clients whose reading is paused
         self._tasks: set[asyncio.Task[None]] = set()
         self._sweep_timer: asyncio.TimerHandle | None = None
         self._changed: asyncio.Future[None] | None = None
 
     @property
     def timeouts(self) -> ClientTimeouts:
-        """How long connections last."""
+        """The timeouts of client connections."""
         return PLATFORM_TIMEOUTS
 
     def count(self) -> int:
-        """Connections that are up."""
+        """Returns the number of open connections."""
         return len(self.clients)
 
     def open(self, address: Address, inherited: socket.socket | None = None) -> None:
-        """Listens at an address, or by a socket that does so already and may be another process's too."""
+        """Listens at an address, or on an inherited socket that other processes may share."""
         if inherited is not None:
             inherited.setblocking(False)
             self.is_socket_shared = True
@@ -144,31 +162,31 @@
             self.loop.remove_reader(self.socket)
 
     def suspend(self) -> None:
-        """Accepts no more until `go_on`: what connects waits for whoever else has the socket."""
+        """Stops accepting until `end_suspension`: new connections wait for the socket's other owner."""
         self.is_suspended = True
         self._stop_accepting()
 
     def end_suspension(self) -> None:
-        """Accepts again."""
+        """Accepts connections again."""
         self.is_suspended = False
         self._start_accepting()
 
     def accepts_clients(self) -> bool:
-        """Does it take clients?"""
+        """Whether new clients are accepted: listening, not draining and not suspended."""
         return self.socket is not None and not self.draining and not self.is_suspended
 
-    async def adopt(self, sock: socket.socket, given: ConnectionSnapshot) -> None:
-        """Takes a connection from another process of this gatekeeper, as it was there."""
+    async def adopt(self, sock: socket.socket, snapshot: ConnectionSnapshot) -> None:
+        """Adopts a connection of another process of this gatekeeper, in the state of the snapshot."""
         try:
-            _, client = await self.loop.connect_accepted_socket(lambda: self._adopted(given), sock)
+            _, client = await self.loop.connect_accepted_socket(lambda: self._adopted(snapshot), sock)
         except OSError:
             sock.close()
             return
         client.go_on()  # type: ignore[attr-defined]
 
-    def _adopted(self, given: ConnectionSnapshot) -> asyncio.BufferedProtocol:
+    def _adopted(self, snapshot: ConnectionSnapshot) -> asyncio.BufferedProtocol:
         client = self.client_factory(self)
-        client.revive(given, 0)  # type: ignore[attr-defined]
+        client.revive(snapshot, 0)  # type: ignore[attr-defined]
         return client
 
     def _accept(self) -> None:
@@ -202,9 +220,9 @@
             self.pending_accepts -= 1
 
     def _has_capacity(self) -> bool:
-        """Is there room for one more? At the limit some give way: it comes once they are closed.
+        """Whether one more connection fits. At the limit some are evicted, which frees capacity once closed.
 
-        Clients that connect by the hundred and say nothing, or ask once and stay, must not keep others out.
+        Clients that open hundreds of connections without requests, or stay after one, must not block others.
         """
         if len(self.clients) + self.pending_accepts < self.max_connections:
             return True
@@ -215,8 +233,8 @@
             (rank, client) for client in self.clients if (rank := client.eviction_rank(now)) is not None
         ]
         ranked.sort(key=lambda pair: pair[0])
-        unmissed = sum(rank[0] < 1 for rank, _ in ranked)
-        for _, client in ranked[: max(1, min(unmissed, self.max_connections // EVICTION_DIVISOR))]:
+        unneeded = sum(rank[0] < 1 for rank, _ in ranked)
+        for _, client in ranked[: max(1, min(unneeded, self.max_connections // EVICTION_DIVISOR))]:
             self.evicting.add(client)
             client.close()
         if not ranked:
@@ -224,59 +242,59 @@
         return False
 
     def add(self, client: Client) -> None:
-        """A connection is up."""
+        """Adds an open connection."""
         self.clients.add(client)
 
     def remove(self, client: Client) -> None:
-        """A connection has ended."""
+        """Removes a connection that has ended and resumes accepting."""
         self.release(client)
         self.on_capacity_freed()
 
     def release(self, client: Client) -> None:
-        """A connection is no longer this listener's to look after."""
+        """Removes a connection from this listener's care: it has ended or is owned elsewhere."""
         self.clients.discard(client)
         self.evicting.discard(client)
         self.notify_change()
 
     def notify_change(self) -> None:
-        """Whoever waits for a change is to look again."""
+        """Wakes the task that waits in `wait_for_change`."""
         if self._changed is not None and not self._changed.done():
             self._changed.set_result(None)
 
     def client_answered(self, client: Client) -> None:
-        """A connection has had an answer and may be idle: it could give way."""
-        if self.on_client_answered is not None:  # before its next request is read
+        """Called after a response: the connection may be idle now and could be evicted."""
+        if self.on_client_answered is not None:  # runs before the next request is read
             self.loop.call_soon(self.on_client_answered, client)
         self.on_capacity_freed()
 
     def on_capacity_freed(self) -> None:
-        """A connection has ended or become idle: accepting may go on."""
+        """Resumes accepting where a connection has ended or become idle."""
         if not self.is_accepting and self.socket is not None and self._has_capacity():
             self._start_accepting()
 
     async def wait_for_change(self) -> None:
-        """Until a connection ends."""
+        """Waits until a connection ends or `notify_change` is called."""
         self._changed = self.loop.create_future()
         await self._changed
 
     def _sweep(self) -> None:
         now, crowded = self.clock(), len(self.clients) > self.max_connections // CROWDED_DIVISOR
         for client in list(self.clients):
-            due = client.expires_at(crowded)
-            if due is not None and now >= due:
+            expires_at = client.expires_at(crowded)
+            if expires_at is not None and now >= expires_at:
                 client.expire()
         self._sweep_timer = self.loop.call_later(SWEEP_S, self._sweep)
 
     async def drain(self, accept_s: float = DRAIN_ACCEPT_S, linger_s: float = DRAIN_LINGER_S) -> None:
-        """Goes on accepting for a while; from now on each connection closes after its next answer.
+        """Accepts for `accept_s` more; from now on each connection closes after its next response.
 
-        Connections that have served and wait for nothing close at once: a request that crosses the closing
-        comes again on a new connection, and new ones are still taken.
+        Connections that have served and owe nothing close at once: a request that crosses the close is
+        repeated on a new connection, and new connections are still accepted.
         """
         self.draining = True
         if self.is_socket_shared:
-            # Whoever else has the socket accepts. A closing that crosses a request is to be avoided: each
-            # connection ends with its next answer, and those that say nothing at the end.
+            # The socket's other owners accept. To avoid a close that crosses a request, each connection ends
+            # with its next response, and silent ones end last.
             self.stop_listening()
             try:
                 async with asyncio.timeout(SHARED_DRAIN_S):
@@ -296,7 +314,7 @@
                 client.close()
 
     def stop_listening(self) -> None:
-        """Takes what has connected so far, and listens no more."""
+        """Accepts what has connected so far and closes the listening socket."""
         if self.socket is not None:
             if not self.is_socket_shared:
                 self._accept()
@@ -305,7 +323,7 @@
             self.socket = None
 
     def close(self) -> None:
-        """Ends it all."""
+        """Closes the listening socket and all connections."""
         self.hangups.close()
         if self._sweep_timer is not None:
             self._sweep_timer.cancel()
--- a/pepperrun/net/peers.py
+++ b/pepperrun/net/peers.py
@@ -1,4 +1,4 @@
-"""Messages between gatekeepers: UDP datagrams, the sender known by its address."""
+"""Messages between gatekeepers: UDP datagrams, whose sender is identified by its address."""
 
 from __future__ import annotations
 
@@ -12,25 +12,27 @@
 from pepperrun.log import say
 
 MAX_DATAGRAM_BYTES = 256
-MEMBERSHIP_TAG = b"\xb1"  # with it begins a datagram of membership (`pepperrun/membership/wire.py`)
+MEMBERSHIP_TAG = b"\xb1"  # first byte of a membership datagram (`pepperrun/membership/wire.py`)
 
 
 class Peers(asyncio.DatagramProtocol):
-    """Sends from `peer_listen` and takes what comes there from an address of the list."""
-
-    def __init__(self, peers: tuple[Address, ...], me: int, hear: Callable[[int, bytes], None]) -> None:
-        self.peers, self.own_number, self.on_message = peers, me, hear
-        self.numbers_by_address = {address: number for number, address in enumerate(peers) if number != me}
+    """Sends from `peer_listen` and accepts datagrams that come from a configured peer address."""
+
+    def __init__(
+        self, peers: tuple[Address, ...], own_number: int, on_message: Callable[[int, bytes], None]
+    ) -> None:
+        self.peers, self.own_number, self.on_message = peers, own_number, on_message
+        self.numbers_by_address = {
+            address: number for number, address in enumerate(peers) if number != own_number
+        }
         self.transport: asyncio.DatagramTransport | None = None
-        self.on_message_copy: Callable[[int, bytes], None] | None = (
-            None  # told too while another process ends
-        )
-        self.on_membership: Callable[[int, bytes], None] | None = None  # takes what is membership's
+        self.on_message_copy: Callable[[int, bytes], None] | None = None  # set while another process drains
+        self.on_membership: Callable[[int, bytes], None] | None = None  # receives membership datagrams
         self._handed_over: socket.socket | None = None  # a copy, while another process has the socket
         self._tasks: set[asyncio.Task[None]] = set()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        # Not asserted: the transport that CPython 3.11 makes is none by its class, only by what it does.
+        # No isinstance check: CPython 3.11's datagram transport does not derive from DatagramTransport.
         self.transport = cast(asyncio.DatagramTransport, transport)
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -50,7 +52,7 @@
             self.on_message_copy(number, data)
 
     def hand_over_socket(self) -> int | None:
-        """A copy of the socket's descriptor, for the process that hears and tells from now on."""
+        """Returns a copy of the socket's descriptor for the process that sends and receives from now on."""
         if self.transport is None:
             return None
         sock = self.transport.get_extra_info("socket")
@@ -59,23 +61,23 @@
         return os.dup(self._handed_over.fileno())
 
     def reclaim_socket(self) -> None:
-        """Hears and tells again."""
-        given, self._handed_over = self._handed_over, None
-        if given is None:
+        """Sends and receives again on the socket that was handed over."""
+        handed_over, self._handed_over = self._handed_over, None
+        if handed_over is None:
             return
 
-        async def again() -> None:
-            await asyncio.get_running_loop().create_datagram_endpoint(lambda: self, sock=given)
+        async def reopen() -> None:
+            await asyncio.get_running_loop().create_datagram_endpoint(lambda: self, sock=handed_over)
 
-        task = asyncio.get_running_loop().create_task(again())
+        task = asyncio.get_running_loop().create_task(reopen())
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     def error_received(self, exc: Exception) -> None:
-        pass  # a peer that is down refuses; the gossip takes losses as they come
+        pass  # a peer that is down refuses datagrams; the gossip tolerates their loss
 
     def send(self, peer: int, data: bytes) -> None:
-        """Sends a message; one that is too long, or to nobody, is dropped with a line in the log."""
+        """Sends a message; drops and logs one that is too long or whose peer does not exist."""
         if (
             self.transport is None
             or peer == self.own_number
@@ -90,16 +92,20 @@
 async def open_peers(
     listen: Address,
     peers: tuple[Address, ...],
-    me: int,
-    hear: Callable[[int, bytes], None],
+    own_number: int,
+    on_message: Callable[[int, bytes], None],
     fd: int | None = None,
 ) -> Peers:
-    """Listens at `listen`, or by the socket that another process of this gatekeeper has there."""
+    """Listens at `listen`, or on the socket `fd` that another process of this gatekeeper handed over."""
     loop = asyncio.get_running_loop()
     if fd is not None:
         sock = socket.socket(fileno=fd)
         sock.setblocking(False)
-        _, given = await loop.create_datagram_endpoint(lambda: Peers(peers, me, hear), sock=sock)
-        return given
-    _, protocol = await loop.create_datagram_endpoint(lambda: Peers(peers, me, hear), local_addr=listen)
+        _, adopted = await loop.create_datagram_endpoint(
+            lambda: Peers(peers, own_number, on_message), sock=sock
+        )
+        return adopted
+    _, protocol = await loop.create_datagram_endpoint(
+        lambda: Peers(peers, own_number, on_message), local_addr=listen
+    )
     return protocol
--- a/pepperrun/net/stream.py
+++ b/pepperrun/net/stream.py
@@ -1,51 +1,58 @@
-"""One body on its way from one connection to another, in bounded pieces, and the memory of all of them."""
+"""A message body that is streamed between two connections, and the memory limit of all such bodies."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from typing import Protocol
 
-MIN_BUFFER_BYTES = 4 * 1024  # bytes that a body may have under way, however many there are
+MIN_BUFFER_BYTES = 4 * 1024  # for each buffer of a body, however many bodies there are
 MAX_BUFFER_BYTES = 64 * 1024
-BUFFERS_PER_BODY = 3  # that hold a part of a body: read, being passed on, and not yet taken by the other side
-BASE_MB = 24  # of the limit on memory: the program itself with its other connections
-BODY_MEMORY_DIVISOR = 2  # this part of the rest is for bodies
+BUFFERS_PER_BODY = 3  # bytes that were read, bytes being forwarded, and bytes the receiver has not yet taken
+BASE_MB = 24  # of the memory limit: the program itself with its other connections
+BODY_MEMORY_DIVISOR = 2  # this fraction of the rest is for bodies
 MIN_TOTAL_BYTES = 2 * 1024 * 1024
 
 
 class MemoryBudget:
-    """What all bodies that pass through may hold together, in bytes."""
+    """The bytes that all streamed bodies together may buffer."""
 
     def __init__(self, total: int) -> None:
         self.total, self.bodies = total, 0
 
     @classmethod
     def from_memory_limit(cls, limit_mb: float) -> MemoryBudget:
-        """From the limit on the process's memory."""
+        """Returns the budget that fits the limit on the process's memory."""
         return cls(max(MIN_TOTAL_BYTES, int((limit_mb - BASE_MB) / BODY_MEMORY_DIVISOR * 1024 * 1024)))
 
     def buffer_limit(self) -> int:
-        """How much of one body may wait in each place now."""
+        """Returns the bytes that each buffer of one body may hold now."""
         return max(
             MIN_BUFFER_BYTES, min(MAX_BUFFER_BYTES, self.total // (BUFFERS_PER_BODY * max(1, self.bodies)))
         )
 
 
 class BodySink(Protocol):
-    """Who writes the body on."""
+    """The connection that writes a streamed body to its peer."""
 
-    def write_body(self, data: bytes) -> None: ...
+    def write_body(self, data: bytes) -> None:
+        """Writes the next bytes of the body."""
+        ...
 
-    def finish_body(self) -> None: ...
+    def finish_body(self) -> None:
+        """Ends the body: all of it has been written."""
+        ...
 
-    def abort_body(self) -> None: ...
+    def abort_body(self) -> None:
+        """Ends a body whose rest will not arrive; the peer must see that it is incomplete."""
+        ...
 
 
 class BodyStream:
-    """Whoever reads feeds it; whoever writes opens it, holds it while it can't write, or drops it.
+    """Connects the reader of a body, which feeds the stream, with its sink.
 
-    `pause` is given True when no more is to be read and False when reading may go on; `abandon` is called
-    when nobody takes the rest.
+    The sink attaches itself, pauses the stream while it can't write, or abandons it. `on_pause` is called
+    with True when the reader must stop reading and with False when reading may go on; `on_abandoned` is
+    called when no sink takes the rest.
     """
 
     __slots__ = (
@@ -60,14 +67,14 @@
     )
 
     def __init__(
-        self, budget: MemoryBudget, pause: Callable[[bool], None], abandon: Callable[[], None]
+        self, budget: MemoryBudget, on_pause: Callable[[bool], None], on_abandoned: Callable[[], None]
     ) -> None:
-        self.budget, self._on_pause, self._on_abandoned = budget, pause, abandon
-        self._buffered: list[bytes] = []  # fed before it was opened
+        self.budget, self._on_pause, self._on_abandoned = budget, on_pause, on_abandoned
+        self._buffered: list[bytes] = []  # fed before a sink was attached
         self.sink: BodySink | None = None
         self.attached = False
-        self.ended_complete: bool | None = None  # True: whole; False: broken
-        self.closed = False  # nothing more passes
+        self.ended_complete: bool | None = None  # True: the body is complete; False: the reader failed
+        self.closed = False  # no more bytes pass
         budget.bodies += 1
 
     def _close(self) -> None:
@@ -77,10 +84,10 @@
             self._buffered.clear()
             self.sink = None
 
-    # For whoever reads.
+    # For the reader.
 
     def feed(self, data: bytes) -> None:
-        """More of the body."""
+        """Passes bytes to the sink; before one is attached, buffers them and pauses the reader."""
         if self.closed or not data:
             return
         if self.sink is None:
@@ -90,49 +97,49 @@
             self.sink.write_body(data)
 
     def finish(self) -> None:
-        """That was all of it."""
+        """Ends the body: all of it has been fed."""
         self._end(True)
 
     def fail(self) -> None:
-        """The rest will never come."""
+        """Ends the body: the rest will not arrive."""
         self._end(False)
 
-    def _end(self, whole: bool) -> None:
+    def _end(self, complete: bool) -> None:
         if self.closed or self.ended_complete is not None:
             return
-        self.ended_complete = whole
-        taker = self.sink
-        if taker is not None:
+        self.ended_complete = complete
+        sink = self.sink
+        if sink is not None:
             self._close()
-            (taker.finish_body if whole else taker.abort_body)()
+            (sink.finish_body if complete else sink.abort_body)()
 
-    # For whoever writes.
+    # For the sink.
 
-    def attach(self, taker: BodySink) -> None:
-        """Writes it on from here; only the first one that opens it can."""
+    def attach(self, sink: BodySink) -> None:
+        """Writes the body to `sink` from here on. Aborts any sink but the first."""
         if self.attached or self.closed:
-            taker.abort_body()
+            sink.abort_body()
             return
-        self.attached, self.sink = True, taker
-        ahead, self._buffered = self._buffered, []
-        for data in ahead:
+        self.attached, self.sink = True, sink
+        buffered, self._buffered = self._buffered, []
+        for data in buffered:
             if self.sink is not None:
                 self.sink.write_body(data)
         if self.closed:
             return
         if self.ended_complete is not None:
-            whole, self.ended_complete = self.ended_complete, None
-            self._end(whole)
-        elif ahead:
+            complete, self.ended_complete = self.ended_complete, None
+            self._end(complete)
+        elif buffered:
             self._on_pause(False)
 
     def pause(self, on: bool) -> None:
-        """No more can be taken now, or again."""
+        """Stops the reader (`on`) or lets it go on: back-pressure of the sink."""
         if not self.closed and self.ended_complete is None:
             self._on_pause(on)
 
     def abandon(self) -> None:
-        """Nobody takes the rest."""
+        """Closes the stream: no sink takes the rest."""
         if not self.closed:
             self._close()
             if self.ended_complete is None:
--- a/pepperrun/net/upstream.py
+++ b/pepperrun/net/upstream.py
@@ -1,7 +1,7 @@
-"""Connections to backends: pools, attempts and their outcomes.
+"""The upstream side: pools of connections to backends, attempts and their outcomes.
 
-An attempt goes out once on one connection and is never sent again from here, not even when a kept connection
-turns out stale.
+An attempt is sent once, on one connection. This module never sends it again, not even when a reused
+connection turns out to be stale.
 """
 
 from __future__ import annotations
@@ -22,10 +22,10 @@
 from pepperrun.net.stale_rates import StaleRates
 from pepperrun.net.stream import MemoryBudget
 
-MAX_CONNECTS = 3  # that are accepted and reset in a row: nothing has been written, so another one is tried
-MAX_STALE_RATE = 0.2  # of kept connections as long idle: past this they are not used again
-MAX_STALE_RATE_UNSAFE = 0.03  # the same for a request that may not simply be sent anew
-IDLE_FRACTION = 0.8  # of the time after which the other side closes an idle connection: closed here before
+MAX_CONNECTS = 3  # tries per attempt where connections are accepted and reset: nothing has been written yet
+MAX_STALE_RATE = 0.2  # connections of an idle time with a higher rate of stale ones are not reused
+MAX_STALE_RATE_UNSAFE = 0.03  # the same for a request that may not be sent again
+IDLE_FRACTION = 0.8  # of the backend's idle timeout: connections are closed here before that
 SWEEP_S = 1.0
 
 OnAttemptEnded = Callable[[Exchange[Any, Any], int, int, Outcome, object, float], None]
@@ -34,57 +34,57 @@
 
 
 def platform_classifier(most_units: float) -> ResponseClassifier:
-    """The platform's table of outcomes, and the true units of a good answer; 0 where they are not known.
+    """Returns the platform's classifier: outcome, and the true units of a good response; 0 if not known.
 
-    A figure that can't be read, or is more than any request counts, is not taken for a true one: it would be
-    charged to the customer.
+    A number of units that is malformed, or more than any request costs, is ignored: it would be charged to
+    the customer.
     """
 
-    def judge(response: Response) -> tuple[Outcome, float]:
+    def classify(response: Response) -> tuple[Outcome, float]:
         if response.status == 200:
-            told = response.headers.get(b"x-units-charged", b"")
-            units = float(told) if _UNITS.match(told) else 0.0
+            value = response.headers.get(b"x-units-charged", b"")
+            units = float(value) if _UNITS.match(value) else 0.0
             return Outcome.OK, units if units <= most_units else 0.0
-        # Only with this mark does a 503 or 504 prove that the request was turned away unseen.
+        # Only with this header does a 503 or 504 prove that the backend rejected the request unread.
         if response.status in (503, 504) and response.headers.get(b"x-rejected") == b"1":
             return Outcome.FULL, 0.0
         return Outcome.ERROR, 0.0
 
-    return judge
+    return classify
 
 
 class BackendLookup(Protocol):
-    """Where backends are; `net.directory.Directory` is one."""
+    """Looks up backends; `net.directory.Directory` is one."""
 
     def address(self, backend: int) -> Address | None:
-        """Where one listens; None for one to which nothing may be sent."""
+        """Returns the backend's address; None where nothing may be sent to it."""
         ...
 
     def is_listed(self, backend: int) -> bool:
-        """Is it known, whatever its state?"""
+        """Whether the backend is in the endpoint list, in any state."""
         ...
 
 
 class UpstreamClient:
-    """Carries out attempts at the backends of a directory."""
+    """Carries out attempts at the backends of a directory, on pooled connections."""
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         clock: Callable[[], int],
         directory: BackendLookup,
-        ended: OnAttemptEnded,
-        judge: ResponseClassifier | Wire,
-        most: int,
+        on_attempt_ended: OnAttemptEnded,
+        classifier: ResponseClassifier | Wire,
+        max_connections: int,
         keepalive_ns: int,
         connect_timeout_ns: int,
         budget: MemoryBudget | None = None,
     ) -> None:
-        self.wire = judge if isinstance(judge, Wire) else Wire(judge)
-        self.max_per_backend = 0  # connections to one backend at most; 0: as many as it takes
-        self.budget = budget  # for long answers; None: all are held whole
+        self.wire = classifier if isinstance(classifier, Wire) else Wire(classifier)
+        self.max_per_backend = 0  # limit on connections to one backend; 0: none
+        self.budget = budget  # for streamed responses; None: all are buffered
         self.loop, self.clock, self.directory = loop, clock, directory
-        self.on_attempt_ended, self.max_connections = ended, most
+        self.on_attempt_ended, self.max_connections = on_attempt_ended, max_connections
         self.max_idle_ns, self.connect_timeout_s = (
             int(keepalive_ns * IDLE_FRACTION),
             connect_timeout_ns / SECOND,
@@ -93,18 +93,18 @@
         self.attempts: dict[tuple[int, int], Attempt] = {}
         self.connections: set[Connection] = set()
         self.connecting: set[asyncio.Task[None]] = set()
-        self.opened = self.requests_written = 0  # connections, and attempts written whole
+        self.opened = self.requests_written = 0  # connections begun, and requests written completely
         self.stale_rates = StaleRates()
-        # Is an attempt given up whose answer has begun and comes no further?
+        # Whether to abandon an attempt whose response has begun and then stalled.
         self.ends_stalled: Callable[[Attempt], bool] = lambda attempt: True
         self.on_abandon: Callable[[Attempt, AbandonReason], None] = lambda attempt, reason: None
-        self.retired = False  # another process of this gatekeeper has connections of its own
+        self.retired = False  # another process of this gatekeeper serves, with its own connections
         self.sweep_timer = loop.call_later(SWEEP_S, self._sweep)
 
-    # What the gatekeeper asks for.
+    # Called by the gatekeeper.
 
     def send(self, exchange: Exchange[Any, Any], number: int, backend: int, timeout_ns: int) -> None:
-        """Starts an attempt. Its end is told later, never from within this call."""
+        """Starts an attempt. Its end is reported later, never from within this call."""
         now = self.clock()
         attempt = Attempt(exchange, number, backend, now + timeout_ns)
         self.attempts[exchange.id, number] = attempt
@@ -114,15 +114,17 @@
             return
         attempt.timer = self.loop.call_later(timeout_ns / SECOND, self._on_deadline, attempt)
         if pool.unanswered_since and now - pool.unanswered_since > self.wire.unresponsive_ns:
-            # A machine that is cut off says nothing, and once it is back its old connections may stay silent:
-            # a new connection tells within its time-out, a kept one only at the client's deadline.
+            # A machine that is cut off sends nothing, and after its return old connections may stay silent.
+            # A new connection fails within the connect timeout, a reused one only at the client's deadline.
             self.close_idle(backend)
-        safe = self.wire.is_idempotent(attempt)
+        is_idempotent = self.wire.is_idempotent(attempt)
         while pool.idle:
             connection = pool.idle[-1]
             if not self._is_reusable(connection, now) or self._served_same_request(connection, attempt):
                 pool.idle.pop().close()
-            elif safe or self.stale_rates.is_trusted(now - connection.idle_since, MAX_STALE_RATE_UNSAFE):
+            elif is_idempotent or self.stale_rates.is_trusted(
+                now - connection.idle_since, MAX_STALE_RATE_UNSAFE
+            ):
                 pool.idle.pop()
                 if not connection.start(attempt, now):
                     pool.idle.append(connection)
@@ -134,33 +136,33 @@
         self._open_connections(backend, pool)
 
     def cancel(self, exchange: Exchange[Any, Any], number: int, reason: AbandonReason | None = None) -> None:
-        """Gives an attempt up: its connection closes. HTTP/1.1 has no other way to stop its worker."""
+        """Abandons an attempt and closes its connection: HTTP/1.1 has no other way to stop its worker."""
         if reason is None:
             reason = AbandonReason.CLIENT_LEFT if exchange.end is End.LEFT else AbandonReason.DECISION
         if (attempt := self.attempts.get((exchange.id, number))) is not None:
             self._abandon(attempt, Outcome.CANCELLED, reason)
 
     def withdraw(self, exchange: Exchange[Any, Any]) -> None:
-        """Ends those of its attempts that wait for a connection: they have reached no backend."""
+        """Ends the request's attempts that wait for a connection: they have reached no backend."""
         for attempt in self.attempts_of(exchange):
             if attempt.connection is None:
                 self.finish_attempt(attempt, Outcome.MOOT)
 
     def close_idle(self, backend: int) -> None:
-        """Closes the idle connections to a backend."""
+        """Closes the idle connections to one backend; those in use stay."""
         if (pool := self.pools.get(backend)) is not None:
             for connection in pool.idle:
                 connection.close()
             pool.idle.clear()
 
     def retire(self, on: bool) -> None:
-        """Keeps no idle connection from now on, or again."""
+        """Stops keeping idle connections (`on`) or starts again."""
         self.retired = on
         for backend in list(self.pools) if on else ():
             self.close_idle(backend)
 
     def on_endpoints_changed(self) -> None:
-        """The list has changed: what waits for a backend no longer wanted ends."""
+        """Applies a change of the endpoint list: ends attempts waiting for a backend that is not ready."""
         for backend, pool in list(self.pools.items()):
             if self.directory.address(backend) is not None:
                 continue
@@ -171,16 +173,16 @@
                 del self.pools[backend]
 
     def attempts_of(self, exchange: Exchange[Any, Any]) -> list[Attempt]:
-        """The attempts of a request that are out, in the order in which they began."""
+        """Returns the request's attempts in flight, in the order in which they began."""
         found = (self.attempts.get((exchange.id, number)) for number in sorted(exchange.open))
         return [attempt for attempt in found if attempt is not None]
 
     # Attempts.
 
     def finish_attempt(
-        self, attempt: Attempt, outcome: Outcome, given: object = None, units: float = 0.0
+        self, attempt: Attempt, outcome: Outcome, response: object = None, units: float = 0.0
     ) -> None:
-        """An attempt has ended; only the first end counts."""
+        """Reports the end of an attempt; only the first report counts."""
         if self.attempts.get((attempt.exchange.id, attempt.number)) is not attempt:
             return
         del self.attempts[attempt.exchange.id, attempt.number]
@@ -189,10 +191,10 @@
         pool = self.pools.get(attempt.backend) if attempt.connection is None else None
         if pool is not None and attempt in pool.waiting:
             pool.waiting.remove(attempt)
-        self.on_attempt_ended(attempt.exchange, attempt.number, attempt.backend, outcome, given, units)
+        self.on_attempt_ended(attempt.exchange, attempt.number, attempt.backend, outcome, response, units)
 
     def on_request_sent(self, attempt: Attempt) -> None:
-        """The last byte of a long request has gone out: its attempt began now, and has the client's time."""
+        """Restarts the attempt's time at the last byte of a streamed request, with the client's patience."""
         now, exchange = self.clock(), attempt.exchange
         exchange.attempts[attempt.number] = now
         attempt.deadline = min(attempt.deadline, now + exchange.patience)
@@ -201,11 +203,11 @@
         attempt.timer = self.loop.call_later((attempt.deadline - now) / SECOND, self._on_deadline, attempt)
 
     def _on_deadline(self, attempt: Attempt) -> None:
-        early = attempt.deadline - self.clock()
-        if early > 0:
-            attempt.timer = self.loop.call_later(early / SECOND, self._on_deadline, attempt)
+        early_ns = attempt.deadline - self.clock()
+        if early_ns > 0:
+            attempt.timer = self.loop.call_later(early_ns / SECOND, self._on_deadline, attempt)
             return
-        # One that never got a connection has proved that it did not run.
+        # An attempt that never got a connection cannot have run.
         outcome = Outcome.TIMEOUT if attempt.connection is not None else Outcome.CONNECT_FAILED
         self._abandon(attempt, outcome, AbandonReason.DEADLINE)
 
@@ -242,25 +244,25 @@
             return False
         if not self.stale_rates.is_trusted(idle_ns, MAX_STALE_RATE):
             return False
-        # Bytes that nothing was asked for, or an end that has not been read: neither takes a request.
+        # Unread input is an unexpected response or an end of stream: no request may be sent behind either.
         return not has_unread_input(transport)
 
     def _served_same_request(self, connection: Connection, attempt: Attempt) -> bool:
-        """Was this very request the last on it? A late second answer to that would be taken for its own."""
-        name = self.wire.request_id(attempt)
-        return name is not None and name == connection.request_id
+        """Whether the connection last carried the same request: a late second response would be mistaken."""
+        request_id = self.wire.request_id(attempt)
+        return request_id is not None and request_id == connection.request_id
 
     def on_connection_free(self, connection: Connection) -> None:
-        """A connection can take the next attempt that waits, or is idle."""
+        """Gives a free connection the next waiting attempt, or keeps it as idle."""
         pool, now = connection.pool, self.clock()
         connection.idle_since = now
         while pool.waiting:
             attempt = pool.waiting[0]
             if self._served_same_request(connection, attempt):
                 connection.close()
-                return  # its end opens another
+                return  # its end opens another one
             pool.waiting.popleft()
-            # It may have waited for this connection while the list came to call the backend draining or gone.
+            # The backend may have begun to drain, or gone, while the attempt waited for this connection.
             if self.directory.address(pool.backend) != pool.address:
                 self.finish_attempt(attempt, Outcome.CONNECT_FAILED)
             elif connection.start(attempt, now):
@@ -273,19 +275,19 @@
         pool.idle.append(connection)
 
     def on_connection_lost(self, connection: Connection) -> None:
-        """A connection has ended."""
+        """Removes a connection that has ended; opens others for attempts that wait."""
         self.connections.discard(connection)
         if connection in connection.pool.idle:
             connection.pool.idle.remove(connection)
         self._open_for_waiting()
 
     def _open_connections(self, backend: int, pool: Pool) -> None:
-        """Opens connections for what waits, within the limit; an idle one elsewhere gives way."""
+        """Opens connections for waiting attempts. At the limit, the longest idle of all is closed first."""
         while pool.connecting < len(pool.waiting):
             if self.max_per_backend and pool.open_count + pool.connecting >= self.max_per_backend:
-                if pool.idle:  # not trusted with what waits: it gives way
+                if pool.idle:  # not fit for the waiting attempt: closed to make room
                     pool.idle.pop(0).close()
-                return  # one that is busy becomes free, or ends
+                return  # a busy connection becomes free, or ends
             if (
                 len(self.connections) + len(self.connecting) >= self.max_connections
                 and not self._evict_idle()
@@ -317,20 +319,20 @@
 
     def _on_connection_limit(self, pool: Pool, attempt: Attempt) -> None:
         if attempt in pool.waiting:
-            self.finish_attempt(attempt, Outcome.MOOT)  # it never left, which is no fault of the backend's
+            self.finish_attempt(attempt, Outcome.MOOT)  # it was never sent: the backend is not at fault
 
     async def _connect(self, pool: Pool) -> None:
         self.opened += 1
-        failed = accepted = False
-        begun = self.clock()
+        failed = was_accepted = False
+        started_at = self.clock()
         try:
             async with asyncio.timeout(self.connect_timeout_s):
                 await self.loop.create_connection(
-                    lambda: Connection(self, pool, self.clock() - begun), *pool.address
+                    lambda: Connection(self, pool, self.clock() - started_at), *pool.address
                 )
         except ConnectionResetError:
-            failed = accepted = True
-        except OSError:  # refused, unreachable, or not up in time
+            failed = was_accepted = True
+        except OSError:  # refused, unreachable or timed out
             failed = True
         finally:
             pool.connecting -= 1
@@ -338,8 +340,8 @@
             return
         first = pool.waiting[0]
         first.connect_resets += 1
-        if accepted and first.connect_resets < MAX_CONNECTS:
-            self._open_connections(pool.backend, pool)  # a process that is down would not have accepted it
+        if was_accepted and first.connect_resets < MAX_CONNECTS:
+            self._open_connections(pool.backend, pool)  # a process that is down would not have accepted
         else:
             self.finish_attempt(first, Outcome.CONNECT_FAILED)
 
@@ -347,7 +349,7 @@
         now = self.clock()
         self.stale_rates.decay()
         for connection in [one for one in self.connections if one.is_stalled(now)]:
-            say("stands still", "a long body came no further: its connection ends")
+            say("stands still", "a streamed body stalled; closing its connection")
             connection.close()
         for pool in self.pools.values():
             for connection in [c for c in pool.idle if not self._is_reusable(c, now)]:
@@ -356,7 +358,7 @@
         self.sweep_timer = self.loop.call_later(SWEEP_S, self._sweep)
 
     def close(self) -> None:
-        """Closes everything."""
+        """Cancels the sweep and all connection attempts, and closes all connections."""
         self.sweep_timer.cancel()
         for task in self.connecting:
             task.cancel()
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -307,7 +307,9 @@
     async def test():
         agent = await StandIn(told(42, line("a", 1, "Terminating")), stall).start()
         lists: asyncio.Queue = asyncio.Queue()
-        watch = Discovery((HOST, agent.port), lists.put_nowait, Backoff(callers, random.Random(1)), known=41)
+        watch = Discovery(
+            (HOST, agent.port), lists.put_nowait, Backoff(callers, random.Random(1)), known_version=41
+        )
         loop = asyncio.get_running_loop()
         begun, task = loop.time(), loop.create_task(watch.run())
         assert not watch.first_call_done.is_set()
@@ -325,7 +327,9 @@
 def test_a_call_that_fails_ends_the_wait_for_the_first_one():
     async def test():
         agent = await StandIn(reset).start()
-        watch = Discovery((HOST, agent.port), lambda listing: None, Backoff(4, random.Random(1)), known=1)
+        watch = Discovery(
+            (HOST, agent.port), lambda listing: None, Backoff(4, random.Random(1)), known_version=1
+        )
         task = asyncio.get_running_loop().create_task(watch.run())
         await watch.first_call_done.wait()
         task.cancel()
@@ -365,7 +369,7 @@
         loop = asyncio.get_running_loop()
         agent = await StandIn(*silence, told(42, line("a", 1, "Terminating")), stall).start()
         lists: asyncio.Queue = asyncio.Queue()
-        watch = Discovery((HOST, agent.port), lists.put_nowait, calls_of_220(False), known=41)
+        watch = Discovery((HOST, agent.port), lists.put_nowait, calls_of_220(False), known_version=41)
         last, task = loop.time(), loop.create_task(watch.run())
         for _ in range(len(silence) + 1):
             assert b"?index=41&wait=" in await agent.arrived.get()
@@ -382,7 +386,7 @@
     async def test():
         agent = await StandIn(wait_then(told(42, line("a", 1))), stall).start()
         lists: asyncio.Queue = asyncio.Queue()
-        watch = Discovery((HOST, agent.port), lists.put_nowait, calls_of_220(False), known=41)
+        watch = Discovery((HOST, agent.port), lists.put_nowait, calls_of_220(False), known_version=41)
         task = asyncio.get_running_loop().create_task(watch.run())
         for _ in range(4):
             await agent.arrived.get()
