--- a/pepperrun/consensus/learner.py
+++ b/pepperrun/consensus/learner.py
@@ -223,7 +223,7 @@
         if self.accepted_ballot < proposal.ballot:
             self.state.accepted = proposal
             self.state.promised = max(self.state.promised, proposal.ballot)
-        self.deltas = {ballot: kept for ballot, kept in self.deltas.items() if ballot > proposal.ballot}
+        self.deltas = {ballot: other for ballot, other in self.deltas.items() if ballot > proposal.ballot}
         self._record_change(before, proposal, delta)
 
     def _record_change(self, before: Proposal | None, proposal: Proposal, delta: BodyDelta | None) -> None:
@@ -254,8 +254,8 @@
         """Ask a node for its newest chosen value, unless another request is still within its time-out.
 
         Only one peer is asked at a time: a reply may be a full body, which takes long to transfer, and the
-        replies of the other peers would hold the same. Once the time-out has passed, the next call asks its
-        node. The time-out doubles with each attempt, at most `MAX_CATCH_UP_DOUBLINGS` times.
+        replies of the other peers would be the same. Once the time-out has passed, the next call may ask
+        another node. The time-out doubles with each attempt, at most `MAX_CATCH_UP_DOUBLINGS` times.
         """
         if self.catch_up.chosen_ballot != self.chosen_ballot:
             self.catch_up = CatchUpProgress(self.chosen_ballot, self.now)
@@ -282,7 +282,7 @@
             self._send(ip, Chosen(chosen.ballot, chosen.value))
             return
         delta = self.recent_changes.delta(message.known_digests, chosen.value.digest)
-        # A repeated request from the same ballot means that the peer could not apply the delta.
+        # The peer asked again from the same ballot, so it could not use the delta: send the full body.
         if delta is None or self.delta_sent_for.get(ip) == message.chosen_ballot:
             self._send(ip, Chosen(chosen.ballot, chosen.value, full_body=chosen.body))
             return
--- a/pepperrun/consensus/peer_liveness.py
+++ b/pepperrun/consensus/peer_liveness.py
@@ -11,7 +11,7 @@
 
 
 class Suspicion(NamedTuple):
-    """A voter's report, received `at`, that it has received nothing from `coordinator` for long."""
+    """A voter's report, received `at`, that it has received nothing from `coordinator` for its time-out."""
 
     disk_id: str
     coordinator: str
--- a/pepperrun/consensus/replica.py
+++ b/pepperrun/consensus/replica.py
@@ -151,7 +151,7 @@
 
     @property
     def safe_to_stop(self) -> bool:
-        """Whether this node, asked to stop, may exit: no other node could still take its vote or its role."""
+        """Whether this node, asked to stop, may exit without a vote or role that another node could take."""
         value = self.value
         if value is None:
             return True
@@ -313,7 +313,7 @@
         register.start_round(self.now)
 
     def _may_change_voters(self, review_voters: bool) -> bool:
-        """Whether a review is due and this node is the coordinator or wants to change the coordinator."""
+        """Whether a review is due, and this node is the coordinator or is to propose the next one."""
         value = self.value
         if value is None:
             return False
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -143,9 +143,8 @@
         ]
         assert ip not in coordinators and len(set(coordinators)) == 1
         world.run(1000)
-        assert (
-            world.machines[ip].replica is None and ip not in world.newest.voter_ips
-        )  # a spare votes instead
+        # A spare votes instead.
+        assert world.machines[ip].replica is None and ip not in world.newest.voter_ips
         world.start(ip)
         world.run(500)
     assert_settles(world)
--- a/tests/test_narrow_catch_up.py
+++ b/tests/test_narrow_catch_up.py
@@ -87,9 +87,8 @@
         setup.change(3 + at)
         setup.publisher.heard(setup.port, {"k": "want", "n": 0}, 300 * MS * (at + 1))
     assert setup.port.numbers() == [("change", number) for number in range(2, 6)]
-    setup.publisher.heard(
-        setup.port, {"k": "want", "n": 0}, 4000 * MS
-    )  # the gatekeeper has still received nothing
+    # The gatekeeper has still received nothing.
+    setup.publisher.heard(setup.port, {"k": "want", "n": 0}, 4000 * MS)
     assert setup.port.numbers() == [("agreed", 5)]
 
 
--- a/tests/test_voter_changes.py
+++ b/tests/test_voter_changes.py
@@ -223,9 +223,8 @@
     state = DurableState("first", accepted=later)
     assert not copies.saved("a", state)
     assert "with 1 copies among 3" in copies.chose(later)
-    assert not copies.lacking(
-        {Incarnation("a", "first"), Incarnation("b", "first")}
-    )  # the two disks disagree, so they decide nothing
+    # The two disks disagree, so they decide nothing.
+    assert not copies.lacking({Incarnation("a", "first"), Incarnation("b", "first")})
     assert "without a copy" in copies.lacking({Incarnation("b", "first"), Incarnation("c", "first")})
     body = {"m": 1}
     mismatched = later._replace(value=replace(later.value, digest=digest_of(body)))
