--- a/benchmarks/capacity_members.py
+++ b/benchmarks/capacity_members.py
@@ -26,7 +26,7 @@
 from pepperrun.control.quota_placement import first_places
 from pepperrun.control.records import GatewayRecord
 from pepperrun.core import gossip
-from pepperrun.core.quota_keepers import weight
+from pepperrun.core.quota_owners import rendezvous_weight
 from pepperrun.dataplane.numbering import PEER_INTAKE, Numbering
 from pepperrun.dataplane.peer_messages import HEAD
 from pepperrun.foundation.settings import Bounds
@@ -89,7 +89,8 @@
         "listed": sum(len(stations) for stations in places.values()),
         "lists_bytes": len(json.dumps(places, separators=(",", ":"))),
         "lists_bytes_all_regions": len(json.dumps(all_regions, separators=(",", ":"))),
-        "keeper_chosen_us": len(places) * each_us(lambda: max(largest, key=lambda one: weight(7, one)), 20),
+        "keeper_chosen_us": len(places)
+        * each_us(lambda: max(largest, key=lambda one: rendezvous_weight(7, one)), 20),
     }
 
 
@@ -118,8 +119,8 @@
 
 def quota(rate: float) -> None:
     """Messages of one kept quota, and parts of a split one."""
-    ask = gossip.Message(1, 2, 0, 0.1, asks=[gossip.Ask(7, 1, 1.0, 0.0, 1, 1, 1)])
-    answer = gossip.Message(1, 2, 0, 0.1, answers=[gossip.Answer(7, 1, 1.0, 0, False, False)])
+    ask = gossip.Message(1, 2, 0, 0.1, unit_requests=[gossip.UnitRequest(7, 1, 1.0, 0.0, 1, 1, 1)])
+    answer = gossip.Message(1, 2, 0, 0.1, unit_responses=[gossip.UnitResponse(7, 1, 1.0, 0, False, False)])
     asked, answered = gossip.pack(ask), gossip.pack(answer)
     sizes = [len(one) + HEAD.size + IP_UDP for one in (asked, answered)]
     took = each_us(
--- a/features/playing.py
+++ b/features/playing.py
@@ -350,7 +350,7 @@
                     self.hums[other].datagram_received(bytes.fromhex(data), ("10.1.0.9", SIDING))
             if step > 100:  # what the second one would let through of the tenant's quota, at the least
                 account = self.gateways["g2"].quotas.accounts[number_of(TENANT.name)]
-                self.least = min(self.least, account.room(self.now))
+                self.least = min(self.least, account.available_units(self.now))
 
     def does(self, name, events):
         for action in self.gateways[name].handle(self.now, events):
--- a/pepperrun/control/quota_placement.py
+++ b/pepperrun/control/quota_placement.py
@@ -1,7 +1,7 @@
 """Quota placement: agreed lists of gatekeepers by place, for fleets too large to split quotas. No I/O.
 
 Split among n gatekeepers a tenant's quota comes to buckets that hold no request where n is large. Then one
-gatekeeper of each place owns a share of it (`core.quota_keepers`), chosen from these lists. A place is a
+gatekeeper of each place owns a share of it (`core.quota_owners`), chosen from these lists. A place is a
 region, or a zone where there is one region. Each change makes the tenants that it moves wait until the former
 owners have surely stopped, so changes are seldom: new gatekeepers come in together, a silent one is replaced
 only after long, and a place of which most are silent is partitioned rather than gone: its list stays. Lists
@@ -15,7 +15,7 @@
 from typing import Any
 
 from pepperrun.control.records import GatewayRecord
-from pepperrun.core.quota_keepers import GRANT_NS
+from pepperrun.core.quota_owners import GRANT_TTL_NS
 from pepperrun.foundation.settings import Bounds
 
 MS = 1_000_000  # ns
@@ -78,7 +78,7 @@
 
     def _settle(self, agreed: dict[str, Any], bounds: Bounds, now: int) -> dict[str, Any] | None:
         """Return the operation that marks the lists as settled, once former owners have stopped."""
-        stopped_ns = int(bounds.revoke_ms * MS) + GRANT_NS
+        stopped_ns = int(bounds.revoke_ms * MS) + GRANT_TTL_NS
         if agreed["term"] and not agreed.get("settled") and now - self.changed_at > stopped_ns:
             return {"do": "settled", "term": agreed["term"]}
         return None
--- a/pepperrun/core/fair_scheduler.py
+++ b/pepperrun/core/fair_scheduler.py
@@ -59,7 +59,11 @@
         for _ in range(2):
             while self.round:
                 head: PendingRequest | None = self.head(customer := self.round.popleft())
-                if head is not None and customer not in self.blocked and head.account.ready(head.units, now):
+                if (
+                    head is not None
+                    and customer not in self.blocked
+                    and head.account.within_limits(head.units, now)
+                ):
                     self.pop(customer)
                     return head
             self._start_round(now)
@@ -68,11 +72,11 @@
     def _start_round(self, now: int) -> None:
         keys = [key for key in self.waiting if key not in self.blocked]
         heads: list[PendingRequest] = [head for key in keys if (head := self.head(key)) is not None]
-        used = sum(head.account.used.read(now) for head in heads)
+        used = sum(head.account.recent_use.read(now) for head in heads)
         weight = sum(head.account.weight for head in heads)
-        ready = [head for head in heads if head.account.ready(head.units, now)]
+        ready = [head for head in heads if head.account.within_limits(head.units, now)]
         best = min((head.rank for head in ready), default=0)
         able = [head.account for head in ready if head.rank == best]
-        below = [account for account in able if account.used.value * weight <= account.weight * used]
+        below = [account for account in able if account.recent_use.value * weight <= account.weight * used]
         turns = below if below or not able else [self.rng.choice(able)]
         self.round.extend(account.customer for account in turns)
--- a/pepperrun/core/fleet.py
+++ b/pepperrun/core/fleet.py
@@ -9,8 +9,8 @@
 from pepperrun.core.clock import SECOND
 from pepperrun.core.fair_scheduler import PendingRequest
 from pepperrun.core.interface import AttemptEnded, BackendList, Gate, Outcome, Repeat, Settings
-from pepperrun.core.keepers import HASH
 from pepperrun.core.state import BackendTable, Server
+from pepperrun.core.unit_grants import HASH_MULTIPLIER
 
 TAIL_QUANTILE = 0.97  # an attempt is overdue past this quantile of the latencies seen
 TRIAL_SCORE = 0.6  # from two failures in a row on, one safe request at a time tries a backend
@@ -50,7 +50,7 @@
         )
         self.refreshed_at = -REFRESH_INTERVAL_NS
         # Badness by backend and class: near 1 after failures in a row.
-        self.backend_reports = gossip.News(REPORT_TTL_NS, settings.gateways)
+        self.backend_reports = gossip.BackendReports(REPORT_TTL_NS, settings.gateways)
 
     def update_settings(self, settings: Settings) -> None:
         """More classes, another number of gateways."""
@@ -63,8 +63,8 @@
         """The list has changed: what starts anew begins with a clean sheet."""
         for server in self.update(event, now):
             for cls in range(len(self.unit_latency_ns)):
-                self.backend_reports.see(server.id, cls, 0.0, server.started_at, False)
-        self.backend_reports.forget(self.servers)
+                self.backend_reports.record(server.id, cls, 0.0, server.started_at, False)
+        self.backend_reports.retain(self.servers)
         self.refreshed_at = -REFRESH_INTERVAL_NS
 
     def ejected(self, now: int) -> set[int]:
@@ -87,7 +87,7 @@
         }
         self.widespread_failure = 2 * sum(bad > EJECTION_SCORE for bad in worst.values()) > len(ready)
         # Each gateway's window begins elsewhere, so that all together cover the fleet evenly.
-        ready.sort(key=lambda server: server.id * HASH % 2**32)
+        ready.sort(key=lambda server: server.id * HASH_MULTIPLIER % 2**32)
         first = self.settings.me * len(ready) // self.settings.gateways
         self.ring = ready[first:] + ready[:first]
         if any(
@@ -185,7 +185,7 @@
             before = self.failure_score(server, index, now)
             after = (1 + before) / 2 if failed else before / 2
             # Of hundreds of gateways each sees a given backend twice a minute: what one sees, all hear.
-            self.backend_reports.see(server.id, index, after, now, failed or before > 0.1)
+            self.backend_reports.record(server.id, index, after, now, failed or before > 0.1)
             if (before > EJECTION_SCORE) != (after > EJECTION_SCORE):
                 self.refreshed_at = -REFRESH_INTERVAL_NS
                 what = "left out: failures" if failed else "answers again"
--- a/pepperrun/core/gateway.py
+++ b/pepperrun/core/gateway.py
@@ -7,10 +7,8 @@
 import random
 
 from pepperrun.core import gossip
-from pepperrun.core.asking import Asker
 from pepperrun.core.clock import SECOND, Bucket, Throttle
 from pepperrun.core.concurrency_limiter import LATENCY_GOAL
-from pepperrun.core.escrow import short, spend, starved
 from pepperrun.core.fair_scheduler import PendingRequest
 from pepperrun.core.fleet import REPORT_TTL_NS
 from pepperrun.core.interface import (
@@ -36,9 +34,11 @@
     StreamStarted,
     Watch,
 )
-from pepperrun.core.quotas import TELL_EACH, Quotas
+from pepperrun.core.quotas import REPORT_INTERVAL_NS, Quotas
 from pepperrun.core.services import ServiceState
 from pepperrun.core.state import Attempt, Server
+from pepperrun.core.unit_requester import UnitRequester
+from pepperrun.core.unit_transfers import is_starved, refill_wait_s, spend_units
 
 HEDGE_AT = 0.4  # of the aim: a second copy then still comes in time
 UNLOADED_RETRY_COST = (
@@ -59,7 +59,7 @@
 LOG_INTERVAL_NS = 5 * SECOND  # one line of a kind in this time
 
 
-class Gateway(Asker):
+class Gateway(UnitRequester):
     """An admission gateway. Give `handle` what happened; carry out the actions that it returns, in order."""
 
     def __init__(self, settings: Settings, seed: int, gate: Gate | None = None) -> None:
@@ -87,7 +87,7 @@
     def update_settings(self, settings: Settings) -> None:
         """Classes, plans and lines that came to those known; another number of gateways."""
         self.settings = settings
-        self.quotas.resettle(settings, self.now)
+        self.quotas.update_settings(settings, self.now)
         self.retry_budget.depth = settings.retry_budget_burst
         self.retry_budget.level = min(self.retry_budget.level, self.retry_budget.depth)
         self.max_remaining_ns += [0] * (len(settings.classes) - len(self.max_remaining_ns))
@@ -97,12 +97,13 @@
             service.fleet.update_settings(settings)
 
     def start(self) -> None:
-        self.quotas.start = self.now
-        self.quotas.outbox.incarnation = self.now // gossip.TENTH % (2**32 - 1) + 1  # grows, never 0
+        self.quotas.started_at = self.now
+        # Grows with each start and is never 0.
+        self.quotas.outbox.incarnation = self.now // gossip.INCARNATION_TICK_NS % (2**32 - 1) + 1
         if self.settings.must_ask_for_list:
             self.actions.append(Watch())
-        if self.quotas.direct and self.settings.peer_messages and self.settings.gateways > 1:
-            self.every(TELL_EACH, lambda: self.quotas.tell(self.now))
+        if self.quotas.reports_directly and self.settings.peer_messages and self.settings.gateways > 1:
+            self.every(REPORT_INTERVAL_NS, lambda: self.quotas.send_reports(self.now))
             self.report_scheduled = False
         self.every(SECOND, lambda: self.quotas.refresh(self.now))
 
@@ -110,12 +111,12 @@
         self._dispatch()
         if self.quotas.dirty and not self.report_scheduled:  # in one message what a period brings
             self.report_scheduled = True
-            self.agenda.add(self.now + self.quotas.period, self._tell)
-        for peer, message in self.quotas.outbox.empty():
-            message.receiver = self.quotas.inbox.incarnation(peer)
+            self.agenda.add(self.now + self.quotas.message_interval_ns, self._tell)
+        for peer, message in self.quotas.outbox.drain():
+            message.receiver_incarnation = self.quotas.inbox.incarnation_of(peer)
             message.latency = self.limiter.latency
-            message.marks = (
-                self.fleet.backend_reports.some(self.rng, self.now)
+            message.backend_reports = (
+                self.fleet.backend_reports.sample(self.rng, self.now)
                 if self.settings.share_backend_reports
                 else []
             )
@@ -123,7 +124,7 @@
 
     def _tell(self) -> None:
         self.report_scheduled = False
-        self.quotas.tell(self.now)
+        self.quotas.send_reports(self.now)
 
     def _client_left(self, event: ClientLeft | StreamStarted) -> None:
         """The client has left, or the attempt is now its own."""
@@ -160,23 +161,23 @@
         return {id for service in self.services for id in service.fleet.ejected(self.now)}
 
     def _peer_message(self, event: PeerMessage) -> None:
-        if (message := self.quotas.hear(event.peer, event.data, self.now)) is None:
-            if (count := self.quotas.inbox.garbled) > self.malformed_count:
+        if (message := self.quotas.receive(event.peer, event.data, self.now)) is None:
+            if (count := self.quotas.inbox.malformed) > self.malformed_count:
                 self.malformed_count, of = count, f"{count} so far, the last of gatekeeper {event.peer}"
                 self._log("garbled", f"dropped messages that can't be read, {of}")
             return
         if len(self.services) == 1:
             self.limiter.add_latency(message.latency)
-        for mark in message.marks:
+        for mark in message.backend_reports:
             if mark.backend in self.fleet.servers and mark.cls < len(self.settings.classes):
                 fresh = mark.age_ns < REPORT_TTL_NS
-                self.fleet.backend_reports.see(
-                    mark.backend, mark.cls, mark.bad, self.now - mark.age_ns, fresh
+                self.fleet.backend_reports.record(
+                    mark.backend, mark.cls, mark.failure_score, self.now - mark.age_ns, fresh
                 )
-        for answer in message.answers:
+        for answer in message.unit_responses:
             account = self.quotas.accounts.get(answer.customer)
-            if account is not None and event.peer in account.keepers:  # nobody else may grant
-                self._answered(answer, event.peer)
+            if account is not None and event.peer in account.owners:  # nobody else may grant
+                self._on_unit_response(answer, event.peer)
 
     def _log(self, kind: str, text: str) -> None:
         if self.log_throttle.allows(kind, self.now):
@@ -197,9 +198,9 @@
         if event.id in self.pending:
             return
         plan, kind = self.settings.plans[event.plan], self.settings.classes[event.cls]
-        account = self.quotas.accounts.get(event.customer) or self.quotas.account(event, self.now)
-        self.quotas.accounts[event.customer], account.seen = account, self.now
-        if self.quotas.direct:
+        account = self.quotas.accounts.get(event.customer) or self.quotas.create_account(event, self.now)
+        self.quotas.accounts[event.customer], account.last_seen_at = account, self.now
+        if self.quotas.reports_directly:
             self.quotas.dirty[event.customer] = None
         service = self.services[event.service]
         held = PendingRequest(event, account, kind, service, self.now)
@@ -222,14 +223,14 @@
             and pressed
         ):
             self._fail_or_refuse(held)
-        elif account.keepers and self.now < account.closed_until:
-            self._refuse(held, (account.closed_until - self.now) / SECOND, True)
-        elif not account.keepers and not account.inside(event.units, self.now):
-            self._refuse(held, (event.units - account.room(self.now)) / max(plan.rate, 1e-9), True)
-        elif account.keepers:
-            self._ask(held)
-        elif self.quotas.members is not None and starved(account, self.now):
-            self._refuse(held, short(account, event.units, self.now), True)
+        elif account.owners and self.now < account.rejected_until:
+            self._refuse(held, (account.rejected_until - self.now) / SECOND, True)
+        elif not account.owners and not account.within_quota(event.units, self.now):
+            self._refuse(held, (event.units - account.available_units(self.now)) / max(plan.rate, 1e-9), True)
+        elif account.owners:
+            self._request_units(held)
+        elif self.quotas.members is not None and is_starved(account, self.now):
+            self._refuse(held, refill_wait_s(account, event.units, self.now), True)
         else:
             self._admit(held)
 
@@ -255,7 +256,7 @@
         self.agenda.add(shed, lambda: None if gone() else self._shed(held), gone)
 
     def _shed(self, held: PendingRequest) -> None:
-        wait = short(held.account, held.units, self.now) if self.quotas.members is not None else 0.0
+        wait = refill_wait_s(held.account, held.units, self.now) if self.quotas.members is not None else 0.0
         self._refuse(held, wait, wait > 0)
 
     def _dispatch(self) -> None:
@@ -277,11 +278,11 @@
                 break
             if self.gate is not None and (wait := self.gate.wait_ns(held.gate_context, self.now)):
                 self._refuse(held, wait / SECOND)
-            elif not held.account.keepers and not held.account.inside(held.units, self.now):
+            elif not held.account.owners and not held.account.within_quota(held.units, self.now):
                 self._refuse(held, 0.0, True)
-            elif self._void(held):
-                self.quotas.settle(held.account, -held.units, self.now)
-                self._ask(held)
+            elif self._grant_expired(held):
+                self.quotas.reconcile(held.account, -held.units, self.now)
+                self._request_units(held)
             elif (server := fleet.choose(held, self.now)) is None:
                 scheduler.push_front(held.account.customer, held)
                 if self.gate is None:
@@ -292,15 +293,15 @@
 
     def _send(self, held: PendingRequest, server: Server) -> None:
         if not held.attempts:
-            if not held.account.keepers:
-                self.quotas.settle(held.account, held.units, self.now)
-                spend(held.account, held.units, self.now)
-            held.account.used.add(held.units, self.now)
+            if not held.account.owners:
+                self.quotas.reconcile(held.account, held.units, self.now)
+                spend_units(held.account, held.units, self.now)
+            held.account.recent_use.add(held.units, self.now)
             self.retry_budget.level = min(
                 self.retry_budget.depth, self.retry_budget.level + self.settings.retry_budget_ratio
             )
         held.attempts.append(Attempt(server, self.now))
-        held.account.out += 1
+        held.account.attempts_in_flight += 1
         # A body that is still coming costs the backend nothing yet, and its client may be slow.
         held.attempts[-1].counted = not held.unbuffered
         held.service.fleet.in_flight += not held.unbuffered
@@ -414,10 +415,10 @@
         if attempt.abandoned and event.outcome is Outcome.CANCELLED and not held.unbuffered:
             held.service.fleet.record_abandoned(held, event.elapsed_ns)
         held.body_consumed = held.body_consumed or event.body_consumed
-        held.account.out -= 1
+        held.account.attempts_in_flight -= 1
         out = held.service.fleet.in_flight
         held.service.fleet.record_end(attempt.backend, held, event, self.now)
-        self.quotas.unit_ns = sum(held.service.fleet.unit_latency_ns) / len(
+        self.quotas.attempt_ns_per_unit = sum(held.service.fleet.unit_latency_ns) / len(
             held.service.fleet.unit_latency_ns
         )
         # One bad backend says nothing of the fleet: only when most are bad does its failure cut the bound.
@@ -429,7 +430,7 @@
         ):
             held.service.limiter.add_sample(2.0 if shared else event.elapsed_ns / held.target_ns, out)
         if event.outcome is Outcome.OK and event.units > 0 and self.settings.reconciles_units:
-            self.quotas.settle(held.account, event.units - held.units, self.now)
+            self.quotas.reconcile(held.account, event.units - held.units, self.now)
         held.done = held.done or event.complete
         over = held.done or held.stream or held.in_flight() > 0
         if not over and not self._retry(held, attempt.backend, event.outcome):
@@ -450,8 +451,8 @@
         self._close(held)
 
     def _close(self, held: PendingRequest) -> None:
-        if held.waiting and held.account.keepers and not held.attempts:
-            self.quotas.settle(held.account, -held.units, self.now)  # granted and not sent: it goes back
+        if held.waiting and held.account.owners and not held.attempts:
+            self.quotas.reconcile(held.account, -held.units, self.now)  # granted and not sent: it goes back
         held.done, held.waiting, held.asking = True, False, False
         held.service.scheduler.head(held.account.customer)
         self._forget_finished(held)
--- a/pepperrun/core/standing.py
+++ b/pepperrun/core/membership_status.py
@@ -9,18 +9,18 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Standing:
+class MembershipStatus:
     """`lost`: gatekeepers that are not there, or are suspected; they keep no customer's store.
 
     `missing`: gatekeepers whose parts of a quota those on this side leave alone. `slices`: this one uses its
     own part alone, and a store that begins meanwhile begins with that. `grants`: it may grant as a keeper.
     """
 
-    known: bool = False
-    lost: frozenset[int] = frozenset()
-    missing: frozenset[int] = frozenset()
-    slices: bool = False
-    grants: bool = True
+    tracks_unreachable: bool = False
+    absent: frozenset[int] = frozenset()
+    unreachable: frozenset[int] = frozenset()
+    local_share_only: bool = False
+    may_grant: bool = True
 
 
-NEUTRAL = Standing()
+NO_MEMBERSHIP = MembershipStatus()
--- a/pepperrun/core/quotas.py
+++ b/pepperrun/core/quotas.py
@@ -4,110 +4,159 @@
 
 from pepperrun.core import gossip
 from pepperrun.core.clock import SECOND, Bucket, DecayingSum
-from pepperrun.core.escrow import LOW, hand_over, hungry
 from pepperrun.core.interface import Request, Settings
-from pepperrun.core.keepers import HEARD_FOR, NEAR, Keepers, keepers_of, period_of
-from pepperrun.core.quota_keepers import QuotaKeepers
-from pepperrun.core.standing import NEUTRAL
+from pepperrun.core.membership_status import NO_MEMBERSHIP
+from pepperrun.core.quota_owners import QuotaOwners
+from pepperrun.core.unit_grants import (
+    LOW_BALANCE_RATIO,
+    REPORT_VALID_NS,
+    UnitGrants,
+    message_interval_of,
+    owners_of,
+)
+from pepperrun.core.unit_transfers import MIN_UNITS, is_exhausted, transfer_units
 
-SHARE_HALF_LIFE = 2 * SECOND  # U_i: long against a request, short against a spell of load
-TELL_EACH = SECOND  # heartbeats, answers to peers that ask, and how long use that grew counts as active
-OUT_FRESH = SECOND // 4  # told attempts out are old after about the time that an attempt takes
-NEWS = 1 / 8  # of the room left: use below it is told within TELL_EACH, not at once
-DIRECT_WITHIN = SECOND // 2  # peers tell each other directly if their messages fit the intake this often
+USE_HALF_LIFE_NS = 2 * SECOND  # U_i: long against a request, short against a spell of load
+REPORT_INTERVAL_NS = (
+    SECOND  # heartbeats, answers to peers that ask, and how long use that grew counts as active
+)
+IN_FLIGHT_VALID_NS = SECOND // 4  # told attempts out are old after about the time that an attempt takes
+PROMPT_REPORT_RATIO = 1 / 8  # of the room left: use below it is told within TELL_EACH, not at once
+DIRECT_MAX_INTERVAL_NS = (
+    SECOND // 2
+)  # peers tell each other directly if their messages fit the intake this often
 
 
 class Account:
     """A customer's quota as this gateway sees it, and its queue."""
 
-    def __init__(self, event: Request | gossip.Ask, now: int, quotas: Quotas) -> None:
-        self.customer, self.number, self.first, self.quotas = event.customer, event.plan, event.first, quotas
-        self.spread, self.seats, self.begins = event.spread, event.spread, quotas.start
+    def __init__(self, event: Request | gossip.UnitRequest, now: int, quotas: Quotas) -> None:
+        self.customer, self.plan_number, self.first, self.quotas = (
+            event.customer,
+            event.plan,
+            event.first,
+            quotas,
+        )
+        self.spread, self.configured_spread, self.hard_limit_starts_at = (
+            event.spread,
+            event.spread,
+            quotas.started_at,
+        )
         # Full: most use a part of their quota. One that does not know the others yet has its part of that.
-        self.whole, self.slice = Bucket(0.0, 0.0, 0.0, now), Bucket(0.0, 0.0, 0.0, now)
-        self.ceiling = Bucket(0.0, 0.0, 0.0, now)
-        self.divide(now)
+        self.global_bucket, self.local_bucket = Bucket(0.0, 0.0, 0.0, now), Bucket(0.0, 0.0, 0.0, now)
+        self.hard_limit = Bucket(0.0, 0.0, 0.0, now)
+        self.update_shares(now)
         # The hard slice starts empty when this gateway starts: the one before it may have spent it (rule 5).
-        self.ceiling.at = self.begins
-        self.whole.level = self.whole.depth / (self.spread if quotas.standing.slices else 1)
-        self.slice.level = self.slice.depth
+        self.hard_limit.at = self.hard_limit_starts_at
+        self.global_bucket.level = self.global_bucket.depth / (
+            self.spread if quotas.membership_status.local_share_only else 1
+        )
+        self.local_bucket.level = self.local_bucket.depth
         self.owed = 0.0  # units used without asking a keeper, less those given back
-        self.near_told, self.closed_until = False, now  # what a keeper last told of it
-        self.asked = DecayingSum(SECOND, now)  # asks, where this gateway is keeper
-        self.granted: dict[tuple[int, int], int] = {}  # as keeper: peer and request, when granted
+        self.low_balance_reported, self.rejected_until = False, now  # what a keeper last told of it
+        self.recent_requests = DecayingSum(SECOND, now)  # asks, where this gateway is keeper
+        self.granted_at: dict[tuple[int, int], int] = {}  # as keeper: peer and request, when granted
         # Not from 0: peers remember the count of an account that was dropped, and a lower one gives back.
-        self.total, self.untold = quotas.counted, 0.0
-        self.out, self.seen, self.period, self.fed_at = 0, now, quotas.period, now
-        self.told_at = self.asked_at = quotas.start - HEARD_FOR
-        self.told, self.begged = gossip.Heard(), set[int]()  # and peers that are short of units
-        self.used = DecayingSum(SHARE_HALF_LIFE, now)
+        self.total_units, self.unreported_units = quotas.max_dropped_total, 0.0
+        self.attempts_in_flight, self.last_seen_at, self.message_interval_ns, self.last_unit_at = (
+            0,
+            now,
+            quotas.message_interval_ns,
+            now,
+        )
+        self.reported_at = self.reporting_since = quotas.started_at - REPORT_VALID_NS
+        self.peer_reports, self.requesting_peers = (
+            gossip.PeerReports(),
+            set[int](),
+        )  # and peers that are short of units
+        self.recent_use = DecayingSum(USE_HALF_LIFE_NS, now)
 
-    def divide(self, now: int) -> None:
+    def update_shares(self, now: int) -> None:
         """Its parts among the gateways that it comes through, anew where their number has changed."""
-        quotas, plan = self.quotas, self.quotas.settings.plans[self.number]
+        quotas, plan = self.quotas, self.quotas.settings.plans[self.plan_number]
         count, me = quotas.settings.gateways, quotas.settings.me
-        self.plan, self.spread = plan, min(self.seats, count) if quotas.members is None else count
+        self.plan, self.spread = plan, min(self.configured_spread, count) if quotas.members is None else count
         self.weight = plan.rate or plan.open_limit or 1.0  # no rate: the open limit stands in, else one
-        self.peers, self.keepers, hard = (
+        self.peers, self.owners, hard = (
             list[int](),
             list[int](),
             1 / max(self.spread, quotas.settings.min_quota_shares),
         )
         if quotas.members is not None:
             self.peers = list(quotas.members)
-            hard = quotas.quota_keepers.seat(self, now) if quotas.quota_keepers else hard
-        elif quotas.direct:
+            hard = quotas.quota_owners.assign(self, now) if quotas.quota_owners else hard
+        elif quotas.reports_directly:
             members = [(self.first + step) % count for step in range(self.spread)]
             self.peers = [peer for peer in members if peer != me]
         elif self.spread > 1:
-            self.keepers, hard = keepers_of(self.customer, self.first, self.spread, count, me)
+            self.owners, hard = owners_of(self.customer, self.first, self.spread, count, me)
         # The second keeper's store stays small: no change of keepers grants another burst.
-        small = max(plan.rate, quotas.settings.max_units) if me in self.keepers[1:] else plan.burst
+        small = max(plan.rate, quotas.settings.max_units) if me in self.owners[1:] else plan.burst
         part = 1 / self.spread
         for bucket, rate, depth in (
-            (self.whole, plan.rate, min(plan.burst, small)),
-            (self.slice, plan.rate * part, plan.burst * part),
-            (self.ceiling, plan.ceiling_rate * hard, plan.ceiling_depth * hard),
+            (self.global_bucket, plan.rate, min(plan.burst, small)),
+            (self.local_bucket, plan.rate * part, plan.burst * part),
+            (self.hard_limit, plan.ceiling_rate * hard, plan.ceiling_depth * hard),
         ):
             bucket.fill(now)
             bucket.rate, bucket.depth, bucket.level = rate, depth, min(depth, bucket.level)
 
-    def near(self, now: int) -> bool:
-        if self.plan.ceiling_rate > 0 and self.ceiling.fill(now) < NEAR * self.ceiling.depth:
+    def is_low(self, now: int) -> bool:
+        if (
+            self.plan.ceiling_rate > 0
+            and self.hard_limit.fill(now) < LOW_BALANCE_RATIO * self.hard_limit.depth
+        ):
             return True
-        return self.slice.fill(now) < NEAR * self.slice.depth or self.plan.open_limit > 0 and self.out > 0
+        return (
+            self.local_bucket.fill(now) < LOW_BALANCE_RATIO * self.local_bucket.depth
+            or self.plan.open_limit > 0
+            and self.attempts_in_flight > 0
+        )
 
-    def room(self, now: int) -> float:
+    def available_units(self, now: int) -> float:
         """Units that this gateway may send on before it hears more."""
-        answered = self.asked_at + 2 * self.period <= now and now - self.told_at < HEARD_FOR
-        heard = self.told.since(now - HEARD_FOR)
-        if self.spread > 1 and (self.quotas.standing.slices or not answered and not heard):
+        answered = (
+            self.reporting_since + 2 * self.message_interval_ns <= now
+            and now - self.reported_at < REPORT_VALID_NS
+        )
+        heard = self.peer_reports.received_since(now - REPORT_VALID_NS)
+        if self.spread > 1 and (self.quotas.membership_status.local_share_only or not answered and not heard):
             # A full slice may be smaller than one request; it pays for one all the same and owes the rest.
-            return self.slice.fill(now) if self.slice.level < self.slice.depth else self.plan.burst
-        room = self.whole.fill(now)
+            return (
+                self.local_bucket.fill(now)
+                if self.local_bucket.level < self.local_bucket.depth
+                else self.plan.burst
+            )
+        room = self.global_bucket.fill(now)
         if self.plan.over_quota_cost <= 0:
             return room  # what two let go at once costs nothing
         # The rest is split by use: each leaves the others what they will use before it hears of it.
-        return room - sum(told.unseen(now, 2 * self.period) for told in heard)
+        return room - sum(told.estimated_unreported(now, 2 * self.message_interval_ns) for told in heard)
 
-    def inside(self, units: float, now: int) -> bool:
-        return self.plan.rate <= 0 or self.room(now) >= units
+    def within_quota(self, units: float, now: int) -> bool:
+        return self.plan.rate <= 0 or self.available_units(now) >= units
 
-    def ready(self, units: float, now: int) -> bool:
+    def within_limits(self, units: float, now: int) -> bool:
         """Do the ceiling and the limit on attempts out let it go? Own part unheard, else less the told."""
-        if self.keepers:
+        if self.owners:
             return True  # they let it go
-        fresh = [told.entry.out for told in self.told.since(now - OUT_FRESH)]
+        fresh = [
+            told.entry.attempts_in_flight
+            for told in self.peer_reports.received_since(now - IN_FLIGHT_VALID_NS)
+        ]
         most = self.plan.open_limit - sum(fresh) if fresh else self.plan.open_limit // self.spread
-        if self.plan.open_limit > 0 and self.out >= max(1, most):
+        if self.plan.open_limit > 0 and self.attempts_in_flight >= max(1, most):
             return False
-        return self.plan.ceiling_rate <= 0 or self.ceiling.fill(now) >= units
+        return self.plan.ceiling_rate <= 0 or self.hard_limit.fill(now) >= units
 
     def charge(self, units: float, now: int) -> None:
-        for bucket in (self.whole, self.slice):  # what is given back does not fill it beyond its depth
+        for bucket in (
+            self.global_bucket,
+            self.local_bucket,
+        ):  # what is given back does not fill it beyond its depth
             bucket.level = min(bucket.depth, bucket.fill(now) - units)
-        self.total += units
-        self.untold += units
+        self.total_units += units
+        self.unreported_units += units
 
 
 class Quotas:
@@ -117,118 +166,140 @@
         self.settings = settings
         self.accounts: dict[int, Account] = {}
         self.dirty: dict[int, None] = {}
-        self.start = self.beat = 0
+        self.started_at = self.heartbeat_at = 0
         self.members: tuple[int, ...] | None = None  # the peers that are there, where they come and go
-        self.counted = 0.0  # no account dropped so far had counted more
-        self.handed = False  # another process of this gatekeeper decides: no store fills, no peer is told
-        self.period = period_of(settings)
-        self.direct = self.period <= DIRECT_WITHIN or not settings.peer_messages
-        self.unit_ns = 0.0  # how long an attempt takes for each unit, as seen by the fleet
+        self.max_dropped_total = 0.0  # no account dropped so far had counted more
+        self.handed_over = (
+            False  # another process of this gatekeeper decides: no store fills, no peer is told
+        )
+        self.message_interval_ns = message_interval_of(settings)
+        self.reports_directly = (
+            self.message_interval_ns <= DIRECT_MAX_INTERVAL_NS or not settings.peer_messages
+        )
+        self.attempt_ns_per_unit = 0.0  # how long an attempt takes for each unit, as seen by the fleet
         self.inbox, self.outbox = gossip.Inbox(), gossip.Outbox()
-        self.standing = NEUTRAL  # what membership, where it is on, knows of the others
-        self.keepers = Keepers(self)
-        self.quota_keepers: QuotaKeepers | None = None  # who keeps a tenant's part in each place
+        self.membership_status = NO_MEMBERSHIP  # what membership, where it is on, knows of the others
+        self.unit_grants = UnitGrants(self)
+        self.quota_owners: QuotaOwners | None = None  # who keeps a tenant's part in each place
 
-    def resettle(self, settings: Settings, now: int) -> None:
+    def update_settings(self, settings: Settings, now: int) -> None:
         """Plans that came to those known, another number of gateways: each account's parts follow."""
-        self.settings, self.period = settings, period_of(settings)
+        self.settings, self.message_interval_ns = settings, message_interval_of(settings)
         for account in self.accounts.values():
-            account.divide(now)
+            account.update_shares(now)
 
-    def account(self, event: Request | gossip.Ask, now: int) -> Account:
+    def create_account(self, event: Request | gossip.UnitRequest, now: int) -> Account:
         """A new one for the customer of a request, or of a peer's ask."""
         return Account(event, now, self)
 
-    def settle(self, account: Account, units: float, now: int) -> None:
+    def reconcile(self, account: Account, units: float, now: int) -> None:
         """Units found used, or with a minus not used, after the grant: to the store here or to the keeper."""
-        if not account.keepers:
+        if not account.owners:
             account.charge(units, now)
             self.dirty[account.customer] = None
-        elif (keeper := self.keepers.of(account, now)) == self.settings.me:
-            account.whole.level = min(account.whole.depth, account.whole.fill(now) - units)
+        elif (keeper := self.unit_grants.owner_of(account, now)) == self.settings.me:
+            account.global_bucket.level = min(
+                account.global_bucket.depth, account.global_bucket.fill(now) - units
+            )
         else:
             account.owed += units
-            if account.near_told:
-                self.keepers.ask(account, keeper, 0, 0.0)
+            if account.low_balance_reported:
+                self.unit_grants.request_units(account, keeper, 0, 0.0)
 
-    def hear(self, peer: int, data: bytes, now: int) -> gossip.Message | None:
+    def receive(self, peer: int, data: bytes, now: int) -> gossip.Message | None:
         """Takes in a peer's message and gives it back, or None where it is not to be taken in."""
         there = range(self.settings.gateways) if self.members is None else self.members
         message = self.inbox.accept(peer, data, now) if peer in there and peer != self.settings.me else None
         if message is None:
             return None
-        self.keepers.missed.pop(peer, None)
-        self.keepers.hear(peer, message, now)
+        self.unit_grants.unanswered.pop(peer, None)
+        self.unit_grants.handle_requests(peer, message, now)
         for entry in message.entries:
             account = self.accounts.get(entry.customer)
             if account is None or peer not in account.peers:
                 continue
-            used = account.told.take(peer, message.incarnation, entry, now)
-            account.whole.fill(now)
-            left = max(account.whole.level - used, min(0.0, account.whole.level))
-            account.whole.level = min(account.whole.depth, left)
-            ceiling = account.ceiling
-            if message.receiver == self.outbox.incarnation and ceiling.fill(now) < ceiling.depth:
-                ceiling.level = min(ceiling.depth, ceiling.level + entry.handed)
-            if entry.ceiling < LOW <= ceiling.level and self.members is not None:
-                account.begged.add(peer)
-            if now - account.told_at > TELL_EACH or account.begged:
+            used = account.peer_reports.record(peer, message.incarnation, entry, now)
+            account.global_bucket.fill(now)
+            left = max(account.global_bucket.level - used, min(0.0, account.global_bucket.level))
+            account.global_bucket.level = min(account.global_bucket.depth, left)
+            ceiling = account.hard_limit
+            if message.receiver_incarnation == self.outbox.incarnation and ceiling.fill(now) < ceiling.depth:
+                ceiling.level = min(ceiling.depth, ceiling.level + entry.transferred_units)
+            if entry.hard_limit_level < MIN_UNITS <= ceiling.level and self.members is not None:
+                account.requesting_peers.add(peer)
+            if now - account.reported_at > REPORT_INTERVAL_NS or account.requesting_peers:
                 self.dirty[account.customer] = None
         return message
 
-    def tell(self, now: int) -> None:
+    def send_reports(self, now: int) -> None:
         """Each peer hears of the customers that it shares, when they are near and there is news."""
-        if self.handed:
+        if self.handed_over:
             return
         dirty, self.dirty = self.dirty, {}
         for customer in dirty:
             account = self.accounts.get(customer)
             if account is None or not account.peers:
                 continue
-            if not account.near(now) and not account.told.since(now - HEARD_FOR):
+            if not account.is_low(now) and not account.peer_reports.received_since(now - REPORT_VALID_NS):
                 continue
             # Where members come and go a hard bound stands behind the store: use need not be told at once.
-            news = self.members is None and abs(account.untold) > NEWS * max(0.0, account.whole.fill(now))
-            want = self.members is not None and hungry(account, now)
-            wide = news or now - account.told_at >= (TELL_EACH // 4 if want else TELL_EACH)
-            if not wide and not account.begged:
-                if account.untold:
+            news = self.members is None and abs(account.unreported_units) > PROMPT_REPORT_RATIO * max(
+                0.0, account.global_bucket.fill(now)
+            )
+            want = self.members is not None and is_exhausted(account, now)
+            wide = news or now - account.reported_at >= (
+                REPORT_INTERVAL_NS // 4 if want else REPORT_INTERVAL_NS
+            )
+            if not wide and not account.requesting_peers:
+                if account.unreported_units:
                     self.dirty[customer] = None
                 continue
-            peers = account.peers if wide else sorted(account.begged)  # who asks for units has them at once
-            account.begged.clear()
+            peers = (
+                account.peers if wide else sorted(account.requesting_peers)
+            )  # who asks for units has them at once
+            account.requesting_peers.clear()
             if wide:
-                account.asked_at = now if now - account.told_at >= HEARD_FOR else account.asked_at
-                account.untold, account.told_at = 0.0, now
-            debt = max(0.0, account.slice.depth - account.slice.fill(now))
+                account.reporting_since = (
+                    now if now - account.reported_at >= REPORT_VALID_NS else account.reporting_since
+                )
+                account.unreported_units, account.reported_at = 0.0, now
+            debt = max(0.0, account.local_bucket.depth - account.local_bucket.fill(now))
             for peer in peers:
-                handed, level = hand_over(account, peer, now), max(0.0, account.ceiling.level)
-                if handed <= 0 and level >= NEAR * account.ceiling.depth:
-                    level = gossip.FAR
-                entry = gossip.Entry(customer, account.total, debt, level, handed, account.out)
-                self.outbox.to(peer).entries.append(entry)
-        if now - self.beat >= (TELL_EACH if self.members is None else HEARD_FOR // 2):
-            self.beat = now
+                handed, level = transfer_units(account, peer, now), max(0.0, account.hard_limit.level)
+                if handed <= 0 and level >= LOW_BALANCE_RATIO * account.hard_limit.depth:
+                    level = gossip.NOT_LOW
+                entry = gossip.UsageEntry(
+                    customer, account.total_units, debt, level, handed, account.attempts_in_flight
+                )
+                self.outbox.message_for(peer).entries.append(entry)
+        if now - self.heartbeat_at >= (REPORT_INTERVAL_NS if self.members is None else REPORT_VALID_NS // 2):
+            self.heartbeat_at = now
             everybody = range(self.settings.gateways) if self.members is None else self.members
-            for peer in everybody if self.quota_keepers is None else ():
+            for peer in everybody if self.quota_owners is None else ():
                 if peer != self.settings.me:
-                    self.outbox.to(peer)
+                    self.outbox.message_for(peer)
 
     def refresh(self, now: int) -> None:
         """Peers gone quiet count as their slice; accounts that forgetting does not change are dropped."""
-        if self.handed:
+        if self.handed_over:
             return
-        late = {p for p, known in self.inbox.peers.items() if self.direct and now - known[2] > HEARD_FOR}
+        late = {
+            p
+            for p, known in self.inbox.peers.items()
+            if self.reports_directly and now - known[2] > REPORT_VALID_NS
+        }
         late &= late if self.members is None else set(self.members)
         # The larger side has the whole, the smaller one its members' slices.
-        quiet = self.standing.missing if self.standing.known else late
+        quiet = self.membership_status.unreachable if self.membership_status.tracks_unreachable else late
         for account in list(self.accounts.values()):
-            if self.quota_keepers is None and (quiet or account.whole.rate != account.plan.rate):
-                account.whole.fill(now)
+            if self.quota_owners is None and (quiet or account.global_bucket.rate != account.plan.rate):
+                account.global_bucket.fill(now)
                 lost = sum((p - account.first) % self.settings.gateways < account.spread for p in quiet)
-                account.whole.rate = account.plan.rate * (1 - lost / account.spread)
-            buckets = [account.whole, account.slice] + [account.ceiling] * (account.plan.ceiling_rate > 0)
+                account.global_bucket.rate = account.plan.rate * (1 - lost / account.spread)
+            buckets = [account.global_bucket, account.local_bucket] + [account.hard_limit] * (
+                account.plan.ceiling_rate > 0
+            )
             full = all(bucket.fill(now) >= bucket.depth for bucket in buckets)
-            if full and not account.out and now - account.seen > HEARD_FOR:
-                self.counted = max(self.counted, account.total)
+            if full and not account.attempts_in_flight and now - account.last_seen_at > REPORT_VALID_NS:
+                self.max_dropped_total = max(self.max_dropped_total, account.total_units)
                 del self.accounts[account.customer]
--- a/pepperrun/dataplane/inspection.py
+++ b/pepperrun/dataplane/inspection.py
@@ -43,7 +43,7 @@
             for port, peer in news.publisher.peers.items()
             if peer.is_attached
         ],
-        "keepers": {place: len(held) for place, held in plane.quota_keepers.places.items()},
+        "keepers": {place: len(held) for place, held in plane.quota_keepers.domains.items()},
         **{"seats": plane.numbering.seats, "parts": plane.numbering.parts, "shares": _shares(plane, now)},
         **{"workers": _workers(plane, now), "evacuated": sorted(table.evacuated) if table else []},
         "scouts": {
@@ -101,12 +101,12 @@
         if plan.ceiling_rate <= 0:
             out.append({"tenant": name, "rate": None, "depth": None, "level": None})
             continue
-        places = plane.quota_keepers.places
+        places = plane.quota_keepers.domains
         part = 1 / max(1, settings.gateways, settings.min_quota_shares)
         if places:  # kept by some for all: a part that is this gatekeeper's, or none
-            part = 0.0 if plane.quota_keepers.begins(tenant.customer) is None else 1 / len(places)
+            part = 0.0 if plane.quota_keepers.share_starts_at(tenant.customer) is None else 1 / len(places)
         row = {"tenant": name, "rate": plan.ceiling_rate * part, "depth": plan.ceiling_depth * part}
-        out.append(row | {"level": _level(account.ceiling, now) if account is not None else None})
+        out.append(row | {"level": _level(account.hard_limit, now) if account is not None else None})
     return out
 
 
--- a/pepperrun/dataplane/numbering.py
+++ b/pepperrun/dataplane/numbering.py
@@ -11,7 +11,7 @@
 
 from pepperrun.control.configuration import Sender
 from pepperrun.core.interface import Plan, Repeat, RequestClass, Settings
-from pepperrun.core.quota_keepers import GRANT_NS
+from pepperrun.core.quota_owners import GRANT_TTL_NS
 from pepperrun.foundation.settings import Bounds
 
 MS = 1_000_000
@@ -121,7 +121,7 @@
             # All parts hold D together. What is granted may go out a little later, and so in the next window:
             # within as long as fills what the rate's excess and a quarter of the slack leave room for.
             late = excess * plan.rate * self.bounds.quota_window_s / 2 + slack / 4
-            late = min(max(late, LEAST_LATE_S * rate), rate * GRANT_NS / SECOND)
+            late = min(max(late, LEAST_LATE_S * rate), rate * GRANT_TTL_NS / SECOND)
             return replace(
                 plan, ceiling_rate=rate, ceiling_depth=least, ceiling_slack=late, over_quota_cost=1.0
             )
--- a/pepperrun/dataplane/plane.py
+++ b/pepperrun/dataplane/plane.py
@@ -10,8 +10,8 @@
 
 from pepperrun.control.records import GatewayRecord, Worker
 from pepperrun.core.interface import BackendList
-from pepperrun.core.quota_keepers import ABSENT, QuotaKeepers
-from pepperrun.core.standing import Standing
+from pepperrun.core.membership_status import MembershipStatus
+from pepperrun.core.quota_owners import ABSENT, QuotaOwners
 from pepperrun.dataplane.attempt_reports import AttemptReports
 from pepperrun.dataplane.cold import ColdShares
 from pepperrun.dataplane.front import Front, FrontListener
@@ -64,7 +64,7 @@
         self.gate = Gate(bounds, self.workers, self.shares, fresh_at, cells_at)
         self.peers = Peers(me.station)
         near = me.zone, me.region
-        self.quota_keepers = QuotaKeepers(
+        self.quota_keepers = QuotaOwners(
             me.station, near, lambda: self.gate.fence_ns, self.gate.fresh, self._number
         )
         self.gatekeeper = Gatekeeper(
@@ -140,9 +140,9 @@
         """Who keeps quotas, as agreed on."""
         quota_keepers, quotas = self.quota_keepers, self.gatekeeper.gateway.quotas
         quota_keepers.plans = {tenant.customer: tenant.plan for tenant in table.tenants.values()}
-        if quota_keepers.learn(listed, self.clock()):
-            quotas.quota_keepers = quota_keepers if quota_keepers.places else None
-            self.numbering.keep(bool(quota_keepers.places))
+        if quota_keepers.update(listed, self.clock()):
+            quotas.quota_owners = quota_keepers if quota_keepers.domains else None
+            self.numbering.keep(bool(quota_keepers.domains))
             self.numbering.changed = True
 
     def _number(self, station: str) -> int:
@@ -184,9 +184,9 @@
         """
         lives, quotas = self.peers.lives, self.gatekeeper.gateway.quotas
         lost = frozenset(lives[station][1] for station in absent if station in lives)
-        standing = Standing(False, lost, frozenset(), doubt, not doubt)
-        if standing != quotas.standing:
-            quotas.standing = standing
+        standing = MembershipStatus(False, lost, frozenset(), doubt, not doubt)
+        if standing != quotas.membership_status:
+            quotas.membership_status = standing
 
     def _settle(self) -> None:
         if self.numbering.changed:
--- a/pepperrun/handover/state.py
+++ b/pepperrun/handover/state.py
@@ -21,7 +21,7 @@
 FRESH_NS = 3 * SECOND  # an older state is another time's
 MOST_BACKENDS = 100_000
 MOST_ACCOUNTS = 1_000_000
-_STORES = ("whole", "slice", "ceiling")
+_STORES = ("global_bucket", "local_bucket", "hard_limit")
 
 
 @dataclass(slots=True)
@@ -44,9 +44,20 @@
 
 def _told(account: Account) -> list[list[Any]]:
     return [
-        [peer, told.incarnation, told.at, told.used.value, told.used.at, told.entry.total, told.entry.debt]
-        + [None if told.entry.ceiling == gossip.FAR else told.entry.ceiling, told.entry.out]
-        for peer, told in account.told.told.items()
+        [
+            peer,
+            told.incarnation,
+            told.received_at,
+            told.recent_use.value,
+            told.recent_use.at,
+            told.entry.total_units,
+            told.entry.local_used_units,
+        ]
+        + [
+            None if told.entry.hard_limit_level == gossip.NOT_LOW else told.entry.hard_limit_level,
+            told.entry.attempts_in_flight,
+        ]
+        for peer, told in account.peer_reports.by_peer.items()
     ]
 
 
@@ -60,24 +71,24 @@
         given.append(level - keep)
     table = {
         "customer": account.customer,
-        "plan": account.number,
+        "plan": account.plan_number,
         "first": account.first,
         "spread": account.spread,
         "stores": given,
         "owed": account.owed,
-        "near": account.near_told,
-        "closed_until": account.closed_until,
-        "total": account.total,
-        "untold": account.untold,
-        "told_at": account.told_at,
-        "asked_at": account.asked_at,
-        "seen": account.seen,
-        "used": account.used.read(now),
-        "asked": account.asked.read(now),
-        "granted": [[*key, at] for key, at in account.granted.items()],
+        "near": account.low_balance_reported,
+        "closed_until": account.rejected_until,
+        "total": account.total_units,
+        "untold": account.unreported_units,
+        "told_at": account.reported_at,
+        "asked_at": account.reporting_since,
+        "seen": account.last_seen_at,
+        "used": account.recent_use.read(now),
+        "asked": account.recent_requests.read(now),
+        "granted": [[*key, at] for key, at in account.granted_at.items()],
         "told": _told(account),
     }
-    kept = Kept(account, account.total, tuple(store.rate for store in stores))
+    kept = Kept(account, account.total_units, tuple(store.rate for store in stores))
     for store, gone in zip(stores, given, strict=True):
         store.level -= gone
         store.rate = 0.0
@@ -94,12 +105,12 @@
         table, rest = _account(account, need.get(account.customer, 0.0), spare, now)
         accounts.append(table)
         kept.append(rest)
-    quotas.handed = True
+    quotas.handed_over = True
     return {
         "form": FORM,
         "at": now,
-        "start": quotas.start,
-        "counted": quotas.counted,
+        "start": quotas.started_at,
+        "counted": quotas.max_dropped_total,
         "incarnation": quotas.outbox.incarnation,
         "sequence": quotas.outbox.sequence,
         "peers": [[peer, *known] for peer, known in quotas.inbox.peers.items()],
@@ -126,16 +137,18 @@
             store.fill(now)
             store.rate = rate
     quotas = gateway.quotas
-    quotas.handed = False
+    quotas.handed_over = False
     # Peers have heard the successor under this incarnation: a new one, or they would take this for old.
-    quotas.outbox.incarnation = max(quotas.outbox.incarnation + 1, now // gossip.TENTH % (2**32 - 1) + 1)
+    quotas.outbox.incarnation = max(
+        quotas.outbox.incarnation + 1, now // gossip.INCARNATION_TICK_NS % (2**32 - 1) + 1
+    )
 
 
 def left(kept: list[Kept], now: int) -> list[list[float]]:
     """What the predecessor did not use, and what it counted since: customer, stores, units, owed."""
     return [
         [one.account.customer, *(getattr(one.account, name).fill(now) for name in _STORES)]
-        + [one.account.total - one.total, one.account.owed]
+        + [one.account.total_units - one.total, one.account.owed]
         for one in kept
     ]
 
@@ -176,7 +189,7 @@
     spread = read.whole(row["spread"], 1, settings.gateways)
     first = read.whole(row["first"], 0, settings.gateways - 1)
     customer = read.whole(row["customer"], 0, 2**33 - 1)
-    account = Account(gossip.Ask(customer, 0, 0.0, 0.0, plan, first, spread), now, gateway.quotas)
+    account = Account(gossip.UnitRequest(customer, 0, 0.0, 0.0, plan, first, spread), now, gateway.quotas)
     levels = row["stores"]
     if not isinstance(levels, list) or len(levels) != len(_STORES):
         raise ValueError("stores are missing")
@@ -184,24 +197,26 @@
         store = getattr(account, name)
         store.level, store.at = min(store.depth, read.number(level)), now
     account.owed = read.number(row["owed"])
-    account.near_told = row["near"] is True
+    account.low_balance_reported = row["near"] is True
     # A figure out of all range must not shut a customer out for long.
-    account.closed_until = min(read.moment(row["closed_until"]), now + 5 * SECOND)
-    account.total, account.untold = read.number(row["total"], 0), read.number(row["untold"])
-    account.told_at, account.asked_at = read.moment(row["told_at"]), read.moment(row["asked_at"])
-    account.seen = read.moment(row["seen"])
-    account.used.value, account.used.at = read.number(row["used"], 0), now
-    account.asked.value, account.asked.at = read.number(row["asked"], 0), now
+    account.rejected_until = min(read.moment(row["closed_until"]), now + 5 * SECOND)
+    account.total_units, account.unreported_units = read.number(row["total"], 0), read.number(row["untold"])
+    account.reported_at, account.reporting_since = read.moment(row["told_at"]), read.moment(row["asked_at"])
+    account.last_seen_at = read.moment(row["seen"])
+    account.recent_use.value, account.recent_use.at = read.number(row["used"], 0), now
+    account.recent_requests.value, account.recent_requests.at = read.number(row["asked"], 0), now
     for peer, request, at in read.rows(row["granted"], MOST_ACCOUNTS, 3):
-        account.granted[read.whole(peer), read.whole(request)] = read.moment(at)
+        account.granted_at[read.whole(peer), read.whole(request)] = read.moment(at)
     for peer, incarnation, at, used, used_at, total, debt, ceiling, out in read.rows(
         row["told"], settings.gateways, 9
     ):
-        lately = DecayingSum(gossip.USED_HALF_LIFE, read.moment(used_at))
+        lately = DecayingSum(gossip.USE_HALF_LIFE_NS, read.moment(used_at))
         lately.value = read.number(used, 0)
-        far = gossip.FAR if ceiling is None else read.number(ceiling)
-        entry = gossip.Entry(customer, read.number(total, 0), read.number(debt), far, 0.0, read.whole(out))
-        account.told.told[read.whole(peer, 0, settings.gateways - 1)] = gossip.Told(
+        far = gossip.NOT_LOW if ceiling is None else read.number(ceiling)
+        entry = gossip.UsageEntry(
+            customer, read.number(total, 0), read.number(debt), far, 0.0, read.whole(out)
+        )
+        account.peer_reports.by_peer[read.whole(peer, 0, settings.gateways - 1)] = gossip.PeerReport(
             read.whole(incarnation), entry, read.moment(at), lately
         )
     return account
@@ -249,15 +264,15 @@
     ]
     if not isinstance(table["accounts"], list) or len(table["accounts"]) > MOST_ACCOUNTS:
         raise ValueError("accounts are missing")
-    before = quotas.start
-    quotas.start = start  # an account's ceiling fills from there
+    before = quotas.started_at
+    quotas.started_at = start  # an account's ceiling fills from there
     try:
         accounts = [_read_account(row, gateway, read) for row in table["accounts"]]
     finally:
-        quotas.start = before
+        quotas.started_at = before
 
     def apply() -> None:
-        quotas.start, quotas.counted = start, counted
+        quotas.started_at, quotas.max_dropped_total = start, counted
         quotas.outbox.incarnation, quotas.outbox.sequence = incarnation, sequence
         quotas.inbox.peers = peers
         quotas.accounts = {account.customer: account for account in accounts}
@@ -271,7 +286,7 @@
                 server.started_at = max(server.started_at, born)
         for number, cls, bad, at in news:
             if number in fleet.servers:
-                fleet.backend_reports.see(number, cls, bad, at, False)
+                fleet.backend_reports.record(number, cls, bad, at, False)
 
     return apply
 
@@ -279,8 +294,8 @@
 def forget(gateway: Gateway, now: int) -> None:
     """As after a start from nothing: whoever gave the state decides again."""
     gateway.quotas.accounts.clear()
-    gateway.quotas.start = now
-    gateway.quotas.outbox.incarnation = now // gossip.TENTH % (2**32 - 1) + 1
+    gateway.quotas.started_at = now
+    gateway.quotas.outbox.incarnation = now // gossip.INCARNATION_TICK_NS % (2**32 - 1) + 1
 
 
 def take_left(gateway: Gateway, rows: Any, now: int) -> None:
@@ -294,6 +309,6 @@
         for name, level in zip(_STORES, levels, strict=True):
             store = getattr(account, name)
             store.level = min(store.depth, store.fill(now) + level)
-        account.total += max(0.0, used)
-        account.untold += max(0.0, used)
+        account.total_units += max(0.0, used)
+        account.unreported_units += max(0.0, used)
         account.owed += owed
--- a/pepperrun/lab/explore.py
+++ b/pepperrun/lab/explore.py
@@ -243,7 +243,7 @@
             step = step_of(member, self.now)
             if step is Step.MAJORITY:
                 larger.append((number, member.views.view.member_numbers()))
-            if step in (Step.SELF_SUSPECT, Step.NOT_MEMBER) and standing_of(member, self.now).grants:
+            if step in (Step.SELF_SUSPECT, Step.NOT_MEMBER) and standing_of(member, self.now).may_grant:
                 return f"n{number} grants in step {step.value}"
         for index, (number, view) in enumerate(larger):
             for other, its_view in larger[index + 1 :]:
--- a/pepperrun/membership/service.py
+++ b/pepperrun/membership/service.py
@@ -13,7 +13,7 @@
 
 from pepperrun.admin.calls import Figure
 from pepperrun.core.clock import SECOND
-from pepperrun.core.gossip import TENTH
+from pepperrun.core.gossip import INCARNATION_TICK_NS
 from pepperrun.gatekeeper import Gatekeeper
 from pepperrun.log import say
 from pepperrun.membership.config import MembershipConfig
@@ -53,7 +53,9 @@
         self.clock = time.monotonic_ns
         now, pace = self.clock(), (config.probe_period_ns, config.min_suspicion_ns)
         member_config = MemberConfig(settings.me, settings.gateways, name, config.load_keys(), *pace)
-        self.member = Member(member_config, gatekeeper.clock() // TENTH % (2**32 - 1) + 1, seed, now)
+        self.member = Member(
+            member_config, gatekeeper.clock() // INCARNATION_TICK_NS % (2**32 - 1) + 1, seed, now
+        )
         if saved_state is not None:
             self._restore(saved_state, now)
         self.member.on_event = self._on_event
@@ -133,8 +135,8 @@
             say(f"members step {step.value}", f"members: step {step.value}, side {self.member.side().value}")
             self.member.record_step(step.value, now)
             self.step = step
-        if standing != quotas.standing:
-            quotas.standing = standing
+        if standing != quotas.membership_status:
+            quotas.membership_status = standing
             quotas.refresh(max(self.gatekeeper.clock(), self.gatekeeper.gateway.now))
 
     def _on_event(self, happened: MembershipEvent) -> None:
--- a/pepperrun/membership/steps.py
+++ b/pepperrun/membership/steps.py
@@ -21,7 +21,7 @@
 from dataclasses import dataclass
 
 from pepperrun.core.clock import SECOND
-from pepperrun.core.standing import Standing
+from pepperrun.core.membership_status import MembershipStatus
 from pepperrun.membership.member import Member
 from pepperrun.membership.states import OwnState
 from pepperrun.membership.views import Side
@@ -63,7 +63,7 @@
     return min(ahead) if ahead else None
 
 
-def standing_of(member: Member, now: int) -> Standing:
+def standing_of(member: Member, now: int) -> MembershipStatus:
     """What the decisions are told. Who is suspected keeps no store, though it still counts as there."""
     step = step_of(member, now)
     present = member.views.view.member_numbers()
@@ -91,7 +91,7 @@
         or step is Step.LOCAL_BUCKETS
         and len(present) < 2
     )
-    return Standing(True, lost, missing, slices, step not in (Step.SELF_SUSPECT, Step.NOT_MEMBER))
+    return MembershipStatus(True, lost, missing, slices, step not in (Step.SELF_SUSPECT, Step.NOT_MEMBER))
 
 
 @dataclass(slots=True, frozen=True)
--- a/tests/test_dataplane.py
+++ b/tests/test_dataplane.py
@@ -581,11 +581,11 @@
         assert (await (await cluster.ask(key="k3")).answer())[0] == 200  # no quota, nobody is asked
         quota_keepers, quotas = cluster.plane.quota_keepers, cluster.plane.gatekeeper.gateway.quotas
         (account,) = [one for one in quotas.accounts.values() if one.plan.rate]
-        begins = quota_keepers.begins(account.customer)
+        begins = quota_keepers.share_starts_at(account.customer)
         assert begins is not None and 0 < begins - time.monotonic_ns() <= SECOND
-        account.ceiling.at = begins - 2 * SECOND  # as if its time had come
-        account.closed_until, quota_keepers.empty = 0, {}
+        account.hard_limit.at = begins - 2 * SECOND  # as if its time had come
+        account.rejected_until, quota_keepers.empty_until = 0, {}
         assert (await (await cluster.ask()).answer())[0] == 200
-        assert account.ceiling.depth == pytest.approx((50 * 1.1) / 2) and account.keepers == [0, -1]
+        assert account.hard_limit.depth == pytest.approx((50 * 1.1) / 2) and account.owners == [0, -1]
 
     going(test)
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -74,13 +74,13 @@
 def tell(driver: Driver, *messages: tuple[int, int, float]) -> None:
     """Messages (incarnation, sequence, total) of peer 1 about customer 1."""
     for incarnation, sequence, total in messages:
-        entry = gossip.Entry(1, total, 4.0, 0.0, 0.0, 0)
+        entry = gossip.UsageEntry(1, total, 4.0, 0.0, 0.0, 0)
         data = gossip.pack(gossip.Message(incarnation, sequence, 0, 0.1, [entry]))
         driver.feed(PeerMessage(1, data))
 
 
 def level(driver: Driver) -> float:
-    return driver.gateway.quotas.accounts[1].whole.fill(driver.now)
+    return driver.gateway.quotas.accounts[1].global_bucket.fill(driver.now)
 
 
 def test_lost_repeated_and_reordered_messages_count_once() -> None:
@@ -105,7 +105,7 @@
     driver = Driver()
     driver.ask(RATE, units=2.0, spread=2)
     tell(driver, (5, 1, 0.0))
-    driver.gateway.quotas.accounts[1].untold = 0.0
+    driver.gateway.quotas.accounts[1].unreported_units = 0.0
     assert len(sends(driver.ask(RATE, units=4.0, spread=2))) == 1  # the whole room at first
     assert len(sends(driver.ask(RATE, units=4.0, spread=2))) == 0  # then this gateway's part
 
@@ -127,7 +127,7 @@
     driver.ask(RATE, customer=1, units=3.0, spread=2)
     driver.ask(FREE, customer=2, units=1.0, spread=2)
     told: dict[int, list[int]] = {1: [], 2: []}
-    for action in only(driver.run(3 * driver.gateway.quotas.period), SendPeerMessage):
+    for action in only(driver.run(3 * driver.gateway.quotas.message_interval_ns), SendPeerMessage):
         message = gossip.unpack(action.data)
         assert message is not None
         told[action.peer] += [entry.customer for entry in message.entries]
@@ -161,14 +161,14 @@
     messages: list[bytes] = []
     for _ in range(20):
         for source, target, me in ((taker, giver, 1), (giver, taker, 0)):
-            for action in only(source.run(source.gateway.quotas.period), SendPeerMessage):
+            for action in only(source.run(source.gateway.quotas.message_interval_ns), SendPeerMessage):
                 if action.peer == target.settings.me:
                     target.feed(PeerMessage(me, action.data))
                     messages += [action.data] if source is giver else []
-    assert any(e.handed > 0 for m in messages if (un := gossip.unpack(m)) for e in un.entries)
-    levels = [d.gateway.quotas.accounts[1].ceiling.fill(d.now) for d in (giver, taker)]
+    assert any(e.transferred_units > 0 for m in messages if (un := gossip.unpack(m)) for e in un.entries)
+    levels = [d.gateway.quotas.accounts[1].hard_limit.fill(d.now) for d in (giver, taker)]
     taker.feed(PeerMessage(0, messages[-1]))
-    again = taker.gateway.quotas.accounts[1].ceiling.fill(taker.now)
+    again = taker.gateway.quotas.accounts[1].hard_limit.fill(taker.now)
     assert again == levels[1] and sum(levels) <= 16.0
 
 
@@ -199,13 +199,13 @@
     for number in range(10):
         turns.add(0, held(small, number))
         turns.add(1, held(large, 100 + number))
-    small.used.add(9.0, START)
-    large.used.add(3.0, START)
+    small.recent_use.add(9.0, START)
+    large.recent_use.add(3.0, START)
     order = []
     for _ in range(6):
         taken = turns.pop_next(START)
         assert taken is not None
-        taken.account.used.add(2.0, START)
+        taken.account.recent_use.add(2.0, START)
         order.append(taken.account.customer)
     assert order == [1] * 6
 
@@ -226,9 +226,9 @@
         group = accounts(10.0, 10.0, 10.0)
         for account in group:
             turns.add(account.customer, held(account, 1))
-        group[0].used.add(5.0, START)
-        group[1].used.add(5.0, START)
-        monkeypatch.setattr(group[2], "ready", lambda *_: False)  # the one below goal can't go
+        group[0].recent_use.add(5.0, START)
+        group[1].recent_use.add(5.0, START)
+        monkeypatch.setattr(group[2], "within_limits", lambda *_: False)  # the one below goal can't go
         taken = turns.pop_next(START)
         assert taken is not None
         winners.add(taken.account.customer)
@@ -454,7 +454,7 @@
         len(
             [
                 a
-                for a in only(driver.run(2 * driver.gateway.quotas.period), SendPeerMessage)
+                for a in only(driver.run(2 * driver.gateway.quotas.message_interval_ns), SendPeerMessage)
                 if len(a.data) > 18
             ]
         )
@@ -503,9 +503,9 @@
     assert (
         len(sends(driver.ask(RATE, units=3.0, spread=3))) == 0
     )  # beyond the slice, and nobody was asked yet
-    driver.run(2 * driver.gateway.quotas.period)
+    driver.run(2 * driver.gateway.quotas.message_interval_ns)
     driver.ask(RATE, units=3.0, spread=3)
-    driver.run(2 * driver.gateway.quotas.period)
+    driver.run(2 * driver.gateway.quotas.message_interval_ns)
     assert len(sends(driver.ask(RATE, units=3.0, spread=3))) == 1
 
 
@@ -529,14 +529,14 @@
     driver.ask(0, units=0.5, spread=8)
     for peer in range(1, 8):
         for number, total in ((1, 0.0), (2, 0.5)):
-            entry = gossip.Entry(1, total, 0.5, 0.0, 0.0, 0)
+            entry = gossip.UsageEntry(1, total, 0.5, 0.0, 0.0, 0)
             driver.feed(PeerMessage(peer, gossip.pack(gossip.Message(5, number, 0, 0.1, [entry]))))
     account = driver.gateway.quotas.accounts[1]
-    store = account.whole.fill(driver.now)
-    assert abs(account.room(driver.now) - store) < 1e-9
-    later = driver.now + account.period  # seven have told of half a unit twice
-    unseen = 7 * 1.0 * 0.69 * account.period / SECOND
-    assert 0.8 * unseen < account.whole.fill(later) - account.room(later) < 1.2 * unseen
+    store = account.global_bucket.fill(driver.now)
+    assert abs(account.available_units(driver.now) - store) < 1e-9
+    later = driver.now + account.message_interval_ns  # seven have told of half a unit twice
+    unseen = 7 * 1.0 * 0.69 * account.message_interval_ns / SECOND
+    assert 0.8 * unseen < account.global_bucket.fill(later) - account.available_units(later) < 1.2 * unseen
 
 
 def test_peers_are_told_of_use_that_matters_and_of_small_use_within_a_second() -> None:
@@ -557,7 +557,7 @@
     tell(driver, (5, 1, 0.0))
     counts = [entries(driver.ask(FREE, units=1.0, spread=3) + driver.run(50 * MS)) for _ in range(40)]
     assert 1 <= sum(counts) <= 4  # of 1000 units these are few
-    assert driver.gateway.quotas.accounts[1].untold <= 20  # a second's use at most
+    assert driver.gateway.quotas.accounts[1].unreported_units <= 20  # a second's use at most
 
 
 def test_the_better_rank_goes_first_and_below_goal_turns_hold_among_equals():
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -82,11 +82,11 @@
     old, new = pair(gateways=1, peer_messages=False)
     old.ask(plan=RATE)
     kept = passed(old, new)
-    before = new.gateway.quotas.accounts[1].whole.fill(new.now)
+    before = new.gateway.quotas.accounts[1].global_bucket.fill(new.now)
     state.take_left(new.gateway, json.loads(json.dumps(state.left(kept, old.now))), new.now)
     account = new.gateway.quotas.accounts[1]
-    assert account.whole.level == pytest.approx(old.settings.plans[RATE].burst - 1)
-    assert account.whole.level > before
+    assert account.global_bucket.level == pytest.approx(old.settings.plans[RATE].burst - 1)
+    assert account.global_bucket.level > before
 
 
 def test_peers_take_the_new_process_for_the_same_gatekeeper():
@@ -95,7 +95,7 @@
     passed(old, new)
     assert new.gateway.quotas.outbox.incarnation == old.gateway.quotas.outbox.incarnation
     assert new.gateway.quotas.outbox.sequence >= old.gateway.quotas.outbox.sequence > 0
-    old_rates = [a.whole.rate for a in old.gateway.quotas.accounts.values()]
+    old_rates = [a.global_bucket.rate for a in old.gateway.quotas.accounts.values()]
     assert not any(old_rates)
 
 
@@ -173,12 +173,12 @@
     old.ask(plan=RATE)
     new.now = old.now
     table, _ = state.export(old.gateway, old.now)
-    before = (new.gateway.quotas.start, new.gateway.limiter.depth, new.gateway.quotas.outbox.incarnation)
+    before = (new.gateway.quotas.started_at, new.gateway.limiter.depth, new.gateway.quotas.outbox.incarnation)
     with pytest.raises(ValueError):
         state.take_in(new.gateway, table | {key: value}, new.now)
     with pytest.raises(ValueError):
         state.take_in(new.gateway, {name: part for name, part in table.items() if name != key}, new.now)
-    after = (new.gateway.quotas.start, new.gateway.limiter.depth, new.gateway.quotas.outbox.incarnation)
+    after = (new.gateway.quotas.started_at, new.gateway.limiter.depth, new.gateway.quotas.outbox.incarnation)
     assert before == after and not new.gateway.quotas.accounts
 
 
--- a/tests/test_long_running.py
+++ b/tests/test_long_running.py
@@ -46,7 +46,7 @@
                     inbox[me].append(ended)
         forgotten = forgotten or ms > 7000 and 7 not in gateways[0].quotas.accounts
         account = gateways[1].quotas.accounts[7]
-        assert account.whole.level <= account.plan.burst
+        assert account.global_bucket.level <= account.plan.burst
     assert forgotten and 7 in gateways[0].quotas.accounts
 
 
@@ -69,19 +69,19 @@
         assert (inbox.accept(1, message(incarnation, sequence), 0) is not None) == taken
     outbox = gossip.Outbox()
     outbox.sequence = last
-    outbox.to(1)
-    ((_, first),) = outbox.empty()
+    outbox.message_for(1)
+    ((_, first),) = outbox.drain()
     assert first.sequence == 0 and gossip.unpack(gossip.pack(first)) is not None
 
 
 def test_a_customers_count_goes_on_past_what_fits():
-    heard, top = gossip.Heard(), gossip.TOTALS / gossip.STEP
+    heard, top = gossip.PeerReports(), gossip.TOTAL_WRAP / gossip.STEPS_PER_UNIT
 
     def told(total: float) -> float:
-        entry = gossip.Entry(7, total, 50.0, 0.0, 0.0, 0)
+        entry = gossip.UsageEntry(7, total, 50.0, 0.0, 0.0, 0)
         sent = gossip.unpack(gossip.pack(gossip.Message(1, 1, 0, entries=[entry])))
         assert sent is not None
-        return heard.take(1, 1, sent.entries[0], 0)
+        return heard.record(1, 1, sent.entries[0], 0)
 
     told(top - 2)  # where it wraps
     assert told(top - 1) == 1
@@ -93,10 +93,13 @@
     # The true store holds the burst at most; what was settled below its guess came on top of a full one.
     quotas = Quotas(make_settings(gateways=2))
     account = Account(Request(1, 7, RATE, 0, SECOND, 4.0, 2, 0), START, quotas)
-    account.whole.at = START
+    account.global_bucket.at = START
     account.charge(1.0, START)
     account.charge(-3.0, START)
-    assert account.whole.level == account.plan.burst and account.slice.level == account.slice.depth
+    assert (
+        account.global_bucket.level == account.plan.burst
+        and account.local_bucket.level == account.local_bucket.depth
+    )
 
 
 def test_workers_that_have_gone_for_good_are_forgotten_everywhere():
@@ -113,8 +116,8 @@
         )
         (send,) = only(driver.ask(), Send)
         assert send.backend == number
-        mark = gossip.Mark(number, 0, 0, 0.5)
-        driver.feed(PeerMessage(1, gossip.pack(gossip.Message(1, day + 1, 0, marks=[mark]))))
+        mark = gossip.BackendReport(number, 0, 0, 0.5)
+        driver.feed(PeerMessage(1, gossip.pack(gossip.Message(1, day + 1, 0, backend_reports=[mark]))))
         if day % 2:
             driver.end(send, Outcome.FULL)
         else:  # its attempt is still out when it goes
@@ -125,4 +128,6 @@
     fleet = driver.gateway.fleet
     assert len(directory.ids) == len(directory.names) == len(directory.endpoints) == 1
     assert list(fleet.servers) == [number] == list({backend for backend, _ in fleet.backend_reports.known})
-    assert {backend for backend, _ in fleet.backend_reports.fresh} <= {number} and fleet.in_flight == 0
+    assert {backend for backend, _ in fleet.backend_reports.pending_forwards} <= {
+        number
+    } and fleet.in_flight == 0
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -167,13 +167,13 @@
     return asked[0] if asked else gateways - 1
 
 
-def ask(driver: Driver, peer: int, sequence: int, **changes: object) -> list[gossip.Answer]:
+def ask(driver: Driver, peer: int, sequence: int, **changes: object) -> list[gossip.UnitResponse]:
     fields = {"customer": 5, "request": 9, "units": 2.0, "owed": 0.0, "plan": RATE, "first": 0, "spread": 60}
-    asks = [gossip.Ask(**(fields | changes))]  # type: ignore[arg-type]
-    data = gossip.pack(gossip.Message(5, sequence, 0, 0.1, asks=asks))
+    asks = [gossip.UnitRequest(**(fields | changes))]  # type: ignore[arg-type]
+    data = gossip.pack(gossip.Message(5, sequence, 0, 0.1, unit_requests=asks))
     before = len(messages(driver))
     driver.feed(PeerMessage(peer, data))
-    return [answer for message in messages(driver)[before:] for answer in message.answers]
+    return [answer for message in messages(driver)[before:] for answer in message.unit_responses]
 
 
 def test_a_keeper_answers_its_set_and_nobody_else_and_charges_a_repeated_ask_once() -> None:
@@ -182,14 +182,14 @@
     other = (keeper + 1) % 60
     assert ask(driver, other, 1)[0].units == 2.0
     assert ask(driver, other, 2)[0].units == 2.0  # the first answer was lost
-    assert driver.gateway.quotas.accounts[5].whole.fill(driver.now) == 10.0
+    assert driver.gateway.quotas.accounts[5].global_bucket.fill(driver.now) == 10.0
     assert ask(driver, other, 2, request=10) == []  # a replayed message
     assert ask(driver, other, 3, plan=99) == []
     assert ask(driver, other, 4, spread=0) == []
     assert ask(driver, other, 5, customer=6, first=(keeper + 2) % 60, spread=3) == []  # not this keeper's
     assert ask(driver, 99, 6, request=11) == []
-    assert driver.gateway.quotas.accounts[5].whole.fill(driver.now) == 10.0
-    assert ask(driver, other, 7, request=12, units=11.0)[0].beyond
+    assert driver.gateway.quotas.accounts[5].global_bucket.fill(driver.now) == 10.0
+    assert ask(driver, other, 7, request=12, units=11.0)[0].over_quota
 
 
 def test_an_ask_that_nobody_answers_falls_back_on_the_slice() -> None:
@@ -207,25 +207,25 @@
     driver.run(3 * SECOND)
     driver.ask(RATE, customer=5, spread=60, units=4.0)
     account = driver.gateway.quotas.accounts[5]
-    assert account.whole.fill(driver.now) == 8.0
+    assert account.global_bucket.fill(driver.now) == 8.0
     assert len(only(driver.run(SECOND), Refuse)) == 1
-    assert account.whole.fill(driver.now) == 12.0
+    assert account.global_bucket.fill(driver.now) == 12.0
 
 
 def test_what_one_gateway_sees_of_a_backend_and_class_all_hear_and_newer_wins() -> None:
     driver = Driver(backends=2, gateways=60, peer_message_rate=INTAKE)
     fleet = driver.gateway.fleet
-    mark = gossip.Mark(0, 1, 0, 1.0)
-    strange = [gossip.Mark(77, 0, 0, 1.0), gossip.Mark(1, 200, 0, 1.0)]
+    mark = gossip.BackendReport(0, 1, 0, 1.0)
+    strange = [gossip.BackendReport(77, 0, 0, 1.0), gossip.BackendReport(1, 200, 0, 1.0)]
     driver.now += SECOND
-    driver.feed(PeerMessage(3, gossip.pack(gossip.Message(5, 1, 0, 0.1, marks=[mark, *strange]))))
+    driver.feed(PeerMessage(3, gossip.pack(gossip.Message(5, 1, 0, 0.1, backend_reports=[mark, *strange]))))
     server = fleet.servers[0]
     assert (
         fleet.failure_score(server, 1, driver.now) > 0.9 and fleet.failure_score(server, 0, driver.now) == 0.0
     )
     assert set(fleet.backend_reports.known) == {(0, 1)}
-    old = gossip.Mark(0, 1, SECOND, 0.0)
-    driver.feed(PeerMessage(3, gossip.pack(gossip.Message(5, 2, 0, 0.1, marks=[old]))))
+    old = gossip.BackendReport(0, 1, SECOND, 0.0)
+    driver.feed(PeerMessage(3, gossip.pack(gossip.Message(5, 2, 0, 0.1, backend_reports=[old]))))
     assert fleet.failure_score(server, 1, driver.now) > 0.9
     hits = {0: set(), 1: set()}  # type: dict[int, set[int]]
     for number in range(12):
@@ -251,7 +251,7 @@
     for keeper, whole in ((first, 12.0), (second, 10.0)):
         driver = Driver(me=keeper, gateways=60, peer_message_rate=INTAKE)
         assert ask(driver, (keeper + 1) % 60, 1, units=4.0)[0].units == 4.0
-        assert driver.gateway.quotas.accounts[5].whole.fill(driver.now) == whole - 4.0
+        assert driver.gateway.quotas.accounts[5].global_bucket.fill(driver.now) == whole - 4.0
 
 
 def test_what_has_waited_too_long_for_its_aim_is_answered_while_the_fleet_is_pressed() -> None:
@@ -309,24 +309,24 @@
     keeper = keeper_of(5)
     driver = Driver(me=(keeper + 1) % 60, gateways=60, peer_message_rate=INTAKE)
     driver.ask(CEILED, customer=5, spread=60, units=2.0)
-    asked = messages(driver)[-1].asks[0]
-    answer = gossip.Answer(5, asked.request, 2.0, 0, False, False)
-    granted = gossip.pack(gossip.Message(5, 1, 0, answers=[answer]))
+    asked = messages(driver)[-1].unit_requests[0]
+    answer = gossip.UnitResponse(5, asked.request, 2.0, 0, False, False)
+    granted = gossip.pack(gossip.Message(5, 1, 0, unit_responses=[answer]))
     assert only(driver.feed(PeerMessage((keeper + 2) % 60, granted)), Send) == []
     assert len(only(driver.feed(PeerMessage(keeper, granted)), Send)) == 1
 
 
 def test_news_of_a_backend_reaches_all_gateways_though_each_passes_it_on_a_few_times_only() -> None:
     count, rng = 64, random.Random(3)
-    all_news = [gossip.News(2 * SECOND, count) for _ in range(count)]
-    all_news[0].see(7, 0, 1.0, START, True)
+    all_news = [gossip.BackendReports(2 * SECOND, count) for _ in range(count)]
+    all_news[0].record(7, 0, 1.0, START, True)
     told, now = 0, START
     for _ in range(3 * count * 12):
         now += SECOND // 2000
         sender, hearer = rng.sample(range(count), 2)
-        for mark in all_news[sender].some(rng, now):
+        for mark in all_news[sender].sample(rng, now):
             told += 1
-            all_news[hearer].see(mark.backend, mark.cls, mark.bad, now - mark.age_ns, True)
+            all_news[hearer].record(mark.backend, mark.cls, mark.failure_score, now - mark.age_ns, True)
     knowing = sum((7, 0) in news.known for news in all_news)
     assert knowing >= 0.95 * count
     assert told <= count * (count.bit_length() + 2)
@@ -339,19 +339,25 @@
     driver.gateway.quotas.accounts[5].owed = 3000.0
     before = len(messages(driver))
     driver.ask(RATE, customer=5, spread=60)
-    asked = [ask for message in messages(driver)[before:] for ask in message.asks]
+    asked = [ask for message in messages(driver)[before:] for ask in message.unit_requests]
     rest = driver.gateway.quotas.accounts[5].owed
     assert asked[0].owed > 2000 and asked[0].owed + rest == 3000.0
 
 
 def test_asks_and_answers_arrive_as_they_were_sent_and_cut_ones_do_not() -> None:
-    asks = [gossip.Ask(2**33 - 1, 2**32 - 1, 6.0, -5.5, 127, 65535, 40), gossip.Ask(0, 0, 0.0, 3.0, 0, 0, 1)]
+    asks = [
+        gossip.UnitRequest(2**33 - 1, 2**32 - 1, 6.0, -5.5, 127, 65535, 40),
+        gossip.UnitRequest(0, 0, 0.0, 3.0, 0, 0, 1),
+    ]
     answers = [
-        gossip.Answer(2**33 - 1, 2**32 - 1, 6.0, 0, True, False),
-        gossip.Answer(5, 9, 0.0, 1234, False, True),
+        gossip.UnitResponse(2**33 - 1, 2**32 - 1, 6.0, 0, True, False),
+        gossip.UnitResponse(5, 9, 0.0, 1234, False, True),
+    ]
+    entries = [
+        gossip.UsageEntry(5, 7.0, 1.0, 2.0, 0.5, 3),
+        gossip.UsageEntry(6, 7.0, 1.0, gossip.NOT_LOW, 0.0, 0),
     ]
-    entries = [gossip.Entry(5, 7.0, 1.0, 2.0, 0.5, 3), gossip.Entry(6, 7.0, 1.0, gossip.FAR, 0.0, 0)]
-    whole = gossip.Message(5, 6, 7, 0.25, entries, asks, answers, [gossip.Mark(9, 1, 0, 1.0)])
+    whole = gossip.Message(5, 6, 7, 0.25, entries, asks, answers, [gossip.BackendReport(9, 1, 0, 1.0)])
     data = gossip.pack(whole)
     assert gossip.unpack(data) == whole
     assert all(gossip.unpack(data[:end]) is None for end in range(len(data)))
@@ -393,7 +399,7 @@
     for data in (b"", b"x", good[:-1], good + bytes(250), bytes([99]) + good[1:], good, good):
         driver.feed(PeerMessage(3, data))
     lines = only(driver.actions, Log)
-    assert len(lines) == 1 and driver.gateway.quotas.inbox.garbled == 5
+    assert len(lines) == 1 and driver.gateway.quotas.inbox.malformed == 5
     driver.now += 6 * SECOND
     driver.feed(PeerMessage(3, b"y"))
     assert "6 so far, the last of gatekeeper 3" in only(driver.actions, Log)[-1].text
@@ -404,8 +410,8 @@
     driver = Driver(me=keeper, gateways=60, peer_message_rate=INTAKE)
     for number in range(1, 20):
         ask(driver, (keeper + 1) % 60, number, request=number, units=0.0, owed=2000.0)
-    assert driver.gateway.quotas.accounts[5].whole.fill(driver.now) >= -PLANS[RATE].burst
+    assert driver.gateway.quotas.accounts[5].global_bucket.fill(driver.now) >= -PLANS[RATE].burst
     driver.run(3 * SECOND)
     assert ask(driver, (keeper + 1) % 60, 30, request=30, units=2.0)[0].units == 2.0
     ask(driver, (keeper + 1) % 60, 31, request=31, units=0.0, owed=-2000.0)  # nor grants it more
-    assert driver.gateway.quotas.accounts[5].whole.fill(driver.now) <= PLANS[RATE].burst
+    assert driver.gateway.quotas.accounts[5].global_bucket.fill(driver.now) <= PLANS[RATE].burst
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -14,8 +14,8 @@
 
 from pepperrun.core.clock import SECOND
 from pepperrun.core.interface import Plan, Request, Send
+from pepperrun.core.membership_status import MembershipStatus
 from pepperrun.core.quotas import Account, Quotas
-from pepperrun.core.standing import Standing
 from pepperrun.lab.virtual import KEYS, MS, Members, Path
 from pepperrun.membership.keys import KeyRing, generate_key_file, parse_keys
 from pepperrun.membership.resume import export_state, restore_state
@@ -175,12 +175,15 @@
     member = world.member(2)
     if seconds >= 0.5:
         assert step_of(member, world.now) is Step.SELF_SUSPECT
-        assert not standing_of(member, world.now).grants
+        assert not standing_of(member, world.now).may_grant
         assert [one for at, one in events(world, "dead", start) if at == 2] == []  # it buries nobody
     assert world.run(3, world.settled)
     assert member.own.generation == world.member(2).own.generation and member.own.state is OwnState.MEMBER
     if seconds > 1:  # it had been buried: for a while its own slice
-        assert step_of(member, world.now) is Step.JOINED_RECENTLY and standing_of(member, world.now).slices
+        assert (
+            step_of(member, world.now) is Step.JOINED_RECENTLY
+            and standing_of(member, world.now).local_share_only
+        )
     world.run(1.1)
     assert step_of(member, world.now) is Step.COMPLETE
 
@@ -196,15 +199,18 @@
         expected = [Side.MAJORITY, Side.MINORITY] if count == 6 else [Side.MINORITY, Side.MAJORITY]
         assert sides == expected
         back = world.member(count - 1 if count == 6 else 0)
-        assert standing_of(back, world.now).missing == frozenset(some_ if count == 6 else others)
+        assert standing_of(back, world.now).unreachable == frozenset(some_ if count == 6 else others)
         world.cut(some_, others, on=False)
         assert world.run(3, world.settled)
         # For a while it goes on as on that side; the larger side had the whole all the time.
-        assert step_of(back, world.now) is Step.JOINED_RECENTLY and not standing_of(back, world.now).slices
-        assert standing_of(back, world.now).missing == frozenset(some_ if count == 6 else others)
+        assert (
+            step_of(back, world.now) is Step.JOINED_RECENTLY
+            and not standing_of(back, world.now).local_share_only
+        )
+        assert standing_of(back, world.now).unreachable == frozenset(some_ if count == 6 else others)
         assert step_of(world.member(0 if count == 6 else count - 1), world.now) is Step.COMPLETE
         world.run(1.1)
-        assert standing_of(back, world.now).missing == frozenset()
+        assert standing_of(back, world.now).unreachable == frozenset()
         world.cut(some_, others)  # and at once again
         assert world.run(4, lambda: world.agreed(some_) and world.agreed(others))  # noqa: B023
         world.cut(some_, others, on=False)
@@ -359,7 +365,7 @@
 # What the decisions make of it.
 
 
-def quotas_of(standing: Standing, me: int = 0, gateways: int = 4, intake: float = 100.0) -> Quotas:
+def quotas_of(standing: MembershipStatus, me: int = 0, gateways: int = 4, intake: float = 100.0) -> Quotas:
     plan = Plan("p", 10.0, 20.0, 0, 20.0, 40.0, 4.0, over_quota_cost=1.0)
     quotas = Quotas(
         replace(
@@ -371,44 +377,52 @@
             peer_message_rate=intake,
         )
     )
-    quotas.standing = standing
+    quotas.membership_status = standing
     return quotas
 
 
 def test_smaller_side_has_its_slices_and_the_larger_one_the_whole() -> None:
     asked = Request(1, 5, 0, 0, SECOND, 1.0, 4, 0)
-    alone = Account(asked, 0, quotas_of(Standing(True, frozenset({1, 2, 3}), frozenset({1, 2, 3}), True)))
-    alone.slice.level = 3.0
-    assert alone.room(0) == 3.0 and alone.slice.rate == 2.5
-    assert alone.whole.level == pytest.approx(5.0)  # a store that begins meanwhile begins with its part
-    larger = quotas_of(Standing(True, frozenset({3})))
+    alone = Account(
+        asked, 0, quotas_of(MembershipStatus(True, frozenset({1, 2, 3}), frozenset({1, 2, 3}), True))
+    )
+    alone.local_bucket.level = 3.0
+    assert alone.available_units(0) == 3.0 and alone.local_bucket.rate == 2.5
+    # A bucket that is created meanwhile starts with this gateway's share.
+    assert alone.global_bucket.level == pytest.approx(5.0)
+    larger = quotas_of(MembershipStatus(True, frozenset({3})))
     account = larger.accounts[5] = Account(asked, 0, larger)
     larger.inbox.peers = {3: (1, 1, -100 * SECOND)}
     larger.refresh(SECOND)
-    assert account.whole.rate == 10.0  # without membership a quiet peer's part is left to it
-    larger.standing = Standing(True, frozenset({2, 3}), frozenset({2, 3}))  # on the smaller side, of two
+    assert account.global_bucket.rate == 10.0  # without membership a quiet peer's part is left to it
+    # On the smaller side of a partition, with one other gateway.
+    larger.membership_status = MembershipStatus(True, frozenset({2, 3}), frozenset({2, 3}))
     larger.refresh(SECOND)
-    assert account.whole.rate == 5.0 and account.room(SECOND) == 20.0
-    larger.standing = Standing()
-    account.seen = account.out = 1
+    assert account.global_bucket.rate == 5.0 and account.available_units(SECOND) == 20.0
+    larger.membership_status = MembershipStatus()
+    account.last_seen_at = account.attempts_in_flight = 1
     larger.refresh(SECOND)
-    assert account.whole.rate == 7.5
+    assert account.global_bucket.rate == 7.5
 
 
 def test_keepers_that_are_lost_are_replaced_in_one_order_and_doubt_grants_nothing() -> None:
     asked = Request(1, 77, 0, 0, SECOND, 1.0, 8, 0)
-    members = [quotas_of(Standing(True), me, 8, 1.0) for me in range(8)]
+    members = [quotas_of(MembershipStatus(True), me, 8, 1.0) for me in range(8)]
     accounts = [Account(asked, 0, one) for one in members]
-    first, second = accounts[0].keepers
-    assert {one.keepers.of(account, 0) for one, account in zip(members, accounts, strict=True)} == {first}
+    first, second = accounts[0].owners
+    assert {one.unit_grants.owner_of(account, 0) for one, account in zip(members, accounts, strict=True)} == {
+        first
+    }
     for one in members:
-        one.standing = Standing(True, frozenset({first}))
-    assert {one.keepers.of(account, 0) for one, account in zip(members, accounts, strict=True)} == {second}
+        one.membership_status = MembershipStatus(True, frozenset({first}))
+    assert {one.unit_grants.owner_of(account, 0) for one, account in zip(members, accounts, strict=True)} == {
+        second
+    }
     keeper = members[first]
-    granted = keeper.keepers.grant(accounts[first], second, 1, 1.0, 4 * SECOND)
+    granted = keeper.unit_grants.grant(accounts[first], second, 1, 1.0, 4 * SECOND)
     assert granted.units == 1.0
-    keeper.standing = Standing(True, grants=False)
-    assert keeper.keepers.grant(accounts[first], second, 2, 1.0, 4 * SECOND).units == 0.0
+    keeper.membership_status = MembershipStatus(True, may_grant=False)
+    assert keeper.unit_grants.grant(accounts[first], second, 2, 1.0, 4 * SECOND).units == 0.0
 
 
 def test_sides_and_stated_errors() -> None:
@@ -427,10 +441,10 @@
 def test_keepers_that_are_not_there_are_not_waited_for() -> None:
     for lost, at_once in ((frozenset[int](), False), (frozenset(range(1, 8)), True)):
         driver = Driver(gateways=8, peer_message_rate=1.0)
-        driver.gateway.quotas.standing = Standing(True, lost)
+        driver.gateway.quotas.membership_status = MembershipStatus(True, lost)
         # A customer whose keepers are others.
         asked = [Request(1, c, RATE, 0, 1, 1.0, 8, 0) for c in range(1, 99)]
-        customer = next(a.customer for a in asked if 0 not in Account(a, 0, driver.gateway.quotas).keepers)
+        customer = next(a.customer for a in asked if 0 not in Account(a, 0, driver.gateway.quotas).owners)
         sent = only(driver.ask(RATE, customer=customer, spread=8), Send)
         assert bool(sent) is at_once
         assert at_once or only(
--- a/tests/test_quota_keepers.py
+++ b/tests/test_quota_owners.py
@@ -35,7 +35,7 @@
     SetTimer,
     TimerFired,
 )
-from pepperrun.core.quota_keepers import ABSENT, GRANT_NS, QuotaKeepers, weight
+from pepperrun.core.quota_owners import ABSENT, GRANT_TTL_NS, QuotaOwners, rendezvous_weight
 from pepperrun.dataplane.numbering import Numbering, number_of
 from pepperrun.foundation.settings import Bounds
 
@@ -59,9 +59,7 @@
         self.cls = self.numbering.kind(0, True, 2 * SECOND)
         self.numbering.meet(len(world.stations))
         self.fresh_at, self.known = 0, 0
-        self.quota_keepers = QuotaKeepers(
-            station, (self.place,), lambda: world.fence, self.fresh, self.number
-        )
+        self.quota_keepers = QuotaOwners(station, (self.place,), lambda: world.fence, self.fresh, self.number)
         self.gateway = Gateway(self.numbering.settings(), world.rng.randrange(2**32), self)
         self.gateway.quotas.members = ()
         self.frozen_until = self.cut_until = self.deaf_until = 0
@@ -92,9 +90,9 @@
         if chosen > self.known:
             self.known = chosen
             self.quota_keepers.plans = {CUSTOMER: self.numbering.plans["t"]}
-            if self.quota_keepers.learn(self.world.chosen[-1], now):
-                self.gateway.quotas.quota_keepers = self.quota_keepers if self.quota_keepers.places else None
-                self.numbering.keep(bool(self.quota_keepers.places))
+            if self.quota_keepers.update(self.world.chosen[-1], now):
+                self.gateway.quotas.quota_owners = self.quota_keepers if self.quota_keepers.domains else None
+                self.numbering.keep(bool(self.quota_keepers.domains))
         self.gateway.quotas.members = tuple(g.life for g in self.world.nodes.values() if g is not self)
         self.gateway.update_settings(self.numbering.settings())
         self.fresh_at = now
@@ -188,7 +186,7 @@
             if self.chosen[-1]["term"] == term:
                 self.chosen.append({"term": term, "places": places, "settled": True})
 
-        self.at(self.now + FENCE + GRANT_NS, settled)
+        self.at(self.now + FENCE + GRANT_TTL_NS, settled)
 
     def choose(self) -> None:
         """The agreed lists change, by chance, so that the tenant moves; not all learn of it."""
@@ -202,7 +200,7 @@
         node = self.rng.choice(list(self.nodes.values()))
         if self.rng.random() < 0.7 and self.chosen:
             kept = [
-                max(held, key=lambda one: weight(CUSTOMER, one))
+                max(held, key=lambda one: rendezvous_weight(CUSTOMER, one))
                 for held in self.chosen[-1]["places"].values()
             ]
             node = self.nodes.get(self.rng.choice(kept), node)
@@ -271,37 +269,40 @@
 @pytest.mark.parametrize("without", ["nothing", "wait", "news"])
 def test_keepers_that_do_not_wait_or_go_on_without_news_would_pass_a_quota(without, monkeypatch) -> None:
     if without == "wait":
-        monkeypatch.setattr(QuotaKeepers, "wait", lambda self: 0)
+        monkeypatch.setattr(QuotaOwners, "takeover_delay_ns", lambda self: 0)
     elif without == "news":
         monkeypatch.setattr(GatewayProcess, "fresh", lambda self, now, most: True)
     assert (parted().worst() > MOST) == (without != "nothing")
 
 
 def test_a_part_is_begun_with_once_nobody_else_can_have_it() -> None:
-    quota_keepers = QuotaKeepers("a0", ("a",), lambda: FENCE, lambda now, most: True, lambda station: 0)
+    quota_keepers = QuotaOwners("a0", ("a",), lambda: FENCE, lambda now, most: True, lambda station: 0)
     held = {"places": {"a": ["a0"], "b": ["b1"]}}
-    whole = FENCE + GRANT_NS
+    whole = FENCE + GRANT_TTL_NS
     now = 10 * SECOND
     assert (
-        quota_keepers.learn(None, 0)
-        and quota_keepers.learn(held | {"term": 1}, now)
-        and quota_keepers.begins(1) == now + whole
+        quota_keepers.update(None, 0)
+        and quota_keepers.update(held | {"term": 1}, now)
+        and quota_keepers.share_starts_at(1) == now + whole
     )
-    assert quota_keepers.learn({"term": 2, "places": held["places"] | {"b": ["b2"]}}, now + SECOND)
-    assert quota_keepers.begins(1) == now + whole  # it was its own all the time
-    assert quota_keepers.learn(held | {"term": 4}, now + 20 * SECOND)
+    assert quota_keepers.update({"term": 2, "places": held["places"] | {"b": ["b2"]}}, now + SECOND)
+    assert quota_keepers.share_starts_at(1) == now + whole  # it was its own all the time
+    assert quota_keepers.update(held | {"term": 4}, now + 20 * SECOND)
     assert (
-        quota_keepers.begins(1) == now + 20 * SECOND + whole
+        quota_keepers.share_starts_at(1) == now + 20 * SECOND + whole
     )  # by the third list it may have been another's
-    assert not quota_keepers.learn(held | {"term": 4}, now + 21 * SECOND)
-    assert quota_keepers.learn(held | {"term": 4, "settled": True}, now + 21 * SECOND)
-    assert quota_keepers.begins(1) == now + 21 * SECOND + GRANT_NS
+    assert not quota_keepers.update(held | {"term": 4}, now + 21 * SECOND)
+    assert quota_keepers.update(held | {"term": 4, "settled": True}, now + 21 * SECOND)
+    assert quota_keepers.share_starts_at(1) == now + 21 * SECOND + GRANT_TTL_NS
+    assert (
+        quota_keepers.update(held | {"term": 5, "places": {"a": ["a9"], "b": ["b1"]}}, now)
+        and quota_keepers.share_starts_at(1) is None
+    )
+    anew = QuotaOwners("a0", ("a",), lambda: FENCE, lambda now, most: True, lambda station: 0)
     assert (
-        quota_keepers.learn(held | {"term": 5, "places": {"a": ["a9"], "b": ["b1"]}}, now)
-        and quota_keepers.begins(1) is None
+        anew.update(held | {"term": 4, "settled": True}, now)
+        and anew.share_starts_at(1) == now + GRANT_TTL_NS
     )
-    anew = QuotaKeepers("a0", ("a",), lambda: FENCE, lambda now, most: True, lambda station: 0)
-    assert anew.learn(held | {"term": 4, "settled": True}, now) and anew.begins(1) == now + GRANT_NS
 
 
 def test_what_is_spent_stays_spent_while_lists_change_that_do_not_move_it() -> None:
@@ -310,7 +311,7 @@
     world.listed(lists)
     world.at(world.now, world.ask)
     world.run(12)
-    kept = [max(held, key=lambda one: weight(CUSTOMER, one)) for held in lists.values()]
+    kept = [max(held, key=lambda one: rendezvous_weight(CUSTOMER, one)) for held in lists.values()]
     for change in range(4):
         world.listed(
             {place: sorted({*held[change % 2 :], kept[at]}) for at, (place, held) in enumerate(lists.items())}
@@ -318,7 +319,7 @@
         for station in kept:
             account = world.nodes[station].gateway.quotas.accounts[CUSTOMER]
             world.nodes[station].sync(world.now)
-            assert account.ceiling.fill(world.now) < 5  # of 14
+            assert account.hard_limit.fill(world.now) < 5  # of 14
         world.run(8)
 
 
