--- a/pepperrun/net/discovery.py
+++ b/pepperrun/net/discovery.py
@@ -21,7 +21,9 @@
 LONG_POLL_MS = 2000  # short, so that an agent that has stopped answering is noticed soon
 RESPONSE_GRACE_S = 1.0  # after the long-poll time; a response later than that is not expected any more
 MIN_LONG_POLL_MS = 1  # for calls that show whether the agent answers, with or without changes
-MAX_PARALLEL_CALLS = 8  # to an agent that does not answer: each has two graces, and descriptors are few
+# Calls open at once to an agent that does not answer: each may wait for two drain graces, and the number of
+# descriptors stays small.
+MAX_PARALLEL_CALLS = 8
 MIN_CALL_INTERVAL_S = 0.05  # if an agent answers long polls at once without changes
 MAX_LIST_BYTES = 8 * 1024 * 1024
 
--- a/pepperrun/net/listener.py
+++ b/pepperrun/net/listener.py
@@ -26,7 +26,7 @@
 
 FIRST_BYTE_TIMEOUT_NS = 2 * SECOND  # for a connection without any request
 REQUEST_TIMEOUT_NS = 5 * SECOND // 2  # first request: from the connect; later ones: from their first byte
-IDLE_TIMEOUT_NS = 2 * SECOND  # clients may keep a part of the descriptors only, some of them unused
+IDLE_TIMEOUT_NS = 2 * SECOND  # clients keep no more than a part of the descriptors open, some unused
 CROWDED_IDLE_TIMEOUT_NS = SECOND // 5  # the same while many are open
 
 
@@ -44,7 +44,8 @@
 PLATFORM_TIMEOUTS = ClientTimeouts()
 
 
-# The state that outlives a connection object: answers, exchanges, last use, a partial request, its start.
+# What outlives a connection object: its counts of responses and of exchanges, the time of its last use, a
+# partial request and when that began, in ns.
 ConnectionSnapshot = tuple[int, int, int, bytes, int]
 
 
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -1,4 +1,4 @@
-"""Bodies far larger than memory: pieces, pauses, breaks, repeats, and the memory of the real program."""
+"""Bodies far larger than memory: streaming, back-pressure, breaks, retries, and the program's memory use."""
 
 from __future__ import annotations
 
@@ -37,19 +37,21 @@
 )
 
 
-# Parsers: the same body, held or in pieces, however it is cut.
+# Parsers: the same body, buffered or streamed, for any chunking of the input.
 
 
-def pieces(parser: RequestParser | ResponseParser, data: bytes, cuts: list[int]) -> tuple[bytes, bool]:
-    """The body that comes of the data given in pieces, and whether it is whole."""
+def parse_streamed(
+    parser: RequestParser | ResponseParser, data: bytes, cuts: list[int]
+) -> tuple[bytes, bool]:
+    """Returns the body parsed from the data, added in chunks that end at the cuts, and if it is complete."""
     body, message, at = b"", None, 0
     for cut in [*sorted({cut % (len(data) + 1) for cut in cuts}), len(data)]:
         part, at = data[at:cut], cut
         while part:
-            room = min(len(part), len(parser.buffer.free_space()))
-            assert room, "it is held in the buffer for good"
-            parser.buffer.add(part[:room])
-            part = part[room:]
+            count = min(len(part), len(parser.buffer.free_space()))
+            assert count, "the buffer is full and the parser takes nothing from it"
+            parser.buffer.add(part[:count])
+            part = part[count:]
             if message is None:
                 message = parser.next()
                 body += message.body if message is not None else b""
@@ -59,7 +61,7 @@
 
 
 @given(st.integers(0, 300_000), st.integers(0, 50_000), st.integers(0, 99), CUTS, st.booleans())
-def test_a_body_is_the_same_in_pieces_however_it_is_cut(size, chunk, seed, cuts, answers):
+def test_streamed_body_is_the_same_for_any_chunking_of_input(size, chunk, seed, cuts, answers):
     body = hashlib.sha256(bytes([seed])).digest() * (size // 32)
     framed = b"Content-Length: %d\r\n\r\n%b" % (len(body), body)
     if chunk:
@@ -69,32 +71,32 @@
         data = b"HTTP/1.1 103 Early\r\n\r\nHTTP/1.1 200 OK\r\n" + framed
     else:
         parser, data = RequestParser(Buffer(REQUEST_BUFFER_SIZE), 1 << 30, 64 * 1024), HEAD + framed
-    assert pieces(parser, data, cuts) == (body, True)
+    assert parse_streamed(parser, data, cuts) == (body, True)
 
 
 @given(st.integers(70_000, 200_000), CUTS, st.binary(max_size=300), st.booleans())
-def test_garbage_within_a_long_body_is_never_its_end(size, cuts, garbage, answers):
+def test_garbage_within_a_long_body_never_completes_it(size, cuts, garbage, answers):
     kind: Any = ResponseParser if answers else RequestParser
     parser = kind(Buffer(REQUEST_BUFFER_SIZE), 1 << 30, 64 * 1024)
     head = b"HTTP/1.1 200 OK\r\n" if answers else HEAD
     data = head + b"Transfer-Encoding: chunked\r\n\r\n%x\r\n" % size + b"x" * (size // 2)
     try:
-        body, whole = pieces(parser, data + garbage, cuts)
+        body, is_complete = parse_streamed(parser, data + garbage, cuts)
     except HttpError:
         return
-    assert not whole and len(body) <= size // 2 + len(garbage)
+    assert not is_complete and len(body) <= size // 2 + len(garbage)
 
 
-def test_a_body_over_the_limit_is_refused_before_and_while_it_comes():
+def test_body_over_the_limit_is_rejected_before_and_while_it_arrives():
     with pytest.raises(HttpError, match="too long"):
-        pieces(
+        parse_streamed(
             RequestParser(Buffer(REQUEST_BUFFER_SIZE), MB, 1000),
             HEAD + b"Content-Length: 1048577\r\n\r\n",
             [],
         )
     data = HEAD + b"Transfer-Encoding: chunked\r\n\r\n" + chunked(bytes(2 * MB), 100_000)
     with pytest.raises(HttpError, match="too long"):
-        pieces(RequestParser(Buffer(REQUEST_BUFFER_SIZE), MB, 1000), data, [])
+        parse_streamed(RequestParser(Buffer(REQUEST_BUFFER_SIZE), MB, 1000), data, [])
 
 
 # Streams.
@@ -139,7 +141,7 @@
         assert len(sink.got) == fed or "abandon" in steps
 
 
-def test_what_bodies_hold_together_stays_within_the_budget_however_many_there_are():
+def test_memory_of_all_bodies_stays_within_the_budget():
     budget = MemoryBudget.from_memory_limit(40)
     assert budget.buffer_limit() == MAX_BUFFER_BYTES
     for bodies in (1, 10, 100, 600):
@@ -150,15 +152,15 @@
         )
 
 
-# The whole gatekeeper, in this process.
+# A complete gatekeeper in this process.
 
 
 def long_front() -> Front:
     return Front(budget=MemoryBudget(4 * MB))
 
 
-def test_a_long_answer_passes_as_it_comes_and_counts_once_it_is_whole():
-    # Its client has the beginning while its worker still writes.
+def test_long_response_is_streamed_and_counts_once_complete():
+    # The client reads the beginning while the worker still writes.
     async def test():
         body = os.urandom(300_000)
 
@@ -177,7 +179,7 @@
         assert front.gatekeeper.waiting() == 1 and front.gatekeeper.counts[End.SERVED] == 0
         worker.go.set()
         assert first + await client.reader.readexactly(210_000) == body
-        client.ask()  # the connection, and the worker's, are of use again
+        client.ask()  # both connections can be reused
         assert (await client.answer())[0] == 200
         assert worker.connections == 1 and front.gatekeeper.counts[End.SERVED] >= 1
         assert front.gatekeeper.waiting() <= 1
@@ -187,7 +189,7 @@
 
 @pytest.mark.parametrize("framing", ["length", "chunks", "end"])
 @pytest.mark.parametrize("version", [b"1.0", b"1.1"])
-def test_long_answers_of_every_framing_reach_clients_of_both_versions(framing, version):
+def test_long_responses_of_every_framing_reach_clients_of_both_versions(framing, version):
     async def test():
         body = os.urandom(200_000)
         data = {
@@ -223,7 +225,7 @@
 
 
 @pytest.mark.parametrize("framing", ["length", "chunks", "end"])
-def test_a_long_answer_that_breaks_ends_the_clients_connection_and_is_not_tried_again(framing):
+def test_broken_long_response_aborts_the_client_and_is_not_retried(framing):
     async def test():
         heads = {
             "length": b"Content-Length: 200000\r\n",
@@ -236,7 +238,7 @@
             writer.write(b"HTTP/1.1 200 OK\r\n" + heads.get(framing, b"") + b"\r\n" + part + bytes(100_000))
             await writer.drain()
             await server.go.wait()
-            # A reset: without a length an orderly end is the body's.
+            # A reset: without a length, an orderly close would be the end of the body.
             writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
             writer.transport.abort()
 
@@ -255,7 +257,7 @@
     going(test)
 
 
-def test_an_answer_within_what_is_held_is_still_made_good_elsewhere():
+def test_broken_response_within_the_buffer_limit_is_retried_elsewhere():
     async def test():
         async def short(server: StandIn, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n" + b"x" * 900)
@@ -270,7 +272,7 @@
     going(test)
 
 
-def test_a_client_that_leaves_in_the_middle_frees_the_worker_and_the_budget():
+def test_client_disconnect_during_a_response_frees_worker_and_budget():
     async def test():
         async def endless(
             server: StandIn, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -308,7 +310,7 @@
 
 
 def receiving(got: list[bytes]) -> Any:
-    """A worker that takes a request's body in whatever framing, and answers with its digest."""
+    """A worker that reads a request body of any framing and responds with its digest."""
 
     async def step(server: StandIn, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         body = server.bodies if hasattr(server, "bodies") else b""
@@ -324,7 +326,7 @@
 
 
 @pytest.mark.parametrize("chunk", [0, 9000])
-def test_a_long_request_passes_in_pieces_and_its_time_counts_from_its_last_byte(chunk):
+def test_long_request_is_streamed_and_its_time_counts_from_its_last_byte(chunk):
     async def test():
         got: list[bytes] = []
         front, worker = long_front(), await StandIn(receiving(got)).start()
@@ -341,8 +343,8 @@
     going(test)
 
 
-def test_a_long_request_is_sent_once_whatever_becomes_of_it():
-    # Its body has gone out and is not there to be sent again.
+def test_long_request_is_sent_once_only():
+    # The body has been sent and is not kept for another attempt.
     async def test():
         async def breaks(server: StandIn, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             writer.transport.abort()
@@ -358,7 +360,7 @@
     going(test)
 
 
-def test_a_worker_that_refuses_connections_has_not_spent_a_long_request():
+def test_refused_connection_does_not_spend_a_long_request():
     async def test():
         dead = await StandIn(ok()).start()
         await dead.stop()
@@ -374,7 +376,7 @@
     going(test)
 
 
-def test_garbage_in_a_long_request_gets_400_and_its_worker_no_request():
+def test_garbage_in_a_long_request_gets_400_and_no_attempt_is_written():
     async def test():
         got: list[bytes] = []
         front, worker = long_front(), await StandIn(receiving(got)).start()
@@ -389,14 +391,14 @@
     going(test)
 
 
-def test_a_refusal_does_not_wait_for_the_rest_of_a_long_request_nor_end_the_connection():
+def test_rejection_neither_waits_for_a_long_request_nor_closes_the_connection():
     async def test():
         front, worker = long_front(), await StandIn(ok(b"fine")).start()
         front.list(line("w", worker.port))
         client = await front.client()
         head = HEAD.replace(b"wide", b"tight")
         statuses = []
-        for _ in range(3):  # its plan lets one go
+        for _ in range(3):  # the plan allows one request
             client.writer.write(head + b"Content-Length: 200000\r\n\r\n" + bytes(100_000))
             if statuses:
                 statuses.append((await client.answer())[0])
@@ -411,7 +413,7 @@
     going(test)
 
 
-def test_one_that_reads_nothing_holds_up_nobody_else():
+def test_client_that_reads_nothing_does_not_block_others():
     async def test():
         big = answer(200, bytes(8 * MB))
         front, worker = long_front(), await StandIn(big, big, ok(b"small")).start()
@@ -430,7 +432,7 @@
     going(test)
 
 
-def test_a_body_that_moves_slowly_is_not_cut_off_and_one_that_stands_still_is():
+def test_slow_upload_is_not_cut_off_and_stalled_one_is():
     async def test():
         front, worker = long_front(), await StandIn(ok(b"fine")).start()
         front.list(line("w", worker.port))
@@ -439,7 +441,9 @@
         moving.writer.write(HEAD + b"Content-Length: 250000\r\n\r\n")
         for _ in range(25):
             moving.writer.write(bytes(10_000))
-            await asyncio.sleep(0.12)  # some 80 kB a second, for longer than a request may take otherwise
+            await asyncio.sleep(
+                0.12
+            )  # about 80 kB a second, for longer than the request timeout without progress
         assert (await moving.answer())[0] == 200
         assert (await still.answer())[0] == 408
 
@@ -447,8 +451,8 @@
 
 
 @pytest.mark.parametrize("way", ["answer", "request"])
-def test_a_worker_that_stands_still_in_a_long_body_ends_it(monkeypatch, way):
-    # Its machine may have vanished: nothing else would ever tell.
+def test_stalled_worker_ends_a_long_body(monkeypatch, way):
+    # The worker's machine may have vanished, which nothing else would reveal.
     monkeypatch.setattr(connection, "BODY_STALL_NS", SECOND // 5)
     monkeypatch.setattr(upstream, "SWEEP_S", 0.05)
 
@@ -462,12 +466,12 @@
         if way == "answer":
             worker = await StandIn(still).start()
             port = worker.port
-        else:  # it reads the head, and nothing after that
+        else:  # the worker reads the head and nothing after that
 
-            async def deaf(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+            async def never_reads(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
                 writer.transport.pause_reading()  # type: ignore[attr-defined]
 
-            silent = await asyncio.start_server(deaf, HOST, 0, limit=1024)
+            silent = await asyncio.start_server(never_reads, HOST, 0, limit=1024)
             port = silent.sockets[0].getsockname()[1]
         front.list(line("w", port))
         client = await front.client()
@@ -503,8 +507,8 @@
 SIZE = 32 * MB
 
 
-def test_32_megabytes_both_ways_stay_within_the_limit_on_memory(tmp_path):
-    # Six answers and three requests at once are nine times the limit.
+def test_32_megabytes_both_ways_stay_within_the_memory_limit(tmp_path):
+    # Six responses and three requests of 32 MB at once are 288 MB, against a limit of 40 MB.
     async def test():
         block = os.urandom(MB)
         want = hashlib.sha256(block * 32).hexdigest()
--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -1,9 +1,9 @@
-"""Clients who leave while their request is at work, waits, uploads or is answered.
+"""Clients that disconnect while their request runs, waits, uploads or is answered.
 
-The incident GONE (`docs/incidents/GONE-2026-12.md`). Seen: repeatable requests ran to their end at their
-workers after their clients had closed, 5 of 5, at a gatekeeper that was in no trouble. How it came about: the
-front heard the close and the decisions closed the request, but nobody ended the attempt, so that its run was
-answered into nothing. Beside it, no close was heard while a client's connection was not read.
+The incident GONE (`docs/incidents/GONE-2026-12.md`): idempotent requests ran to completion at their workers
+after their clients had closed, 5 of 5, at a healthy gatekeeper. The front noticed the close and the gateway
+closed the request, but nothing ended the attempt, so that its response was discarded. Besides, no close was
+noticed while the reading of a client's connection was paused.
 """
 
 from __future__ import annotations
@@ -43,8 +43,8 @@
 from pepperrun.net.http1 import LAST_CHUNK, encode_chunk
 from pepperrun.net.http1 import Request as HttpRequest
 
-SAFE, UNSAFE = 0, 3  # classes of `Driver`
-LONG = 1 << 20  # bytes: more than any buffer of a gatekeeper holds
+SAFE, UNSAFE = 0, 3  # request classes of `Driver`
+LONG = 1 << 20  # bytes, more than any buffer of a gatekeeper
 
 
 def close(client: Client) -> None:
@@ -52,52 +52,52 @@
 
 
 def reset(client: Client) -> None:
-    """The connection is torn down: what was sent and not yet read is gone too."""
+    """Resets the connection: bytes that were sent and not yet read are lost too."""
     sock = client.writer.get_extra_info("socket")
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     client.writer.transport.abort()
 
 
 def half_close(client: Client) -> None:
-    """Ends its writing side only, which the wire shows as it shows a close."""
+    """Closes the writing side only, which looks like a close to the peer."""
     client.writer.write_eof()
 
 
-WAYS = pytest.mark.parametrize("leave", [close, reset, half_close])
+DISCONNECT_KINDS = pytest.mark.parametrize("disconnect", [close, reset, half_close])
 
 
 async def until(condition: Callable[[], object]) -> None:
-    """Until it holds; the loop runs on meanwhile, and the test's own limit ends it."""
+    """Runs the loop until the condition is true; the time limit of the test ends a wait without success."""
     while not condition():
         await asyncio.sleep(0)
 
 
-class Leavers(Cluster):
-    """A data plane, and what its clients' leaving does to it."""
+class DisconnectCluster(Cluster):
+    """A data plane, with checks of how it reacts to disconnects of its clients."""
 
     def __init__(self, kind: str = "safe", **more: Any) -> None:
         super().__init__(route("r", "/p/", route_kind=kind, target_ms=3000, deadline_ms=12000, **more))
         self.gatekeeper, self.servers = self.plane.gatekeeper, self.plane.servers
 
-    async def ask_long(self, id: str = "i1", **more: Any) -> Client:
-        """A request whose client would wait for long."""
+    async def ask_with_long_deadline(self, id: str = "i1", **more: Any) -> Client:
+        """Sends a request with a deadline of 12 s."""
         client: Client = await self.ask(Attempt_Id=id, Deadline_Ms="12000", **more)
         return client
 
     def connections(self) -> list[KeptClient]:
-        """Clients' connections that are up."""
+        """Returns the open client connections."""
         return cast(list[KeptClient], list(self.plane.listener.clients))
 
-    def heard_leaving(self, count: int = 1) -> bool:
-        """Has it been heard that so many clients have left?"""
+    def has_noticed_disconnects(self, count: int = 1) -> bool:
+        """Whether the gatekeeper has noticed this number of disconnects."""
         return self.gatekeeper.counts[End.LEFT] == count
 
-    def at_rest(self) -> bool:
-        """Is nothing of any request left, neither of its client's side nor of its attempts'?"""
+    def is_idle(self) -> bool:
+        """Whether neither a request nor an attempt is left."""
         return not (self.gatekeeper.exchanges or self.gatekeeper.gateway.pending or self.servers.attempts)
 
-    def blames_nobody(self) -> bool:
-        """Is there no failure of a worker, and no place in the bound that is still taken?"""
+    def blames_no_worker(self) -> bool:
+        """Whether no failure of a worker is recorded and the concurrency limit counts nothing in flight."""
         gateway, sharing = self.gatekeeper.gateway, self.plane.outcome_sharing
         fleets = [lane.fleet for lane in gateway.services]
         marks = [bad for fleet in fleets for bad, _ in fleet.backend_reports.known.values()]
@@ -105,29 +105,31 @@
         return not blamed and not any(fleet.in_flight for fleet in fleets)
 
 
-def run_at(worker: StandIn) -> Any:
+def request_reached(worker: StandIn) -> Any:
     return worker.arrived.get()
 
 
-# At work.
+# Requests that run at a worker.
 
 
-@WAYS
+@DISCONNECT_KINDS
 @pytest.mark.parametrize("draining", [False, True])
-def test_a_repeatable_run_ends_with_its_client(leave: Callable[[Client], None], draining: bool) -> None:
-    """The incident: the worker is at work on a request that may be repeated, and its client leaves."""
+def test_idempotent_request_is_cancelled_when_its_client_disconnects(
+    disconnect: Callable[[Client], None], draining: bool
+) -> None:
+    """The incident: the client of an idempotent request disconnects while the worker runs it."""
 
     async def test() -> None:
-        cluster, worker = Leavers(), await StandIn(stall).start()
+        cluster, worker = DisconnectCluster(), await StandIn(stall).start()
         cluster.work("w1", worker.port)
-        client = await cluster.ask_long()
-        await run_at(worker)
+        client = await cluster.ask_with_long_deadline()
+        await request_reached(worker)
         cluster.plane.listener.draining = draining
-        leave(client)
-        await worker.closed.get()  # its connection ends, long before the deadline of 12 s
-        await until(cluster.at_rest)
+        disconnect(client)
+        await worker.closed.get()  # the connection closes long before the deadline of 12 s
+        await until(cluster.is_idle)
         assert cluster.gatekeeper.counts[End.LEFT] == 1 and len(worker.heads) == 1
-        assert cluster.gatekeeper.outcomes[Outcome.CANCELLED] == 1 and cluster.blames_nobody()
+        assert cluster.gatekeeper.outcomes[Outcome.CANCELLED] == 1 and cluster.blames_no_worker()
         assert not any(known.answers for known in cluster.plane.outcome_sharing.answer_times.values())
         reports = cluster.plane.reports
         assert reports.counts == {CLIENT_LEFT: 1, ABANDONED: 1}
@@ -136,35 +138,35 @@
     going(test)
 
 
-@WAYS
-def test_what_may_not_be_repeated_goes_on_without_its_client(leave: Callable[[Client], None]) -> None:
-    """An unsafe request may have run in part: cutting it off would leave nobody knowing what became of it."""
+@DISCONNECT_KINDS
+def test_unsafe_request_continues_without_its_client(disconnect: Callable[[Client], None]) -> None:
+    """An unsafe request may have run in part: after a cancel its result would be unknown."""
 
     async def test() -> None:
-        cluster, worker = Leavers("unsafe"), await StandIn(wait_then(ok())).start()
+        cluster, worker = DisconnectCluster("unsafe"), await StandIn(wait_then(ok())).start()
         cluster.work("w1", worker.port)
-        client = await cluster.ask_long()
-        await run_at(worker)
-        leave(client)
-        await until(cluster.heard_leaving)
+        client = await cluster.ask_with_long_deadline()
+        await request_reached(worker)
+        disconnect(client)
+        await until(cluster.has_noticed_disconnects)
         worker.go.set()
-        await until(cluster.at_rest)
-        assert cluster.gatekeeper.outcomes[Outcome.OK] == 1 and cluster.blames_nobody()
+        await until(cluster.is_idle)
+        assert cluster.gatekeeper.outcomes[Outcome.OK] == 1 and cluster.blames_no_worker()
         assert worker.closed.empty() and cluster.gatekeeper.outcomes[Outcome.CANCELLED] == 0
 
     going(test)
 
 
-def test_a_stop_waits_for_what_goes_on_without_its_client() -> None:
-    """No client is left, so nothing else keeps the process: its end would cut the unsafe run off."""
+def test_shutdown_waits_for_unsafe_requests_without_clients() -> None:
+    """Without clients nothing else keeps the process running; its exit would abort the unsafe request."""
 
     async def test() -> None:
-        cluster, worker = Leavers("unsafe"), await StandIn(wait_then(ok())).start()
+        cluster, worker = DisconnectCluster("unsafe"), await StandIn(wait_then(ok())).start()
         cluster.work("w1", worker.port)
-        client = await cluster.ask_long()
-        await run_at(worker)
+        client = await cluster.ask_with_long_deadline()
+        await request_reached(worker)
         client.writer.close()
-        await until(cluster.heard_leaving)
+        await until(cluster.has_noticed_disconnects)
         plane = cluster.plane
         stop = asyncio.ensure_future(drain(plane.listener, 100.0, plane.is_at_work, plane.out_of_time))
         await until(lambda: plane.listener.socket is None)
@@ -173,147 +175,147 @@
         assert not stop.done() and worker.closed.empty()
         worker.go.set()
         await stop
-        assert cluster.gatekeeper.outcomes[Outcome.OK] == 1 and cluster.at_rest()
+        assert cluster.gatekeeper.outcomes[Outcome.OK] == 1 and cluster.is_idle()
 
     going(test)
 
 
-def test_who_leaves_and_comes_back_at_once_is_served() -> None:
+def test_client_that_reconnects_at_once_is_served() -> None:
     async def test() -> None:
-        cluster, worker = Leavers(), await StandIn(stall, ok()).start()
+        cluster, worker = DisconnectCluster(), await StandIn(stall, ok()).start()
         cluster.work("w1", worker.port)
-        client = await cluster.ask_long()
-        await run_at(worker)
+        client = await cluster.ask_with_long_deadline()
+        await request_reached(worker)
         client.writer.close()
-        again = await cluster.ask_long()
+        again = await cluster.ask_with_long_deadline()
         assert (await again.answer())[::2] == (200, b"fine")
         await worker.closed.get()
-        await until(lambda: cluster.heard_leaving() and cluster.at_rest())
-        assert cluster.blames_nobody() and len(worker.heads) == 2
+        await until(lambda: cluster.has_noticed_disconnects() and cluster.is_idle())
+        assert cluster.blames_no_worker() and len(worker.heads) == 2
 
     going(test)
 
 
-def test_hundreds_who_leave_at_once_blame_no_worker_and_free_their_places() -> None:
-    """A region's clients go at once; each of their runs ends, and who stayed is served."""
+def test_mass_disconnect_blames_no_worker_and_frees_capacity() -> None:
+    """The clients of a region disconnect at once: each of their requests ends, and others are served."""
 
     async def test() -> None:
         count = 60
-        cluster, worker = Leavers(), await StandIn(*[stall] * count, ok()).start()
+        cluster, worker = DisconnectCluster(), await StandIn(*[stall] * count, ok()).start()
         cluster.work("w1", worker.port)
-        clients = [await cluster.ask_long(f"i{number}") for number in range(count)]
+        clients = [await cluster.ask_with_long_deadline(f"i{number}") for number in range(count)]
         (cls,) = {exchange.cls for exchange in cluster.gatekeeper.exchanges.values()} or {0}
         known = cluster.plane.outcome_sharing.answer_times[cls]
         for _ in range(8):
             known.add(1000 * MS)
-        await until(lambda: len(cluster.servers.attempts) + waiting_in(cluster) == count)
+        await until(lambda: len(cluster.servers.attempts) + count_waiting(cluster) == count)
         for client in clients:
             client.writer.close()
-        await until(lambda: cluster.heard_leaving(count) and cluster.at_rest())
-        assert cluster.blames_nobody() and known.mean_ns > 1000 * MS
+        await until(lambda: cluster.has_noticed_disconnects(count) and cluster.is_idle())
+        assert cluster.blames_no_worker() and known.mean_ns > 1000 * MS
         worker.plan[:] = [ok()]
-        assert (await (await cluster.ask_long()).answer())[0] == 200
+        assert (await (await cluster.ask_with_long_deadline()).answer())[0] == 200
 
     going(test)
 
 
-def waiting_in(cluster: Leavers) -> int:
-    """How many requests wait for a turn."""
-    return sum(held.waiting for held in cluster.gatekeeper.gateway.pending.values())
+def count_waiting(cluster: DisconnectCluster) -> int:
+    """Returns how many requests are queued."""
+    return sum(request.waiting for request in cluster.gatekeeper.gateway.pending.values())
 
 
-# Not yet at work.
+# Requests that have not reached a worker.
 
 
 @pytest.mark.parametrize("kind", ["safe", "unsafe"])
-def test_who_left_before_a_worker_was_there_is_not_sent_to_one(kind: str) -> None:
+def test_request_of_a_disconnected_client_is_never_sent(kind: str) -> None:
     async def test() -> None:
-        cluster, worker = Leavers(kind), await StandIn(ok()).start()
-        client = await cluster.ask_long("gone")
+        cluster, worker = DisconnectCluster(kind), await StandIn(ok()).start()
+        client = await cluster.ask_with_long_deadline("gone")
         await until(lambda: cluster.gatekeeper.exchanges)
         client.writer.close()
-        await until(lambda: cluster.heard_leaving() and not cluster.gatekeeper.gateway.pending)
+        await until(lambda: cluster.has_noticed_disconnects() and not cluster.gatekeeper.gateway.pending)
         cluster.work("w1", worker.port)
-        assert (await (await cluster.ask_long()).answer())[0] == 200
+        assert (await (await cluster.ask_with_long_deadline()).answer())[0] == 200
         assert len(worker.heads) == 1 and b"gone" not in worker.heads[0]
 
     going(test)
 
 
 @pytest.mark.parametrize("kind", ["safe", "unsafe"])
-def test_an_attempt_that_waits_for_a_connection_ends_with_its_client(kind: str) -> None:
-    """It has reached no worker, so it ends at once, whatever its route; others get the connection."""
+def test_attempt_waiting_for_a_connection_ends_with_its_client(kind: str) -> None:
+    """The attempt has reached no worker, so it ends at once on any route; others get the connection."""
 
     async def test() -> None:
-        cluster, worker = Leavers(kind), await StandIn(wait_then(ok(id=b"first")), ok()).start()
+        cluster, worker = DisconnectCluster(kind), await StandIn(wait_then(ok(id=b"first")), ok()).start()
         cluster.servers.max_per_backend = 1
         cluster.work("w1", worker.port)
-        first = await cluster.ask_long("first")
-        await run_at(worker)
-        second = await cluster.ask_long("gone")
+        first = await cluster.ask_with_long_deadline("first")
+        await request_reached(worker)
+        second = await cluster.ask_with_long_deadline("gone")
         await until(lambda: len(cluster.servers.attempts) == 2)
         second.writer.close()
         await until(lambda: len(cluster.servers.attempts) == 1)
         worker.go.set()
         assert (await first.answer())[0] == 200
-        assert (await (await cluster.ask_long()).answer())[0] == 200
-        await until(cluster.at_rest)
-        assert cluster.gatekeeper.outcomes[Outcome.MOOT] == 1 and cluster.blames_nobody()
+        assert (await (await cluster.ask_with_long_deadline()).answer())[0] == 200
+        await until(cluster.is_idle)
+        assert cluster.gatekeeper.outcomes[Outcome.MOOT] == 1 and cluster.blames_no_worker()
         assert not any(b"gone" in head for head in worker.heads) and worker.connections == 1
 
     going(test)
 
 
-# A close that stands behind bytes which are not read.
+# A close behind unread bytes.
 
 
-async def sends_ahead(cluster: Leavers, client: Client) -> None:
-    """Sends requests behind the first until the gatekeeper reads no more of them."""
-    behind = b"GET /p/x HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: gone\r\nAuthorization: Token k1\r\n\r\n"
-    client.writer.write(behind * (4 * AHEAD // len(behind)))
+async def pipeline_requests(cluster: DisconnectCluster, client: Client) -> None:
+    """Pipelines requests behind the first until the gatekeeper pauses reading."""
+    pipelined = b"GET /p/x HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: gone\r\nAuthorization: Token k1\r\n\r\n"
+    client.writer.write(pipelined * (4 * AHEAD // len(pipelined)))
     await until(lambda: any(kept.paused for kept in cluster.connections()))
 
 
-def close_has_arrived(cluster: Leavers) -> bool:
-    """Has each client's close reached this machine, whatever stands before it in the socket's buffer?"""
+def close_has_reached_socket(cluster: DisconnectCluster) -> bool:
+    """Whether each client's close has reached its socket, behind any unread bytes."""
     poll = select.poll()
     for kept in cluster.connections():
         poll.register(kept.transport.get_extra_info("socket").fileno(), select.POLLRDHUP)
     return len(poll.poll(0)) == len(cluster.connections())
 
 
-@WAYS
-def test_a_close_behind_what_was_sent_ahead_is_heard(leave: Callable[[Client], None]) -> None:
-    """More was sent ahead than is read before the answer: the end stands behind it in the socket's buffer."""
+@DISCONNECT_KINDS
+def test_close_behind_pipelined_requests_is_noticed(disconnect: Callable[[Client], None]) -> None:
+    """More is pipelined than is read before the response: the end of stream is behind unread bytes."""
 
     async def test() -> None:
-        cluster, worker = Leavers(), await StandIn(stall).start()
+        cluster, worker = DisconnectCluster(), await StandIn(stall).start()
         cluster.work("w1", worker.port)
-        client = await cluster.ask_long()
-        await run_at(worker)
-        await sends_ahead(cluster, client)
-        leave(client)
+        client = await cluster.ask_with_long_deadline()
+        await request_reached(worker)
+        await pipeline_requests(cluster, client)
+        disconnect(client)
         await worker.closed.get()
-        await until(cluster.at_rest)
-        assert len(worker.heads) == 1 and cluster.blames_nobody()
+        await until(cluster.is_idle)
+        assert len(worker.heads) == 1 and cluster.blames_no_worker()
 
     going(test)
 
 
-@WAYS
-def test_requests_behind_an_unsafe_one_never_run_once_their_client_has_left(
-    leave: Callable[[Client], None],
+@DISCONNECT_KINDS
+def test_pipelined_requests_of_a_disconnected_client_never_run(
+    disconnect: Callable[[Client], None],
 ) -> None:
-    """The first goes on; what its client sent behind it reaches no worker."""
+    """The first request continues; the pipelined ones reach no worker."""
 
     async def test() -> None:
-        cluster, worker = Leavers("unsafe"), await StandIn(wait_then(ok()), ok()).start()
+        cluster, worker = DisconnectCluster("unsafe"), await StandIn(wait_then(ok()), ok()).start()
         cluster.work("w1", worker.port)
-        client = await cluster.ask_long()
-        await run_at(worker)
-        await sends_ahead(cluster, client)
-        leave(client)
-        await until(lambda: close_has_arrived(cluster))
+        client = await cluster.ask_with_long_deadline()
+        await request_reached(worker)
+        await pipeline_requests(cluster, client)
+        disconnect(client)
+        await until(lambda: close_has_reached_socket(cluster))
         worker.go.set()
         await until(
             lambda: cluster.gatekeeper.outcomes[Outcome.OK] == 1 and not cluster.plane.listener.clients
@@ -323,33 +325,33 @@
     going(test)
 
 
-def test_each_connection_that_is_not_read_is_watched_anew() -> None:
-    """Descriptors come again: what was known of one must not outlive its connection."""
+def test_each_paused_connection_is_watched_separately() -> None:
+    """Descriptors are reused: the state of one must not outlive its connection."""
 
     async def test() -> None:
-        cluster, worker = Leavers(), await StandIn(stall).start()
+        cluster, worker = DisconnectCluster(), await StandIn(stall).start()
         cluster.work("w1", worker.port)
         for _ in range(3):
-            client = await cluster.ask_long()
-            await run_at(worker)
-            await sends_ahead(cluster, client)
+            client = await cluster.ask_with_long_deadline()
+            await request_reached(worker)
+            await pipeline_requests(cluster, client)
             reset(client)
-            await until(lambda: cluster.at_rest() and not cluster.connections())
-        assert cluster.heard_leaving(3)
+            await until(lambda: cluster.is_idle() and not cluster.connections())
+        assert cluster.has_noticed_disconnects(3)
 
     going(test)
 
 
-def test_a_connection_that_is_half_closed_and_breaks_later_is_told_of_twice() -> None:
+def test_half_close_and_later_break_are_both_reported() -> None:
     async def test() -> None:
-        loop, told = asyncio.get_running_loop(), list[bool]()
+        loop, reports = asyncio.get_running_loop(), list[bool]()
         watch, (ours, peers) = HangupWatch(loop), socket.socketpair()
         peers.send(b"unread")
-        watch.watch(ours.fileno(), told.append)
+        watch.watch(ours.fileno(), reports.append)
         peers.shutdown(socket.SHUT_WR)
-        await until(lambda: told == [False])
+        await until(lambda: reports == [False])
         peers.close()
-        await until(lambda: told == [False, True])
+        await until(lambda: reports == [False, True])
         watch.unwatch(ours.fileno())
         watch.close()
         ours.close()
@@ -357,8 +359,8 @@
     going(test)
 
 
-class DeafWorker(asyncio.Protocol):
-    """A worker that reads the head of a request, and its body only once it is told to."""
+class PausedWorker(asyncio.Protocol):
+    """A worker that reads the head of a request and pauses before the body."""
 
     def __init__(self) -> None:
         self.count = 0  # bytes
@@ -373,17 +375,17 @@
         self.count += len(data)
 
 
-async def uploads_until_nobody_reads(
-    cluster: Leavers, client: Client, coded: Callable[[bytes], bytes] = bytes
+async def upload_until_blocked(
+    cluster: DisconnectCluster, client: Client, encode: Callable[[bytes], bytes] = bytes
 ) -> int:
-    """Sends until the worker takes no more, so that the gatekeeper reads no more for as long as we look.
+    """Sends until the worker's back-pressure has paused the gatekeeper's reading for 500 loop iterations.
 
-    Returns how many bytes of a body it was.
+    Returns the number of body bytes sent.
     """
     unread = size = 0
     while unread < 500:
         if not unread:
-            client.writer.write(coded(b"x" * AHEAD))
+            client.writer.write(encode(b"x" * AHEAD))
             size += AHEAD
             await client.writer.drain()
         unread = unread + 1 if any(kept.paused for kept in cluster.connections()) else 0
@@ -391,93 +393,93 @@
     return size
 
 
-@pytest.mark.parametrize("leave", [reset, half_close])
-def test_a_close_during_an_upload_that_waits_for_its_worker_is_heard(leave: Callable[[Client], None]) -> None:
-    """Its request will never be whole, which is no failure of the worker's."""
+@pytest.mark.parametrize("disconnect", [reset, half_close])
+def test_close_during_a_blocked_upload_is_noticed(disconnect: Callable[[Client], None]) -> None:
+    """The request will never be complete, which is no failure of the worker."""
 
     async def test() -> None:
-        cluster, worker = Leavers(), DeafWorker()
+        cluster, worker = DisconnectCluster(), PausedWorker()
         server = await asyncio.get_running_loop().create_server(lambda: worker, HOST, 0)
         cluster.work("w1", server.sockets[0].getsockname()[1])
-        client = await cluster.ask_long(method="POST", Content_Length=str(64 * LONG))
-        await uploads_until_nobody_reads(cluster, client)
-        leave(client)
-        await until(cluster.at_rest)
-        assert cluster.heard_leaving() and cluster.blames_nobody()
+        client = await cluster.ask_with_long_deadline(method="POST", Content_Length=str(64 * LONG))
+        await upload_until_blocked(cluster, client)
+        disconnect(client)
+        await until(cluster.is_idle)
+        assert cluster.has_noticed_disconnects() and cluster.blames_no_worker()
         server.close()
 
     going(test)
 
 
-def test_an_upload_that_may_not_be_repeated_goes_on_where_all_of_it_has_arrived() -> None:
-    """Its client has sent the last byte and closed; the worker reads on, and runs it."""
+def test_unsafe_upload_that_has_arrived_completely_continues() -> None:
+    """The client has sent the last byte and closed; the worker reads the rest and runs the request."""
 
     async def test() -> None:
-        cluster, worker, size = Leavers("unsafe"), DeafWorker(), 0
+        cluster, worker, size = DisconnectCluster("unsafe"), PausedWorker(), 0
         server = await asyncio.get_running_loop().create_server(lambda: worker, HOST, 0)
         cluster.work("w1", server.sockets[0].getsockname()[1])
-        client = await cluster.ask_long(method="POST", Transfer_Encoding="chunked")
-        size = await uploads_until_nobody_reads(cluster, client, encode_chunk)
+        client = await cluster.ask_with_long_deadline(method="POST", Transfer_Encoding="chunked")
+        size = await upload_until_blocked(cluster, client, encode_chunk)
         client.writer.write(LAST_CHUNK)
         client.writer.write_eof()
-        await until(lambda: close_has_arrived(cluster))
+        await until(lambda: close_has_reached_socket(cluster))
         for _ in range(20):
             await asyncio.sleep(0)
-        assert cluster.servers.attempts and not cluster.heard_leaving()
+        assert cluster.servers.attempts and not cluster.has_noticed_disconnects()
         worker.transport.resume_reading()
-        await until(lambda: worker.count > size and cluster.heard_leaving())
+        await until(lambda: worker.count > size and cluster.has_noticed_disconnects())
         worker.transport.write(ok())
-        await until(cluster.at_rest)
+        await until(cluster.is_idle)
         assert cluster.gatekeeper.outcomes[Outcome.OK] == 1
         server.close()
 
     going(test)
 
 
-@WAYS
-def test_a_long_answer_ends_with_its_client(leave: Callable[[Client], None]) -> None:
-    """The client takes no more of its answer, has sent ahead, and leaves: the worker is let go."""
+@DISCONNECT_KINDS
+def test_long_response_ends_with_its_client(disconnect: Callable[[Client], None]) -> None:
+    """A client that does not read its response pipelines requests and disconnects: the worker is freed."""
 
     async def test() -> None:
-        cluster, worker = Leavers(), await StandIn(ok(b"x" * (64 * LONG))).start()
+        cluster, worker = DisconnectCluster(), await StandIn(ok(b"x" * (64 * LONG))).start()
         cluster.work("w1", worker.port)
-        client = await cluster.ask_long()
+        client = await cluster.ask_with_long_deadline()
         await until(lambda: any(kept.stuck is not None for kept in cluster.connections()))
-        await sends_ahead(cluster, client)
-        leave(client)
+        await pipeline_requests(cluster, client)
+        disconnect(client)
         await worker.closed.get()
         await until(lambda: not cluster.connections())
-        assert cluster.blames_nobody()
+        assert cluster.blames_no_worker()
 
     going(test)
 
 
-def test_a_connection_taken_over_from_another_process_hears_its_client_leave() -> None:
+def test_adopted_connection_notices_that_its_client_disconnects() -> None:
     async def test() -> None:
-        before, after = Leavers(), Leavers()
+        before, after = DisconnectCluster(), DisconnectCluster()
         worker = await StandIn(ok(), stall).start()
         before.work("w1", worker.port)
         after.work("w1", worker.port)
-        client = await before.ask_long()
+        client = await before.ask_with_long_deadline()
         assert (await client.answer())[0] == 200
         (kept,) = before.connections()
         given = kept.hand_over(2048)
         assert given is not None
         snapshot, descriptor = given
         await after.plane.listener.adopt(socket.socket(fileno=descriptor), snapshot)
-        await after.ask_long(client=client)
+        await after.ask_with_long_deadline(client=client)
         await until(lambda: len(worker.heads) == 2)
         client.writer.close()
-        await until(lambda: after.heard_leaving() and after.at_rest())
-        assert after.gatekeeper.outcomes[Outcome.CANCELLED] == 1 and after.blames_nobody()
+        await until(lambda: after.has_noticed_disconnects() and after.is_idle())
+        assert after.gatekeeper.outcomes[Outcome.CANCELLED] == 1 and after.blames_no_worker()
 
     going(test)
 
 
-# The decisions by themselves, where two things happen in one turn.
+# The gateway alone, with several events in one turn.
 
 
-def ending(**more: Any) -> Driver:
+def cancelling_driver(**more: Any) -> Driver:
     return Driver(cancel_when_client_left=True, **more)
 
 
@@ -486,8 +488,8 @@
     return send
 
 
-def test_the_decisions_end_each_repeatable_attempt_of_who_left_and_no_other() -> None:
-    driver = ending()
+def test_gateway_cancels_only_idempotent_attempts_of_disconnected_clients() -> None:
+    driver = cancelling_driver()
     kept = sent(driver.ask(cls=SAFE))
     both = sent(driver.ask(cls=SAFE))
     assert sent(driver.feed(AttemptSuspected(both.request, 0))).request == both.request
@@ -500,9 +502,9 @@
     assert not any(bad for bad, _ in driver.gateway.fleet.backend_reports.known.values())
 
 
-def test_an_attempt_that_ends_right_after_its_client_left_keeps_its_connection() -> None:
-    """Leavers come in hundreds, and each cancel costs a connection to a worker."""
-    driver = ending()
+def test_attempt_that_ends_right_after_the_disconnect_keeps_its_connection() -> None:
+    """Clients disconnect by the hundreds, and each cancel costs a connection to a worker."""
+    driver = cancelling_driver()
     send = sent(driver.ask(cls=SAFE))
     assert only(driver.feed(ClientLeft(send.request)), Cancel) == []
     driver.run(ABANDONED_GRACE_NS // 2)
@@ -510,9 +512,9 @@
     assert only(driver.run(2 * ABANDONED_GRACE_NS), Cancel) == [] and not driver.gateway.pending
 
 
-def test_many_who_leave_do_not_make_answers_look_quick() -> None:
-    """Work of 1 s on average, memoryless; whoever waits for longer than 0.5 s leaves."""
-    driver, times, rng = ending(), AnswerTime(), random.Random(1)
+def test_many_disconnects_do_not_bias_response_times() -> None:
+    """Work is exponential with a mean of 1 s; clients disconnect after 0.5 s."""
+    driver, times, rng = cancelling_driver(), AnswerTime(), random.Random(1)
     for _ in range(4000):
         send = sent(driver.ask(cls=SAFE))
         work_ms = round(1000 * rng.expovariate(1))
@@ -528,9 +530,9 @@
     assert 700 * MS < expected < 1400 * MS and 600 * MS < times.mean_ns < 1500 * MS
 
 
-def test_a_request_that_expires_cancels_nothing() -> None:
-    """Its attempts end with their own deadline, or with the process at the end of the grace."""
-    driver = ending()
+def test_expired_request_cancels_nothing() -> None:
+    """The attempts end at their own deadline, or with the process at the end of the drain grace."""
+    driver = cancelling_driver()
     send = sent(driver.ask(cls=SAFE))
     driver.feed(RequestExpired(send.request))
     assert only(driver.run(2 * ABANDONED_GRACE_NS), Cancel) == [] and list(driver.gateway.pending) == [
@@ -557,8 +559,8 @@
     assert (lines[2][1]["after_ms"], lines[2][1]["worker"]) == (600, "w7")
 
 
-def test_who_leaves_in_the_turn_of_an_answer_or_of_a_request_causes_nothing() -> None:
-    driver = ending()
+def test_disconnect_in_the_turn_of_a_response_or_request_has_no_effect() -> None:
+    driver = cancelling_driver()
     send = sent(driver.ask(cls=SAFE))
     answered = AttemptEnded(send.request, 0, send.backend, Outcome.OK, 50 * MS, True)
     driver.feed(answered, ClientLeft(send.request))
@@ -567,8 +569,8 @@
     assert only(driver.feed(asked, ClientLeft(99)), Send) == [] and not driver.gateway.pending
 
 
-def test_where_answers_settle_what_was_charged_attempts_run_on() -> None:
-    """The sidecar's plans are charged by the true units, which only an answer tells."""
+def test_attempts_continue_where_responses_determine_the_charge() -> None:
+    """The sidecar charges plans by the true units, which only a response reports."""
     driver = Driver()
     send = sent(driver.ask(cls=SAFE))
     driver.feed(ClientLeft(send.request))
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -1,4 +1,4 @@
-"""Discovery and the directory: watches, gaps, whole lists, a dead agent, and answers that can't be read."""
+"""Discovery and the directory: long polls, deltas, complete lists, dead agents and invalid responses."""
 
 from __future__ import annotations
 
@@ -37,12 +37,12 @@
 from pepperrun.net.discovery import Discovery
 
 
-def told(version: int, *lines: dict, full: bool = False) -> bytes:
+def list_response(version: int, *lines: dict, full: bool = False) -> bytes:
     return ok(json.dumps({"version": version, "full": full, "servers": list(lines)}).encode())
 
 
-class AtOnce(Backoff):
-    """Hardly a pause: what is tested is the order of the calls."""
+class NoDelay(Backoff):
+    """Almost no delays: the order of the calls is tested."""
 
     def delay_after_move(self) -> float:
         return 0.0
@@ -53,22 +53,22 @@
 
 
 class Watching:
-    """A `Discovery` at work against a stand-in agent."""
+    """A running `Discovery` with a stand-in agent."""
 
     def __init__(self, agent: StandIn, known: int | None = None) -> None:
         self.agent = agent
         self.lists: asyncio.Queue = asyncio.Queue()
-        watch = Discovery((HOST, agent.port), self.lists.put_nowait, AtOnce(1, random.Random(1)), known)
+        watch = Discovery((HOST, agent.port), self.lists.put_nowait, NoDelay(1, random.Random(1)), known)
         self.task = asyncio.get_running_loop().create_task(watch.run())
 
     async def target(self) -> str:
         return (await self.agent.arrived.get()).split()[1].decode()
 
 
-def test_the_whole_list_comes_first_and_then_its_changes_on_one_connection():
+def test_complete_list_comes_first_then_its_changes_on_one_connection():
     async def test():
         agent = await StandIn(
-            told(41, line("a", 1), full=True), told(43, line("a", 1, "Terminating")), stall
+            list_response(41, line("a", 1), full=True), list_response(43, line("a", 1, "Terminating")), stall
         ).start()
         watching = Watching(agent)
         first, second = await watching.lists.get(), await watching.lists.get()
@@ -86,9 +86,9 @@
     going(test)
 
 
-def test_the_next_watch_goes_out_well_within_200_ms():
+def test_next_long_poll_is_sent_within_200_ms():
     async def test():
-        agent = await StandIn(told(1, full=True), told(1), told(1), stall).start()
+        agent = await StandIn(list_response(1, full=True), list_response(1), list_response(1), stall).start()
         watching, loop = Watching(agent), asyncio.get_running_loop()
         await watching.target()
         last = loop.time()
@@ -101,7 +101,7 @@
 
 
 @pytest.mark.parametrize(
-    "bad",
+    "invalid",
     [
         ok(b"{not json"),
         ok(b"[]"),
@@ -109,14 +109,17 @@
         ok(b'{"version": 2}'),
         ok(b'{"version": 2, "full": false, "servers": [{"id": 7}]}'),
         ok(b'{"version": 2, "full": false, "servers": [{"id": "a", "addr": "nowhere", "state": "Ready"}]}'),
-        told(0, line("a", 1)),  # changes to an older list than the one held
-        told(6, full=True),  # a fleet does not end at once
+        list_response(0, line("a", 1)),  # changes to an older list than the current one
+        list_response(6, full=True),  # a fleet does not disappear at once
     ],
 )
-def test_after_an_answer_that_is_no_good_the_last_list_stands_and_the_watch_starts_anew(bad):
+def test_invalid_response_keeps_the_last_list_and_restarts_the_watch(invalid):
     async def test():
         agent = await StandIn(
-            told(5, line("a", 1), full=True), bad, told(9, line("b", 2), full=True), stall
+            list_response(5, line("a", 1), full=True),
+            invalid,
+            list_response(9, line("b", 2), full=True),
+            stall,
         ).start()
         watching = Watching(agent)
         assert [(await watching.lists.get()).version for _ in range(2)] == [5, 9]
@@ -126,24 +129,26 @@
     going(test)
 
 
-def test_a_silent_agent_is_left_and_a_dead_one_tried_again(monkeypatch):
+def test_silent_agent_is_abandoned_and_a_dead_one_retried(monkeypatch):
     monkeypatch.setattr(discovery, "RESPONSE_GRACE_S", 0.02)
     monkeypatch.setattr(discovery, "LONG_POLL_MS", 10)
 
     async def test():
-        agent = await StandIn(told(5, full=True), stall, told(6, line("a", 1)), stall).start()
+        agent = await StandIn(
+            list_response(5, full=True), stall, list_response(6, line("a", 1)), stall
+        ).start()
         watching = Watching(agent)
         assert [(await watching.lists.get()).version for _ in range(2)] == [5, 6]
         await agent.stop()
-        agent.plan = [told(7, line("b", 2), full=True), stall]
+        agent.plan = [list_response(7, line("b", 2), full=True), stall]
         await agent.start(agent.port)
         assert (await watching.lists.get()).version == 7
 
     going(test)
 
 
-def test_a_workers_integer_is_the_same_everywhere_and_always():
-    # Gatekeepers tell each other of workers by these integers, in messages of four bytes.
+def test_worker_id_is_the_same_at_all_gatekeepers():
+    # Messages between gatekeepers identify workers by these integers, in four bytes each.
     one, other = Directory(("a",), int), Directory(("a",), int)
     one.apply(listing(line("s-1", 1), line("s-2", 2)), ListKind.FULL)
     other.apply(listing(line("s-2", 2), line("s-1", 9)), ListKind.FULL)
@@ -151,7 +156,7 @@
     assert one.id_of("s-1") == 2365212299 and 0 <= one.id_of("s-2") < 2**32
 
 
-def test_a_list_becomes_integers_times_and_addresses():
+def test_list_is_translated_to_ids_times_and_addresses():
     directory = Directory(("a", "b"), lambda ms: ms * 1_000_000)
     full = listing(line("x", 1, zone="b", cell=3, started_ms=5), line("y", 2, "Terminating", started_ms=0))
     event = directory.apply(full, ListKind.FULL)
@@ -167,7 +172,7 @@
     assert not directory.is_listed(y)
 
 
-def test_a_workers_start_is_read_on_the_programs_one_clock():
+def test_worker_start_time_is_converted_to_the_monotonic_clock():
     async def test():
         backends = Backends()
         started_ms = (backends.clock() - 3_000_000_000) // 1_000_000
@@ -196,7 +201,7 @@
 
 
 @given(st.dictionaries(st.sampled_from(["version", "full", "servers"]), JSON))
-def test_a_list_that_is_garbage_raises_value_errors_only(table):
+def test_garbage_list_raises_only_value_errors(table):
     try:
         Directory(("a",), int).apply(read_listing(table), ListKind.FULL)
     except ValueError as error:
@@ -204,7 +209,7 @@
 
 
 @given(st.text(max_size=20))
-def test_an_address_is_host_and_port_or_a_value_error(text):
+def test_address_is_host_and_port_or_a_value_error(text):
     try:
         host, port = parse_address(text, "key")
         assert host and 0 <= port <= 65535
@@ -222,10 +227,10 @@
         b"nonsense\r\n\r\n",
     ],
 )
-def test_whoever_holds_a_list_asks_for_its_changes_only_at_a_start_and_after_failures_too(bad):
-    # A service turns callers away when it can't keep up, and a whole list costs it the most.
+def test_caller_with_a_list_requests_only_changes_also_after_failures(bad):
+    # A service rejects calls when it is overloaded, and a complete list costs it the most.
     async def test():
-        agent = await StandIn(bad, told(42, line("a", 1, "Terminating")), bad, bad, stall).start()
+        agent = await StandIn(bad, list_response(42, line("a", 1, "Terminating")), bad, bad, stall).start()
         watching = Watching(agent, known=41)
         assert (await watching.lists.get()).version == 42
         targets = [(await watching.target()).split("&")[0] for _ in range(5)]
@@ -238,10 +243,10 @@
     ("callers", "in_the_first", "in_each_later", "in_100_ms"),
     [(2, 10, 2.5, 3), (4, 16, 3.5, 5), (40, 48, 6, 8), (64, 50, 9, 9), (360, 200, 50, 30)],
 )
-def test_calls_of_all_gatekeepers_together_stay_few_and_out_of_step(
+def test_calls_of_all_gatekeepers_stay_few_and_unsynchronised(
     callers: int, in_the_first: int, in_each_later: float, in_100_ms: int
 ) -> None:
-    # The service does nothing but turn away: in no 100 ms, nor in a second, a herd calls.
+    # The service rejects every call: no 100 ms and no second may see a burst of calls.
     calls = []
     for caller in range(callers):
         backoff = Backoff(callers, random.Random(caller))
@@ -261,51 +266,54 @@
     assert backoff.delay_after_failure() < 1.5 * MAX_MEAN_DELAY_S and backoff.failures == 1
 
 
-def test_a_service_of_fixed_capacity_lets_all_in_where_calls_in_step_never_end() -> None:
-    # Twelve calls a second, each of 40 callers needs one; past a line of four callers are turned away.
+def test_backoff_lets_all_callers_reach_a_service_of_fixed_capacity() -> None:
+    # The service takes 12 calls a second and queues four; each of 40 callers needs one call. Callers that
+    # stay synchronised would never all succeed.
     waiting = [(Backoff(40, random.Random(number)), number) for number in range(40)]
     due = [(backoff.delay_after_move(), number) for backoff, number in waiting]
-    served, free_at, turned_away = set(), 0.0, 0
+    served, free_at, rejected = set(), 0.0, 0
     while due:
         at, number = min(due)
         due.remove((at, number))
         if free_at - at > 4 / 12:
-            turned_away += 1
+            rejected += 1
             due.append((at + waiting[number][0].delay_after_failure(), number))
             continue
         free_at = max(free_at, at) + 1 / 12
         served.add(number)
         assert at < 30
-    assert len(served) == 40 and turned_away < 120
+    assert len(served) == 40 and rejected < 120
 
 
-def test_a_watch_that_moves_with_a_list_in_hand_waits_its_turn_and_takes_no_list_of_nothing():
-    # All gatekeepers are told of the new place at once.
-    class Waits(AtOnce):
-        waited = 0
+def test_moved_watch_delays_its_first_call_and_rejects_an_empty_list():
+    # All gatekeepers learn the new address at the same moment.
+    class CountsMoves(NoDelay):
+        moves = 0
 
         def delay_after_move(self) -> float:
-            self.waited += 1
+            self.moves += 1
             return 0.0
 
     async def test():
-        agent = await StandIn(told(3, full=True), told(4, line("a", 1), full=True), stall).start()
-        backoff: Waits = Waits(40, random.Random(1))
+        agent = await StandIn(
+            list_response(3, full=True), list_response(4, line("a", 1), full=True), stall
+        ).start()
+        backoff: CountsMoves = CountsMoves(40, random.Random(1))
         lists: asyncio.Queue = asyncio.Queue()
         watch = Discovery((HOST, agent.port), lists.put_nowait, backoff, moved=True)
         task = asyncio.get_running_loop().create_task(watch.run())
-        assert (await lists.get()).version == 4 and backoff.waited == 1
+        assert (await lists.get()).version == 4 and backoff.moves == 1
         task.cancel()
 
     going(test)
 
 
 @pytest.mark.parametrize("callers", [4, 200])
-def test_a_start_asks_at_once_and_a_move_within_the_time_after_which_all_counts_as_told(callers):
-    # What the agent holds counts as told from the start on: of 200 gatekeepers that waited their turn after a
-    # restart for up to 5 s, as after a move, dozens sent to workers that had begun to drain meanwhile.
+def test_start_calls_at_once_and_move_within_the_maximum_delay(callers):
+    # What the agent has counts as received from the start on. Of 200 gatekeepers that delayed their first
+    # call after a restart by up to 5 s, as after a move, dozens sent requests to workers that were draining.
     async def test():
-        agent = await StandIn(told(42, line("a", 1, "Terminating")), stall).start()
+        agent = await StandIn(list_response(42, line("a", 1, "Terminating")), stall).start()
         lists: asyncio.Queue = asyncio.Queue()
         watch = Discovery(
             (HOST, agent.port), lists.put_nowait, Backoff(callers, random.Random(1)), known_version=41
@@ -314,7 +322,7 @@
         begun, task = loop.time(), loop.create_task(watch.run())
         assert not watch.first_call_done.is_set()
         await agent.arrived.get()
-        assert loop.time() - begun < 0.25  # drains are to be kept 250 ms after they are told
+        assert loop.time() - begun < 0.25  # a drain takes effect 250 ms after its notification
         await watch.first_call_done.wait()
         assert (await lists.get()).version == 42
         task.cancel()
@@ -324,7 +332,7 @@
     assert max(moves) <= 2.0 and len(set(moves)) > 100
 
 
-def test_a_call_that_fails_ends_the_wait_for_the_first_one():
+def test_failed_call_ends_the_wait_for_the_first_call():
     async def test():
         agent = await StandIn(reset).start()
         watch = Discovery(
@@ -337,41 +345,41 @@
     going(test)
 
 
-def calls_of_220(must_ask: bool) -> Backoff:
-    """As the program makes them, of a large fleet."""
+def backoff_of_220(must_ask: bool) -> Backoff:
+    """The backoff that the program creates in a large fleet."""
     settings = replace(SETTINGS, gateways=220, drain_grace_ns=250 * MS, must_ask_for_list=must_ask)
     return calls_of(SimpleNamespace(settings=settings, seed=1))  # type: ignore[arg-type]
 
 
-def test_only_who_asks_a_service_that_others_ask_too_waits_for_their_sake():
-    asking, pushed = calls_of_220(True), calls_of_220(False)
-    assert asking.delay_after_failure() > 2.0 and asking.retry_interval_s is None
+def test_only_callers_of_a_shared_service_use_long_delays():
+    polling, pushed = backoff_of_220(True), backoff_of_220(False)
+    assert polling.delay_after_failure() > 2.0 and polling.retry_interval_s is None
     assert pushed.delay_after_move() == 0 and {pushed.delay_after_failure() for _ in range(9)} == {
         pushed.retry_interval_s
     }
 
 
 @pytest.mark.parametrize(
-    "silence",
+    "outage",
     [
-        (stall,) * 4,  # from the start on, as while discovery is down
-        (told(41), stall, stall, stall, stall),  # under a watch that was open
+        (stall,) * 4,  # from the start on, as during an outage of discovery
+        (list_response(41), stall, stall, stall, stall),  # during an open long poll
         (reset, cut_short(b"HTTP/1.1 200 OK\r\n"), answer(503), reset),
     ],
 )
-def test_an_agent_of_ones_own_is_asked_again_well_within_the_grace_of_drains(silence, monkeypatch):
-    # What it gets at its return counts as told in that moment: of 220 gatekeepers those that still paused for
-    # each other's sake, up to 12 s, sent to workers of which they had been told that they drain.
+def test_local_agent_is_retried_within_the_drain_grace(outage, monkeypatch):
+    # What the agent sends on its return counts as received at that moment. Of 220 gatekeepers, those that
+    # still waited out the delays of a shared service, up to 12 s, sent requests to draining workers.
     monkeypatch.setattr(discovery, "LONG_POLL_MS", 10)
     monkeypatch.setattr(discovery, "RESPONSE_GRACE_S", 0.05)
 
     async def test():
         loop = asyncio.get_running_loop()
-        agent = await StandIn(*silence, told(42, line("a", 1, "Terminating")), stall).start()
+        agent = await StandIn(*outage, list_response(42, line("a", 1, "Terminating")), stall).start()
         lists: asyncio.Queue = asyncio.Queue()
-        watch = Discovery((HOST, agent.port), lists.put_nowait, calls_of_220(False), known_version=41)
+        watch = Discovery((HOST, agent.port), lists.put_nowait, backoff_of_220(False), known_version=41)
         last, task = loop.time(), loop.create_task(watch.run())
-        for _ in range(len(silence) + 1):
+        for _ in range(len(outage) + 1):
             assert b"?index=41&wait=" in await agent.arrived.get()
             assert loop.time() - last < 0.25
             last = loop.time()
@@ -381,12 +389,12 @@
     going(test)
 
 
-def test_an_agent_that_answers_late_is_heard_and_the_calls_beside_are_given_up():
-    # A call that is slow is none that has failed: the watch goes on where the first answer came.
+def test_late_response_of_the_agent_is_used_and_parallel_calls_are_abandoned():
+    # A slow call has not failed: the watch continues on the connection that is answered first.
     async def test():
-        agent = await StandIn(wait_then(told(42, line("a", 1))), stall).start()
+        agent = await StandIn(wait_then(list_response(42, line("a", 1))), stall).start()
         lists: asyncio.Queue = asyncio.Queue()
-        watch = Discovery((HOST, agent.port), lists.put_nowait, calls_of_220(False), known_version=41)
+        watch = Discovery((HOST, agent.port), lists.put_nowait, backoff_of_220(False), known_version=41)
         task = asyncio.get_running_loop().create_task(watch.run())
         for _ in range(4):
             await agent.arrived.get()
--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -1,4 +1,4 @@
-"""The parsers: random cuts of valid messages, random garbage, and framing that could be read in two ways."""
+"""The parsers: valid messages in random chunks of input, random garbage, and ambiguous framing."""
 
 from __future__ import annotations
 
@@ -37,21 +37,21 @@
 
 
 def feed(parser: RequestParser | ResponseParser, data: bytes, cuts: list[int]) -> list[Request | Response]:
-    """All messages that come of the data, given in pieces."""
-    got, at = [], 0
+    """Returns all messages parsed from the data, which is added in chunks that end at the cuts."""
+    messages, at = [], 0
     for cut in [*sorted({cut % (len(data) + 1) for cut in cuts}), len(data)]:
         parser.buffer.add(data[at:cut])
         at = cut
         while (message := parser.next()) is not None:
-            got.append(message)
-    return got
+            messages.append(message)
+    return messages
 
 
 CUTS = st.lists(st.integers(0, 100_000), max_size=12)
 
 
 @given(st.lists(st.tuples(FIELDS, BODY, st.integers(0, 700)), min_size=1, max_size=3), CUTS)
-def test_requests_are_read_the_same_however_they_are_cut(messages, cuts):
+def test_requests_parse_the_same_for_any_chunking_of_input(messages, cuts):
     data = b""
     for fields, body, chunk in messages:
         head = b"".join(b"%b:  %b \r\n" % pair for pair in fields)
@@ -64,7 +64,7 @@
 
 
 @given(st.lists(st.tuples(BODY, st.integers(0, 700)), min_size=1, max_size=3), CUTS)
-def test_responses_are_read_the_same_however_they_are_cut(messages, cuts):
+def test_responses_parse_the_same_for_any_chunking_of_input(messages, cuts):
     data = b"".join(
         b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\n" + framed(body, chunk) for body, chunk in messages
     )
@@ -73,11 +73,11 @@
 
 
 @given(BODY, CUTS)
-def test_a_response_without_a_length_lasts_until_the_end(body, cuts):
+def test_response_without_a_length_lasts_until_end_of_stream(body, cuts):
     parser = ResponseParser(Buffer(REQUEST_BUFFER_SIZE))
     assert feed(parser, b"HTTP/1.0 200 OK\r\n\r\n" + body, cuts) == []
-    whole = parser.on_eof()
-    assert whole is not None and whole.body == body and whole.closes_connection()
+    response = parser.on_eof()
+    assert response is not None and response.body == body and response.closes_connection()
 
 
 GARBAGE = st.one_of(
@@ -108,7 +108,7 @@
 
 
 @given(GARBAGE, CUTS, st.sampled_from([RequestParser, ResponseParser]))
-def test_garbage_raises_nothing_but_http_errors(data, cuts, kind):
+def test_garbage_raises_only_http_errors(data, cuts, kind):
     try:
         for message in feed(kind(Buffer(REQUEST_BUFFER_SIZE)), data, cuts):
             assert len(message.body) <= MAX_REQUEST_BODY
@@ -134,8 +134,8 @@
         (b"A: b\r\n" * 101, 431),
     ],
 )
-def test_what_is_ambiguous_or_too_large_is_rejected(head, status):
-    # Two readings of where a body ends are how a second request is smuggled past a proxy.
+def test_ambiguous_or_too_large_messages_are_rejected(head, status):
+    # Two interpretations of where a body ends allow a second request to be smuggled past a proxy.
     with pytest.raises(HttpError) as caught:
         feed(
             RequestParser(Buffer(REQUEST_BUFFER_SIZE)),
@@ -145,14 +145,14 @@
     assert caught.value.status == status
 
 
-def test_an_endless_head_is_rejected_before_it_fills_memory():
+def test_endless_head_is_rejected_before_it_fills_memory():
     parser = RequestParser(Buffer(REQUEST_BUFFER_SIZE))
     with pytest.raises(HttpError) as caught:
         feed(parser, b"GET / HTTP/1.1\r\n" + b"a: b\r\n" * 20_000, list(range(0, 60_000, 1000)))
     assert caught.value.status == 431
 
 
-def test_chunks_beyond_the_largest_body_are_rejected():
+def test_chunks_beyond_the_maximum_body_are_rejected():
     data = b"POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n" + b"8000\r\n" + bytes(0x8000)
     with pytest.raises(HttpError) as caught:
         feed(RequestParser(Buffer(REQUEST_BUFFER_SIZE)), data + b"\r\n8001\r\n", [])
@@ -160,20 +160,20 @@
 
 
 @given(st.lists(st.one_of(st.binary(min_size=1, max_size=5000), st.integers(1, 6000)), max_size=30))
-def test_a_buffer_gives_back_what_was_put_in(steps):
-    buffer, held = Buffer(1 << 20), b""
+def test_buffer_returns_the_bytes_that_were_added(steps):
+    buffer, expected = Buffer(1 << 20), b""
     for step in steps:
         if isinstance(step, bytes):
             buffer.add(step)
-            held += step
+            expected += step
         else:
-            assert buffer.take(step) == held[:step]
-            held = held[step:]
-        assert buffer.peek(len(held) + 1) == held
-        assert len(buffer.data) <= max(4096, 4 * len(held) + 16384)
+            assert buffer.take(step) == expected[:step]
+            expected = expected[step:]
+        assert buffer.peek(len(expected) + 1) == expected
+        assert len(buffer.data) <= max(4096, 4 * len(expected) + 16384)
 
 
-def test_a_buffer_never_grows_beyond_its_most():
+def test_buffer_never_grows_beyond_its_maximum_size():
     buffer = Buffer(10_000)
     with pytest.raises(ValueError):
         buffer.add(bytes(10_001))
@@ -181,7 +181,7 @@
 
 
 @given(FIELDS, BODY, CUTS)
-def test_what_is_written_can_be_read(fields, body, cuts):
+def test_encoded_response_can_be_parsed(fields, body, cuts):
     (got,) = feed(
         ResponseParser(Buffer(REQUEST_BUFFER_SIZE)), encode_response(200, fields, body, close=True), cuts
     )
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -1,4 +1,4 @@
-"""Attempts on real sockets against stand-in workers: the table of outcomes, pools, limits."""
+"""Attempts on real sockets against stand-in workers: the table of outcomes, pools and limits."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
         (answer(500), Outcome.ERROR),
         (answer(503, b"", b"X-Rejected: 1"), Outcome.FULL),
         (answer(504, b"", b"X-Rejected: 1"), Outcome.FULL),
-        # Without the mark nothing proves that the request did not run.
+        # Without the header nothing proves that the request did not run.
         (answer(503), Outcome.ERROR),
         (answer(504, b"", b"X-Rejected: 0"), Outcome.ERROR),
         (answer(302), Outcome.ERROR),
@@ -43,13 +43,13 @@
         (cut_short(b"HTTP/1.0 200 OK\r\n\r\nuntil the end"), Outcome.OK),
     ],
 )
-def test_what_comes_back_is_the_outcome_of_the_table(step, outcome):
+def test_response_maps_to_the_outcome_of_the_table(step, outcome):
     async def test():
         backends, worker = Backends(), await StandIn(step).start()
         backends.list(line("w", worker.port))
         backends.send()
         assert await backends.outcome() is outcome
-        assert len(worker.heads) == 1 and not backends.side.attempts  # never sent again from here
+        assert len(worker.heads) == 1 and not backends.side.attempts  # never resent by the upstream client
 
     going(test)
 
@@ -59,19 +59,19 @@
 
 
 @pytest.mark.parametrize(
-    "spoilt",
+    "invalid",
     [
         HEAD + b"Content-Length: 3000000000\r\n\r\n" + b"x" * 100_000,
-        HEAD + b"Content-Length: 9\r\n\r\nshort",  # nothing but the client's patience ended this one
+        HEAD + b"Content-Length: 9\r\n\r\nshort",  # only the client's deadline would end this one
         HEAD + b"X: " + b"y" * 20_000,
         HEAD + b"X",
         HEAD + b"Transfer-Encoding: chunked\r\n\r\n5\r\ntoo long\r\n",
         INTERIM * 500 + ok(),
     ],
 )
-def test_a_spoilt_answer_may_have_run_and_its_connection_is_not_used_again(spoilt):
+def test_invalid_response_may_have_run_and_closes_its_connection(invalid):
     async def test():
-        backends, worker = Backends(connect_ns=50 * MS), await StandIn(spoilt, ok(b"own")).start()
+        backends, worker = Backends(connect_ns=50 * MS), await StandIn(invalid, ok(b"own")).start()
         backends.list(line("w", worker.port))
         backends.send()
         assert await backends.outcome() is Outcome.ERROR
@@ -82,20 +82,20 @@
     going(test)
 
 
-@pytest.mark.parametrize("more", [ok(b"first"), b"noise"])
-def test_what_comes_behind_an_answer_is_not_taken_for_the_next_one(more):
+@pytest.mark.parametrize("surplus", [ok(b"first"), b"noise"])
+def test_surplus_input_after_a_response_is_not_taken_for_the_next_one(surplus):
     async def late(server, reader, writer):
         writer.write(ok(b"first"))
         await server.go.wait()
-        writer.write(more)
+        writer.write(surplus)
 
     async def test():
-        for step in (INTERIM + ok(b"first") + more, late):
+        for step in (INTERIM + ok(b"first") + surplus, late):
             backends, worker = Backends(), await StandIn(step, ok(b"own")).start()
             backends.list(line("w", worker.port))
             backends.send()
             assert (await backends.outcomes.get())[2].body == b"first"
-            if step is late:  # it has come, and the loop has not read it yet
+            if step is late:  # it has arrived, and the loop has not read it yet
                 (connection,) = backends.side.connections
                 connection.transport.pause_reading()
                 worker.go.set()
@@ -109,7 +109,7 @@
 
 
 @pytest.mark.parametrize("units", [b"x", b"nan", b"-3", b"1e3", b"6.5", b"1_0", b"2, 3", b""])
-def test_a_figure_on_use_that_cannot_be_true_is_not_known(units):
+def test_impossible_charged_units_are_ignored(units):
     async def test():
         backends, worker = Backends(), await StandIn(ok(b"", b"X-Units-Charged: " + units)).start()
         backends.list(line("w", worker.port))
@@ -120,7 +120,7 @@
     going(test)
 
 
-def test_true_units_and_body_come_with_a_good_answer():
+def test_good_response_brings_true_units_and_body():
     async def test():
         backends, worker = Backends(), await StandIn(ok(b"body", b"X-Units-Charged: 3.5")).start()
         backends.list(line("w", worker.port))
@@ -134,8 +134,8 @@
     going(test)
 
 
-def test_a_large_answer_comes_whole_and_leaves_no_large_buffer_behind():
-    # Workers answer with more than 64 KiB now and then: each such answer was five failed attempts.
+def test_large_response_is_complete_and_leaves_no_large_buffer():
+    # Workers sometimes send more than 64 KiB. With a smaller limit each such response failed five attempts.
     async def test():
         backends, worker = Backends(), await StandIn(ok(b"x" * 400_000)).start()
         backends.list(line("w", worker.port))
@@ -148,7 +148,7 @@
     going(test)
 
 
-def test_a_refused_connection_and_a_worker_that_is_not_listed_never_ran():
+def test_refused_connection_and_unlisted_worker_are_connect_failures():
     async def test():
         backends, worker = Backends(), await StandIn(stall).start()
         await worker.stop()
@@ -160,7 +160,7 @@
     going(test)
 
 
-def test_a_timeout_is_never_early_and_closes_the_connection():
+def test_timeout_is_never_early_and_closes_the_connection():
     async def test():
         backends, worker = Backends(), await StandIn(stall).start()
         backends.list(line("w", worker.port))
@@ -174,7 +174,7 @@
     going(test)
 
 
-def test_a_cancel_closes_the_connection():
+def test_cancel_closes_the_connection():
     async def test():
         backends, worker = Backends(), await StandIn(stall).start()
         backends.list(line("w", worker.port))
@@ -188,13 +188,13 @@
     going(test)
 
 
-def test_connections_are_kept_and_used_one_request_at_a_time():
+def test_connections_are_reused_for_one_request_at_a_time():
     async def test():
         backends, worker = Backends(), await StandIn(wait_then(ok()), ok()).start()
         backends.list(line("w", worker.port))
         backends.send()
         await worker.arrived.get()
-        backends.send()  # the first one is in use: a second connection
+        backends.send()  # the first connection is in use: a second one opens
         assert await backends.outcome() is Outcome.OK
         worker.go.set()
         assert await backends.outcome() is Outcome.OK
@@ -206,24 +206,25 @@
     going(test)
 
 
-def test_a_stale_kept_connection_ends_as_it_must_and_nothing_is_sent_again():
+def test_stale_reused_connection_is_reported_and_nothing_is_resent():
     async def test():
         backends, worker = Backends(), await StandIn(ok(), reset).start()
         backends.list(line("w", worker.port))
         backends.send()
         assert await backends.outcome() is Outcome.OK
-        backends.send()  # the worker resets the kept connection: it may have run, and tells of no bad worker
+        # The worker resets the reused connection: the request may have run, and the worker is not at fault.
+        backends.send()
         assert await backends.outcome() is Outcome.STALE
         assert len(worker.heads) == 2
-        backends.send()  # a new one: nothing stale about it
+        backends.send()  # a new connection can't be stale
         assert await backends.outcome() is Outcome.RESET
 
     going(test)
 
 
 @pytest.mark.parametrize(("up_ms", "outcome"), [(0, Outcome.RESET), (40, Outcome.STALE)])
-def test_a_reset_that_takes_the_way_there_and_back_is_at_once(up_ms, outcome):
-    # Between regions each reset of a rested connection took more than 10 ms: nothing was learnt of it.
+def test_reset_within_one_round_trip_counts_as_immediate(up_ms, outcome):
+    # Between regions a reset takes more than 10 ms to arrive. It must still count as a stale connection.
     async def reset_then(worker, reader, writer):
         await worker.go.wait()
         writer.transport.abort()
@@ -247,9 +248,9 @@
     going(test)
 
 
-def test_connections_that_wear_out_early_are_not_used_for_what_is_not_safe_to_repeat():
-    # Workers closed idle connections long before the settings' time and reset what was written to them then:
-    # kept ones served on, and requests that may not simply be sent anew failed.
+def test_idle_times_found_stale_are_not_reused_for_unsafe_requests():
+    # Workers may close idle connections long before the configured time and reset what is written to them
+    # after that. Requests that may not be resent failed on such connections while these were still reused.
     async def test():
         backends, worker = Backends(), await StandIn(ok(), reset, ok()).start()
         backends.list(line("w", worker.port))
@@ -260,7 +261,7 @@
         backends.send(method=b"POST")
         assert await backends.outcome() is Outcome.OK
         assert worker.connections == 3
-        backends.send()  # a safe one takes the risk, for a while
+        backends.send()  # a safe request uses a doubtful connection, up to a higher rate
         assert await backends.outcome() is Outcome.OK
         assert worker.connections == 3
         for _ in range(5):
@@ -268,27 +269,28 @@
         backends.send()
         assert await backends.outcome() is Outcome.OK
         assert worker.connections == 4
-        for _ in range(300):  # in time the risk is taken again
+        for _ in range(300):  # the rates decay, and such connections are tried again
             backends.side.stale_rates.decay()
         assert backends.side.stale_rates.is_trusted(0, 0.0 + 1e-3)
 
     going(test)
 
 
-def test_what_is_learnt_of_short_idleness_holds_for_longer():
-    wear = StaleRates()
+def test_stale_rate_of_a_short_idle_time_applies_to_longer_ones():
+    rates = StaleRates()
     for _ in range(9):
-        wear.record_reuse(100 * MS, True)
-        wear.record_reuse(3 * SECOND, False)
-    assert wear.is_trusted(10 * MS, 0.01)
-    assert not wear.is_trusted(100 * MS, 0.5) and not wear.is_trusted(3 * SECOND, 0.5)
+        rates.record_reuse(100 * MS, True)
+        rates.record_reuse(3 * SECOND, False)
+    assert rates.is_trusted(10 * MS, 0.01)
+    assert not rates.is_trusted(100 * MS, 0.5) and not rates.is_trusted(3 * SECOND, 0.5)
     for _ in range(30):
-        wear.record_first_use(True)  # new ones break as well: nothing is gained by opening them
-    assert wear.is_trusted(3 * SECOND, 0.5)
+        rates.record_first_use(True)  # new connections break as well: opening them gains nothing
+    assert rates.is_trusted(3 * SECOND, 0.5)
 
 
-def test_a_connection_that_is_accepted_and_reset_is_tried_again_with_the_same_attempt(monkeypatch):
-    # A process that is down refuses; this one was left out, and taken for one that had restarted.
+def test_connection_accepted_and_reset_is_retried_within_the_attempt(monkeypatch):
+    # A process that is down refuses connections. One that accepts and resets them was wrongly taken for a
+    # process that had restarted, and was left out.
     async def test():
         backends, worker = Backends(), await StandIn(ok()).start()
         backends.list(line("w", worker.port))
@@ -312,8 +314,8 @@
     going(test)
 
 
-def test_an_idle_connection_is_retired_before_the_other_side_closes_it():
-    # The worker's machine closes at the settings' time; a request written after that would end as a reset.
+def test_idle_connection_is_closed_before_the_backend_closes_it():
+    # The worker's machine closes at the configured time; a request written after that would be reset.
     async def test():
         backends, worker = Backends(keepalive_ns=15 * SECOND), await StandIn(ok()).start()
         backends.list(line("w", worker.port))
@@ -329,26 +331,26 @@
     going(test)
 
 
-@pytest.mark.parametrize("told", ["Terminating", "Gone", "absent"])
-def test_an_attempt_waiting_for_a_connection_rechecks_the_list(told):
-    # Between the decision to send and the connection being up the list may come to call the worker draining.
+@pytest.mark.parametrize("state", ["Terminating", "Gone", "absent"])
+def test_attempt_waiting_for_a_connection_rechecks_the_endpoint_list(state):
+    # The worker may begin to drain between the decision to send and the completed connect.
     async def test():
         backends, worker = Backends(), await StandIn(ok()).start()
         backends.list(line("w", worker.port))
         backends.send()
-        backends.list(*([] if told == "absent" else [line("w", worker.port, told)]), full=told == "absent")
+        backends.list(*([] if state == "absent" else [line("w", worker.port, state)]), full=state == "absent")
         assert await backends.outcome() is Outcome.CONNECT_FAILED
         while backends.side.connecting:
             await asyncio.gather(*backends.side.connecting)
         backends.list(line("w", worker.port))
         backends.send()
         assert await backends.outcome() is Outcome.OK
-        assert len(worker.heads) == 1  # the first one's bytes never went out
+        assert len(worker.heads) == 1  # the first request was never sent
 
     going(test)
 
 
-def test_a_kept_connection_to_a_draining_worker_closes_after_its_answer():
+def test_connection_to_a_draining_worker_closes_after_its_response():
     async def test():
         backends, worker = Backends(), await StandIn(wait_then(ok())).start()
         backends.list(line("w", worker.port))
@@ -356,13 +358,13 @@
         await worker.arrived.get()
         backends.list(line("w", worker.port, "Terminating"), full=False)
         worker.go.set()
-        assert await backends.outcome() is Outcome.OK  # what it has, it completes
+        assert await backends.outcome() is Outcome.OK  # a request that it has is completed
         await worker.closed.get()
 
     going(test)
 
 
-def test_connections_stay_within_the_limit_and_an_idle_one_gives_way():
+def test_connections_stay_within_the_limit_by_evicting_an_idle_one():
     async def test():
         backends = Backends(most=2, connect_ns=100 * MS)
         busy, other = await StandIn(stall).start(), await StandIn(ok()).start()
@@ -371,39 +373,39 @@
         assert await backends.outcome() is Outcome.OK
         backends.send("w")
         await busy.arrived.get()
-        backends.send("w")  # the idle one to the other worker gives way
+        backends.send("w")  # the idle connection to the other worker is evicted
         await busy.arrived.get()
-        backends.send("o")  # none is left: it never ran, and that is not the worker's fault
+        backends.send("o")  # no connection is left: the request never ran, and the worker is not at fault
         assert await backends.outcome() is Outcome.MOOT
         assert len(backends.side.connections) == 2
 
     going(test)
 
 
-def test_a_request_that_is_not_written_whole_never_ran():
+def test_request_not_written_completely_is_a_connect_failure():
     async def test():
         backends = Backends()
-        taken = asyncio.Queue()
+        writers = asyncio.Queue()
 
-        async def deaf(reader, writer):
+        async def never_reads(reader, writer):
             writer.transport.pause_reading()
-            taken.put_nowait(writer)
+            writers.put_nowait(writer)
 
-        server = await asyncio.start_server(deaf, "127.0.0.1", 0)
+        server = await asyncio.start_server(never_reads, "127.0.0.1", 0)
         backends.list(line("w", server.sockets[0].getsockname()[1]))
         backends.send(body=bytes(16 << 20), method=b"POST")  # more than the kernel's buffers hold
-        (await taken.get()).transport.abort()
+        (await writers.get()).transport.abort()
         assert await backends.outcome() is Outcome.CONNECT_FAILED
         server.close()
 
     going(test)
 
 
-def test_a_silent_backend_is_asked_on_a_new_connection():
-    # A machine that is cut off says nothing, on any of its connections; they may stay silent once it is back.
+def test_unresponsive_backend_gets_a_new_connection():
+    # A machine that is cut off sends nothing on any connection, and these may stay silent after its return.
     async def test():
-        held = wait_then(ok())
-        backends, worker = Backends(), await StandIn(held, held, stall, ok()).start()
+        delayed = wait_then(ok())
+        backends, worker = Backends(), await StandIn(delayed, delayed, stall, ok()).start()
         backends.list(line("w", worker.port))
         for _ in range(2):
             backends.send()
