--- a/pepperrun/net/connection.py
+++ b/pepperrun/net/connection.py
@@ -44,7 +44,7 @@
 
 
 def encode_request(request: Request, extra_headers: bytes) -> bytes:
-    """Returns the request as sent to a backend, followed by the header lines `extra_headers`."""
+    """Returns the request as sent to a backend; `extra_headers` are further header lines."""
     if request.complete:
         length = b"Content-Length: %d\r\n" % len(request.body) if request.body else b""
         if not length and request.method not in (b"GET", b"HEAD"):
@@ -128,13 +128,13 @@
 class Attempt:
     """An attempt that has not ended, with its connection once it has one."""
 
-    __slots__ = ("backend", "connect_resets", "connection", "deadline", "exchange", "number", "timer")
+    __slots__ = ("backend", "connection", "deadline", "exchange", "failed_connects", "number", "timer")
 
     def __init__(self, exchange: Exchange[Request, Response], number: int, backend: int, deadline: int):
         self.exchange, self.number, self.backend, self.deadline = exchange, number, backend, deadline
         self.connection: Connection | None = None
         self.timer: asyncio.TimerHandle | None = None
-        self.connect_resets = 0
+        self.failed_connects = 0
 
 
 class Pool:
@@ -225,7 +225,9 @@
         self.keep_alive_ns = 0  # how long the backend keeps it open while idle; 0: not announced
         self.previous_request_id: object = None  # ids of the previous and the current request
         self.request_id: object = None
-        self.has_surplus = False  # a response to no request has arrived: no further request is sent here
+        self.has_surplus = (
+            False  # input that no request asked for has arrived: no further request is sent here
+        )
         self.stall_timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
--- a/pepperrun/net/upstream.py
+++ b/pepperrun/net/upstream.py
@@ -339,8 +339,8 @@
         if not failed or not pool.waiting:
             return
         first = pool.waiting[0]
-        first.connect_resets += 1
-        if was_accepted and first.connect_resets < MAX_CONNECTS:
+        first.failed_connects += 1
+        if was_accepted and first.failed_connects < MAX_CONNECTS:
             self._open_connections(pool.backend, pool)  # a process that is down would not have accepted
         else:
             self.finish_attempt(first, Outcome.CONNECT_FAILED)
