--- a/pepperrun/core/gossip.py
+++ b/pepperrun/core/gossip.py
@@ -1,22 +1,26 @@
-"""Packs and unpacks what gateways tell each other. Nothing here decides anything.
-
-A message is a header and entries of four kinds, little-endian:
-
-    header  u8 version, u32 incarnation of the sender, u32 sequence number, u8 latency as the sender sees it,
-            u8 entries, u8 asks, u8 answers, u8 marks; where there are entries u32 incarnation of the receiver
-            as last heard (0: not heard)
-    entry   u64 of 33 bits customer, 1 bit that ceiling fields follow, 1 bit that attempts out follow, 5 spare
-            bits and 24 bits total; u16 debt; where so said u16 ceiling level and u16 handed over; where so
-            said u8 attempts out
-    ask     u40 of 33 bits customer and 7 bits plan; u32 request, u16 units, i16 owed, u16 first, u16 spread
-    answer  u40 of 33 bits customer, 1 bit near its quota, 1 bit beyond it, 1 bit granted and 4 spare bits;
-            u32 request, u16 units where granted, else wait in ms
-    mark    u32 backend, u8 class, u8 age in 50 ms, u8 badness in 255ths
-
-Amounts are in sixteenths of a unit. `total` counts the units that the sender sent since its start, and wraps;
-`debt` is what it lately used of its slice; `latency` is in hundredths of an aim; `handed over` are ceiling
-units that the sender gave up for the receiver (no ceiling fields: the sender's part of it is far from spent);
-`owed` is what it used without asking, or gives back. Messages are paid for by the byte.
+"""Packs and unpacks the messages between gateways, and keeps what peers report. Makes no quota decisions.
+
+A message is a header followed by records of four kinds, little-endian:
+
+    header         u8 version, u32 incarnation of the sender, u32 sequence number, u8 latency as the sender
+                   sees it, u8 usage entries, u8 unit requests, u8 unit responses, u8 backend reports; if
+                   there are usage entries: u32 incarnation of the receiver as last received (0: none)
+    usage entry    u64 of 33 bits customer, 1 bit that hard limit fields follow, 1 bit that the number of
+                   attempts in flight follows, 5 spare bits and 24 bits total units; u16 local used units;
+                   with the first bit u16 hard limit level and u16 transferred units; with the second bit u8
+                   attempts in flight
+    unit request   u40 of 33 bits customer and 7 bits plan; u32 request, u16 units, i16 owed, u16 first,
+                   u16 spread
+    unit response  u40 of 33 bits customer, 1 bit low balance, 1 bit over quota, 1 bit granted and 4 spare
+                   bits; u32 request, u16 units if granted, otherwise wait in ms
+    backend report u32 backend, u8 class, u8 age in 50 ms, u8 failure score in 255ths
+
+Amounts are in sixteenths of a unit. `total units` counts the units that the sender has used since its start
+and wraps. `local used units` is what the sender has recently taken out of its local bucket. `latency` is in
+hundredths of the latency target. `transferred units` are hard limit units that the sender has given up for
+the receiver. An entry without hard limit fields means that the sender's share of the hard limit is far from
+used up. `owed` is what the requester used without a grant; a negative value gives granted units back.
+Messages are charged by the byte, so entries omit fields that carry no information.
 """
 
 from __future__ import annotations
@@ -30,7 +34,7 @@
 from pepperrun.core.interface import MAX_PLANS
 
 USE_HALF_LIFE_NS = SECOND
-USE_DECAY_PER_S = 0.69  # a second, of a sum that halves in one
+USE_DECAY_PER_S = 0.69  # ln 2: turns a sum with a half-life of one second into a rate per second
 VERSION = 4
 MAX_BYTES = 256
 STEPS_PER_UNIT = 16
@@ -40,30 +44,32 @@
 _HARD_LIMIT = struct.Struct("<HH")
 _CUSTOMER_COUNT = 2**33
 _HAS_HARD_LIMIT, _HAS_IN_FLIGHT, _TOTAL_SHIFT = 2**33, 2**34, 40
-TOTAL_WRAP = 2**24  # a total wraps here
+TOTAL_WRAP = 2**24  # steps after which a total wraps
 _UNIT_REQUEST = struct.Struct("<5sIHhHH")
 _UNIT_RESPONSE = struct.Struct("<5sIH")
 _LOW_BALANCE, _OVER_QUOTA, _GRANTED, _PLAN_SHIFT = 2**33, 2**34, 2**35, 33
 _BACKEND_REPORT = struct.Struct("<IBBB")
 MAX_BACKEND_REPORTS = 2
-EXTRA_FORWARDS = 2  # times that a sighting is passed on, beyond the logarithm of the number of gateways
-SAME_SCORE_WITHIN = 1 / 64  # badness that differs by less is the same
+EXTRA_FORWARDS = 2  # forwards of a backend report beyond the binary logarithm of the number of gateways
+SAME_SCORE_WITHIN = 1 / 64  # failure scores that differ by less count as equal
 AGE_STEP_NS = 50_000_000
-INCARNATION_TICK_NS = (
-    100_000_000  # incarnations count these: they wrap after 13 years, and one start takes longer
-)
+# Incarnations are start times in these ticks. They wrap after 13 years, and a start takes longer than a tick.
+INCARNATION_TICK_NS = 100_000_000
 MAX_ENTRY_BYTES = _ENTRY.size + _HARD_LIMIT.size + 1
 MAX_ENTRIES = (
     MAX_BYTES - _HEADER.size - _RECEIVER.size - MAX_BACKEND_REPORTS * _BACKEND_REPORT.size
 ) // MAX_ENTRY_BYTES
 
 
-NOT_LOW = float("inf")
+NOT_LOW = float("inf")  # hard limit level of an entry without hard limit fields
 
 
 @dataclass(slots=True)
 class UsageEntry:
-    """What a gateway tells of one customer. `ceiling`: FAR where it is far from spent."""
+    """One gateway's use of one customer's quota.
+
+    `hard_limit_level`: units left in its hard limit bucket, `NOT_LOW` if that bucket is far from empty.
+    """
 
     customer: int
     total_units: float
@@ -73,7 +79,7 @@
     attempts_in_flight: int
 
     def size(self) -> int:
-        """Bytes in a message."""
+        """Returns the number of bytes that the entry takes in a message."""
         return (
             _ENTRY.size + _HARD_LIMIT.size * (self.hard_limit_level < NOT_LOW) + (self.attempts_in_flight > 0)
         )
@@ -81,7 +87,7 @@
 
 @dataclass(slots=True)
 class UnitRequest:
-    """A gateway asks a customer's keeper for units; with 0 it only tells what it owes."""
+    """A request for units to the owner of a customer's quota; with 0 units it only reports what is owed."""
 
     customer: int
     request: int
@@ -94,7 +100,7 @@
 
 @dataclass(slots=True)
 class UnitResponse:
-    """A keeper's answer: the units asked for, or 0 and how long to stay away."""
+    """An owner's response: the requested units, or 0 units and how long to wait before the next request."""
 
     customer: int
     request: int
@@ -106,7 +112,7 @@
 
 @dataclass(slots=True)
 class BackendReport:
-    """How badly a backend does with a class, and how old the last attempt is that shows it."""
+    """How often a backend fails requests of a class, and the age of the last attempt that shows it."""
 
     backend: int
     cls: int
@@ -116,7 +122,7 @@
 
 @dataclass(slots=True)
 class Message:
-    """What a gateway tells another one at a time."""
+    """One datagram from a gateway to a peer."""
 
     incarnation: int
     sequence: int
@@ -128,7 +134,7 @@
     backend_reports: list[BackendReport] = field(default_factory=list)
 
     def is_full(self) -> bool:
-        """Has it no room for one more ask or answer?"""
+        """Reports whether one more record of any kind might not fit into `MAX_BYTES`."""
         size = (
             _HEADER.size
             + _RECEIVER.size
@@ -143,12 +149,12 @@
 
 
 def quantize_units(amount: float) -> float:
-    """The amount that arrives when `amount` is told: rounded down to the step, within what fits."""
+    """Returns the amount that a peer receives for `amount`: rounded down to a step, clamped to 16 bits."""
     return min(65535, max(0, int(amount * STEPS_PER_UNIT))) / STEPS_PER_UNIT
 
 
 def _wrapped_difference(now: int, before: int, wrap: int = 2**32) -> int:
-    """How far a count that wraps has come; below 0 where `now` is the older one."""
+    """Returns how far a counter that wraps has advanced; below 0 if `now` is the older value."""
     return (now - before + wrap // 2) % wrap - wrap // 2
 
 
@@ -157,12 +163,12 @@
 
 
 def quantize_owed(amount: float) -> float:
-    """What of an amount owed, or with a minus to be given back, one ask carries."""
+    """Returns the part of an amount owed (negative: to be given back) that fits into one unit request."""
     return max(-(2**15), min(2**15 - 1, round(amount * STEPS_PER_UNIT))) / STEPS_PER_UNIT
 
 
 def pack(message: Message) -> bytes:
-    """The bytes of a message."""
+    """Returns the message as bytes; entries beyond `MAX_ENTRIES` are left out."""
     entries = message.entries[:MAX_ENTRIES]
     latency = min(255, max(0, int(message.latency * 100)))
     ids = (message.incarnation, message.sequence, latency)
@@ -179,105 +185,134 @@
     if entries:
         parts.append(_RECEIVER.pack(message.receiver_incarnation))
     for entry in entries:
-        near, out = entry.hard_limit_level < NOT_LOW, min(255, entry.attempts_in_flight)
-        word = entry.customer % _CUSTOMER_COUNT + _HAS_HARD_LIMIT * near + _HAS_IN_FLIGHT * (out > 0)
+        has_hard_limit, in_flight = entry.hard_limit_level < NOT_LOW, min(255, entry.attempts_in_flight)
+        word = (
+            entry.customer % _CUSTOMER_COUNT
+            + _HAS_HARD_LIMIT * has_hard_limit
+            + _HAS_IN_FLIGHT * (in_flight > 0)
+        )
         total = round(entry.total_units * STEPS_PER_UNIT) % TOTAL_WRAP
         parts.append(_ENTRY.pack(word + (total << _TOTAL_SHIFT), _to_steps(entry.local_used_units)))
-        if near:
+        if has_hard_limit:
             parts.append(
                 _HARD_LIMIT.pack(_to_steps(entry.hard_limit_level), _to_steps(entry.transferred_units))
             )
-        if out > 0:
-            parts.append(bytes((out,)))
-    for ask in message.unit_requests:
-        word = ask.customer % _CUSTOMER_COUNT + (ask.plan % MAX_PLANS << _PLAN_SHIFT)
-        units, owed = _to_steps(ask.units), int(quantize_owed(ask.owed) * STEPS_PER_UNIT)
+        if in_flight > 0:
+            parts.append(bytes((in_flight,)))
+    for unit_request in message.unit_requests:
+        word = unit_request.customer % _CUSTOMER_COUNT + (unit_request.plan % MAX_PLANS << _PLAN_SHIFT)
+        units, owed = _to_steps(unit_request.units), int(quantize_owed(unit_request.owed) * STEPS_PER_UNIT)
         parts.append(
-            _UNIT_REQUEST.pack(word.to_bytes(5, "little"), ask.request, units, owed, ask.first, ask.spread)
+            _UNIT_REQUEST.pack(
+                word.to_bytes(5, "little"),
+                unit_request.request,
+                units,
+                owed,
+                unit_request.first,
+                unit_request.spread,
+            )
         )
-    for answer in message.unit_responses:
-        granted = answer.units > 0
-        value = _to_steps(answer.units) if granted else min(65535, max(0, answer.wait_ms))
+    for unit_response in message.unit_responses:
+        granted = unit_response.units > 0
+        value = _to_steps(unit_response.units) if granted else min(65535, max(0, unit_response.wait_ms))
         word = (
-            answer.customer % _CUSTOMER_COUNT
-            + _LOW_BALANCE * answer.low_balance
-            + _OVER_QUOTA * answer.over_quota
+            unit_response.customer % _CUSTOMER_COUNT
+            + _LOW_BALANCE * unit_response.low_balance
+            + _OVER_QUOTA * unit_response.over_quota
             + _GRANTED * granted
         )
-        parts.append(_UNIT_RESPONSE.pack(word.to_bytes(5, "little"), answer.request, value))
-    for mark in message.backend_reports:
-        age = min(255, max(0, mark.age_ns // AGE_STEP_NS))
+        parts.append(_UNIT_RESPONSE.pack(word.to_bytes(5, "little"), unit_response.request, value))
+    for backend_report in message.backend_reports:
+        age = min(255, max(0, backend_report.age_ns // AGE_STEP_NS))
         parts.append(
             _BACKEND_REPORT.pack(
-                mark.backend, mark.cls, age, int(min(1.0, max(0.0, mark.failure_score)) * 255)
+                backend_report.backend,
+                backend_report.cls,
+                age,
+                int(min(1.0, max(0.0, backend_report.failure_score)) * 255),
             )
         )
     return b"".join(parts)
 
 
-def _unpack_entries(data: bytes, at: int, count: int) -> tuple[list[UsageEntry], int]:
-    """The entries and where they end; past the data's end where it is too short."""
+def _unpack_entries(data: bytes, offset: int, count: int) -> tuple[list[UsageEntry], int]:
+    """Returns the entries and the offset of their end, which is past the end of `data` if it is too short."""
     entries = []
     for _ in range(count):
-        if at + _ENTRY.size > len(data):
+        if offset + _ENTRY.size > len(data):
             return [], len(data) + 1
-        word, debt = _ENTRY.unpack_from(data, at)
-        at += _ENTRY.size
-        ceiling, handed, out = NOT_LOW, 0.0, 0
+        word, local_used = _ENTRY.unpack_from(data, offset)
+        offset += _ENTRY.size
+        hard_limit_level, transferred, in_flight = NOT_LOW, 0.0, 0
         if word & _HAS_HARD_LIMIT:
-            if at + _HARD_LIMIT.size > len(data):
+            if offset + _HARD_LIMIT.size > len(data):
                 return [], len(data) + 1
-            level, given = _HARD_LIMIT.unpack_from(data, at)
-            ceiling, handed = level / STEPS_PER_UNIT, given / STEPS_PER_UNIT
-            at += _HARD_LIMIT.size
+            level, given_up = _HARD_LIMIT.unpack_from(data, offset)
+            hard_limit_level, transferred = level / STEPS_PER_UNIT, given_up / STEPS_PER_UNIT
+            offset += _HARD_LIMIT.size
         if word & _HAS_IN_FLIGHT:
-            if at >= len(data):
+            if offset >= len(data):
                 return [], len(data) + 1
-            out = data[at]
-            at += 1
+            in_flight = data[offset]
+            offset += 1
         total = (word >> _TOTAL_SHIFT) / STEPS_PER_UNIT
-        entries.append(UsageEntry(word % _CUSTOMER_COUNT, total, debt / STEPS_PER_UNIT, ceiling, handed, out))
-    return entries, at
+        entries.append(
+            UsageEntry(
+                word % _CUSTOMER_COUNT,
+                total,
+                local_used / STEPS_PER_UNIT,
+                hard_limit_level,
+                transferred,
+                in_flight,
+            )
+        )
+    return entries, offset
 
 
 def _unpack_unit_request(
-    word: bytes, request: int, units: int, owed: int, first: int, spread: int
+    packed: bytes, request: int, units: int, owed: int, first: int, spread: int
 ) -> UnitRequest:
-    what = int.from_bytes(word, "little")
-    plan = what >> _PLAN_SHIFT
+    bits = int.from_bytes(packed, "little")
+    plan = bits >> _PLAN_SHIFT
     return UnitRequest(
-        what % _CUSTOMER_COUNT, request, units / STEPS_PER_UNIT, owed / STEPS_PER_UNIT, plan, first, spread
+        bits % _CUSTOMER_COUNT, request, units / STEPS_PER_UNIT, owed / STEPS_PER_UNIT, plan, first, spread
     )
 
 
-def _unpack_unit_response(word: bytes, request: int, value: int) -> UnitResponse:
-    what = int.from_bytes(word, "little")
-    near, beyond, granted = bool(what & _LOW_BALANCE), bool(what & _OVER_QUOTA), bool(what & _GRANTED)
+def _unpack_unit_response(packed: bytes, request: int, value: int) -> UnitResponse:
+    bits = int.from_bytes(packed, "little")
+    low_balance, over_quota, granted = (
+        bool(bits & _LOW_BALANCE),
+        bool(bits & _OVER_QUOTA),
+        bool(bits & _GRANTED),
+    )
     return UnitResponse(
-        what % _CUSTOMER_COUNT,
+        bits % _CUSTOMER_COUNT,
         request,
         value / STEPS_PER_UNIT * granted,
         0 if granted else value,
-        near,
-        beyond,
+        low_balance,
+        over_quota,
     )
 
 
 def unpack(data: bytes) -> Message | None:
-    """The message in these bytes; None when they are garbled, oversized or of a foreign version."""
+    """Returns the message in `data`, or None if it is malformed, too long or of another version."""
     if not _HEADER.size <= len(data) <= MAX_BYTES or data[0] != VERSION:
         return None
-    _, incarnation, sequence, latency, count, asks, answers, marks = _HEADER.unpack_from(data)
-    at, receiver = _HEADER.size, 0
-    if count:
-        if len(data) < at + _RECEIVER.size:
+    _, incarnation, sequence, latency, entry_count, request_count, response_count, report_count = (
+        _HEADER.unpack_from(data)
+    )
+    offset, receiver = _HEADER.size, 0
+    if entry_count:
+        if len(data) < offset + _RECEIVER.size:
             return None
-        (receiver,) = _RECEIVER.unpack_from(data, at)
-        at += _RECEIVER.size
-    entries, asks_at = _unpack_entries(data, at, count)
-    answers_at = asks_at + asks * _UNIT_REQUEST.size
-    marks_at = answers_at + answers * _UNIT_RESPONSE.size
-    if len(data) != marks_at + marks * _BACKEND_REPORT.size:
+        (receiver,) = _RECEIVER.unpack_from(data, offset)
+        offset += _RECEIVER.size
+    entries, requests_at = _unpack_entries(data, offset, entry_count)
+    responses_at = requests_at + request_count * _UNIT_REQUEST.size
+    reports_at = responses_at + response_count * _UNIT_RESPONSE.size
+    if len(data) != reports_at + report_count * _BACKEND_REPORT.size:
         return None
     return Message(
         incarnation,
@@ -285,91 +320,105 @@
         receiver,
         latency / 100,
         entries,
-        [_unpack_unit_request(*fields) for fields in _UNIT_REQUEST.iter_unpack(data[asks_at:answers_at])],
-        [_unpack_unit_response(*fields) for fields in _UNIT_RESPONSE.iter_unpack(data[answers_at:marks_at])],
         [
-            BackendReport(backend, cls, age * AGE_STEP_NS, bad / 255)
-            for backend, cls, age, bad in _BACKEND_REPORT.iter_unpack(data[marks_at:])
+            _unpack_unit_request(*fields)
+            for fields in _UNIT_REQUEST.iter_unpack(data[requests_at:responses_at])
+        ],
+        [
+            _unpack_unit_response(*fields)
+            for fields in _UNIT_RESPONSE.iter_unpack(data[responses_at:reports_at])
+        ],
+        [
+            BackendReport(backend, cls, age * AGE_STEP_NS, failure_score / 255)
+            for backend, cls, age, failure_score in _BACKEND_REPORT.iter_unpack(data[reports_at:])
         ],
     )
 
 
 @dataclass(slots=True)
 class PeerReport:
-    """What a peer last told of a customer, when, and how much of it the peer used lately."""
+    """A peer's last usage entry for a customer, when it arrived, and the peer's recent use."""
 
     incarnation: int
     entry: UsageEntry
     received_at: int
     recent_use: DecayingSum
 
-    def estimated_unreported(self, now: int, most: int) -> float:
-        """What it will have used since, at the rate of late, for at most so long."""
-        return self.recent_use.read(now) * USE_DECAY_PER_S * min(most, now - self.received_at) / SECOND
+    def estimated_unreported(self, now: int, max_ns: int) -> float:
+        """Returns the units that the peer has probably used since its report.
+
+        Extrapolates its recent rate of use over the report's age, at most `max_ns`.
+        """
+        return self.recent_use.read(now) * USE_DECAY_PER_S * min(max_ns, now - self.received_at) / SECOND
 
 
 class PeerReports:
-    """What the peers of a customer told of it: cumulative counts turned into use since the last message."""
+    """The peers' reports on one customer. Turns their cumulative counts into use since the last report."""
 
     def __init__(self) -> None:
         self.by_peer: dict[int, PeerReport] = {}
 
     def record(self, peer: int, incarnation: int, entry: UsageEntry, now: int) -> float:
-        """Takes in an entry; the use that it adds. Units spent long ago have filled up again: the debt bounds
-        what a first count, or one after a gap, adds."""
-        told = self.by_peer.get(peer)
+        """Stores an entry and returns the units of use that it adds.
+
+        Units used long ago have been refilled since. The peer's local used units therefore bound what its
+        first count, or a count after a gap, adds.
+        """
+        report = self.by_peer.get(peer)
         used = entry.local_used_units
-        if told is not None and told.incarnation == incarnation:
-            more = (
+        if report is not None and report.incarnation == incarnation:
+            increase = (
                 _wrapped_difference(
                     round(entry.total_units * STEPS_PER_UNIT),
-                    round(told.entry.total_units * STEPS_PER_UNIT),
+                    round(report.entry.total_units * STEPS_PER_UNIT),
                     TOTAL_WRAP,
                 )
                 / STEPS_PER_UNIT
             )
-            used = min(entry.local_used_units, more)
-        lately = told.recent_use if told is not None else DecayingSum(USE_HALF_LIFE_NS, now)
-        lately.add(max(0.0, used), now)
-        self.by_peer[peer] = PeerReport(incarnation, entry, now, lately)
+            used = min(entry.local_used_units, increase)
+        recent_use = report.recent_use if report is not None else DecayingSum(USE_HALF_LIFE_NS, now)
+        recent_use.add(max(0.0, used), now)
+        self.by_peer[peer] = PeerReport(incarnation, entry, now, recent_use)
         return used
 
     def received_since(self, at: int) -> list[PeerReport]:
-        """What was told since then."""
-        return [told for told in self.by_peer.values() if told.received_at > at]
+        """Returns the reports received after that time."""
+        return [report for report in self.by_peer.values() if report.received_at > at]
 
 
 class BackendReports:
-    """What is known of each backend and class: the newest sighting wins, own or told, and is passed on.
+    """The failure score of each backend and class, from this gateway's attempts or a peer's; the newest wins.
 
-    Each passes a sighting on a few times only: whoever hears it does so too, and the more gateways there are,
-    the fewer times past the logarithm of their number reach anybody who has not heard.
+    A new score is forwarded to peers a few times only, as every receiver forwards it too. Once a score has
+    been forwarded as often as the logarithm of the number of gateways, hardly any gateway is left without it,
+    and the more gateways there are, the fewer extra forwards reach them.
     """
 
-    def __init__(self, lasts: int, gateways: int) -> None:
-        self.forward_for_ns, self.forward_times = lasts, gateways.bit_length() + EXTRA_FORWARDS
-        self.known: dict[tuple[int, int], tuple[float, int]] = {}  # badness and when seen
-        self.pending_forwards: dict[
-            tuple[int, int], tuple[int, int]
-        ] = {}  # passed on until, and how many times more
+    def __init__(self, forward_for_ns: int, gateways: int) -> None:
+        self.forward_for_ns, self.forward_times = forward_for_ns, gateways.bit_length() + EXTRA_FORWARDS
+        self.known: dict[tuple[int, int], tuple[float, int]] = {}  # failure score and when seen
+        # By backend and class: the time until which the score is forwarded, and the forwards left.
+        self.pending_forwards: dict[tuple[int, int], tuple[int, int]] = {}
 
-    def record(self, backend: int, cls: int, bad: float, at: int, spread: bool) -> None:
-        """A sighting; older ones than the known one change nothing."""
+    def record(self, backend: int, cls: int, failure_score: float, seen_at: int, forward: bool) -> None:
+        """Stores a failure score unless a newer one is known; `forward` also queues it for the peers."""
         known, known_at = self.known.get((backend, cls), (-1.0, 0))
-        if at - known_at < 2 * AGE_STEP_NS and abs(bad - known) < SAME_SCORE_WITHIN:
-            return  # the same, told by another: else what all tell each other would never grow old
-        if at >= known_at:
-            self.known[backend, cls] = (bad, at)
-            if spread:
-                self.pending_forwards[backend, cls] = (at + self.forward_for_ns, self.forward_times)
-
-    def retain(self, kept: Container[int]) -> None:
-        """Only of these backends is anything still of use."""
-        self.known = {key: seen for key, seen in self.known.items() if key[0] in kept}
-        self.pending_forwards = {key: until for key, until in self.pending_forwards.items() if key[0] in kept}
+        if seen_at - known_at < 2 * AGE_STEP_NS and abs(failure_score - known) < SAME_SCORE_WITHIN:
+            return  # the same score from another peer: storing it would renew the age on each forward
+        if seen_at >= known_at:
+            self.known[backend, cls] = (failure_score, seen_at)
+            if forward:
+                self.pending_forwards[backend, cls] = (seen_at + self.forward_for_ns, self.forward_times)
+
+    def retain(self, backends: Container[int]) -> None:
+        """Drops the scores of all backends other than these."""
+        self.known = {key: seen for key, seen in self.known.items() if key[0] in backends}
+        self.pending_forwards = {
+            key: until for key, until in self.pending_forwards.items() if key[0] in backends
+        }
 
     def sample(self, rng: random.Random, now: int) -> list[BackendReport]:
-        """Some of the news, for one message."""
+        """Returns a random choice of scores still to be forwarded, as many as fit into one message."""
         self.pending_forwards = {
             key: left for key, left in self.pending_forwards.items() if left[0] > now and left[1] > 0
         }
@@ -381,14 +430,14 @@
 
 
 class Inbox:
-    """Takes each peer's messages in order: garbled, repeated and outdated ones are dropped whole."""
+    """Accepts each peer's messages in order; malformed, repeated and outdated messages are dropped."""
 
     def __init__(self) -> None:
-        self.peers: dict[int, tuple[int, int, int]] = {}  # peer: incarnation, last sequence, heard at
-        self.malformed = 0  # messages that could not be read
+        self.peers: dict[int, tuple[int, int, int]] = {}  # peer: incarnation, last sequence, received at
+        self.malformed = 0  # messages that could not be unpacked
 
     def accept(self, peer: int, data: bytes, now: int) -> Message | None:
-        """The message in these bytes, if it is to be taken in."""
+        """Returns the message in `data`, or None if it is malformed or not newer than the last one."""
         message = unpack(data)
         if message is None:
             self.malformed += 1
@@ -402,12 +451,12 @@
         return message
 
     def incarnation_of(self, peer: int) -> int:
-        """The peer's incarnation as last heard, 0 if it was not."""
+        """Returns the peer's incarnation as last received, 0 if none was received."""
         return self.peers[peer][0] if peer in self.peers else 0
 
 
 class Outbox:
-    """Collects what goes to each peer at the end of a turn, in as few messages as hold it."""
+    """Collects what goes to each peer at the end of a call of `handle`, in as few messages as possible."""
 
     def __init__(self) -> None:
         self.incarnation = self.sequence = 0
@@ -415,7 +464,7 @@
         self.full_messages: list[tuple[int, Message]] = []
 
     def message_for(self, peer: int) -> Message:
-        """The message to a peer that has room for one more of anything."""
+        """Returns the peer's current message, a new one if the last one is full."""
         if peer in self.open_messages and self.open_messages[peer].is_full():
             self.full_messages.append((peer, self.open_messages.pop(peer)))
         if peer not in self.open_messages:
@@ -423,10 +472,10 @@
         return self.open_messages[peer]
 
     def drain(self) -> list[tuple[int, Message]]:
-        """All messages with their peers, numbered in order."""
-        out = self.full_messages + list(self.open_messages.items())
+        """Returns all collected messages with their peers, numbers them in order and starts anew."""
+        numbered = self.full_messages + list(self.open_messages.items())
         self.full_messages, self.open_messages = [], {}
-        for _, message in out:
+        for _, message in numbered:
             self.sequence = (self.sequence + 1) % 2**32
             message.sequence = self.sequence
-        return out
+        return numbered
--- a/pepperrun/core/membership_status.py
+++ b/pepperrun/core/membership_status.py
@@ -1,6 +1,7 @@
-"""What is known of the other gatekeepers, as the decisions are told it. Nothing here decides anything.
+"""What the membership protocol knows of the other gatekeepers, as input to the quota decisions. Has no logic.
 
-Without membership the neutral one stands, and the decisions go by when they last heard of each peer.
+Without a membership protocol `NO_MEMBERSHIP` applies, and the quota decisions use the time of each peer's
+last message.
 """
 
 from __future__ import annotations
@@ -10,10 +11,13 @@
 
 @dataclass(slots=True, frozen=True)
 class MembershipStatus:
-    """`lost`: gatekeepers that are not there, or are suspected; they keep no customer's store.
+    """Which gatekeepers are absent or unreachable, and what this one may do with quotas meanwhile.
 
-    `missing`: gatekeepers whose parts of a quota those on this side leave alone. `slices`: this one uses its
-    own part alone, and a store that begins meanwhile begins with that. `grants`: it may grant as a keeper.
+    `absent`: gatekeepers that are not there or are suspected; they own no customer's quota. `unreachable`:
+    gatekeepers whose shares of a quota this side of a partition does not use. `tracks_unreachable`: whether
+    `unreachable` is known; otherwise peers without recent messages count as unreachable. `local_share_only`:
+    this gatekeeper uses only its own share, and a bucket created meanwhile starts with that share.
+    `may_grant`: it may grant units as an owner.
     """
 
     tracks_unreachable: bool = False
--- a/pepperrun/core/unit_requester.py
+++ b/pepperrun/core/unit_requester.py
@@ -1,4 +1,4 @@
-"""A request while its customer's keepers are asked for units: where peers are too many to tell them all."""
+"""Requests units from the owners of a customer's quota, where peers are too many to report use to all."""
 
 from __future__ import annotations
 
@@ -12,14 +12,13 @@
 from pepperrun.core.quotas import Quotas
 from pepperrun.core.state import EventDispatcher
 
-MAX_UNIT_REQUESTS = 3  # two to a keeper, as one may be lost, and one to the next
-RESPONSE_TIMEOUT_DIVISOR = (
-    6  # an ask is unanswered after this part of the aim: it leaves half of it to serve in
-)
+MAX_UNIT_REQUESTS = 3  # two to one owner, as a message may be lost, and one to the next owner
+# A unit request times out after this fraction of the latency target: three leave half of it to serve in.
+RESPONSE_TIMEOUT_DIVISOR = 6
 
 
 class UnitRequester(EventDispatcher):
-    """Asks, and goes by what keepers answer; the rest of a request's way is the gateway's."""
+    """Requests units for held requests and acts on the owners' responses; `Gateway` does the rest."""
 
     settings: Settings
     quotas: Quotas
@@ -37,7 +36,7 @@
         raise NotImplementedError
 
     def _request_units(self, held: PendingRequest) -> None:
-        """Asks the customer's keepers in turn; where none answers, the slice of this gateway decides."""
+        """Requests units from the customer's owners in turn; if none responds, the local bucket decides."""
         account, me = held.account, self.settings.me
         if held.asked_at and self.now + held.service.fleet.expected_ns(held) > held.target_at:
             self._fail_or_refuse(held)
@@ -45,10 +44,9 @@
         if self.quotas.quota_owners is not None:
             self._request_from_quota_owners(held, self.quotas.quota_owners)
             return
-        none = self.quotas.membership_status.absent.issuperset(
-            account.owners
-        )  # no keeper is there to be asked
-        if (none or held.asks >= MAX_UNIT_REQUESTS) and account.plan.ceiling_rate <= 0:
+        # All owners absent: nobody to request units from.
+        all_absent = self.quotas.membership_status.absent.issuperset(account.owners)
+        if (all_absent or held.asks >= MAX_UNIT_REQUESTS) and account.plan.ceiling_rate <= 0:
             if account.low_balance_reported or account.local_bucket.fill(self.now) < min(
                 held.units, account.local_bucket.depth
             ):
@@ -58,79 +56,85 @@
             account.owed += held.units
             self._admit(held)
             return
-        keeper = self.quotas.unit_grants.owner_of(account, self.now)
+        owner = self.quotas.unit_grants.owner_of(account, self.now)
         held.asks, held.asked_at, held.asking = held.asks + 1, self.now, True
-        if keeper == me:
+        if owner == me:
             self._on_unit_response(
                 self.quotas.unit_grants.grant(account, me, held.id, held.units, self.now), me
             )
             return
-        self._send_unit_request(held, keeper)
+        self._send_unit_request(held, owner)
 
-    def _request_from_quota_owners(self, held: PendingRequest, quota_keepers: QuotaOwners) -> None:
-        """Asks the next keeper that may have something; where none has, it is beyond the quota."""
-        account, missed, lost = (
+    def _request_from_quota_owners(self, held: PendingRequest, quota_owners: QuotaOwners) -> None:
+        """Requests units from the next owner that may have some; if none has, the request is over quota."""
+        account, unanswered, absent = (
             held.account,
             self.quotas.unit_grants.unanswered,
             self.quotas.membership_status.absent,
         )
         wait = self.gate.wait_ns(held.gate_context, self.now) if self.gate is not None else 0
-        keeper = quota_keepers.choose_owner(account, missed, lost, self.now)
-        if wait or keeper is None:
-            again = quota_keepers.earliest_refill(account, self.now)
-            if again and not wait:
-                account.rejected_until = again
-                wait = int((again - self.now) * (1 + self.rng.random()))
-            self._refuse(held, wait / SECOND, keeper is None and again > 0)
+        owner = quota_owners.choose_owner(account, unanswered, absent, self.now)
+        if wait or owner is None:
+            retry_at = quota_owners.earliest_refill(account, self.now)
+            if retry_at and not wait:
+                account.rejected_until = retry_at
+                wait = int((retry_at - self.now) * (1 + self.rng.random()))
+            self._refuse(held, wait / SECOND, owner is None and retry_at > 0)
             return
         held.asks, held.asked_at, held.asking = held.asks + 1, self.now, True
-        if keeper == self.settings.me:
+        if owner == self.settings.me:
             self._on_unit_response(
-                quota_keepers.grant(self.quotas, account, held.id, held.units, self.now), keeper
+                quota_owners.grant(self.quotas, account, held.id, held.units, self.now), owner
             )
         else:
-            self._send_unit_request(held, keeper)
+            self._send_unit_request(held, owner)
 
-    def _send_unit_request(self, held: PendingRequest, keeper: int) -> None:
+    def _send_unit_request(self, held: PendingRequest, owner: int) -> None:
         account = held.account
-        self.quotas.unit_grants.request_units(account, keeper, held.id, held.units)
-        asks = held.asks
+        self.quotas.unit_grants.request_units(account, owner, held.id, held.units)
+        request_count = held.asks
 
-        def unanswered() -> None:
-            if held.asking and held.asks == asks:
-                missed = self.quotas.unit_grants.unanswered
-                missed[keeper] = (missed.get(keeper, (0, 0))[0] + 1, self.now)
+        def on_timeout() -> None:
+            if held.asking and held.asks == request_count:
+                unanswered = self.quotas.unit_grants.unanswered
+                unanswered[owner] = (unanswered.get(owner, (0, 0))[0] + 1, self.now)
                 self._request_units(held)
 
-        due = self.now + held.target_ns // RESPONSE_TIMEOUT_DIVISOR
-        self.agenda.add(due, unanswered, lambda: not held.asking or held.asks != asks)
+        deadline = self.now + held.target_ns // RESPONSE_TIMEOUT_DIVISOR
+        self.agenda.add(deadline, on_timeout, lambda: not held.asking or held.asks != request_count)
 
-    def _on_unit_response(self, answer: gossip.UnitResponse, keeper: int) -> None:
-        """What a keeper says: units let the request go to its queue; units that come too late go back."""
-        held, account = self.pending.get(answer.request), self.quotas.accounts.get(answer.customer)
+    def _on_unit_response(self, response: gossip.UnitResponse, owner: int) -> None:
+        """Acts on an owner's response: granted units queue the request, units that come too late go back."""
+        held, account = self.pending.get(response.request), self.quotas.accounts.get(response.customer)
         if held is None or not held.asking or held.account is not account:
-            if account is not None and answer.units > 0:
-                account.owed -= answer.units
+            if account is not None and response.units > 0:
+                account.owed -= response.units
             return
-        account.low_balance_reported = answer.low_balance
-        wait = max(answer.wait_ms * SECOND // 1000, self.settings.tick_ns)
-        if answer.units >= gossip.quantize_units(held.units):
+        account.low_balance_reported = response.low_balance
+        wait = max(response.wait_ms * SECOND // 1000, self.settings.tick_ns)
+        if response.units >= gossip.quantize_units(held.units):
             self._admit(held)
         elif self.quotas.quota_owners is not None:
-            self.quotas.quota_owners.mark_empty(account, keeper, wait, self.now)
+            self.quotas.quota_owners.mark_empty(account, owner, wait, self.now)
             self._request_units(held)
-        elif answer.over_quota:
+        elif response.over_quota:
             account.rejected_until = self.now + int(wait * self.rng.random())
             self._refuse(held, wait / SECOND, True)
         else:
-            held.asks, held.asked_at = 0, self.now  # answered: asked anew when it may be let go
-            again = self.now + wait
+            held.asks, held.asked_at = 0, self.now  # the owner responded: asks again when units may be there
+            retry_at = self.now + wait
             self.agenda.add(
-                again, lambda: self._request_units(held) if held.asking and not held.asks else None
+                retry_at, lambda: self._request_units(held) if held.asking and not held.asks else None
             )
 
     def _grant_expired(self, held: PendingRequest) -> bool:
-        """Rule 5: granted units under way while the true store is full are beyond it: slack bounds them."""
-        plan, asked = held.account.plan, held.account.owners and not held.attempts
-        over = plan.ceiling_slack / plan.ceiling_rate if asked and plan.ceiling_rate > 0 else float("inf")
-        return bool(self.now - held.asked_at > over * SECOND)
+        """Reports whether the request's grant is too old to use.
+
+        Rule 5: units that are granted but not used while the owner's bucket is full exceed the hard limit.
+        The plan's slack bounds them, so a grant is valid for the slack divided by the hard limit's rate.
+        """
+        plan, granted = held.account.plan, held.account.owners and not held.attempts
+        max_age_s = (
+            plan.ceiling_slack / plan.ceiling_rate if granted and plan.ceiling_rate > 0 else float("inf")
+        )
+        return bool(self.now - held.asked_at > max_age_s * SECOND)
--- a/pepperrun/core/unit_transfers.py
+++ b/pepperrun/core/unit_transfers.py
@@ -1,7 +1,7 @@
-"""Escrow: units of hard ceilings that move between gateways by being given up first.
+"""Transfers of hard limit units between gateways: the sender gives units up before the receiver gets them.
 
-A unit is in one bucket, on its way, or lost with a message; so whatever is heard or not, all gateways
-together never spend more than their buckets held and filled up with.
+A unit is in one bucket, in transit, or lost with a message. Whichever messages arrive, all gateways together
+never spend more than their buckets held and were refilled with.
 """
 
 from __future__ import annotations
@@ -13,12 +13,12 @@
 from pepperrun.core.interface import Plan
 from pepperrun.core.unit_grants import REPORT_VALID_NS
 
-MIN_UNITS = 1.0  # units: with fewer left not even one request can go out
-STARVED_AFTER_NS = SECOND  # without a unit for so long, though peers were asked: they have none to spare
+MIN_UNITS = 1.0  # with fewer units left not even one request can be sent
+STARVED_AFTER_NS = SECOND  # after so long without a unit despite requests, peers have none to spare
 
 
 class HardLimitAccount(Protocol):
-    """An account, as far as its hard ceiling goes."""
+    """The fields of an account that concern its hard limit."""
 
     plan: Plan
     spread: int
@@ -29,7 +29,7 @@
 
 
 def is_exhausted(account: HardLimitAccount, now: int) -> bool:
-    """Is there no unit left for a request?"""
+    """Reports whether no unit is left for a request; always False for a plan without a hard limit."""
     if account.plan.ceiling_rate <= 0 or account.hard_limit.fill(now) >= MIN_UNITS:
         account.last_unit_at = now
         return False
@@ -37,34 +37,43 @@
 
 
 def spend_units(account: HardLimitAccount, units: float, now: int) -> None:
-    """Units go out with a request."""
+    """Takes the units of a request that is sent out of the hard limit bucket."""
     account.hard_limit.level -= units
     account.last_unit_at = now
 
 
 def is_starved(account: HardLimitAccount, now: int) -> bool:
-    """Has there been no unit for so long that waiting for one is of no use?"""
+    """Reports whether there has been no unit for so long that waiting for one is useless."""
     return is_exhausted(account, now) and now - account.last_unit_at > STARVED_AFTER_NS
 
 
 def refill_wait_s(account: HardLimitAccount, units: float, now: int) -> float:
-    """Seconds until its own filling brings that many units; 0 where they are there."""
+    """Returns the seconds until the bucket's own refill brings so many units; 0 if they are there.
+
+    Also 0 for a plan without a hard limit and where owners grant the units.
+    """
     if account.plan.ceiling_rate <= 0 or account.owners:
         return 0.0
     return max(0.0, units - account.hard_limit.fill(now)) / max(account.hard_limit.rate, 1e-9)
 
 
 def transfer_units(account: HardLimitAccount, peer: int, now: int) -> float:
-    """Ceiling units moved to a peer with fewer: debited here, credited there, lost with the message."""
-    told = account.peer_reports.by_peer.get(peer)
+    """Takes hard limit units out of the bucket for a peer that has fewer, and returns how many.
+
+    They are debited here and credited there when the message arrives; a lost message loses them.
+    """
+    report = account.peer_reports.by_peer.get(peer)
     account.hard_limit.fill(now)
-    if account.plan.ceiling_rate <= 0 or told is None or now - told.received_at > REPORT_VALID_NS:
+    if account.plan.ceiling_rate <= 0 or report is None or now - report.received_at > REPORT_VALID_NS:
         return 0.0
-    if told.entry.hard_limit_level == gossip.NOT_LOW:
+    if report.entry.hard_limit_level == gossip.NOT_LOW:
         return 0.0
-    # What is on its way while the true store is full is beyond it: the slack over the spread bounds that.
-    most = account.plan.ceiling_slack / account.spread / 2
-    handed = gossip.quantize_units(min(most, (account.hard_limit.level - told.entry.hard_limit_level) / 2))
-    account.hard_limit.level -= handed
-    told.entry.hard_limit_level += handed
-    return handed
+    # Units in transit while the bucket of the whole limit is full exceed it: the slack, split over the
+    # gateways, bounds them.
+    max_units = account.plan.ceiling_slack / account.spread / 2
+    transferred = gossip.quantize_units(
+        min(max_units, (account.hard_limit.level - report.entry.hard_limit_level) / 2)
+    )
+    account.hard_limit.level -= transferred
+    report.entry.hard_limit_level += transferred
+    return transferred
