--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -1,4 +1,4 @@
-"""Messages between gatekeepers: real datagrams, the sender known by its address, garbage dropped."""
+"""Messages between gatekeepers: real datagrams, senders identified by address, malformed data dropped."""
 
 from __future__ import annotations
 
@@ -14,45 +14,45 @@
 from pepperrun.net.peers import open_peers
 
 
-def test_a_message_reaches_its_peer_who_knows_the_sender_by_its_address():
+def test_a_message_reaches_its_peer_which_identifies_the_sender_by_address():
     async def test():
-        heard: asyncio.Queue = asyncio.Queue()
-        one = await open_peers((HOST, 0), (), 0, print)
-        address = one.transport.get_extra_info("sockname")
-        stranger = await open_peers((HOST, 0), (), 0, print)
-        other = await open_peers(
-            (HOST, 0), (address, (HOST, 1)), 1, lambda *message: heard.put_nowait(message)
+        received: asyncio.Queue = asyncio.Queue()
+        peer_0 = await open_peers((HOST, 0), (), 0, print)
+        address = peer_0.transport.get_extra_info("sockname")
+        unknown_sender = await open_peers((HOST, 0), (), 0, print)
+        peer_1 = await open_peers(
+            (HOST, 0), (address, (HOST, 1)), 1, lambda *message: received.put_nowait(message)
         )
-        to = other.transport.get_extra_info("sockname")
-        for sender in (stranger, one):
-            sender.peers, sender.own_number = (("", 0), to), 0
-        stranger.send(1, b"not for you")
-        one.transport.sendto(bytes(257), to)
-        one.send(1, bytes(257))  # a longer one is never sent
-        one.send(0, b"to itself")
-        one.send(9, b"to nobody")
-        one.send(1, b"hello")
-        assert await heard.get() == (0, b"hello")
-        assert heard.empty()
-        for peers in (one, stranger, other):
+        peer_1_address = peer_1.transport.get_extra_info("sockname")
+        for sender in (unknown_sender, peer_0):
+            sender.peers, sender.own_number = (("", 0), peer_1_address), 0
+        unknown_sender.send(1, b"not for you")
+        peer_0.transport.sendto(bytes(257), peer_1_address)
+        peer_0.send(1, bytes(257))  # beyond the maximum size: not sent
+        peer_0.send(0, b"to itself")
+        peer_0.send(9, b"to nobody")
+        peer_0.send(1, b"hello")
+        assert await received.get() == (0, b"hello")
+        assert received.empty()
+        for peers in (peer_0, unknown_sender, peer_1):
             peers.transport.close()
 
     going(test)
 
 
-def test_a_peer_that_refuses_is_no_error():
+def test_a_refused_datagram_is_not_an_error():
     async def test():
-        one = await open_peers((HOST, 0), (), 0, print)
-        one.error_received(ConnectionRefusedError())
-        one.transport.close()
+        peer_0 = await open_peers((HOST, 0), (), 0, print)
+        peer_0.error_received(ConnectionRefusedError())
+        peer_0.transport.close()
         await asyncio.sleep(0)
         await asyncio.sleep(0)
-        one.send(1, b"too late")
+        peer_0.send(1, b"too late")
 
     going(test)
 
 
 @given(st.binary(max_size=256) | st.binary(max_size=230).map(lambda data: bytes([gossip.VERSION]) + data))
-def test_garbage_from_a_peer_changes_nothing(data):
+def test_malformed_data_from_a_peer_has_no_effect(data):
     assert gossip.unpack(data) is None or len(data) >= 18
     Gateway(SETTINGS, 1).handle(1, [PeerMessage(0, data)])
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""The adapter: frames, settings and the wire's dialect."""
+"""The wire host: frames, settings, and the codes of events and actions."""
 
 from __future__ import annotations
 
@@ -43,24 +43,26 @@
     return struct.pack("<IIQI", index, 20 + len(body), now, len(records)) + body
 
 
-def launch(instance: int, params: bytes, start: int = 0) -> bytes:
+def launch_instance(instance: int, params: bytes, start: int = 0) -> bytes:
     return struct.pack("<BIQII", 10, instance, 7, start, len(params))
 
 
-def entry(backend: int, state: int = 2, born: int = 0, zone: int = 0) -> bytes:
+def list_entry(backend: int, state: int = 2, born: int = 0, zone: int = 0) -> bytes:
     return struct.pack("<HHfBQIH", 3, 0, 1.0, state, born, backend, zone)
 
 
-def knock(instance: int, request: int, customer: int = 5) -> bytes:
+def request_record(instance: int, request: int, customer: int = 5) -> bytes:
     return struct.pack("<BIIfBIQQHff", 30, instance, request, 1.0, 0, 0, 3 * 10**9, customer, 0, 1.0, 2.0)
 
 
-def started(*lines: bytes) -> Host:
+def started_host(*list_entries: bytes) -> Host:
     host = Host()
     params = json.dumps(PARAMS).encode()
-    roster = struct.pack("<BHII", 120, 0, len(params), len(lines))
+    backend_list = struct.pack("<BHII", 120, 0, len(params), len(list_entries))
     members = struct.pack("<BIBHI", 20, 3, 2, 0, 1)
-    host.answer(batch(1, 10**9, [launch(3, params), roster, members], params + b"".join(lines)))
+    host.answer(
+        batch(1, 10**9, [launch_instance(3, params), backend_list, members], params + b"".join(list_entries))
+    )
     return host
 
 
@@ -69,7 +71,7 @@
     return [reply[12 + 32 * n : 44 + 32 * n] for n in range(count)]
 
 
-def test_settings_are_read_and_unknown_keys_skipped() -> None:
+def test_settings_are_read_and_unknown_keys_are_ignored() -> None:
     settings = read_settings(json.dumps(PARAMS))
     assert (settings.me, settings.gateways, settings.zone, settings.max_attempts) == (1, 3, 2, 6)
     assert settings.classes[1].group is api.Group.ZONE
@@ -79,13 +81,13 @@
 
 
 @pytest.mark.parametrize("key", ["Me", "ReplicasOfMe", "Classes", "Tariffs"])
-def test_a_missing_required_setting_is_named(key: str) -> None:
+def test_a_missing_required_setting_is_named_in_the_error(key: str) -> None:
     with pytest.raises(ValueError, match=key):
         read_settings(json.dumps({name: value for name, value in PARAMS.items() if name != key}))
 
 
 @pytest.mark.parametrize(
-    ("key", "value", "named"),
+    ("key", "value", "name"),
     [
         ("Me", "x", "Me"),
         ("Me", 9, "me"),
@@ -93,26 +95,26 @@
         ("Rules", {"ColdFrom": 0}, "cold_from"),
     ],
 )
-def test_an_invalid_setting_is_named(key: str, value: object, named: str) -> None:
-    with pytest.raises(ValueError, match=named):
+def test_an_invalid_setting_is_named_in_the_error(key: str, value: object, name: str) -> None:
+    with pytest.raises(ValueError, match=name):
         read_settings(json.dumps(PARAMS | {key: value}))
 
 
-def test_params_that_are_no_json_are_a_fault_with_a_text() -> None:
-    reply = Host().answer(batch(1, 10**9, [launch(3, b"{x")], b"{x"))
+def test_params_that_are_not_json_return_a_fault_with_a_text() -> None:
+    reply = Host().answer(batch(1, 10**9, [launch_instance(3, b"{x")], b"{x"))
     assert records(reply)[0][0] == 100
     assert b"Params" in reply
 
 
 def test_a_request_is_sent_to_the_listed_backend() -> None:
-    reply = started(entry(77)).answer(batch(2, 2 * 10**9, [knock(3, 900)]))
+    reply = started_host(list_entry(77)).answer(batch(2, 2 * 10**9, [request_record(3, 900)]))
     sends = [record for record in records(reply) if record[0] == 10]
     assert [struct.unpack_from("<BIIQI", record) for record in sends] == [(10, 3, 900, 3 * 10**9, 77)]
 
 
-def test_a_list_number_used_again_within_a_batch_counts_by_order() -> None:
-    host = started(entry(1))
-    tail = entry(5) + entry(6)
+def test_a_list_number_reused_within_a_batch_applies_in_order() -> None:
+    host = started_host(list_entry(1))
+    tail = list_entry(5) + list_entry(6)
     first = struct.pack("<BHII", 120, 4, 0, 1)
     second = struct.pack("<BHII", 120, 4, 23, 1)
     members = struct.pack("<BIBHI", 20, 3, 1, 4, 2)
@@ -122,10 +124,10 @@
     assert 6 not in servers
 
 
-def test_every_event_code_is_taken() -> None:
-    host = started(entry(77))
+def test_every_event_code_is_accepted() -> None:
+    host = started_host(list_entry(77))
     events = [
-        knock(3, 900),
+        request_record(3, 900),
         struct.pack("<BIIHIQ", 40, 3, 900, 0, 77, 5),
         struct.pack("<BIIHBHQHIBB4f", 50, 3, 900, 0, 0, 0, 5 * 10**6, 3, 77, 1, 2, 0.5, 7.0, 0, 0),
         struct.pack("<BII", 60, 3, 900),
@@ -163,21 +165,21 @@
     assert struct.unpack_from("<I", frame, 4)[0] == len(frame)
 
 
-def test_a_killed_instance_holds_nothing() -> None:
-    host = started(entry(77))
-    reply = host.answer(batch(2, 2 * 10**9, [knock(3, 900), struct.pack("<BI", 100, 3)]))
+def test_a_killed_instance_keeps_no_state() -> None:
+    host = started_host(list_entry(77))
+    reply = host.answer(batch(2, 2 * 10**9, [request_record(3, 900), struct.pack("<BI", 100, 3)]))
     assert records(reply) == []
     assert host.gateways == {}
 
 
-def test_a_decision_that_raises_is_a_fault_with_its_text(monkeypatch: pytest.MonkeyPatch) -> None:
-    host = started(entry(77))
+def test_an_exception_in_a_decision_returns_a_fault_with_its_text(monkeypatch: pytest.MonkeyPatch) -> None:
+    host = started_host(list_entry(77))
 
     def broken(now: int, events: object) -> None:
         raise RuntimeError("no idea")
 
     monkeypatch.setattr(host.gateways[3], "handle", broken)
-    reply = host.answer(batch(2, 2 * 10**9, [knock(3, 900)]))
+    reply = host.answer(batch(2, 2 * 10**9, [request_record(3, 900)]))
     assert records(reply)[0][0] == 100
     assert b"RuntimeError: no idea" in reply
 
@@ -188,28 +190,28 @@
         batch(1, 1, [])[:-3],
         struct.pack("<IIQI", 1, 20, 1, 4),
         batch(1, 1, [bytes([250])]),
-        batch(1, 1, [launch(1, b"xx", 9)]),
+        batch(1, 1, [launch_instance(1, b"xx", 9)]),
         struct.pack("<II", 1, 3),
         b"\1\2",
     ],
 )
-def test_a_malformed_frame_is_one_line_and_an_exit_code(
+def test_a_malformed_frame_prints_one_line_and_returns_an_exit_code(
     frame: bytes, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    sink = io.BytesIO()
-    assert serve(io.BytesIO(frame), sink) == 1
-    assert sink.getvalue() == b""
+    output = io.BytesIO()
+    assert serve(io.BytesIO(frame), output) == 1
+    assert output.getvalue() == b""
     assert len(capsys.readouterr().err.splitlines()) == 1
 
 
-def test_count_that_does_not_fit_raises() -> None:
+def test_a_record_count_beyond_the_frame_raises() -> None:
     with pytest.raises(FrameError):
         Host().answer(struct.pack("<IIQI", 1, 20, 1, 2))
 
 
-def test_the_process_answers_a_frame_and_ends_with_its_input() -> None:
-    done = subprocess.run(
+def test_the_process_answers_a_frame_and_exits_at_end_of_input() -> None:
+    completed = subprocess.run(
         [sys.executable, "-m", "pepperrun.wirehost"], input=batch(1, 5, []), capture_output=True, check=True
     )
-    assert done.stdout.hex() == "010000000c00000000000000"
-    assert done.stderr == b""
+    assert completed.stdout.hex() == "010000000c00000000000000"
+    assert completed.stderr == b""
