--- a/pepperrun/core/unit_requester.py
+++ b/pepperrun/core/unit_requester.py
@@ -18,7 +18,7 @@
 
 
 class UnitRequester(EventDispatcher):
-    """Requests units for held requests and acts on the owners' responses; `Gateway` does the rest."""
+    """Requests units for pending requests and acts on the owners' responses; `Gateway` does the rest."""
 
     settings: Settings
     quotas: Quotas
@@ -26,115 +26,119 @@
     gate: Gate | None
     pending: dict[int, PendingRequest]
 
-    def _admit(self, held: PendingRequest) -> None:
+    def _admit(self, request: PendingRequest) -> None:
         raise NotImplementedError
 
-    def _refuse(self, held: PendingRequest, wait_s: float, over_quota: bool = False) -> None:
+    def _refuse(self, request: PendingRequest, wait_s: float, over_quota: bool = False) -> None:
         raise NotImplementedError
 
-    def _fail_or_refuse(self, held: PendingRequest) -> None:
+    def _fail_or_refuse(self, request: PendingRequest) -> None:
         raise NotImplementedError
 
-    def _request_units(self, held: PendingRequest) -> None:
+    def _request_units(self, request: PendingRequest) -> None:
         """Requests units from the customer's owners in turn; if none responds, the local bucket decides."""
-        account, me = held.account, self.settings.me
-        if held.asked_at and self.now + held.service.fleet.expected_ns(held) > held.target_at:
-            self._fail_or_refuse(held)
+        account, me = request.account, self.settings.me
+        if request.asked_at and self.now + request.service.fleet.expected_ns(request) > request.target_at:
+            self._fail_or_refuse(request)
             return
         if self.quotas.quota_owners is not None:
-            self._request_from_quota_owners(held, self.quotas.quota_owners)
+            self._request_from_quota_owners(request, self.quotas.quota_owners)
             return
         # All owners absent: nobody to request units from.
         all_absent = self.quotas.membership_status.absent.issuperset(account.owners)
-        if (all_absent or held.asks >= MAX_UNIT_REQUESTS) and account.plan.ceiling_rate <= 0:
+        if (all_absent or request.asks >= MAX_UNIT_REQUESTS) and account.plan.ceiling_rate <= 0:
             if account.low_balance_reported or account.local_bucket.fill(self.now) < min(
-                held.units, account.local_bucket.depth
+                request.units, account.local_bucket.depth
             ):
-                self._refuse(held, 0.0)
+                self._refuse(request, 0.0)
                 return
-            account.local_bucket.level -= held.units
-            account.owed += held.units
-            self._admit(held)
+            account.local_bucket.level -= request.units
+            account.owed += request.units
+            self._admit(request)
             return
         owner = self.quotas.unit_grants.owner_of(account, self.now)
-        held.asks, held.asked_at, held.asking = held.asks + 1, self.now, True
+        request.asks, request.asked_at, request.asking = request.asks + 1, self.now, True
         if owner == me:
             self._on_unit_response(
-                self.quotas.unit_grants.grant(account, me, held.id, held.units, self.now), me
+                self.quotas.unit_grants.grant(account, me, request.id, request.units, self.now), me
             )
             return
-        self._send_unit_request(held, owner)
+        self._send_unit_request(request, owner)
 
-    def _request_from_quota_owners(self, held: PendingRequest, quota_owners: QuotaOwners) -> None:
+    def _request_from_quota_owners(self, request: PendingRequest, quota_owners: QuotaOwners) -> None:
         """Requests units from the next owner that may have some; if none has, the request is over quota."""
         account, unanswered, absent = (
-            held.account,
+            request.account,
             self.quotas.unit_grants.unanswered,
             self.quotas.membership_status.absent,
         )
-        wait = self.gate.wait_ns(held.gate_context, self.now) if self.gate is not None else 0
+        wait = self.gate.wait_ns(request.gate_context, self.now) if self.gate is not None else 0
         owner = quota_owners.choose_owner(account, unanswered, absent, self.now)
         if wait or owner is None:
             retry_at = quota_owners.earliest_refill(account, self.now)
             if retry_at and not wait:
                 account.rejected_until = retry_at
                 wait = int((retry_at - self.now) * (1 + self.rng.random()))
-            self._refuse(held, wait / SECOND, owner is None and retry_at > 0)
+            self._refuse(request, wait / SECOND, owner is None and retry_at > 0)
             return
-        held.asks, held.asked_at, held.asking = held.asks + 1, self.now, True
+        request.asks, request.asked_at, request.asking = request.asks + 1, self.now, True
         if owner == self.settings.me:
             self._on_unit_response(
-                quota_owners.grant(self.quotas, account, held.id, held.units, self.now), owner
+                quota_owners.grant(self.quotas, account, request.id, request.units, self.now), owner
             )
         else:
-            self._send_unit_request(held, owner)
+            self._send_unit_request(request, owner)
 
-    def _send_unit_request(self, held: PendingRequest, owner: int) -> None:
-        account = held.account
-        self.quotas.unit_grants.request_units(account, owner, held.id, held.units)
-        request_count = held.asks
+    def _send_unit_request(self, request: PendingRequest, owner: int) -> None:
+        account = request.account
+        self.quotas.unit_grants.request_units(account, owner, request.id, request.units)
+        request_count = request.asks
 
         def on_timeout() -> None:
-            if held.asking and held.asks == request_count:
+            if request.asking and request.asks == request_count:
                 unanswered = self.quotas.unit_grants.unanswered
                 unanswered[owner] = (unanswered.get(owner, (0, 0))[0] + 1, self.now)
-                self._request_units(held)
+                self._request_units(request)
 
-        deadline = self.now + held.target_ns // RESPONSE_TIMEOUT_DIVISOR
-        self.agenda.add(deadline, on_timeout, lambda: not held.asking or held.asks != request_count)
+        deadline = self.now + request.target_ns // RESPONSE_TIMEOUT_DIVISOR
+        self.agenda.add(deadline, on_timeout, lambda: not request.asking or request.asks != request_count)
 
     def _on_unit_response(self, response: gossip.UnitResponse, owner: int) -> None:
         """Acts on an owner's response: granted units queue the request, units that come too late go back."""
-        held, account = self.pending.get(response.request), self.quotas.accounts.get(response.customer)
-        if held is None or not held.asking or held.account is not account:
+        request, account = self.pending.get(response.request), self.quotas.accounts.get(response.customer)
+        if request is None or not request.asking or request.account is not account:
             if account is not None and response.units > 0:
                 account.owed -= response.units
             return
         account.low_balance_reported = response.low_balance
         wait = max(response.wait_ms * SECOND // 1000, self.settings.tick_ns)
-        if response.units >= gossip.quantize_units(held.units):
-            self._admit(held)
+        if response.units >= gossip.quantize_units(request.units):
+            self._admit(request)
         elif self.quotas.quota_owners is not None:
             self.quotas.quota_owners.mark_empty(account, owner, wait, self.now)
-            self._request_units(held)
+            self._request_units(request)
         elif response.over_quota:
             account.rejected_until = self.now + int(wait * self.rng.random())
-            self._refuse(held, wait / SECOND, True)
+            self._refuse(request, wait / SECOND, True)
         else:
-            held.asks, held.asked_at = 0, self.now  # the owner responded: asks again when units may be there
+            request.asks, request.asked_at = (
+                0,
+                self.now,
+            )  # the owner responded: asks again when units may be there
             retry_at = self.now + wait
             self.agenda.add(
-                retry_at, lambda: self._request_units(held) if held.asking and not held.asks else None
+                retry_at,
+                lambda: self._request_units(request) if request.asking and not request.asks else None,
             )
 
-    def _grant_expired(self, held: PendingRequest) -> bool:
+    def _grant_expired(self, request: PendingRequest) -> bool:
         """Reports whether the request's grant is too old to use.
 
         Rule 5: units that are granted but not used while the owner's bucket is full exceed the hard limit.
         The plan's slack bounds them, so a grant is valid for the slack divided by the hard limit's rate.
         """
-        plan, granted = held.account.plan, held.account.owners and not held.attempts
+        plan, granted = request.account.plan, request.account.owners and not request.attempts
         max_age_s = (
             plan.ceiling_slack / plan.ceiling_rate if granted and plan.ceiling_rate > 0 else float("inf")
         )
-        return bool(self.now - held.asked_at > max_age_s * SECOND)
+        return bool(self.now - request.asked_at > max_age_s * SECOND)
--- a/pepperrun/core/unit_transfers.py
+++ b/pepperrun/core/unit_transfers.py
@@ -29,7 +29,10 @@
 
 
 def is_exhausted(account: HardLimitAccount, now: int) -> bool:
-    """Reports whether no unit is left for a request; always False for a plan without a hard limit."""
+    """Reports whether no unit is left for a request, and notes the time if one is.
+
+    Always False for a plan without a hard limit.
+    """
     if account.plan.ceiling_rate <= 0 or account.hard_limit.fill(now) >= MIN_UNITS:
         account.last_unit_at = now
         return False
@@ -37,7 +40,7 @@
 
 
 def spend_units(account: HardLimitAccount, units: float, now: int) -> None:
-    """Takes the units of a request that is sent out of the hard limit bucket."""
+    """Takes units out of the hard limit bucket for a request that is sent."""
     account.hard_limit.level -= units
     account.last_unit_at = now
 
--- a/tests/test_quota_owners.py
+++ b/tests/test_quota_owners.py
@@ -281,30 +281,30 @@
 
 def test_a_share_starts_once_no_other_gatekeeper_can_own_it() -> None:
     quota_owners = QuotaOwners("a0", ("a",), lambda: FENCE, lambda now, max_age_ns: True, lambda station: 0)
-    held = {"places": {"a": ["a0"], "b": ["b1"]}}
+    membership = {"places": {"a": ["a0"], "b": ["b1"]}}
     takeover_delay_ns = FENCE + GRANT_TTL_NS
     now = 10 * SECOND
     assert (
         quota_owners.update(None, 0)
-        and quota_owners.update(held | {"term": 1}, now)
+        and quota_owners.update(membership | {"term": 1}, now)
         and quota_owners.share_starts_at(1) == now + takeover_delay_ns
     )
-    assert quota_owners.update({"term": 2, "places": held["places"] | {"b": ["b2"]}}, now + SECOND)
+    assert quota_owners.update({"term": 2, "places": membership["places"] | {"b": ["b2"]}}, now + SECOND)
     assert quota_owners.share_starts_at(1) == now + takeover_delay_ns  # the share did not move
-    assert quota_owners.update(held | {"term": 4}, now + 20 * SECOND)
+    assert quota_owners.update(membership | {"term": 4}, now + 20 * SECOND)
     assert (
         quota_owners.share_starts_at(1) == now + 20 * SECOND + takeover_delay_ns
     )  # by the skipped term 3 another gatekeeper may have owned it
-    assert not quota_owners.update(held | {"term": 4}, now + 21 * SECOND)
-    assert quota_owners.update(held | {"term": 4, "settled": True}, now + 21 * SECOND)
+    assert not quota_owners.update(membership | {"term": 4}, now + 21 * SECOND)
+    assert quota_owners.update(membership | {"term": 4, "settled": True}, now + 21 * SECOND)
     assert quota_owners.share_starts_at(1) == now + 21 * SECOND + GRANT_TTL_NS
     assert (
-        quota_owners.update(held | {"term": 5, "places": {"a": ["a9"], "b": ["b1"]}}, now)
+        quota_owners.update(membership | {"term": 5, "places": {"a": ["a9"], "b": ["b1"]}}, now)
         and quota_owners.share_starts_at(1) is None
     )
     restarted = QuotaOwners("a0", ("a",), lambda: FENCE, lambda now, max_age_ns: True, lambda station: 0)
     assert (
-        restarted.update(held | {"term": 4, "settled": True}, now)
+        restarted.update(membership | {"term": 4, "settled": True}, now)
         and restarted.share_starts_at(1) == now + GRANT_TTL_NS
     )
 
@@ -343,7 +343,7 @@
 
 
 def test_a_large_fleet_gets_domains_that_change_rarely() -> None:
-    quota_placement, silence, now = QuotaPlacement(), Counter[str](), 50 * SECOND
+    quota_placement, silent_ns, now = QuotaPlacement(), Counter[str](), 50 * SECOND
     senders = {f"t{n}": {"name": f"t{n}", "rate_per_s": 19.0, "surge": 19.0} for n in range(9)}
     state: Any = apply(
         None,
@@ -360,7 +360,7 @@
         nonlocal state, now
         for _ in range(int(seconds * 10)):
             now += SECOND // 10
-            op = quota_placement.next_operation(gateways, state, lambda one: silence[one], BOUNDS, now)
+            op = quota_placement.next_operation(gateways, state, lambda one: silent_ns[one], BOUNDS, now)
             if op is not None:
                 state = apply(state, op)[0] or state
         return state.get("keepers", {}).get("places", {})
@@ -370,14 +370,14 @@
     assert sorted(domains) == ["a", "b", "c"] and sum(map(len, domains.values())) == 76
     assert run_placement(CHANGE_INTERVAL_NS / SECOND - 2, nodes) == domains  # the last gatekeeper has to wait
     assert sum(map(len, (domains := run_placement(JOIN_BATCH_NS / SECOND + 3, nodes)).values())) == 77
-    silence["a0"] = REPLACE_SILENT_NS // 2
+    silent_ns["a0"] = REPLACE_SILENT_NS // 2
     assert run_placement(20, nodes) == domains
-    silence["a0"] = 2 * REPLACE_SILENT_NS
+    silent_ns["a0"] = 2 * REPLACE_SILENT_NS
     assert run_placement(20, nodes)["a"] == [one for one in domains["a"] if one != "a0"]
-    silence.update({one.name: 2 * REPLACE_SILENT_NS for one in nodes if one.region == "b"})
+    silent_ns.update({one.name: 2 * REPLACE_SILENT_NS for one in nodes if one.region == "b"})
     assert run_placement(20, nodes)["b"] == domains["b"]  # a domain that is unreachable as a whole stays
     assert state["keepers"]["settled"]
-    held = state
+    previous_state = state
     state = apply(state, {"do": "evacuate", "zone": "z1", "begin": True})[0]
-    assert state is not None and state["keepers"] == held["keepers"]
+    assert state is not None and state["keepers"] == previous_state["keepers"]
     assert apply(state, {"do": "keepers", "places": {}, "instead": 1})[0] is None
