--- a/pepperrun/core/__init__.py
+++ b/pepperrun/core/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions and what they stand on: no wire, socket or clock of their own."""
+"""Admission, scheduling and routing logic. It does no I/O and reads no clock: events carry the time."""
--- a/pepperrun/core/concurrency_limiter.py
+++ b/pepperrun/core/concurrency_limiter.py
@@ -1,47 +1,54 @@
-"""The bound on attempts that are out at once, adapted by how long answers take."""
+"""Limit on the attempts in flight, adapted to the latency of answers."""
 
 from __future__ import annotations
 
-LATENCY_GOAL = 0.25  # mean latency aimed at, in aims: leaves most of the aim to the wait and to spread
-GAIN = 0.5  # a round trip at twice the goal takes about a fifth off the bound
-INITIAL_DEPTH = (
-    6.0  # attempts out a backend at the start, by all gateways: a few for each of a machine's cores
-)
-MIN_INITIAL_LIMIT = (
-    3.0  # attempts out a gateway at the start: with one, its own requests would wait for each other
-)
-LOWEST_MEAN_FACTOR = 1.6  # times the lowest mean: as much again for waits as half of the work
-LOWEST_MEAN_DRIFT = (
-    1.0005  # an answer: the lowest mean rises by half in about a thousand answers, as loads change
-)
-SLOW_MEAN_ANSWERS = 64  # answers that the lowest mean is taken over
-MAX_LATENCY_GOAL = 0.6  # of the aim: where all answers take longer, the lowest mean says nothing of calm
+LATENCY_GOAL = 0.25  # mean latency over target: leaves most of the target for queueing and variance
+GAIN = 0.5  # a round trip at twice the goal lowers the limit by about a fifth
+INITIAL_DEPTH = 6.0  # attempts in flight per backend, from all gateways: a few per core of a machine
+# Attempts in flight per gateway. With one, the gateway's own requests would wait for each other.
+MIN_INITIAL_LIMIT = 3.0
+LOWEST_MEAN_FACTOR = 1.6  # goal over lowest mean: leaves queueing about half of the work time
+# Per answer: the lowest mean rises by half in about a thousand answers, to follow changes of the load.
+LOWEST_MEAN_DRIFT = 1.0005
+SLOW_MEAN_ANSWERS = 64  # time constant, in answers, of the mean whose minimum is taken
+# Of the latency target. If all answers take longer, the lowest mean may be that of an overloaded fleet.
+MAX_LATENCY_GOAL = 0.6
 
 
 class ConcurrencyLimiter:
-    """How many attempts may be out at once: a depth a backend, led by mean latency as a part of the aim."""
+    """Limits the attempts in flight: a depth per backend, controlled by mean latency over the latency target.
+
+    The depth falls while the mean is above `goal`, and grows while it is below and the limit is in use.
+    """
 
     def __init__(self, gateways: int, adaptive_latency_goal: bool = False) -> None:
-        # By all gateways: else many would flood the backends at the first rush. It grows only in use.
+        # Shared by all gateways, or many of them would overload the backends in the first burst. The depth
+        # grows only in use.
         self.depth = self.initial_depth = INITIAL_DEPTH / gateways
-        self.capacity = 1.0  # backends in full use, cold ones in part
-        self.latency = LATENCY_GOAL / 2  # mean latency, in aims
-        self.goal = self.slow_mean = LATENCY_GOAL  # calm: a mean that luck does not make low
-        self.lowest_mean = LATENCY_GOAL if adaptive_latency_goal else 0.0  # the lowest one
+        self.capacity = 1.0  # in backends; one that is warming up counts in part
+        self.latency = LATENCY_GOAL / 2  # mean latency over target
+        self.goal = self.slow_mean = LATENCY_GOAL  # slow_mean: few fast answers by chance do not lower it
+        # Minimum of slow_mean; 0 keeps the goal fixed.
+        self.lowest_mean = LATENCY_GOAL if adaptive_latency_goal else 0.0
 
     def limit(self) -> float:
+        """Return how many attempts may be in flight, at least 1."""
         if self.depth == self.initial_depth:
             self.depth = max(self.depth, MIN_INITIAL_LIMIT / max(1.0, self.capacity))
         return max(1.0, self.depth * self.capacity)
 
     def add_latency(self, latency: float) -> None:
-        """A mean latency, in aims: own answers and what peers tell of theirs."""
+        """Add the latency over target of an own answer, or the mean that a peer reports."""
         self.latency += (min(2.0, latency) - self.latency) / 8
 
     def add_sample(self, latency: float, in_flight: float) -> None:
-        """An own answer. A bound that is not in use says nothing of how much larger it could be."""
+        """Add an own answer and adapt the depth.
+
+        The depth grows only if most of the limit is in use: otherwise the latency does not show whether a
+        higher limit would do.
+        """
         self.add_latency(latency)
-        if self.lowest_mean:  # work may take a large part of the aim with nothing waiting
+        if self.lowest_mean:  # work may take a large part of the target without any queueing
             self.slow_mean += (min(2.0, latency) - self.slow_mean) / SLOW_MEAN_ANSWERS
             self.lowest_mean = min(self.slow_mean, self.lowest_mean * LOWEST_MEAN_DRIFT)
             self.goal = min(MAX_LATENCY_GOAL, max(LATENCY_GOAL, LOWEST_MEAN_FACTOR * self.lowest_mean))
--- a/pepperrun/core/gateway.py
+++ b/pepperrun/core/gateway.py
@@ -1,6 +1,9 @@
-"""All decisions of an admission gateway. A request meets its customer's quota (`quotas`), then goes out while
-the bound on attempts (`bound`) has room, else waits for a below-goal turn (`turns`); only then a backend is
-chosen (`fleet`). `Gateway` wires these together and keeps the rules of attempts and answers."""
+"""Admission gateway: decides which requests are sent, where, when, and how often.
+
+A request is checked against its customer's quota (`quotas`). It is sent while the concurrency limit
+(`concurrency_limiter`) has capacity; otherwise it waits for the fair scheduler (`fair_scheduler`). The
+backend is chosen last (`fleet`). `Gateway` connects these parts and holds the rules for retries and answers.
+"""
 
 from __future__ import annotations
 
@@ -40,27 +43,20 @@
 from pepperrun.core.unit_requester import UnitRequester
 from pepperrun.core.unit_transfers import is_starved, refill_wait_s, spend_units
 
-HEDGE_AT = 0.4  # of the aim: a second copy then still comes in time
-UNLOADED_RETRY_COST = (
-    0.3  # of a further attempt while the fleet is not pressed: no load comes of it that matters
-)
-LATE_RETRY_RESERVE = (
-    0.5  # of the depth of the retry budget: with less left it is for requests within their aim
-)
-DISPATCH_INTERVAL_NS = (
-    SECOND // 50
-)  # waiting work is looked at, by one timer at a time: slices fill and backends fade
-MIN_WAIT_DIVISOR = (
-    5  # of the aim: long against the time in which a slice fills, short against a client's return
-)
-ABANDONED_GRACE_NS = (
-    150 * SECOND // 1000
-)  # an attempt whose client has left is given so long to end by itself
-LOG_INTERVAL_NS = 5 * SECOND  # one line of a kind in this time
+HEDGE_AT = 0.4  # of the latency target: a hedged request can then still be answered in time
+UNLOADED_RETRY_COST = 0.3  # budget units of a retry while the fleet is not overloaded: its load is negligible
+LATE_RETRY_RESERVE = 0.5  # of the retry budget's depth, kept for requests within their latency target
+# Waiting requests are checked at this interval, with one timer at a time: buckets fill and scores decay.
+DISPATCH_INTERVAL_NS = SECOND // 50
+# A request waits at least this part of its latency target before it is shed: long against the time in which a
+# local bucket fills, short against the time after which a client retries.
+MIN_WAIT_DIVISOR = 5
+ABANDONED_GRACE_NS = 150 * SECOND // 1000  # for an attempt to end by itself after its client disconnected
+LOG_INTERVAL_NS = 5 * SECOND  # at most one line of each kind per interval
 
 
 class Gateway(UnitRequester):
-    """An admission gateway. Give `handle` what happened; carry out the actions that it returns, in order."""
+    """An admission gateway. Pass events to `handle` and carry out the actions that it returns, in order."""
 
     def __init__(self, settings: Settings, seed: int, gate: Gate | None = None) -> None:
         super().__init__()
@@ -85,7 +81,7 @@
         }
 
     def update_settings(self, settings: Settings) -> None:
-        """Classes, plans and lines that came to those known; another number of gateways."""
+        """Apply settings with additional classes, plans or services, or another number of gateways."""
         self.settings = settings
         self.quotas.update_settings(settings, self.now)
         self.retry_budget.depth = settings.retry_budget_burst
@@ -97,6 +93,7 @@
             service.fleet.update_settings(settings)
 
     def start(self) -> None:
+        """Start the periodic work and, if configured, request the backend list."""
         self.quotas.started_at = self.now
         # Grows with each start and is never 0.
         self.quotas.outbox.incarnation = self.now // gossip.INCARNATION_TICK_NS % (2**32 - 1) + 1
@@ -108,10 +105,11 @@
         self.every(SECOND, lambda: self.quotas.refresh(self.now))
 
     def finish(self) -> None:
+        """Send the waiting requests that fit, and the messages to peers."""
         self._dispatch()
-        if self.quotas.dirty and not self.report_scheduled:  # in one message what a period brings
+        if self.quotas.dirty and not self.report_scheduled:  # one message per period
             self.report_scheduled = True
-            self.agenda.add(self.now + self.quotas.message_interval_ns, self._tell)
+            self.timers.add(self.now + self.quotas.message_interval_ns, self._send_reports)
         for peer, message in self.quotas.outbox.drain():
             message.receiver_incarnation = self.quotas.inbox.incarnation_of(peer)
             message.latency = self.limiter.latency
@@ -122,61 +120,66 @@
             )
             self.actions.append(SendPeerMessage(peer, gossip.pack(message)))
 
-    def _tell(self) -> None:
+    def _send_reports(self) -> None:
         self.report_scheduled = False
         self.quotas.send_reports(self.now)
 
     def _client_left(self, event: ClientLeft | StreamStarted) -> None:
-        """The client has left, or the attempt is now its own."""
-        if (held := self.pending.get(event.request)) is not None:
-            held.stream = isinstance(event, StreamStarted)
-            if not held.stream:
-                self._cancel_abandoned(held)
-                self._close(held)
+        """The client has disconnected, or a streamed answer has begun."""
+        if (pending := self.pending.get(event.request)) is not None:
+            pending.stream = isinstance(event, StreamStarted)
+            if not pending.stream:
+                self._cancel_abandoned(pending)
+                self._close(pending)
 
     def _expired(self, event: RequestExpired) -> None:
-        if (held := self.pending.get(event.request)) is not None:
-            self._close(held)
+        if (pending := self.pending.get(event.request)) is not None:
+            self._close(pending)
 
-    def _cancel_abandoned(self, held: PendingRequest) -> None:
-        """Nobody waits for its attempts any more, and closing the request alone would not end their work.
+    def _cancel_abandoned(self, pending: PendingRequest) -> None:
+        """Cancel a request's attempts after a grace period, as closing the request would not end their work.
 
-        What may not be repeated goes on: that it was cut off would not tell whether it ran. Each cancel costs
-        a connection, so what is about to be answered may be: many clients may leave at once.
+        Attempts that are not safe to repeat go on: a cancelled one would not show whether it ran. Each cancel
+        costs a connection, so an attempt that is about to be answered gets the grace period, as many clients
+        may disconnect at once.
         """
-        if not self.settings.cancel_when_client_left or held.request_class.repeat is not Repeat.SAFE:
+        if not self.settings.cancel_when_client_left or pending.request_class.repeat is not Repeat.SAFE:
             return
-        for attempt in held.attempts:
+        for attempt in pending.attempts:
             attempt.abandoned = attempt.in_flight
 
         def cancel() -> None:
             self.actions += [
-                Cancel(held.id, at) for at, attempt in enumerate(held.attempts) if attempt.in_flight
+                Cancel(pending.id, at) for at, attempt in enumerate(pending.attempts) if attempt.in_flight
             ]
 
-        self.agenda.add(self.now + ABANDONED_GRACE_NS, cancel, lambda: not held.in_flight())
+        self.timers.add(self.now + ABANDONED_GRACE_NS, cancel, lambda: not pending.in_flight())
 
     def ejected(self) -> set[int]:
-        """Backends of the list that are left out for their failures, whatever the class."""
+        """Return the backends of all services that are ejected for at least one class."""
         return {id for service in self.services for id in service.fleet.ejected(self.now)}
 
     def _peer_message(self, event: PeerMessage) -> None:
         if (message := self.quotas.receive(event.peer, event.data, self.now)) is None:
             if (count := self.quotas.inbox.malformed) > self.malformed_count:
-                self.malformed_count, of = count, f"{count} so far, the last of gatekeeper {event.peer}"
-                self._log("garbled", f"dropped messages that can't be read, {of}")
+                self.malformed_count, details = (
+                    count,
+                    f"{count} so far, the last from gatekeeper {event.peer}",
+                )
+                self._log("garbled", f"dropped malformed peer messages: {details}")
             return
         if len(self.services) == 1:
             self.limiter.add_latency(message.latency)
-        for mark in message.backend_reports:
-            if mark.backend in self.fleet.servers and mark.cls < len(self.settings.classes):
-                fresh = mark.age_ns < REPORT_TTL_NS
+        for report in message.backend_reports:
+            if report.backend in self.fleet.servers and report.cls < len(self.settings.classes):
+                fresh = report.age_ns < REPORT_TTL_NS
                 self.fleet.backend_reports.record(
-                    mark.backend, mark.cls, mark.failure_score, self.now - mark.age_ns, fresh
+                    report.backend, report.cls, report.failure_score, self.now - report.age_ns, fresh
                 )
         for answer in message.unit_responses:
             account = self.quotas.accounts.get(answer.customer)
-            if account is not None and event.peer in account.owners:  # nobody else may grant
+            # Only an owner of the quota may grant units.
+            if account is not None and event.peer in account.owners:
                 self._on_unit_response(answer, event.peer)
 
     def _log(self, kind: str, text: str) -> None:
@@ -185,87 +188,101 @@
 
     def _backend_list(self, event: BackendList) -> None:
         if event.kind is ListKind.FAILED:
-            self.agenda.add(self.now + SECOND, lambda: self.actions.append(Watch()))
-            self._log("list", "the list of backends failed; going on with the last one")
+            self.timers.add(self.now + SECOND, lambda: self.actions.append(Watch()))
+            self._log("list", "the backend list could not be fetched; using the last one")
             return
         for number, service in enumerate(self.services):
-            own = tuple(backend for backend in event.backends if backend.service == number)
-            service.fleet.apply_list(BackendList(event.kind, own), self.now)
-            if all(line.state is not BackendState.READY for line in service.fleet.servers.values()):
+            of_service = tuple(backend for backend in event.backends if backend.service == number)
+            service.fleet.apply_list(BackendList(event.kind, of_service), self.now)
+            if all(server.state is not BackendState.READY for server in service.fleet.servers.values()):
                 self._log("empty", "no backend is ready")
 
     def _arrived(self, event: Request) -> None:
         if event.id in self.pending:
             return
-        plan, kind = self.settings.plans[event.plan], self.settings.classes[event.cls]
+        plan, request_class = self.settings.plans[event.plan], self.settings.classes[event.cls]
         account = self.quotas.accounts.get(event.customer) or self.quotas.create_account(event, self.now)
         self.quotas.accounts[event.customer], account.last_seen_at = account, self.now
         if self.quotas.reports_directly:
             self.quotas.dirty[event.customer] = None
         service = self.services[event.service]
-        held = PendingRequest(event, account, kind, service, self.now)
-        self.pending[event.id] = held
-        # The time of one whose body is still coming has not begun.
-        held.target_at -= (age := 0 if held.unbuffered else self._waited_ns(event))
-        pressed = service.limiter.latency > service.limiter.goal / 2
-        if self.settings.adaptive_latency_goal:  # there latency alone says little: others must be waiting too
-            pressed = service.limiter.latency > service.limiter.goal and bool(service.scheduler.waiting)
-        # Answer a tick or two before the client gives up, so that the answer is no later than it.
-        last = max(self.now, held.deadline - 2 * self.settings.tick_ns)
-
-        def over() -> bool:
-            return held.done or held.stream
-
-        self.agenda.add(last, lambda: None if over() else self._fail_or_refuse(held), over)
+        pending = PendingRequest(event, account, request_class, service, self.now)
+        self.pending[event.id] = pending
+        # The time of a request whose body is still arriving has not begun.
+        pending.target_at -= (waited_ns := 0 if pending.unbuffered else self._waited_ns(event))
+        overloaded = service.limiter.latency > service.limiter.goal / 2
+        if self.settings.adaptive_latency_goal:  # the work alone may take that long: others must wait too
+            overloaded = service.limiter.latency > service.limiter.goal and bool(service.scheduler.waiting)
+        # Answers one or two ticks before the client gives up, so that the answer arrives in time.
+        answer_by = max(self.now, pending.deadline - 2 * self.settings.tick_ns)
+
+        def is_finished() -> bool:
+            return pending.done or pending.stream
+
+        self.timers.add(
+            answer_by, lambda: None if is_finished() else self._fail_or_refuse(pending), is_finished
+        )
         if (
-            age > self.settings.tick_ns
-            and self.now + held.service.fleet.expected_ns(held) > held.target_at
-            and pressed
+            waited_ns > self.settings.tick_ns
+            and self.now + pending.service.fleet.expected_ns(pending) > pending.target_at
+            and overloaded
         ):
-            self._fail_or_refuse(held)
+            self._fail_or_refuse(pending)
         elif account.owners and self.now < account.rejected_until:
-            self._refuse(held, (account.rejected_until - self.now) / SECOND, True)
+            self._refuse(pending, (account.rejected_until - self.now) / SECOND, True)
         elif not account.owners and not account.within_quota(event.units, self.now):
-            self._refuse(held, (event.units - account.available_units(self.now)) / max(plan.rate, 1e-9), True)
+            self._refuse(
+                pending, (event.units - account.available_units(self.now)) / max(plan.rate, 1e-9), True
+            )
         elif account.owners:
-            self._request_units(held)
+            self._request_units(pending)
         elif self.quotas.members is not None and is_starved(account, self.now):
-            self._refuse(held, refill_wait_s(account, event.units, self.now), True)
+            self._refuse(pending, refill_wait_s(account, event.units, self.now), True)
         else:
-            self._admit(held)
+            self._admit(pending)
 
     def _waited_ns(self, event: Request) -> int:
-        """How long it has waited, at its client or while this stood still: others had more time left."""
+        """Return how long the request has waited at its client, or here while this process was not running.
+
+        The wait is the difference to the largest remaining time of its route or class.
+        """
         if event.limits is not None:
             return max(0, event.limits.initial_ns - event.left_ns)
         longest = self.max_remaining_ns[event.cls] = max(self.max_remaining_ns[event.cls], event.left_ns)
         return longest - event.left_ns
 
-    def _admit(self, held: PendingRequest) -> None:
-        held.asking = False
-        fleet = held.service.fleet
-        held.service.scheduler.add(held.account.customer, held)
-        # What needs no waiting is not shed: else a slow spell would lock large requests out for good.
-        # Where work takes much of the aim that would be at once: a part of the aim is there to wait in.
-        least = held.target_ns // MIN_WAIT_DIVISOR if self.settings.adaptive_latency_goal else 1
-        shed = max(self.now + least, int(held.target_at - fleet.tail_ratio * fleet.expected_ns(held)))
+    def _admit(self, pending: PendingRequest) -> None:
+        pending.asking = False
+        fleet = pending.service.fleet
+        pending.service.scheduler.add(pending.account.customer, pending)
+        # A request that can be sent at once is never shed, or a period of high latency would exclude large
+        # requests for good. If the work takes most of the latency target, the shed time would be now, so
+        # the request may wait for a minimum part of the target.
+        min_wait = pending.target_ns // MIN_WAIT_DIVISOR if self.settings.adaptive_latency_goal else 1
+        shed_at = max(
+            self.now + min_wait, int(pending.target_at - fleet.tail_ratio * fleet.expected_ns(pending))
+        )
 
-        def gone() -> bool:
-            return not held.waiting
+        def left_queue() -> bool:
+            return not pending.waiting
 
-        self.agenda.add(shed, lambda: None if gone() else self._shed(held), gone)
+        self.timers.add(shed_at, lambda: None if left_queue() else self._shed(pending), left_queue)
 
-    def _shed(self, held: PendingRequest) -> None:
-        wait = refill_wait_s(held.account, held.units, self.now) if self.quotas.members is not None else 0.0
-        self._refuse(held, wait, wait > 0)
+    def _shed(self, pending: PendingRequest) -> None:
+        wait = (
+            refill_wait_s(pending.account, pending.units, self.now)
+            if self.quotas.members is not None
+            else 0.0
+        )
+        self._refuse(pending, wait, wait > 0)
 
     def _dispatch(self) -> None:
-        """Sends what waits while the bound has room."""
+        """Send waiting requests while the concurrency limits have capacity."""
         for service in self.services:
             self._dispatch_service(service)
         if any(service.scheduler.waiting for service in self.services) and self.next_dispatch_at <= self.now:
             self.next_dispatch_at = self.now + DISPATCH_INTERVAL_NS
-            self.agenda.add(self.next_dispatch_at, lambda: None)
+            self.timers.add(self.next_dispatch_at, lambda: None)
 
     def _dispatch_service(self, service: ServiceState) -> None:
         scheduler, fleet = service.scheduler, service.fleet
@@ -273,190 +290,237 @@
         service.limiter.capacity = fleet.capacity
         scheduler.blocked.clear()
         while scheduler.waiting and fleet.in_flight + 1 <= service.limiter.limit():
-            held = scheduler.pop_next(self.now)
-            if held is None:
+            pending = scheduler.pop_next(self.now)
+            if pending is None:
                 break
-            if self.gate is not None and (wait := self.gate.wait_ns(held.gate_context, self.now)):
-                self._refuse(held, wait / SECOND)
-            elif not held.account.owners and not held.account.within_quota(held.units, self.now):
-                self._refuse(held, 0.0, True)
-            elif self._grant_expired(held):
-                self.quotas.reconcile(held.account, -held.units, self.now)
-                self._request_units(held)
-            elif (server := fleet.choose(held, self.now)) is None:
-                scheduler.push_front(held.account.customer, held)
+            if self.gate is not None and (wait := self.gate.wait_ns(pending.gate_context, self.now)):
+                self._refuse(pending, wait / SECOND)
+            elif not pending.account.owners and not pending.account.within_quota(pending.units, self.now):
+                self._refuse(pending, 0.0, True)
+            elif self._grant_expired(pending):
+                self.quotas.reconcile(pending.account, -pending.units, self.now)
+                self._request_units(pending)
+            elif (server := fleet.choose(pending, self.now)) is None:
+                scheduler.push_front(pending.account.customer, pending)
                 if self.gate is None:
                     break
-                scheduler.blocked.add(held.account.customer)  # others may be let go elsewhere
+                scheduler.blocked.add(pending.account.customer)  # other customers may use other backends
             else:
-                self._send(held, server)
-
-    def _send(self, held: PendingRequest, server: Server) -> None:
-        if not held.attempts:
-            if not held.account.owners:
-                self.quotas.reconcile(held.account, held.units, self.now)
-                spend_units(held.account, held.units, self.now)
-            held.account.recent_use.add(held.units, self.now)
+                self._send(pending, server)
+
+    def _send(self, pending: PendingRequest, server: Server) -> None:
+        if not pending.attempts:
+            if not pending.account.owners:
+                self.quotas.reconcile(pending.account, pending.units, self.now)
+                spend_units(pending.account, pending.units, self.now)
+            pending.account.recent_use.add(pending.units, self.now)
             self.retry_budget.level = min(
                 self.retry_budget.depth, self.retry_budget.level + self.settings.retry_budget_ratio
             )
-        held.attempts.append(Attempt(server, self.now))
-        held.account.attempts_in_flight += 1
-        # A body that is still coming costs the backend nothing yet, and its client may be slow.
-        held.attempts[-1].counted = not held.unbuffered
-        held.service.fleet.in_flight += not held.unbuffered
-        takes = held.deadline - self.now if held.unbuffered else held.service.fleet.expected_ns(held)
-        server.in_flight[held.id, len(held.attempts) - 1] = (self.now, max(1.0, takes))
+        pending.attempts.append(Attempt(server, self.now))
+        pending.account.attempts_in_flight += 1
+        # A body that is still arriving costs the backend nothing yet, and its client may be slow.
+        pending.attempts[-1].counted = not pending.unbuffered
+        pending.service.fleet.in_flight += not pending.unbuffered
+        expected = (
+            pending.deadline - self.now if pending.unbuffered else pending.service.fleet.expected_ns(pending)
+        )
+        server.in_flight[pending.id, len(pending.attempts) - 1] = (self.now, max(1.0, expected))
         if self.gate is not None:
-            self.gate.on_sent(held.gate_context, server.id, self.now)
-        self.actions.append(Send(held.id, server.id, max(1, held.deadline - self.now)))
-        number = len(held.attempts) - 1
-        after = int(held.service.fleet.tail_ratio * held.service.fleet.expected_ns(held))
-        attempt = held.attempts[number]
-        self.agenda.add(
-            self.now + after, lambda: self._attempt_overdue(held, number), lambda: not attempt.in_flight
+            self.gate.on_sent(pending.gate_context, server.id, self.now)
+        self.actions.append(Send(pending.id, server.id, max(1, pending.deadline - self.now)))
+        number = len(pending.attempts) - 1
+        overdue_after = int(pending.service.fleet.tail_ratio * pending.service.fleet.expected_ns(pending))
+        attempt = pending.attempts[number]
+        self.timers.add(
+            self.now + overdue_after,
+            lambda: self._attempt_overdue(pending, number),
+            lambda: not attempt.in_flight,
         )
 
-    def _attempt_overdue(self, held: PendingRequest, number: int) -> None:
-        """An attempt past nearly all latencies seen: a second copy, or a new one where one may be out."""
-        last = number == len(held.attempts) - 1
-        if held.done or held.stream or held.unbuffered or not held.attempts[number].in_flight or not last:
+    def _attempt_overdue(self, pending: PendingRequest, number: int) -> None:
+        """Handle an attempt slower than TAIL_QUANTILE of all: schedule a hedged request, or cancel and retry.
+
+        Hedging sends a second attempt in parallel. Without hedging only one attempt may be in flight.
+        """
+        last = number == len(pending.attempts) - 1
+        if (
+            pending.done
+            or pending.stream
+            or pending.unbuffered
+            or not pending.attempts[number].in_flight
+            or not last
+        ):
             return
-        server = held.attempts[number].backend
-        if held.service.limiter.latency < LATENCY_GOAL and held.attempts[number].counted:
-            # The fleet answers in time, so the trouble is this backend's: what hangs there holds no place.
-            held.service.fleet.record_result(server, held.cls, True, self.now)
-            self._release_slot(held, held.attempts[number])
-        if self.now + held.service.fleet.expected_ns(held) > held.target_at or self.retry_budget.level < 1:
+        server = pending.attempts[number].backend
+        if pending.service.limiter.latency < LATENCY_GOAL and pending.attempts[number].counted:
+            # The fleet answers in time, so this backend has the fault: its hanging attempt holds no slot.
+            pending.service.fleet.record_result(server, pending.cls, True, self.now)
+            self._release_slot(pending, pending.attempts[number])
+        if (
+            self.now + pending.service.fleet.expected_ns(pending) > pending.target_at
+            or self.retry_budget.level < 1
+        ):
             return
         if self.settings.hedging:
-            at = int(
-                held.attempts[number].sent_at + HEDGE_AT * (held.target_at - held.attempts[number].sent_at)
+            hedge_at = int(
+                pending.attempts[number].sent_at
+                + HEDGE_AT * (pending.target_at - pending.attempts[number].sent_at)
             )
-            self.agenda.add(
-                max(at, self.now),
-                lambda: self._hedge(held, number),
-                lambda: not held.attempts[number].in_flight,
+            self.timers.add(
+                max(hedge_at, self.now),
+                lambda: self._hedge(pending, number),
+                lambda: not pending.attempts[number].in_flight,
             )
-        elif self.settings.may_cancel and self._should_switch_backend(held, server):
-            self.actions.append(Cancel(held.id, number))
+        elif self.settings.may_cancel and self._should_switch_backend(pending, server):
+            self.actions.append(Cancel(pending.id, number))
 
-    def _should_switch_backend(self, held: PendingRequest, server: Server) -> bool:
-        """Is its backend slow, and would another take it now? It is not given up before that is so."""
-        fleet = held.service.fleet
+    def _should_switch_backend(self, pending: PendingRequest, server: Server) -> bool:
+        """Return whether the backend is slow and another one would take the request now."""
+        fleet = pending.service.fleet
         if fleet.slowdown(server, self.now) <= 2 * fleet.tail_ratio:
             return False
-        if self.gate is not None and self.gate.wait_ns(held.gate_context, self.now):
+        if self.gate is not None and self.gate.wait_ns(pending.gate_context, self.now):
             return False
-        return fleet.choose(held, self.now, server, beside=True) is not None
+        return fleet.choose(pending, self.now, server, parallel=True) is not None
 
-    def _release_slot(self, held: PendingRequest, attempt: Attempt) -> None:
-        """What may hang counts no longer against the bound."""
-        held.service.fleet.in_flight -= attempt.counted
+    def _release_slot(self, pending: PendingRequest, attempt: Attempt) -> None:
+        """Stop counting an attempt that may hang against the concurrency limit."""
+        pending.service.fleet.in_flight -= attempt.counted
         attempt.counted = False
 
     def _suspected(self, event: AttemptSuspected) -> None:
-        """A second attempt beside one that may hang; the first stays out, as its backend may well be at work.
+        """Send a second attempt in parallel to one that may hang; the first may still be answered.
 
-        Past the aim too, as a late answer is better than none, but not with the last of the retry budget.
+        This also happens after the latency target, as a late answer is better than none, but then not with
+        the last LATE_RETRY_RESERVE of the retry budget.
         """
-        held = self.pending.get(event.request)
-        if held is None or held.done or held.stream or held.unbuffered or event.attempt >= len(held.attempts):
+        pending = self.pending.get(event.request)
+        if (
+            pending is None
+            or pending.done
+            or pending.stream
+            or pending.unbuffered
+            or event.attempt >= len(pending.attempts)
+        ):
             return
-        attempt = held.attempts[event.attempt]
-        if not attempt.in_flight or held.in_flight() > 1:
+        attempt = pending.attempts[event.attempt]
+        if not attempt.in_flight or pending.in_flight() > 1:
             return
-        self._release_slot(held, attempt)
-        plenty = self.retry_budget.level > self.retry_budget.depth * LATE_RETRY_RESERVE
-        self._retry(held, attempt.backend, latest=held.deadline if plenty else held.target_at, beside=True)
+        self._release_slot(pending, attempt)
+        has_reserve = self.retry_budget.level > self.retry_budget.depth * LATE_RETRY_RESERVE
+        self._retry(
+            pending,
+            attempt.backend,
+            latest=pending.deadline if has_reserve else pending.target_at,
+            parallel=True,
+        )
 
-    def _hedge(self, held: PendingRequest, number: int) -> None:
-        """Most that are overdue are answered in time all the same; a copy of each would be work wasted."""
-        if not held.done and held.attempts[number].in_flight and number == len(held.attempts) - 1:
-            self._retry(held, held.attempts[number].backend)
+    def _hedge(self, pending: PendingRequest, number: int) -> None:
+        """Send a hedged request, some time after the attempt became overdue.
+
+        Most overdue attempts are still answered in time, so hedging each at once would waste work.
+        """
+        if not pending.done and pending.attempts[number].in_flight and number == len(pending.attempts) - 1:
+            self._retry(pending, pending.attempts[number].backend)
 
     def _retry(
         self,
-        held: PendingRequest,
+        pending: PendingRequest,
         failed: Server,
         outcome: Outcome = Outcome.TIMEOUT,
         *,
         latest: int | None = None,
-        beside: bool = False,
+        parallel: bool = False,
     ) -> bool:
-        """A further attempt, under the budget. What never ran, or broke at once, cost the fleet nothing.
+        """Send another attempt if the retry budget allows it; return whether it was sent.
 
-        It must be expected to end by `latest`, the aim if left out. `beside`: that which failed may be out.
+        An attempt that never ran, or whose connection was reset at once, cost the fleet nothing, so its retry
+        is free; `strict_retry_budget` charges for the reset. The new attempt must be expected to end by
+        `latest`, by default the latency target. `parallel`: the failed attempt may still be in flight.
         """
-        latest = held.target_at if latest is None else latest
-        service, strict = held.service, self.settings.strict_retry_budget
-        free = outcome in (Outcome.CONNECT_FAILED, Outcome.MOOT) or outcome is Outcome.STALE and not strict
-        whole = strict or service.limiter.latency > LATENCY_GOAL or service.fleet.widespread_failure
-        cost = 0.0 if free else 1.0 if whole else UNLOADED_RETRY_COST
-        if self.retry_budget.level < cost or self.now + held.service.fleet.expected_ns(held) > latest:
+        latest = pending.target_at if latest is None else latest
+        service, strict = pending.service, self.settings.strict_retry_budget
+        is_free = outcome in (Outcome.CONNECT_FAILED, Outcome.MOOT) or outcome is Outcome.STALE and not strict
+        full_cost = strict or service.limiter.latency > LATENCY_GOAL or service.fleet.widespread_failure
+        cost = 0.0 if is_free else 1.0 if full_cost else UNLOADED_RETRY_COST
+        if self.retry_budget.level < cost or self.now + pending.service.fleet.expected_ns(pending) > latest:
             return False
-        if self.gate is not None and self.gate.wait_ns(held.gate_context, self.now):
+        if self.gate is not None and self.gate.wait_ns(pending.gate_context, self.now):
             return False
-        server = service.fleet.choose(held, self.now, failed, beside)
+        server = service.fleet.choose(pending, self.now, failed, parallel)
         if server is None and outcome in (Outcome.STALE, Outcome.RESET, Outcome.ERROR):
-            # It may go nowhere else: only the cell that has seen it knows a repeat.
-            server = service.fleet.choose(held, self.now)
+            # No other backend may take it: only the cell that has seen the request recognizes a repeat.
+            server = service.fleet.choose(pending, self.now)
         if server is not None:
             self.retry_budget.level -= cost
-            self._send(held, server)
+            self._send(pending, server)
         return server is not None
 
     def _ended(self, event: AttemptEnded) -> None:
-        held = self.pending.get(event.request)
-        if held is None or event.attempt >= len(held.attempts) or not held.attempts[event.attempt].in_flight:
+        pending = self.pending.get(event.request)
+        if (
+            pending is None
+            or event.attempt >= len(pending.attempts)
+            or not pending.attempts[event.attempt].in_flight
+        ):
             return
-        attempt = held.attempts[event.attempt]
+        attempt = pending.attempts[event.attempt]
         attempt.in_flight, attempt.may_have_run = False, not event.outcome.never_ran
-        if attempt.abandoned and event.outcome is Outcome.CANCELLED and not held.unbuffered:
-            held.service.fleet.record_abandoned(held, event.elapsed_ns)
-        held.body_consumed = held.body_consumed or event.body_consumed
-        held.account.attempts_in_flight -= 1
-        out = held.service.fleet.in_flight
-        held.service.fleet.record_end(attempt.backend, held, event, self.now)
-        self.quotas.attempt_ns_per_unit = sum(held.service.fleet.unit_latency_ns) / len(
-            held.service.fleet.unit_latency_ns
+        if attempt.abandoned and event.outcome is Outcome.CANCELLED and not pending.unbuffered:
+            pending.service.fleet.record_abandoned(pending, event.elapsed_ns)
+        pending.body_consumed = pending.body_consumed or event.body_consumed
+        pending.account.attempts_in_flight -= 1
+        in_flight = pending.service.fleet.in_flight
+        pending.service.fleet.record_end(attempt.backend, pending, event, self.now)
+        self.quotas.attempt_ns_per_unit = sum(pending.service.fleet.unit_latency_ns) / len(
+            pending.service.fleet.unit_latency_ns
+        )
+        # A single failing backend says nothing about the fleet: a failure lowers the limit only if most fail.
+        widespread = pending.service.fleet.widespread_failure and event.outcome in (
+            Outcome.TIMEOUT,
+            Outcome.FULL,
         )
-        # One bad backend says nothing of the fleet: only when most are bad does its failure cut the bound.
-        shared = held.service.fleet.widespread_failure and event.outcome in (Outcome.TIMEOUT, Outcome.FULL)
         if (
-            shared
+            widespread
             or event.outcome is Outcome.OK
-            and held.service.fleet.slowdown(attempt.backend, self.now) <= 2.0
+            and pending.service.fleet.slowdown(attempt.backend, self.now) <= 2.0
         ):
-            held.service.limiter.add_sample(2.0 if shared else event.elapsed_ns / held.target_ns, out)
+            pending.service.limiter.add_sample(
+                2.0 if widespread else event.elapsed_ns / pending.target_ns, in_flight
+            )
         if event.outcome is Outcome.OK and event.units > 0 and self.settings.reconciles_units:
-            self.quotas.reconcile(held.account, event.units - held.units, self.now)
-        held.done = held.done or event.complete
-        over = held.done or held.stream or held.in_flight() > 0
-        if not over and not self._retry(held, attempt.backend, event.outcome):
-            self._fail_or_refuse(held)
-        self._forget_finished(held)
-
-    def _fail_or_refuse(self, held: PendingRequest) -> None:
-        """A client retries after a refusal at once: of use while the aim stands, a burden after it."""
-        if held.may_refuse() and self.now < held.target_at:
-            self._refuse(held, 0.0)
+            self.quotas.reconcile(pending.account, event.units - pending.units, self.now)
+        pending.done = pending.done or event.complete
+        needs_no_retry = pending.done or pending.stream or pending.in_flight() > 0
+        if not needs_no_retry and not self._retry(pending, attempt.backend, event.outcome):
+            self._fail_or_refuse(pending)
+        self._forget_finished(pending)
+
+    def _fail_or_refuse(self, pending: PendingRequest) -> None:
+        """Refuse the request within its latency target, else fail it.
+
+        A client retries at once after a refusal, which helps within the target and only adds load after it.
+        """
+        if pending.may_refuse() and self.now < pending.target_at:
+            self._refuse(pending, 0.0)
         else:
-            self.actions.append(Fail(held.id))
-            self._close(held)
+            self.actions.append(Fail(pending.id))
+            self._close(pending)
 
-    def _refuse(self, held: PendingRequest, wait_s: float, over_quota: bool = False) -> None:
+    def _refuse(self, pending: PendingRequest, wait_s: float, over_quota: bool = False) -> None:
         wait = int(min(wait_s * SECOND, self.settings.max_retry_after_ns)) if self.settings.retry_after else 0
-        self.actions.append(Refuse(held.id, wait, over_quota))
-        self._close(held)
-
-    def _close(self, held: PendingRequest) -> None:
-        if held.waiting and held.account.owners and not held.attempts:
-            self.quotas.reconcile(held.account, -held.units, self.now)  # granted and not sent: it goes back
-        held.done, held.waiting, held.asking = True, False, False
-        held.service.scheduler.head(held.account.customer)
-        self._forget_finished(held)
-
-    def _forget_finished(self, held: PendingRequest) -> None:
-        if held.done and not held.in_flight():
-            self.pending.pop(held.id, None)
+        self.actions.append(Refuse(pending.id, wait, over_quota))
+        self._close(pending)
+
+    def _close(self, pending: PendingRequest) -> None:
+        if pending.waiting and pending.account.owners and not pending.attempts:
+            # Return units that were granted but not used.
+            self.quotas.reconcile(pending.account, -pending.units, self.now)
+        pending.done, pending.waiting, pending.asking = True, False, False
+        pending.service.scheduler.head(pending.account.customer)
+        self._forget_finished(pending)
+
+    def _forget_finished(self, pending: PendingRequest) -> None:
+        if pending.done and not pending.in_flight():
+            self.pending.pop(pending.id, None)
--- a/pepperrun/core/interface.py
+++ b/pepperrun/core/interface.py
@@ -1,7 +1,7 @@
-"""What goes into and comes out of a gateway: settings, events and actions.
+"""Input and output of a gateway: settings, events and actions.
 
-A gateway is told its `Settings` once and is then given events; it answers with actions. All times are
-integer nanoseconds. Nothing here decides anything: the decisions are in `gateway` and `quotas`.
+A gateway gets its `Settings` at the start, then receives events and returns actions. All times are integer
+nanoseconds. This module holds data types only: the decisions are in `gateway` and `quotas`.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class Repeat(enum.Enum):
-    """What it means to run a request of a class twice."""
+    """Whether running a request of a class twice is safe, safe with an idempotency key, or unsafe."""
 
     SAFE = "safe"
     KEYED = "keyed"
@@ -20,7 +20,7 @@
 
 
 class Group(enum.Enum):
-    """The backends that drop repeats of a keyed request together."""
+    """The set of backends that share their deduplication of keyed requests."""
 
     ALL = "all"
     ZONE = "zone"
@@ -28,7 +28,7 @@
 
 
 class Outcome(enum.Enum):
-    """How an attempt ended."""
+    """Result of an attempt."""
 
     OK = "ok"
     ERROR = "error"
@@ -36,18 +36,18 @@
     TIMEOUT = "timeout"
     CONNECT_FAILED = "connect_failed"
     RESET = "reset"
-    STALE = "stale"  # a kept connection broke at once under the request: a reset that shows no bad backend
+    STALE = "stale"  # a reused connection was reset at once: no sign of a faulty backend
     CANCELLED = "cancelled"
-    MOOT = "moot"
+    MOOT = "moot"  # the attempt ended before it was sent to the backend
 
     @property
     def never_ran(self) -> bool:
-        """True when this outcome proves that the attempt had no effect."""
+        """True when this outcome proves that the backend did not run the request."""
         return self in (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT)
 
 
 class BackendState(enum.Enum):
-    """A backend's state in the list."""
+    """State of a backend in the backend list."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -55,7 +55,7 @@
 
 
 class ListKind(enum.Enum):
-    """What a list event holds: changes, all, all as last held by this gateway, or nothing (it failed)."""
+    """Content of a list event: changes, the complete list, the last list cached here, or none (it failed)."""
 
     DELTA = "delta"
     FULL = "full"
@@ -63,17 +63,21 @@
     FAILED = "failed"
 
 
-MAX_PLANS = 128  # gateways tell each other of plans in seven bits
+MAX_PLANS = 128  # a plan number has seven bits in messages between gateways
 
 
-def _require(ok: bool, name: str, wanted: str) -> None:
+def _require(ok: bool, name: str, expected: str) -> None:
     if not ok:
-        raise ValueError(f"{name}: must be {wanted}")
+        raise ValueError(f"{name}: must be {expected}")
 
 
 @dataclass(slots=True, frozen=True)
 class RequestClass:
-    """A class of requests: how soon it is wanted and whether it may run again."""
+    """A class of requests: its latency target, its deadline and whether a request may run again.
+
+    `window_ns`: how long backends of `group` drop repeats of a keyed request. `value` and `late_value`: the
+    value of an answer within `target_ns` and after it. `max_attempts`: 0 uses the limit in `Settings`.
+    """
 
     name: str
     target_ns: int
@@ -83,7 +87,7 @@
     window_ns: int = 0
     value: float = 1.0
     late_value: float = 0.0
-    max_attempts: int = 0  # attempts of a request at most; 0: as the settings say
+    max_attempts: int = 0
 
     def __post_init__(self) -> None:
         _require(self.target_ns > 0, "classes.target_ns", "above 0")
@@ -95,7 +99,13 @@
 
 @dataclass(slots=True, frozen=True)
 class Plan:
-    """A plan: the quotas of each of its customers, over all gateways together. 0 means no such quota."""
+    """Quotas of each customer of a plan, summed over all gateways. 0 means that the quota does not exist.
+
+    `rate` (units/s) and `burst` (units) form the quota, `ceiling_*` the hard rate limit with its rate, bucket
+    depth and permitted overshoot in units. `open_limit`: concurrent requests. `price`: factor on a request's
+    value. `over_quota_value` and `over_quota_cost`: factor on the value, and cost, of a request beyond
+    the quota.
+    """
 
     name: str
     rate: float = 0.0
@@ -124,23 +134,27 @@
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """Everything a gateway is told at its start. Fields with a default may be left out.
-
-    `gateways` is how many there are, `me` this one's number among them (0-based), `zone` its zone's number.
-    `tick_ns` is the shortest time between two calls of `Gateway.handle`. A backend that has just started can
-    do at least `cold_from` of its work and all of it after `cold_ns`; sent more than `tip_multiple` times its
-    capacity for `tip_for_ns` it falls over. `peer_intake` is how many messages a second a gateway takes in.
-
-    `cancel_when_client_left`: the attempts of a client who has left are cancelled where its class may be
-    repeated; not where only answers tell what a request has cost.
-
-    `seats`: among so many gateways hard ceilings are split where that is more than there are now. `lines` is
-    how many services there are, each with its own backends, queues and bound. A further attempt is paid for
-    by `further_share` of each first one and by `further_burst` saved up; with `strict_further` each that may
-    reach a backend costs a whole one. `follows_best`: the bound's goal rises above a part of the aim
-    where the best latencies seen are near it (work alone takes that long). `marks`: gateways number classes
-    alike, and tell each other of backends' failures. `own_plans`: each numbers plans for itself, as many as
-    there are; nobody goes by the number that another one tells.
+    """Configuration of a gateway. Fields with a default are optional.
+
+    `gateways` is the number of gateways, `me` this gateway's 0-based number and `zone` the number of its
+    zone. `tick_ns` is the shortest time between two calls of `Gateway.handle`. A backend that has just
+    started has at least `slow_start_min_capacity` of its capacity, and all of it after `slow_start_ns`. A
+    backend that gets more than `overload_multiple` times its capacity for `overload_for_ns` fails.
+    `peer_message_rate` is how many messages from peers a gateway accepts per second.
+
+    `cancel_when_client_left`: cancel the attempts of a client that has disconnected if its class is safe to
+    repeat. Leave it off where only answers report what a request has cost.
+
+    `min_quota_shares`: hard rate limits are split among at least this many gateways, even if fewer exist.
+    `services` is the number of services; each has its own backends, queues and concurrency limit. Each first
+    attempt adds `retry_budget_ratio` to the retry budget, which holds at most `retry_budget_burst`. With
+    `strict_retry_budget` each retry that may reach a backend costs a full unit of the budget.
+    `adaptive_latency_goal`: the limiter's latency goal rises above its fixed share of the latency target if
+    the lowest latencies seen are close to that share, as the work alone then takes that long.
+    `share_backend_reports`: all gateways number the classes alike and report backend failures to each other.
+    `local_plan_numbers`: each gateway numbers the plans on its own, without an upper bound, and ignores the
+    plan numbers that peers send. `reconciles_units`: an answer reports the true units, which replace the
+    estimate.
     """
 
     me: int
@@ -199,30 +213,33 @@
 
 
 class Gate(Protocol):
-    """What else has a say in where a request goes; `lot` is what came with the request for it.
+    """An additional check on where a request may go, called when an attempt is sent.
 
-    `open`: 0 where it may go out now, else it is refused, with this wait in nanoseconds. `may`: may it go to
-    this backend now? `sent`: it does. All are asked in the turn in which the attempt goes out.
+    `context` is the request's `gate_context`. `wait_ns` decides whether the request may be sent at all;
+    if not, it is refused with that wait. `may_send` decides whether a backend may get it, and `on_sent` is
+    called once a backend has been chosen. All calls for an attempt happen in the `Gateway.handle` call that
+    sends it.
     """
 
     def wait_ns(self, context: object, now: int) -> int:
-        """Return 0 where it may go out now, else the ns after which it may be tried again."""
+        """Return 0 if the request may be sent now, else the ns after which it may be retried."""
         ...
 
     def may_send(self, context: object, backend: int, now: int) -> bool:
-        """Whether it may go to this backend now."""
+        """Return whether this backend may get the request now."""
         ...
 
     def on_sent(self, context: object, backend: int, now: int) -> None:
-        """It goes there."""
+        """Record that an attempt is sent to this backend."""
         ...
 
 
 @dataclass(slots=True, frozen=True)
 class Backend:
-    """A line of the list of backends. `born_ns` is when it last started, 0 for long ago.
+    """An entry of the backend list. `started_ns` is when it last started, 0 for long ago.
 
-    `line`: its service. `far`: it counts as this much slower for its distance; 0: as the decisions have it.
+    `service`: number of its service. `distance_factor`: factor on its expected latency for its network
+    distance; 0 lets the gateway derive the factor from the zones.
     """
 
     id: int
@@ -236,7 +253,7 @@
 
 @dataclass(slots=True)
 class BackendList:
-    """The list of backends, or what changed in it."""
+    """The complete backend list, or the entries that changed."""
 
     kind: ListKind
     backends: tuple[Backend, ...] = ()
@@ -244,10 +261,10 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestLimits:
-    """What a request's route allows it, where that changes while its class (the kind of work) stays.
+    """Limits of a request's route, which may change while its class (the kind of work) stays the same.
 
-    `aim_ns`: within which it is wanted. `tries`: attempts at the most. `initial_ns`: the time that clients of
-    this route start with; one that has less left has waited before.
+    `target_ns`: the latency target. `max_attempts`: the limit on attempts. `initial_ns`: the time budget that
+    clients of this route start with; a request with less time left has already waited.
     """
 
     target_ns: int
@@ -257,13 +274,13 @@
 
 @dataclass(slots=True)
 class Request:
-    """A client's request. Its customer comes through `spread` gateways from number `first` on, counted round.
+    """A client's request. Its customer uses `spread` gateways, from number `first` on, modulo their number.
 
-    `left_ns` is the time until the client gives up, `units` what it draws from the quota (a guess where the
-    settings say that units are settled by the answer). `once`: its body is longer than is held and still
-    coming; it can be sent one time, and the client's time counts from its last byte. `line`: the service that
-    it is for; `lot`: what the gate goes by; `rank`: the lower, the sooner its turn. `limits`: of its route;
-    those of its class if left out.
+    `left_ns` is the time until the client gives up. `units` is what the request takes from the quota (an
+    estimate if `Settings.reconciles_units`). `unbuffered`: the body is longer than the buffer and still
+    arriving, so the request can be sent only once, and the client's time counts from its last byte.
+    `service`: number of the service; `gate_context`: input of the `Gate`; `rank`: the lower, the earlier it
+    is sent. `limits`: limits of its route; None uses those of its class.
     """
 
     id: int
@@ -283,7 +300,7 @@
 
 @dataclass(slots=True)
 class StreamStarted:
-    """A streamed answer has begun: the attempt now belongs to the client."""
+    """A streamed answer has begun: the gateway makes no further attempts for this request."""
 
     request: int
     attempt: int
@@ -292,9 +309,10 @@
 
 @dataclass(slots=True)
 class AttemptEnded:
-    """How an attempt ended. `complete`: the client has its final answer. `units`: the true ones, or 0.
+    """Result of an attempt. `complete`: the client has its final answer. `units`: the true units, or 0.
 
-    `spent`: some of the request's body, which is not held whole, has gone out: it can't be sent again.
+    `body_consumed`: part of the request's body, which is not buffered, has been sent, so the request can't be
+    sent again.
     """
 
     request: int
@@ -310,7 +328,7 @@
 
 @dataclass(slots=True)
 class AttemptSuspected:
-    """An attempt's backend may hang. That is not known: the attempt stays out, another may go out beside."""
+    """The backend of an attempt may hang. The attempt stays in flight; a second may be sent in parallel."""
 
     request: int
     attempt: int
@@ -318,14 +336,14 @@
 
 @dataclass(slots=True)
 class ClientLeft:
-    """The client has gone: nothing more is owed for this request."""
+    """The client has disconnected: the request needs no answer."""
 
     request: int
 
 
 @dataclass(slots=True)
 class RequestExpired:
-    """The request has got its final answer without the decisions: its time, or its process's, is over.
+    """The request got its final answer outside the gateway, as its time is over or its process stops.
 
     Its attempts end with their own deadlines, or with the process.
     """
@@ -335,14 +353,14 @@
 
 @dataclass(slots=True)
 class TimerFired:
-    """A timer asked for with `SetTimer` is due."""
+    """A timer set with `SetTimer` is due."""
 
     token: int
 
 
 @dataclass(slots=True)
 class ProbeEnded:
-    """The result of a `Probe`."""
+    """Result of a health check requested with `Probe`."""
 
     backend: int
     outcome: Outcome
@@ -352,7 +370,7 @@
 
 @dataclass(slots=True)
 class PeerMessage:
-    """A message from another gateway."""
+    """A message received from another gateway."""
 
     peer: int
     data: bytes
@@ -374,7 +392,7 @@
 
 @dataclass(slots=True)
 class Send:
-    """Start an attempt of a request at a backend. Attempts of a request count 0, 1, 2 ... in this order."""
+    """Send an attempt to a backend. The attempts of a request are numbered 0, 1, 2 ... in this order."""
 
     request: int
     backend: int
@@ -383,9 +401,9 @@
 
 @dataclass(slots=True)
 class Refuse:
-    """Final answer: not served, and trying again is harmless. `wait_ns`: advice to stay away, 0 for none.
+    """Final answer: rejected, and a retry is safe. `wait_ns`: advised delay before a retry, 0 for none.
 
-    `beyond`: its customer's quota is used up.
+    `over_quota`: the quota of its customer is used up.
     """
 
     request: int
@@ -395,14 +413,14 @@
 
 @dataclass(slots=True)
 class Fail:
-    """Final answer: not served; nothing is promised of its effect."""
+    """Final answer: failed; the request may have run or not."""
 
     request: int
 
 
 @dataclass(slots=True)
 class Cancel:
-    """Stop waiting for one attempt."""
+    """Cancel one attempt of a request."""
 
     request: int
     attempt: int
@@ -410,7 +428,7 @@
 
 @dataclass(slots=True)
 class SetTimer:
-    """Ask for a `TimerFired` after a delay."""
+    """Request a `TimerFired` event after a delay."""
 
     delay_ns: int
     token: int
@@ -418,7 +436,7 @@
 
 @dataclass(slots=True)
 class Probe:
-    """Probe a backend."""
+    """Send a health check to a backend; its result comes as `ProbeEnded`."""
 
     backend: int
 
@@ -440,21 +458,21 @@
 
 @dataclass(slots=True)
 class Log:
-    """A line for the people on call."""
+    """Write a line to the operators' log."""
 
     text: str
 
 
 @dataclass(slots=True)
 class Watch:
-    """Subscribe to changes of the list of backends."""
+    """Subscribe to changes of the backend list, or unsubscribe."""
 
     on: bool = True
 
 
 @dataclass(slots=True)
 class FetchList:
-    """Ask for the whole list once."""
+    """Request the complete backend list once."""
 
 
 Action = (
--- a/pepperrun/core/services.py
+++ b/pepperrun/core/services.py
@@ -1,4 +1,4 @@
-"""What a gateway has of each service. Nothing here decides anything."""
+"""State that a gateway keeps for each service."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class ServiceState:
-    """One service: its backends, the bound on attempts at them, and the queues before it."""
+    """One service: its backends, its concurrency limit and its queues of waiting requests."""
 
     def __init__(
         self, settings: Settings, rng: random.Random, log: Callable[[str, str], None], gate: Gate | None
--- a/pepperrun/core/state.py
+++ b/pepperrun/core/state.py
@@ -1,4 +1,4 @@
-"""What a gateway holds, and the turn of its events. Nothing here decides anything."""
+"""State of a gateway (backends, requests, queues) and the dispatch of its events; no decisions."""
 
 from __future__ import annotations
 
@@ -22,105 +22,109 @@
 
 
 class Server:
-    """A backend: its line in the list, and what is out at it."""
+    """A backend: its entry in the backend list, and the attempts in flight to it."""
 
-    def __init__(self, line: Backend, now: int) -> None:
-        self.id, self.zone, self.cell = line.id, line.zone, line.cell
-        self.state, self.started_at = line.state, line.started_ns
-        self.in_flight: dict[tuple[int, int], tuple[int, float]] = {}  # attempt: sent at, expected to take
-        self.unreachable_at = 0  # when it last could not be reached
-        self.slowdown, self.sampled_at = 1.0, now  # latency over expected, and when last seen
-        self.distance_factor = line.distance_factor
+    def __init__(self, entry: Backend, now: int) -> None:
+        self.id, self.zone, self.cell = entry.id, entry.zone, entry.cell
+        self.state, self.started_at = entry.state, entry.started_ns
+        self.in_flight: dict[
+            tuple[int, int], tuple[int, float]
+        ] = {}  # by request and attempt: when sent, expected ns
+        self.unreachable_at = 0  # when a connection to it last failed
+        self.slowdown, self.sampled_at = 1.0, now  # latency over expected, and time of the last sample
+        self.distance_factor = entry.distance_factor
 
 
 class BackendTable:
-    """The backends that the list has named."""
+    """The known backends by id."""
 
     def __init__(self) -> None:
         self.servers: dict[int, Server] = {}
 
     def update(self, event: BackendList, now: int) -> list[Server]:
-        """Takes in a list or its changes; the backends known before that have started since."""
+        """Apply a list or its changes; return the known backends that have restarted since."""
         started = []
-        for line in event.backends:
-            server = self.servers.setdefault(line.id, Server(line, now))
-            if line.started_ns > server.started_at:
-                server.started_at = line.started_ns
+        for entry in event.backends:
+            server = self.servers.setdefault(entry.id, Server(entry, now))
+            if entry.started_ns > server.started_at:
+                server.started_at = entry.started_ns
                 started.append(server)
             server.zone, server.cell, server.state, server.distance_factor = (
-                line.zone,
-                line.cell,
-                line.state,
-                line.distance_factor,
+                entry.zone,
+                entry.cell,
+                entry.state,
+                entry.distance_factor,
             )
         if event.kind is not ListKind.DELTA:
-            listed = {line.id for line in event.backends}
+            listed = {entry.id for entry in event.backends}
             for server in self.servers.values():
                 if server.id not in listed:
                     server.state = BackendState.GONE
         for server in [server for server in self.servers.values() if server.state is BackendState.GONE]:
-            del self.servers[server.id]  # attempts still out at it end all the same
+            del self.servers[server.id]  # attempts in flight to it still end as usual
         return started
 
     def ready(self) -> list[Server]:
-        """The backends that the list calls ready."""
+        """Return the backends whose state is ready."""
         return [server for server in self.servers.values() if server.state is BackendState.READY]
 
 
 class Attempt:
-    """One attempt of a request."""
+    """One attempt of a request at one backend."""
 
-    def __init__(self, backend: Server, sent: int) -> None:
-        self.backend, self.sent_at, self.in_flight, self.may_have_run = backend, sent, True, True
-        self.counted = True  # against the bound
-        self.abandoned = False  # its client has left: it is to end
+    def __init__(self, backend: Server, sent_at: int) -> None:
+        self.backend, self.sent_at, self.in_flight, self.may_have_run = backend, sent_at, True, True
+        self.counted = True  # against the concurrency limit
+        self.abandoned = False  # its client has disconnected: it is cancelled after a grace period
 
 
 class RequestState:
-    """A request taken and not yet ended, or ended with attempts still out."""
+    """A request that has no final answer yet, or one that has but still has attempts in flight."""
 
-    def __init__(self, event: Request, account: Any, kind: RequestClass, lane: Any, now: int) -> None:
+    def __init__(
+        self, event: Request, account: Any, request_class: RequestClass, service: Any, now: int
+    ) -> None:
         self.account, self.service, self.gate_context, self.rank = (
             account,
-            lane,
+            service,
             event.gate_context,
             event.rank,
         )
-        self.id, self.cls, self.units, self.request_class = event.id, event.cls, event.units, kind
+        self.id, self.cls, self.units, self.request_class = event.id, event.cls, event.units, request_class
         limits = event.limits
-        self.target_ns = kind.target_ns if limits is None else limits.target_ns
-        self.max_attempts = kind.max_attempts if limits is None else limits.max_attempts
+        self.target_ns = request_class.target_ns if limits is None else limits.target_ns
+        self.max_attempts = request_class.max_attempts if limits is None else limits.max_attempts
         self.deadline, self.target_at = now + event.left_ns, now + min(self.target_ns, event.left_ns)
         self.attempts: list[Attempt] = []
-        self.unbuffered, self.body_consumed = (
-            event.unbuffered,
-            False,
-        )  # a body that is not held whole; some of it has gone out
+        # The body is not buffered completely; part of it has been sent.
+        self.unbuffered, self.body_consumed = event.unbuffered, False
         self.asking = self.waiting = self.done = self.stream = False
-        self.asks = self.asked_at = 0  # asks sent to keepers since the last answer, and when the last one
+        self.asks = self.asked_at = (
+            0  # requests for units since the last answer, and the time of the last one
+        )
 
     def in_flight(self) -> int:
-        """How many attempts are out."""
+        """Return how many attempts are in flight."""
         return sum(attempt.in_flight for attempt in self.attempts)
 
 
 class Queues:
-    """First in, first out for each customer; what has ended meanwhile is passed over."""
+    """One queue per customer, by rank and then first in, first out; skips requests that have ended."""
 
     def __init__(self) -> None:
         self.waiting: dict[int, deque[Any]] = {}
 
-    def add(self, customer: int, held: RequestState) -> None:
-        """To the end of a customer's queue, but before those of lower standing."""
-        held.waiting = True
+    def add(self, customer: int, pending: RequestState) -> None:
+        """Append to a customer's queue, but before requests with a higher `rank` number."""
+        pending.waiting = True
         queue = self.waiting.setdefault(customer, deque())
-        place = len(queue)
-        while place and queue[place - 1].rank > held.rank:
-            place -= 1
-        queue.insert(place, held)
+        position = len(queue)
+        while position and queue[position - 1].rank > pending.rank:
+            position -= 1
+        queue.insert(position, pending)
 
     def head(self, customer: int) -> Any:
-        """The first one still waiting, or None."""
+        """Return the first request that is still waiting, or None."""
         queue = self.waiting.get(customer, ())
         while queue and not queue[0].waiting:
             queue.popleft()
@@ -129,55 +133,55 @@
         return queue[0] if queue else None
 
     def pop(self, customer: int) -> Any:
-        """Takes the first one off; `push_front` undoes it."""
-        held = self.waiting[customer].popleft()
-        held.waiting = False
-        return held
+        """Remove and return the first request; `push_front` undoes this."""
+        pending = self.waiting[customer].popleft()
+        pending.waiting = False
+        return pending
 
-    def push_front(self, customer: int, held: RequestState) -> None:
-        """To the front of a customer's queue."""
-        held.waiting = True
-        self.waiting.setdefault(customer, deque()).appendleft(held)
+    def push_front(self, customer: int, pending: RequestState) -> None:
+        """Put a request at the front of a customer's queue."""
+        pending.waiting = True
+        self.waiting.setdefault(customer, deque()).appendleft(pending)
 
 
 class EventDispatcher:
-    """Gives each event to its handler, keeps the agenda and its timer, and collects the actions."""
+    """Calls the handler of each event, runs the timer queue and collects the actions."""
 
     def __init__(self) -> None:
         self.handlers: dict[type, Callable[[Any], None]] = {}
-        self.agenda = TimerQueue()
-        self.now, self.armed = -1, 0
+        self.timers = TimerQueue()
+        self.now, self.armed_at = -1, 0
         self.actions: list[Action] = []
 
     def handle(self, now: int, events: Sequence[Event]) -> list[Action]:
-        """Decides on what happened up to `now`."""
+        """Process the events up to `now` and return the actions to carry out, in order."""
         self.actions = []
         started, self.now = self.now < 0, max(now, self.now)
         if started:
             self.start()
         for event in events:
             if isinstance(event, TimerFired):
-                self.armed = 0
+                self.armed_at = 0
             elif (handler := self.handlers.get(type(event))) is not None:
                 handler(event)
-        self.agenda.run(self.now)
+        self.timers.run(self.now)
         self.finish()
-        if (alarm := self.agenda.alarm(self.now, self.armed)) is not None:
-            self.armed = alarm
-            self.actions.append(SetTimer(max(1, alarm - self.now), 0))
+        if (wake_up := self.timers.next_wake_up(self.now, self.armed_at)) is not None:
+            self.armed_at = wake_up
+            self.actions.append(SetTimer(max(1, wake_up - self.now), 0))
         return self.actions
 
-    def every(self, span: int, what: Callable[[], None]) -> None:
-        """Does something again and again."""
+    def every(self, interval_ns: int, callback: Callable[[], None]) -> None:
+        """Call `callback` every `interval_ns`."""
 
         def again() -> None:
-            what()
-            self.agenda.add(self.now + span, again)
+            callback()
+            self.timers.add(self.now + interval_ns, again)
 
-        self.agenda.add(self.now + span, again)
+        self.timers.add(self.now + interval_ns, again)
 
     def start(self) -> None:
-        """Before the first event."""
+        """Called before the first event."""
 
     def finish(self) -> None:
-        """After the events and what was due."""
+        """Called after the events and the callbacks that were due."""
--- a/pepperrun/core/unit_requester.py
+++ b/pepperrun/core/unit_requester.py
@@ -101,7 +101,7 @@
                 self._request_units(request)
 
         deadline = self.now + request.target_ns // RESPONSE_TIMEOUT_DIVISOR
-        self.agenda.add(deadline, on_timeout, lambda: not request.asking or request.asks != request_count)
+        self.timers.add(deadline, on_timeout, lambda: not request.asking or request.asks != request_count)
 
     def _on_unit_response(self, response: gossip.UnitResponse, owner: int) -> None:
         """Acts on an owner's response: granted units queue the request, units that come too late go back."""
@@ -126,7 +126,7 @@
                 self.now,
             )  # the owner responded: asks again when units may be there
             retry_at = self.now + wait
-            self.agenda.add(
+            self.timers.add(
                 retry_at,
                 lambda: self._request_units(request) if request.asking and not request.asks else None,
             )
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""A gateway driven by hand."""
+"""Drives a single gateway with explicit events and time."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
 
 def make_settings(**changes: object) -> Settings:
-    """Settings of three gateways that may do everything, with some of them changed."""
+    """Return settings of three gateways with all features allowed, with `changes` applied."""
     fields: dict[str, object] = {
         "me": 0,
         "gateways": 3,
@@ -63,7 +63,7 @@
 
 
 class Driver:
-    """Feeds a gateway, keeps its clock and its timer, and remembers what it did."""
+    """Feeds a gateway, keeps its time and its timer, and records its actions."""
 
     def __init__(self, backends: int = 3, seed: int = 1, start: int = START, **changes: object) -> None:
         self.settings = make_settings(**changes)
@@ -85,7 +85,7 @@
         return actions
 
     def run(self, span: int) -> list[Action]:
-        """Lets time pass; what the gateway did in it."""
+        """Advance the time and return the actions meanwhile."""
         end, done = self.now + span, []
         while self.timer is not None and self.timer <= end:
             self.now = max(self.now + 1, self.timer)
@@ -95,17 +95,17 @@
         return done
 
     def ask(self, plan: int = FREE, cls: int = 0, customer: int = 1, **more: object) -> list[Action]:
-        """A request arrives; what the gateway did."""
+        """Feed a request and return the actions."""
         self.next_id += 1
         fields: dict[str, object] = {"left_ns": 3 * SECOND, "units": 1.0, "spread": 1, "first": 0} | more
         return self.feed(Request(self.next_id, customer, plan, cls, **fields))  # type: ignore[arg-type]
 
     def end(self, send: Send, outcome: Outcome, attempt: int = 0, elapsed: int = 50 * MS) -> list[Action]:
-        """An attempt ends; what the gateway did."""
+        """Feed the end of an attempt and return the actions."""
         complete = outcome is Outcome.OK
         return self.feed(AttemptEnded(send.request, attempt, send.backend, outcome, elapsed, complete))
 
 
 def only(actions: list[Action], kind: type) -> list:  # type: ignore[type-arg]
-    """The actions of one kind."""
+    """Return the actions of one type."""
     return [action for action in actions if isinstance(action, kind)]
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -1,4 +1,4 @@
-"""The gateway's decisions, one failure or rule at a time."""
+"""Decisions of a gateway: each test covers one failure or rule."""
 
 from __future__ import annotations
 
@@ -52,11 +52,11 @@
     return only(actions, Send)
 
 
-def test_a_request_goes_straight_out_while_the_bound_has_room() -> None:
+def test_a_request_is_sent_at_once_within_the_concurrency_limit() -> None:
     assert len(sends(Driver().ask())) == 1
 
 
-def test_use_beyond_the_quota_is_refused_and_time_fills_it_again() -> None:
+def test_requests_beyond_the_quota_are_refused_until_it_refills() -> None:
     driver = Driver()
     answers = [driver.ask(RATE, units=4.0) for _ in range(4)]
     assert [len(sends(actions)) for actions in answers] == [1, 1, 1, 0]
@@ -65,14 +65,14 @@
     assert len(sends(driver.ask(RATE, units=4.0))) == 1
 
 
-def test_a_customer_not_heard_of_has_its_share_of_the_burst_only() -> None:
+def test_without_peer_reports_a_customer_gets_only_this_gateways_share_of_the_burst() -> None:
     driver = Driver()
     answers = [driver.ask(RATE, units=2.0, spread=3) for _ in range(3)]
     assert [len(sends(actions)) for actions in answers] == [1, 1, 0]
 
 
-def tell(driver: Driver, *messages: tuple[int, int, float]) -> None:
-    """Messages (incarnation, sequence, total) of peer 1 about customer 1."""
+def receive_totals(driver: Driver, *messages: tuple[int, int, float]) -> None:
+    """Feed messages (incarnation, sequence, total) of peer 1 about customer 1."""
     for incarnation, sequence, total in messages:
         entry = gossip.UsageEntry(1, total, 4.0, 0.0, 0.0, 0)
         data = gossip.pack(gossip.Message(incarnation, sequence, 0, 0.1, [entry]))
@@ -84,36 +84,36 @@
 
 
 def test_lost_repeated_and_reordered_messages_count_once() -> None:
-    plain, rough = Driver(), Driver()
-    for driver in (plain, rough):
+    ordered, disordered = Driver(), Driver()
+    for driver in (ordered, disordered):
         driver.ask(RATE, units=1.0, spread=3)
-    tell(plain, (5, 1, 0.0), (5, 2, 1.0), (5, 3, 3.0))
-    tell(rough, (5, 1, 0.0), (5, 3, 3.0), (5, 2, 1.0), (5, 3, 3.0))
-    assert level(plain) == level(rough) == 12.0 - 1.0 - 4.0 - 3.0
+    receive_totals(ordered, (5, 1, 0.0), (5, 2, 1.0), (5, 3, 3.0))
+    receive_totals(disordered, (5, 1, 0.0), (5, 3, 3.0), (5, 2, 1.0), (5, 3, 3.0))
+    assert level(ordered) == level(disordered) == 12.0 - 1.0 - 4.0 - 3.0
 
 
 def test_a_restarted_peer_counts_by_its_recent_use() -> None:
     driver = Driver()
     driver.ask(RATE, units=1.0, spread=3)
-    tell(driver, (5, 9, 50.0), (6, 1, 2.0))
+    receive_totals(driver, (5, 9, 50.0), (6, 1, 2.0))
     assert level(driver) == 12.0 - 1.0 - 4.0 - 4.0
-    tell(driver, (5, 10, 60.0))
+    receive_totals(driver, (5, 10, 60.0))
     assert level(driver) == 12.0 - 1.0 - 4.0 - 4.0
 
 
-def test_once_heard_the_whole_store_less_the_told_units_is_shared() -> None:
+def test_after_a_peer_report_the_complete_bucket_less_the_reported_units_is_shared() -> None:
     driver = Driver()
     driver.ask(RATE, units=2.0, spread=2)
-    tell(driver, (5, 1, 0.0))
+    receive_totals(driver, (5, 1, 0.0))
     driver.gateway.quotas.accounts[1].unreported_units = 0.0
-    assert len(sends(driver.ask(RATE, units=4.0, spread=2))) == 1  # the whole room at first
-    assert len(sends(driver.ask(RATE, units=4.0, spread=2))) == 0  # then this gateway's part
+    assert len(sends(driver.ask(RATE, units=4.0, spread=2))) == 1  # the complete bucket at first
+    assert len(sends(driver.ask(RATE, units=4.0, spread=2))) == 0  # then this gateway's share
 
 
 @pytest.mark.parametrize(
     "data", [b"", b"\2", b"\1" + bytes(17), bytes(300), b"\2" + bytes(13), b"\2" + bytes(18)]
 )
-def test_garbled_foreign_and_oversized_messages_are_dropped_whole(data: bytes) -> None:
+def test_malformed_foreign_and_oversized_messages_are_dropped_completely(data: bytes) -> None:
     driver = Driver()
     driver.ask(RATE, units=2.0, spread=3)
     before = level(driver)
@@ -122,19 +122,19 @@
     assert driver.gateway.quotas.inbox.peers == {}
 
 
-def test_messages_go_only_to_the_set_and_only_for_customers_near_their_slice() -> None:
+def test_messages_go_only_to_a_customers_gateways_and_only_if_its_local_bucket_runs_low() -> None:
     driver = Driver()
     driver.ask(RATE, customer=1, units=3.0, spread=2)
     driver.ask(FREE, customer=2, units=1.0, spread=2)
-    told: dict[int, list[int]] = {1: [], 2: []}
+    reported: dict[int, list[int]] = {1: [], 2: []}
     for action in only(driver.run(3 * driver.gateway.quotas.message_interval_ns), SendPeerMessage):
         message = gossip.unpack(action.data)
         assert message is not None
-        told[action.peer] += [entry.customer for entry in message.entries]
-    assert told == {1: [1], 2: []}
+        reported[action.peer] += [entry.customer for entry in message.entries]
+    assert reported == {1: [1], 2: []}
 
 
-def test_messages_are_no_faster_than_receivers_take_them_in() -> None:
+def test_messages_keep_to_the_rate_that_receivers_accept() -> None:
     driver = Driver(peer_message_rate=40.0)
     count = 0
     for _ in range(200):
@@ -143,43 +143,44 @@
     assert 0 < count * 2 <= 40 * 2
 
 
-def test_the_ceiling_starts_empty_and_each_gateway_keeps_its_slice() -> None:
+def test_the_hard_rate_limit_starts_empty_and_each_gateway_keeps_to_its_share() -> None:
     driver = Driver()
     assert sends(driver.ask(CEILED, units=1.0, spread=3)) == []
-    assert len(sends(driver.run(SECOND))) == 1  # 6 / 3 units a second: held, not refused, until there is one
+    # 6 / 3 units per second: the request waits for a unit and is not refused.
+    assert len(sends(driver.run(SECOND))) == 1
     driver.run(20 * SECOND)
     total = sum(len(sends(driver.ask(CEILED, units=2.0, spread=3))) for _ in range(20))
-    assert total == 4  # 24 / 3 units at once
+    assert total == 4  # 24 / 3 units in a burst
 
 
-def test_ceiling_units_handed_over_leave_the_sender_and_count_once() -> None:
-    giver, taker = Driver(), Driver(me=1)
-    for driver in (giver, taker):
+def test_transferred_rate_limit_units_leave_the_sender_and_count_once() -> None:
+    sender, receiver = Driver(), Driver(me=1)
+    for driver in (sender, receiver):
         driver.run(20 * SECOND)
         driver.ask(CEILED, units=4.0, spread=3)
-    taker.ask(CEILED, units=4.0, spread=3)
+    receiver.ask(CEILED, units=4.0, spread=3)
     messages: list[bytes] = []
     for _ in range(20):
-        for source, target, me in ((taker, giver, 1), (giver, taker, 0)):
+        for source, target, me in ((receiver, sender, 1), (sender, receiver, 0)):
             for action in only(source.run(source.gateway.quotas.message_interval_ns), SendPeerMessage):
                 if action.peer == target.settings.me:
                     target.feed(PeerMessage(me, action.data))
-                    messages += [action.data] if source is giver else []
+                    messages += [action.data] if source is sender else []
     assert any(e.transferred_units > 0 for m in messages if (un := gossip.unpack(m)) for e in un.entries)
-    levels = [d.gateway.quotas.accounts[1].hard_limit.fill(d.now) for d in (giver, taker)]
-    taker.feed(PeerMessage(0, messages[-1]))
-    again = taker.gateway.quotas.accounts[1].hard_limit.fill(taker.now)
+    levels = [d.gateway.quotas.accounts[1].hard_limit.fill(d.now) for d in (sender, receiver)]
+    receiver.feed(PeerMessage(0, messages[-1]))
+    again = receiver.gateway.quotas.accounts[1].hard_limit.fill(receiver.now)
     assert again == levels[1] and sum(levels) <= 16.0
 
 
-def test_the_limit_on_attempts_out_holds_a_request_until_one_ends() -> None:
+def test_the_limit_on_attempts_in_flight_queues_a_request_until_one_ends() -> None:
     driver = Driver()
     first = [sends(driver.ask(OPEN)) for _ in range(4)]
     assert [len(actions) for actions in first] == [1, 1, 1, 0]
     assert len(sends(driver.end(first[0][0], Outcome.OK))) == 1
 
 
-def held(account: Account, number: int) -> PendingRequest:
+def pending_request(account: Account, number: int) -> PendingRequest:
     event = Request(number, account.customer, 0, 0, SECOND)
     return PendingRequest(event, account, make_settings().classes[0], None, START)
 
@@ -193,49 +194,52 @@
     return made
 
 
-def test_turns_go_to_customers_at_or_below_their_share() -> None:
-    turns = FairScheduler(random.Random(1))
+def test_customers_at_or_below_their_fair_share_are_served_first() -> None:
+    scheduler = FairScheduler(random.Random(1))
     small, large = accounts(10.0, 30.0)
     for number in range(10):
-        turns.add(0, held(small, number))
-        turns.add(1, held(large, 100 + number))
+        scheduler.add(0, pending_request(small, number))
+        scheduler.add(1, pending_request(large, 100 + number))
     small.recent_use.add(9.0, START)
     large.recent_use.add(3.0, START)
     order = []
     for _ in range(6):
-        taken = turns.pop_next(START)
+        taken = scheduler.pop_next(START)
         assert taken is not None
         taken.account.recent_use.add(2.0, START)
         order.append(taken.account.customer)
     assert order == [1] * 6
 
 
-def test_a_round_gives_each_below_goal_customer_one_turn() -> None:
-    turns = FairScheduler(random.Random(1))
+def test_a_round_serves_each_customer_below_its_share_once() -> None:
+    scheduler = FairScheduler(random.Random(1))
     for account in accounts(10.0, 10.0, 10.0):
         for number in range(2):
-            turns.add(account.customer, held(account, number))
-    taken = [turns.pop_next(START) for _ in range(3)]
+            scheduler.add(account.customer, pending_request(account, number))
+    taken = [scheduler.pop_next(START) for _ in range(3)]
     assert sorted(one.account.customer for one in taken if one) == [0, 1, 2]
 
 
-def test_without_a_customer_below_goal_one_gets_a_turn_at_random(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_without_a_ready_customer_below_its_share_a_random_one_is_served(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     winners = set()
     for seed in range(20):
-        turns = FairScheduler(random.Random(seed))
+        scheduler = FairScheduler(random.Random(seed))
         group = accounts(10.0, 10.0, 10.0)
         for account in group:
-            turns.add(account.customer, held(account, 1))
+            scheduler.add(account.customer, pending_request(account, 1))
         group[0].recent_use.add(5.0, START)
         group[1].recent_use.add(5.0, START)
-        monkeypatch.setattr(group[2], "within_limits", lambda *_: False)  # the one below goal can't go
-        taken = turns.pop_next(START)
+        # The customer below its share is not ready.
+        monkeypatch.setattr(group[2], "within_limits", lambda *_: False)
+        taken = scheduler.pop_next(START)
         assert taken is not None
         winners.add(taken.account.customer)
     assert winners == {0, 1}
 
 
-def test_a_full_bound_queues_and_an_answer_lets_the_next_one_go() -> None:
+def test_at_the_concurrency_limit_requests_queue_until_an_answer_arrives() -> None:
     driver = Driver(backends=1)
     first = [sends(driver.ask(customer=number)) for number in range(6)]
     out = [actions[0] for actions in first if actions]
@@ -243,7 +247,7 @@
     assert len(sends(driver.end(out[0], Outcome.OK))) >= 1
 
 
-def test_queued_work_is_refused_once_it_cannot_be_served_within_its_aim() -> None:
+def test_a_queued_request_is_refused_once_it_cannot_meet_its_latency_target() -> None:
     driver = Driver(backends=0)
     assert sends(driver.ask()) == []
     done = driver.run(SECOND)
@@ -271,9 +275,9 @@
     assert [type(action) for action in done if isinstance(action, Refuse | Fail)] == [answer]
 
 
-def test_stale_connections_show_no_bad_backend_and_cost_no_budget() -> None:
-    # Each counted as a failure: three in a row left a good backend out, and the budget for further attempts
-    # was gone after ten.
+def test_stale_connections_are_no_backend_failure_and_cost_no_retry_budget() -> None:
+    # If each counted as a failure, three in a row would eject a healthy backend, and ten would use up the
+    # retry budget.
     driver = Driver(backends=1)
     for _ in range(20):
         (send,) = sends(driver.ask())
@@ -283,38 +287,39 @@
     assert driver.gateway.fleet.failure_score(driver.gateway.fleet.servers[0], 0, driver.now) == 0.0
 
 
-def test_further_attempts_cost_the_budget_by_what_they_load_the_fleet() -> None:
-    # A tenth of the attempts broke on a calm fleet, and the budget of a tenth was gone: the rest failed.
-    def tried(pressed: bool) -> int:
+def test_retries_cost_more_of_the_budget_while_the_fleet_is_overloaded() -> None:
+    # At full cost, failures of a tenth of the attempts use up the retry budget of a tenth, and the remaining
+    # requests fail although the fleet is not loaded.
+    def retries(overloaded: bool) -> int:
         driver, count = Driver(backends=3), 0
         for _ in range(40):
-            driver.gateway.limiter.latency = 1.0 if pressed else 0.1
+            driver.gateway.limiter.latency = 1.0 if overloaded else 0.1
             for again in [
                 again for send in sends(driver.ask()) for again in sends(driver.end(send, Outcome.ERROR))
             ]:
                 count += 1
                 driver.end(again, Outcome.OK, attempt=1)
-            driver.run(SECOND)  # what is bad fades
+            driver.run(SECOND)  # failure scores decay
         return count
 
-    assert tried(pressed=False) > 30 and 5 <= tried(pressed=True) <= 20
+    assert retries(overloaded=False) > 30 and 5 <= retries(overloaded=True) <= 20
 
 
-def test_a_second_copy_waits_until_the_aim_needs_it() -> None:
-    # A copy of each attempt past the usual latency was mostly work wasted: nearly all came in time alone.
+def test_a_hedged_request_waits_until_the_latency_target_requires_it() -> None:
+    # Hedging each attempt past the usual latency wastes work: nearly all are answered in time anyway.
     driver = Driver(hedging=True)
     driver.gateway.fleet.unit_latency_ns = [10.0 * MS] * 4
-    (send,) = sends(driver.ask())  # wanted within a second, overdue after 30 ms
+    (send,) = sends(driver.ask())  # latency target 1 s, overdue after 30 ms
     assert sends(driver.run(SECOND * 3 // 10)) == []
-    (copy,) = sends(driver.run(SECOND // 5))
-    assert copy.request == send.request and copy.backend != send.backend
+    (hedged,) = sends(driver.run(SECOND // 5))
+    assert hedged.request == send.request and hedged.backend != send.backend
     (quick,) = sends(driver.ask())
     driver.run(SECOND // 10)
     driver.end(quick, Outcome.OK, elapsed=100 * MS)
     assert [again for again in sends(driver.run(SECOND)) if again.request == quick.request] == []
 
 
-def test_a_keyed_request_may_go_again_to_the_only_backend_that_knows_it() -> None:
+def test_a_keyed_request_may_be_retried_at_the_only_backend_that_recognizes_it() -> None:
     driver = Driver(backends=3)  # each in a zone of its own
     (send,) = sends(driver.ask(cls=2))
     (again,) = sends(driver.end(send, Outcome.RESET))
@@ -336,7 +341,7 @@
     assert again[0].backend != send.backend and again[0].backend % 3 == send.backend % 3
 
 
-def test_an_unsafe_request_goes_again_only_when_it_never_ran() -> None:
+def test_an_unsafe_request_is_retried_only_if_it_never_ran() -> None:
     driver = Driver()
     send = sends(driver.ask(cls=3))[0]
     assert len(sends(driver.end(send, Outcome.CONNECT_FAILED))) == 1
@@ -345,7 +350,7 @@
 
 
 @pytest.mark.parametrize("state", [BackendState.DRAINING, BackendState.GONE])
-def test_nothing_new_goes_to_a_draining_or_gone_backend(state: BackendState) -> None:
+def test_no_new_request_goes_to_a_draining_or_gone_backend(state: BackendState) -> None:
     driver = Driver(backends=2)
     driver.feed(BackendList(ListKind.DELTA, (Backend(0, 0, state=state),)))
     assert {send.backend for _ in range(5) for send in sends(driver.ask())} == {1}
@@ -357,11 +362,11 @@
     assert {send.backend for _ in range(5) for send in sends(driver.ask())} == {1}
 
 
-def test_a_cold_backend_gets_its_part_of_what_a_warm_one_gets() -> None:
+def test_a_backend_in_slow_start_gets_its_share_of_a_warm_ones_load() -> None:
     driver = Driver(backends=3)
     count = {0: 0, 1: 0, 2: 0}
-    cold = Backend(2, 2, started_ns=driver.now)
-    driver.feed(BackendList(ListKind.DELTA, (cold,)))
+    starting = Backend(2, 2, started_ns=driver.now)
+    driver.feed(BackendList(ListKind.DELTA, (starting,)))
     for _ in range(200):
         for send in sends(driver.ask()):
             count[send.backend] += 1
@@ -370,7 +375,7 @@
     assert count[2] <= 0.3 * (count[0] + count[1]) / 2
 
 
-def test_a_failing_backend_is_left_out_and_tried_again() -> None:
+def test_a_failing_backend_is_ejected_and_tried_again() -> None:
     driver = Driver(backends=0)
     driver.feed(BackendList(ListKind.FULL, tuple(Backend(number, 0) for number in range(3))))
     hits = []
@@ -386,7 +391,7 @@
     assert {sends(driver.ask())[0].backend for _ in range(3)} == {0, 1, 2}
 
 
-def test_when_most_backends_fail_nobody_is_ejected() -> None:
+def test_no_backend_is_ejected_while_most_fail() -> None:
     driver = Driver(backends=3)
     for server in driver.gateway.fleet.servers:
         driver.gateway.fleet.backend_reports.known[server, 0] = (1.0, driver.now + 100 * SECOND)
@@ -396,7 +401,7 @@
     assert len(sends(driver.ask())) == 1
 
 
-def test_events_about_things_not_held_are_passed_over() -> None:
+def test_events_about_unknown_requests_and_backends_are_ignored() -> None:
     driver = Driver()
     driver.feed(
         AttemptEnded(99, 0, 99, Outcome.OK, 5),
@@ -409,7 +414,7 @@
     assert len(sends(driver.ask())) == 1
 
 
-def test_a_client_that_left_is_owed_nothing() -> None:
+def test_a_disconnected_client_gets_no_answer() -> None:
     driver = Driver()
     send = sends(driver.ask())[0]
     assert only(driver.feed(ClientLeft(send.request)), Fail) == []
@@ -439,16 +444,16 @@
     assert driver.gateway.pending == {}
 
 
-def test_quotas_are_shared_with_nobody_when_there_is_one_gateway() -> None:
+def test_a_single_gateway_uses_the_complete_quota() -> None:
     driver = Driver(gateways=1, peer_messages=False)
     total = sum(len(sends(driver.ask(RATE, units=4.0))) for _ in range(4))
     assert total == 3
     assert isinstance(driver.gateway, Gateway) and isinstance(driver.gateway.quotas, Quotas)
 
 
-def test_a_request_larger_than_the_slice_is_let_in_once_and_told() -> None:
+def test_a_request_larger_than_the_local_bucket_is_admitted_once_and_reported() -> None:
     driver = Driver()
-    assert len(sends(driver.ask(RATE, units=4.5, spread=3))) == 1  # 12 / 3 units, all there
+    assert len(sends(driver.ask(RATE, units=4.5, spread=3))) == 1  # 12 / 3 units, bucket full
     assert len(sends(driver.ask(RATE, units=1.0, spread=3))) == 0
     assert (
         len(
@@ -463,7 +468,7 @@
 
 
 def answer_all(driver: Driver, todo: list[Send], full: set[int]) -> int:
-    """Ends attempts until none is out, as full at some backends; how often those were sent to."""
+    """End attempts until none is in flight, as FULL at some backends; return the number of sends to those."""
     hits = 0
     while todo:
         send = todo.pop()
@@ -473,49 +478,48 @@
     return hits
 
 
-def test_a_backend_that_is_full_at_once_does_not_draw_all_traffic() -> None:
+def test_a_backend_that_rejects_at_once_does_not_attract_all_traffic() -> None:
     driver = Driver(backends=0)
     driver.feed(BackendList(ListKind.FULL, tuple(Backend(number, 0) for number in range(4))))
     assert sum(answer_all(driver, sends(driver.ask()), {2}) for _ in range(100)) <= 10
 
 
 @pytest.mark.parametrize("gateways", [1, 3, 11])
-def test_many_gateways_start_with_no_more_out_in_all_than_few(gateways: int) -> None:
+def test_the_initial_limit_over_all_gateways_does_not_grow_with_their_number(gateways: int) -> None:
     driver = Driver(backends=12, gateways=gateways)
     out = sum(len(sends(driver.ask(customer=number))) for number in range(300))
     assert 12 * 4 <= out * gateways <= 12 * 6 + gateways
 
 
-def test_a_few_full_backends_do_not_cut_the_bound_but_a_full_fleet_does() -> None:
-    for bad, cut in (({2}, False), ({0, 1, 2, 3}, True)):
+def test_a_few_full_backends_do_not_lower_the_limit_but_a_full_fleet_does() -> None:
+    for bad, lowered in (({2}, False), ({0, 1, 2, 3}, True)):
         driver = Driver(backends=0)
         driver.feed(BackendList(ListKind.FULL, tuple(Backend(number, 0) for number in range(4))))
         before = driver.gateway.limiter.depth
         for _ in range(30):
             answer_all(driver, sends(driver.ask()), bad)
             driver.run(50 * MS)
-        assert (driver.gateway.limiter.depth < before) is cut
+        assert (driver.gateway.limiter.depth < before) is lowered
 
 
-def test_an_ask_that_nobody_answers_counts_as_no_use_by_peers() -> None:
+def test_an_unanswered_report_counts_as_no_use_by_peers() -> None:
     driver = Driver()
     driver.ask(RATE, units=3.0, spread=3)
-    assert (
-        len(sends(driver.ask(RATE, units=3.0, spread=3))) == 0
-    )  # beyond the slice, and nobody was asked yet
+    # Beyond the local bucket, and no peer has been asked yet.
+    assert len(sends(driver.ask(RATE, units=3.0, spread=3))) == 0
     driver.run(2 * driver.gateway.quotas.message_interval_ns)
     driver.ask(RATE, units=3.0, spread=3)
     driver.run(2 * driver.gateway.quotas.message_interval_ns)
     assert len(sends(driver.ask(RATE, units=3.0, spread=3))) == 1
 
 
-def test_a_slow_spell_does_not_lock_out_what_needs_no_waiting() -> None:
+def test_high_latency_does_not_shed_a_request_that_can_be_sent_at_once() -> None:
     driver = Driver()
     driver.gateway.fleet.unit_latency_ns = [2.0 * SECOND] * 4
     assert len(sends(driver.ask(units=4.0))) == 1
 
 
-def test_waiting_work_is_shed_while_it_still_has_time_for_a_retry() -> None:
+def test_a_waiting_request_is_shed_while_it_still_has_time_for_a_retry() -> None:
     driver = Driver(backends=0)
     driver.gateway.fleet.unit_latency_ns, driver.gateway.fleet.tail_ratio = [0.2 * SECOND] * 4, 2.0
     driver.ask()
@@ -523,8 +527,9 @@
     assert len(only(driver.run(SECOND // 5), Refuse)) == 1
 
 
-def test_the_room_less_what_peers_use_meanwhile_is_this_gateways() -> None:
-    # An even split among the gateways that used anything within a second refused 5% of the worth with room.
+def test_the_quota_less_the_expected_use_by_peers_is_available_to_a_gateway() -> None:
+    # An even split among the gateways that used the quota within a second refused 5% of the request value
+    # although the quota was not used up.
     driver = Driver(gateways=8, plans=(Plan("costly", rate=10.0, burst=12.0, over_quota_cost=1.0),))
     driver.ask(0, units=0.5, spread=8)
     for peer in range(1, 8):
@@ -534,13 +539,13 @@
     account = driver.gateway.quotas.accounts[1]
     store = account.global_bucket.fill(driver.now)
     assert abs(account.available_units(driver.now) - store) < 1e-9
-    later = driver.now + account.message_interval_ns  # seven have told of half a unit twice
+    later = driver.now + account.message_interval_ns  # seven peers have reported half a unit twice
     unseen = 7 * 1.0 * 0.69 * account.message_interval_ns / SECOND
     assert 0.8 * unseen < account.global_bucket.fill(later) - account.available_units(later) < 1.2 * unseen
 
 
-def test_peers_are_told_of_use_that_matters_and_of_small_use_within_a_second() -> None:
-    # Each message costs: a customer whose requests are all refused has no news, one with much room little.
+def test_peers_get_reports_of_relevant_use_and_of_small_use_within_a_second() -> None:
+    # Messages cost: a customer whose requests are all refused causes none, one with much quota left few.
     def entries(actions: list) -> int:  # type: ignore[type-arg]
         messages = [
             gossip.unpack(action.data) for action in only(actions, SendPeerMessage) if action.peer == 1
@@ -550,36 +555,35 @@
     driver = Driver(backends=3)
     count = sum(entries(driver.ask(RATE, units=4.0, spread=3) + driver.run(50 * MS)) for _ in range(100))
     served = len(only(driver.actions, Send))
-    assert 0 < count <= served + 5  # it asked for 80 units a second, ten are its quota
+    assert 0 < count <= served + 5  # it requested 80 units per second, the quota is ten
 
     driver = Driver(backends=3)
     driver.ask(FREE, units=4.0, spread=3)
-    tell(driver, (5, 1, 0.0))
+    receive_totals(driver, (5, 1, 0.0))
     counts = [entries(driver.ask(FREE, units=1.0, spread=3) + driver.run(50 * MS)) for _ in range(40)]
-    assert 1 <= sum(counts) <= 4  # of 1000 units these are few
-    assert driver.gateway.quotas.accounts[1].unreported_units <= 20  # a second's use at most
+    assert 1 <= sum(counts) <= 4  # few of 1000 units
+    assert driver.gateway.quotas.accounts[1].unreported_units <= 20  # at most the use of one second
 
 
-def test_the_better_rank_goes_first_and_below_goal_turns_hold_among_equals():
+def test_the_lower_rank_goes_first_and_equal_ranks_are_served_fairly():
     rng = random.Random(3)
-    turns = FairScheduler(rng)
+    scheduler = FairScheduler(rng)
     quotas = Quotas(make_settings())
 
-    def held(customer: int, number: int, rank: int) -> PendingRequest:
+    def pending_request(customer: int, number: int, rank: int) -> PendingRequest:
         event = Request(number, customer, 0, 0, SECOND, rank=rank)
         account = quotas.accounts.setdefault(customer, Account(event, START, quotas))
         return PendingRequest(event, account, make_settings().classes[0], None, START)
 
     for number, (customer, rank) in enumerate([(1, 2), (1, 2), (1, 0), (2, 1), (2, 2)]):
-        turns.add(customer, held(customer, number, rank))
-    order = [one.id for _ in range(5) if (one := turns.pop_next(START)) is not None]
-    assert order[:2] == [2, 3]  # of customer 1 the late one of rank 0, then customer 2's of rank 1
-    assert sorted(order[2:]) == [0, 1, 4] and order.index(0) < order.index(
-        1
-    )  # each customer's own order stands
+        scheduler.add(customer, pending_request(customer, number, rank))
+    order = [one.id for _ in range(5) if (one := scheduler.pop_next(START)) is not None]
+    assert order[:2] == [2, 3]  # customer 1's last one, of rank 0, then customer 2's of rank 1
+    # The order of each customer's requests is kept.
+    assert sorted(order[2:]) == [0, 1, 4] and order.index(0) < order.index(1)
 
 
-def test_who_has_had_a_unit_lately_waits_and_who_has_not_is_told_at_once_when_to_come_back():
+def test_a_customer_without_recent_units_is_refused_at_once_with_a_retry_delay_and_others_wait():
     plan = Plan(
         "tenant",
         rate=5.0,
@@ -600,9 +604,9 @@
     )
     gateway = Gateway(settings, 1)
     gateway.quotas.members = tuple(range(1, 8))
-    lines = tuple(Backend(number, 0) for number in range(4))
+    backends = tuple(Backend(number, 0) for number in range(4))
     now = START
-    gateway.handle(now, [BackendList(ListKind.FULL, lines)])
+    gateway.handle(now, [BackendList(ListKind.FULL, backends)])
     sent, refused, numbers = 0, [], iter(range(10**6))
     while now < START + 8 * SECOND:
         now += SECOND // 20
@@ -613,62 +617,63 @@
                 gateway.handle(now, [AttemptEnded(action.request, 0, action.backend, Outcome.OK, 1000, True)])
             elif isinstance(action, Refuse):
                 refused.append((action.request == events[0].id, action))
-    assert sent <= 1 + 8 * 5.0 / 8  # its part of the rate among the seats, begun empty
-    at_once = [action for same_turn, action in refused if same_turn]
+    assert sent <= 1 + 8 * 5.0 / 8  # its share of the rate among eight gateways, from an empty bucket
+    at_once = [action for same_call, action in refused if same_call]
     assert len(at_once) > len(refused) / 4 and all(one.over_quota and one.wait_ns > 0 for one in at_once)
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_a_bound_does_not_shrink_by_luck_while_backends_are_idle(seed):
-    dice, bound = random.Random(seed), ConcurrencyLimiter(11, adaptive_latency_goal=True)
-    bound.capacity, limits = 12.0, []
-    for _ in range(3000):  # work takes 0.26 of its aim in the middle, with nothing waiting anywhere
-        bound.add_sample(dice.lognormvariate(-1.35, 0.5), 0.8 * bound.limit())
-        limits.append(bound.limit())
+def test_the_limit_does_not_fall_by_chance_while_backends_are_idle(seed):
+    rng, limiter = random.Random(seed), ConcurrencyLimiter(11, adaptive_latency_goal=True)
+    limiter.capacity, limits = 12.0, []
+    for _ in range(3000):  # the median work takes 0.26 of its latency target, without queueing
+        limiter.add_sample(rng.lognormvariate(-1.35, 0.5), 0.8 * limiter.limit())
+        limits.append(limiter.limit())
     assert min(limits) > 6
 
 
-def test_a_bound_shrinks_where_answers_take_longer_as_more_are_out():
-    dice, bound = random.Random(1), ConcurrencyLimiter(2, adaptive_latency_goal=True)
-    bound.capacity = 4.0
+def test_the_limit_falls_if_latency_grows_with_the_attempts_in_flight():
+    rng, limiter = random.Random(1), ConcurrencyLimiter(2, adaptive_latency_goal=True)
+    limiter.capacity = 4.0
     for _ in range(1000):
-        out = bound.limit()
-        bound.add_sample(dice.lognormvariate(-1.35, 0.3) * max(1.0, out / 8), out)
-    assert bound.limit() < 24
+        out = limiter.limit()
+        limiter.add_sample(rng.lognormvariate(-1.35, 0.3) * max(1.0, out / 8), out)
+    assert limiter.limit() < 24
 
 
 @pytest.mark.parametrize("backends", [1, 2])
-def test_an_attempt_is_given_up_only_while_another_backend_would_take_it(backends: int) -> None:
+def test_an_attempt_is_cancelled_only_if_another_backend_would_take_it(backends: int) -> None:
     driver = Driver(backends=backends)
     driver.gateway.fleet.unit_latency_ns = [10.0 * MS] * 4
     driver.gateway.retry_budget.level = 5.0
     (send,) = sends(driver.ask())
     slow = driver.gateway.fleet.servers[send.backend]
     slow.slowdown, slow.sampled_at = 20.0, driver.now
-    given_up = only(driver.run(SECOND // 2), Cancel)
-    assert [cancel.request for cancel in given_up[:1]] == ([send.request] if backends > 1 else [])
+    cancelled = only(driver.run(SECOND // 2), Cancel)
+    assert [cancel.request for cancel in cancelled[:1]] == ([send.request] if backends > 1 else [])
 
 
-@pytest.mark.parametrize("beside", [Outcome.OK, Outcome.FULL, Outcome.RESET])
-def test_a_suspected_attempt_stays_out_whatever_becomes_of_the_one_beside(beside: Outcome) -> None:
+@pytest.mark.parametrize("parallel", [Outcome.OK, Outcome.FULL, Outcome.RESET])
+def test_a_suspected_attempt_stays_in_flight_whatever_the_result_of_the_parallel_one(
+    parallel: Outcome,
+) -> None:
     driver = Driver()
     (send,) = sends(driver.ask())
     driver.run(SECOND // 10)
     (other,) = sends(driver.feed(AttemptSuspected(send.request, 0)))
-    assert (
-        other.backend != send.backend and driver.gateway.fleet.in_flight == 1
-    )  # what may hang holds no place
-    assert sends(driver.feed(AttemptSuspected(send.request, 0))) == []  # two are out: no third
-    after = driver.end(other, beside, attempt=1)
+    # An attempt that may hang does not count against the concurrency limit.
+    assert other.backend != send.backend and driver.gateway.fleet.in_flight == 1
+    assert sends(driver.feed(AttemptSuspected(send.request, 0))) == []  # two are in flight: no third
+    after = driver.end(other, parallel, attempt=1)
     assert not only(after, Refuse) + only(after, Fail) + only(after, Cancel)
-    late = driver.end(send, Outcome.CANCELLED if beside is Outcome.OK else Outcome.OK)
+    late = driver.end(send, Outcome.CANCELLED if parallel is Outcome.OK else Outcome.OK)
     assert not only(late, Refuse) + only(late, Fail) and not driver.gateway.pending
     assert driver.gateway.fleet.in_flight == 0
-    if beside is Outcome.OK:  # that another was quicker says nothing of the first one's backend
+    if parallel is Outcome.OK:  # a faster parallel attempt is no failure of the first backend
         assert not driver.gateway.fleet.backend_reports.known.get((send.backend, 0), (0.0, 0))[0]
 
 
-def test_past_the_aim_another_goes_beside_while_the_retry_budget_is_half_full() -> None:
+def test_after_the_latency_target_a_parallel_attempt_needs_half_of_the_retry_budget() -> None:
     for level, count in ((0.4, 0), (0.6, 1)):
         driver = Driver()
         (send,) = sends(driver.ask())
@@ -677,7 +682,7 @@
         assert len(sends(driver.feed(AttemptSuspected(send.request, 0)))) == count
 
 
-def test_what_may_not_run_twice_gets_none_beside() -> None:
+def test_an_unsafe_request_gets_no_parallel_attempt() -> None:
     driver = Driver()
     (send,) = sends(driver.ask(cls=3))
     assert driver.feed(AttemptSuspected(send.request, 0)) == []
--- a/tests/test_long_running.py
+++ b/tests/test_long_running.py
@@ -1,4 +1,4 @@
-"""What goes wrong only after minutes, weeks or years of running."""
+"""Failures that occur only after minutes, weeks or years of running."""
 
 from __future__ import annotations
 
@@ -24,14 +24,14 @@
 from pepperrun.net.directory import Directory
 
 
-def test_a_customer_forgotten_and_met_again_gives_its_peers_no_units():
-    # A gatekeeper drops an idle customer's account. When it meets the customer again its count must not start
-    # from 0: a peer took the difference for units given back, and its store held five times the burst.
+def test_a_customer_removed_and_added_again_gives_its_peers_no_units():
+    # A gatekeeper removes an idle customer's account. When it adds the customer again, its total must not
+    # start from 0: a peer took the difference for returned units, and its bucket held five times the burst.
     gateways = [Gateway(make_settings(me=me, gateways=2), me) for me in (0, 1)]
     inbox: list[list[Event]] = [[], []]
     for gateway in gateways:
         gateway.handle(START, [BackendList(ListKind.CACHED, (Backend(0, 0), Backend(1, 0)))])
-    forgotten = False
+    removed = False
     for ms in range(0, 20_000, 20):
         busy = (ms < 6000 and ms % 400 == 200, ms % 2000 == 0)
         for me, gateway in enumerate(gateways):
@@ -44,19 +44,19 @@
                 elif isinstance(action, Send):
                     ended = AttemptEnded(action.request, 0, action.backend, Outcome.OK, 10 * MS, True)
                     inbox[me].append(ended)
-        forgotten = forgotten or ms > 7000 and 7 not in gateways[0].quotas.accounts
+        removed = removed or ms > 7000 and 7 not in gateways[0].quotas.accounts
         account = gateways[1].quotas.accounts[7]
         assert account.global_bucket.level <= account.plan.burst
-    assert forgotten and 7 in gateways[0].quotas.accounts
+    assert removed and 7 in gateways[0].quotas.accounts
 
 
-def test_messages_are_taken_in_order_when_their_counters_wrap():
-    # A tuple comparison dropped all messages of a gatekeeper that started after its counter had wrapped.
+def test_messages_are_accepted_in_order_when_their_counters_wrap():
+    # Comparing tuples drops all messages of a gatekeeper that started after its counter had wrapped.
     def message(incarnation: int, sequence: int) -> bytes:
         return gossip.pack(gossip.Message(incarnation, sequence, 0))
 
     inbox, last = gossip.Inbox(), 2**32 - 1
-    for incarnation, sequence, taken in (
+    for incarnation, sequence, accepted in (
         (last, last - 1, True),
         (last, last, True),
         (last, 0, True),
@@ -66,7 +66,7 @@
         (3, 1, False),
         (3, 2, True),
     ):
-        assert (inbox.accept(1, message(incarnation, sequence), 0) is not None) == taken
+        assert (inbox.accept(1, message(incarnation, sequence), 0) is not None) == accepted
     outbox = gossip.Outbox()
     outbox.sequence = last
     outbox.message_for(1)
@@ -74,23 +74,23 @@
     assert first.sequence == 0 and gossip.unpack(gossip.pack(first)) is not None
 
 
-def test_a_customers_count_goes_on_past_what_fits():
-    heard, top = gossip.PeerReports(), gossip.TOTAL_WRAP / gossip.STEPS_PER_UNIT
+def test_a_customers_total_continues_when_it_wraps():
+    received, top = gossip.PeerReports(), gossip.TOTAL_WRAP / gossip.STEPS_PER_UNIT
 
-    def told(total: float) -> float:
+    def received_total(total: float) -> float:
         entry = gossip.UsageEntry(7, total, 50.0, 0.0, 0.0, 0)
         sent = gossip.unpack(gossip.pack(gossip.Message(1, 1, 0, entries=[entry])))
         assert sent is not None
-        return heard.record(1, 1, sent.entries[0], 0)
+        return received.record(1, 1, sent.entries[0], 0)
 
-    told(top - 2)  # where it wraps
-    assert told(top - 1) == 1
-    assert told(top + 3) == 4
-    assert told(top + 2) == -1  # settled: given back
+    received_total(top - 2)  # just before the total wraps
+    assert received_total(top - 1) == 1
+    assert received_total(top + 3) == 4
+    assert received_total(top + 2) == -1  # reconciled: units returned
 
 
-def test_units_given_back_do_not_fill_a_store_beyond_its_burst():
-    # The true store holds the burst at most; what was settled below its guess came on top of a full one.
+def test_returned_units_do_not_fill_a_bucket_beyond_its_burst():
+    # The bucket holds at most the burst; units reconciled below their estimate were added to a full one.
     quotas = Quotas(make_settings(gateways=2))
     account = Account(Request(1, 7, RATE, 0, SECOND, 4.0, 2, 0), START, quotas)
     account.global_bucket.at = START
@@ -102,8 +102,8 @@
     )
 
 
-def test_workers_that_have_gone_for_good_are_forgotten_everywhere():
-    # All workers are replaced through the day under new ids, some at the address of one that has gone.
+def test_removed_workers_are_forgotten_everywhere():
+    # All workers are replaced during the day under new ids, some at the address of a removed one.
     directory = Directory(("a",), lambda ms: ms)
     driver = Driver(backends=0)
     for day in range(50):
@@ -116,11 +116,11 @@
         )
         (send,) = only(driver.ask(), Send)
         assert send.backend == number
-        mark = gossip.BackendReport(number, 0, 0, 0.5)
-        driver.feed(PeerMessage(1, gossip.pack(gossip.Message(1, day + 1, 0, backend_reports=[mark]))))
+        report = gossip.BackendReport(number, 0, 0, 0.5)
+        driver.feed(PeerMessage(1, gossip.pack(gossip.Message(1, day + 1, 0, backend_reports=[report]))))
         if day % 2:
             driver.end(send, Outcome.FULL)
-        else:  # its attempt is still out when it goes
+        else:  # its attempt is still in flight when it is removed
             driver.feed(BackendList(ListKind.FULL, ()))
             assert not driver.gateway.fleet.servers
             driver.end(send, Outcome.RESET)
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -1,4 +1,4 @@
-"""Many gateways together: what each tells, and the rules that hold for their sum."""
+"""Many gateways together: their messages, and the rules that hold for their sum."""
 
 from __future__ import annotations
 
@@ -28,11 +28,11 @@
 )
 
 TICK = 4 * MS
-INTAKE = 40.0
+MESSAGE_RATE = 40.0
 
 
 class Many:
-    """Gateways that hear each other one tick later, over backends that answer after 80 ms."""
+    """Gateways whose messages take one tick, and backends that answer after 80 ms."""
 
     def __init__(self, gateways: int, backends: int = 20, loss: float = 0.0) -> None:
         self.rng = random.Random(7)
@@ -41,19 +41,19 @@
         self.drivers = [self.make(me) for me in range(gateways)]
         self.inbox: dict[int, list[Event]] = {}
         self.later: list[tuple[int, int, Event]] = []
-        self.heard: Counter[tuple[int, int]] = Counter()
+        self.received: Counter[tuple[int, int]] = Counter()
         self.sent: list[tuple[int, Send, Request]] = []
         self.requests: dict[int, Request] = {}
         self.attempts: Counter[int] = Counter()
         self.sizes: list[int] = []  # bytes of each message
 
     def make(self, me: int) -> Driver:
-        driver = Driver(0, me, self.now, me=me, gateways=self.count, peer_message_rate=INTAKE)
+        driver = Driver(0, me, self.now, me=me, gateways=self.count, peer_message_rate=MESSAGE_RATE)
         driver.feed(BackendList(ListKind.FULL, self.backends))
         return driver
 
     def restart(self, me: int) -> None:
-        """All that it held is gone."""
+        """Replace a gateway by one without state; messages in flight to it are lost."""
         self.drivers[me] = self.make(me)
         self.later = [entry for entry in self.later if entry[1] != me]
         self.inbox.pop(me, None)
@@ -78,9 +78,9 @@
                 driver.timer = None
                 self.inbox.setdefault(me, []).append(TimerFired(0))
             driver.now = self.now
-            self.carry(me, driver.feed(*self.inbox.pop(me)))
+            self.carry_out(me, driver.feed(*self.inbox.pop(me)))
 
-    def carry(self, me: int, actions: list) -> None:  # type: ignore[type-arg]
+    def carry_out(self, me: int, actions: list) -> None:  # type: ignore[type-arg]
         for action in actions:
             if isinstance(action, Send):
                 self.sent.append((self.now, action, self.requests[action.request]))
@@ -89,7 +89,7 @@
                 ended = AttemptEnded(action.request, number, action.backend, Outcome.OK, 80 * MS, True)
                 self.later.append((self.now + 80 * MS, me, ended))
             elif isinstance(action, SendPeerMessage):
-                self.heard[action.peer, (self.now - START) // SECOND] += 1
+                self.received[action.peer, (self.now - START) // SECOND] += 1
                 self.sizes.append(len(action.data))
                 if self.rng.random() >= self.loss:
                     self.later.append((self.now + TICK, action.peer, PeerMessage(me, action.data)))
@@ -97,15 +97,15 @@
                 assert isinstance(action, Refuse | Fail | SetTimer | Log)
 
 
-def test_at_360_gateways_messages_fit_every_intake_and_quotas_hold() -> None:
+def test_at_360_gateways_message_rates_and_quotas_hold() -> None:
     many = Many(360, loss=0.05)
     seconds = 3
     for step in range(seconds * SECOND // TICK):
         many.ask(many.rng.randrange(360), FREE, 1000 + step % 50)
         if step % 8 == 0:
-            many.ask(many.rng.randrange(360), RATE, 1)  # 31 a second asked of 10
+            many.ask(many.rng.randrange(360), RATE, 1)  # 31 per second are requested, the quota is 10
         many.tick()
-    assert max(many.heard.values()) <= INTAKE
+    assert max(many.received.values()) <= MESSAGE_RATE
     used = sum(request.units for _, _, request in many.sent if request.customer == 1)
     plan = PLANS[RATE]
     assert 0.6 * (plan.burst + seconds * plan.rate) <= used <= 1.3 * (plan.burst + seconds * plan.rate)
@@ -113,11 +113,11 @@
     assert free >= 0.97 * (seconds * SECOND // TICK - 50)
 
 
-def test_a_cold_backend_gets_its_part_summed_over_300_gateways_after_a_stall_too() -> None:
+def test_a_backend_in_slow_start_gets_its_share_from_300_gateways_even_after_a_stall() -> None:
     many = Many(300, backends=0)
-    lines = [Backend(number, number % 3, started_ns=many.now * (number == 0)) for number in range(10)]
+    backends = [Backend(number, number % 3, started_ns=many.now * (number == 0)) for number in range(10)]
     for driver in many.drivers:
-        driver.feed(BackendList(ListKind.FULL, tuple(lines)))
+        driver.feed(BackendList(ListKind.FULL, tuple(backends)))
     stalled = frozenset(range(0, 300, 2))
     for step in range(2 * SECOND // TICK):
         many.ask(many.rng.randrange(300), FREE, step % 50)
@@ -133,7 +133,7 @@
 
 
 @pytest.mark.parametrize("gateways", [3, 60])
-def test_a_ceiling_holds_summed_over_its_gateways_while_most_restart(gateways: int) -> None:
+def test_a_hard_rate_limit_holds_over_all_gateways_while_most_restart(gateways: int) -> None:
     many = Many(gateways, loss=0.05)
     plan = PLANS[CEILED]
     for step in range(6 * SECOND // TICK):
@@ -159,9 +159,9 @@
     return [message for message in found if message is not None]
 
 
-def keeper_of(customer: int, gateways: int = 60) -> int:
-    """The gateway that the others ask first."""
-    driver = Driver(me=gateways - 1, gateways=gateways, peer_message_rate=INTAKE)
+def owner_of(customer: int, gateways: int = 60) -> int:
+    """Return the gateway that the others ask first for units of a customer."""
+    driver = Driver(me=gateways - 1, gateways=gateways, peer_message_rate=MESSAGE_RATE)
     driver.ask(RATE, customer=customer, spread=gateways)
     asked = [action.peer for action in only(driver.actions, SendPeerMessage)]
     return asked[0] if asked else gateways - 1
@@ -169,41 +169,42 @@
 
 def ask(driver: Driver, peer: int, sequence: int, **changes: object) -> list[gossip.UnitResponse]:
     fields = {"customer": 5, "request": 9, "units": 2.0, "owed": 0.0, "plan": RATE, "first": 0, "spread": 60}
-    asks = [gossip.UnitRequest(**(fields | changes))]  # type: ignore[arg-type]
-    data = gossip.pack(gossip.Message(5, sequence, 0, 0.1, unit_requests=asks))
+    unit_requests = [gossip.UnitRequest(**(fields | changes))]  # type: ignore[arg-type]
+    data = gossip.pack(gossip.Message(5, sequence, 0, 0.1, unit_requests=unit_requests))
     before = len(messages(driver))
     driver.feed(PeerMessage(peer, data))
     return [answer for message in messages(driver)[before:] for answer in message.unit_responses]
 
 
-def test_a_keeper_answers_its_set_and_nobody_else_and_charges_a_repeated_ask_once() -> None:
-    keeper = keeper_of(5)
-    driver = Driver(me=keeper, gateways=60, peer_message_rate=INTAKE)
-    other = (keeper + 1) % 60
+def test_a_quota_owner_answers_only_its_gateways_and_charges_a_repeated_request_once() -> None:
+    owner = owner_of(5)
+    driver = Driver(me=owner, gateways=60, peer_message_rate=MESSAGE_RATE)
+    other = (owner + 1) % 60
     assert ask(driver, other, 1)[0].units == 2.0
     assert ask(driver, other, 2)[0].units == 2.0  # the first answer was lost
     assert driver.gateway.quotas.accounts[5].global_bucket.fill(driver.now) == 10.0
     assert ask(driver, other, 2, request=10) == []  # a replayed message
     assert ask(driver, other, 3, plan=99) == []
     assert ask(driver, other, 4, spread=0) == []
-    assert ask(driver, other, 5, customer=6, first=(keeper + 2) % 60, spread=3) == []  # not this keeper's
+    # This customer has other owners.
+    assert ask(driver, other, 5, customer=6, first=(owner + 2) % 60, spread=3) == []
     assert ask(driver, 99, 6, request=11) == []
     assert driver.gateway.quotas.accounts[5].global_bucket.fill(driver.now) == 10.0
     assert ask(driver, other, 7, request=12, units=11.0)[0].over_quota
 
 
-def test_an_ask_that_nobody_answers_falls_back_on_the_slice() -> None:
-    keeper = keeper_of(5)
-    driver = Driver(me=(keeper + 1) % 60, gateways=60, peer_message_rate=INTAKE)
+def test_an_unanswered_unit_request_falls_back_to_the_local_bucket() -> None:
+    owner = owner_of(5)
+    driver = Driver(me=(owner + 1) % 60, gateways=60, peer_message_rate=MESSAGE_RATE)
     assert only(driver.ask(RATE, customer=5, spread=60), Send) == []
     assert len(only(driver.run(SECOND), Send)) == 1
     asked = [action.peer for action in only(driver.actions, SendPeerMessage)]
-    assert asked[:2] == [keeper, keeper] and asked[2] != keeper
+    assert asked[:2] == [owner, owner] and asked[2] != owner
 
 
-def test_a_granted_request_that_is_not_sent_gives_its_units_back() -> None:
-    keeper = keeper_of(5)
-    driver = Driver(backends=0, me=keeper, gateways=60, peer_message_rate=INTAKE)
+def test_a_granted_request_that_is_not_sent_returns_its_units() -> None:
+    owner = owner_of(5)
+    driver = Driver(backends=0, me=owner, gateways=60, peer_message_rate=MESSAGE_RATE)
     driver.run(3 * SECOND)
     driver.ask(RATE, customer=5, spread=60, units=4.0)
     account = driver.gateway.quotas.accounts[5]
@@ -212,13 +213,13 @@
     assert account.global_bucket.fill(driver.now) == 12.0
 
 
-def test_what_one_gateway_sees_of_a_backend_and_class_all_hear_and_newer_wins() -> None:
-    driver = Driver(backends=2, gateways=60, peer_message_rate=INTAKE)
+def test_a_report_on_a_backend_and_class_reaches_other_gateways_and_the_newer_one_wins() -> None:
+    driver = Driver(backends=2, gateways=60, peer_message_rate=MESSAGE_RATE)
     fleet = driver.gateway.fleet
-    mark = gossip.BackendReport(0, 1, 0, 1.0)
-    strange = [gossip.BackendReport(77, 0, 0, 1.0), gossip.BackendReport(1, 200, 0, 1.0)]
+    report = gossip.BackendReport(0, 1, 0, 1.0)
+    unknown = [gossip.BackendReport(77, 0, 0, 1.0), gossip.BackendReport(1, 200, 0, 1.0)]
     driver.now += SECOND
-    driver.feed(PeerMessage(3, gossip.pack(gossip.Message(5, 1, 0, 0.1, backend_reports=[mark, *strange]))))
+    driver.feed(PeerMessage(3, gossip.pack(gossip.Message(5, 1, 0, 0.1, backend_reports=[report, *unknown]))))
     server = fleet.servers[0]
     assert (
         fleet.failure_score(server, 1, driver.now) > 0.9 and fleet.failure_score(server, 0, driver.now) == 0.0
@@ -235,8 +236,8 @@
     assert hits[1] == {1} and 0 in hits[0]
 
 
-def test_a_gateway_that_stood_still_answers_what_is_too_late_and_sends_no_burst() -> None:
-    driver = Driver(backends=4, gateways=60, peer_message_rate=INTAKE)
+def test_a_gateway_rejects_late_requests_after_a_pause_and_sends_no_burst() -> None:
+    driver = Driver(backends=4, gateways=60, peer_message_rate=MESSAGE_RATE)
     driver.now += 2 * SECOND
     late = [Request(number, number, FREE, 0, 6 * MS, 1.0, 1, 0) for number in range(1, 10)]
     fresh = [Request(number, number, FREE, 0, 3 * SECOND, 1.0, 1, 0) for number in range(10, 60)]
@@ -245,21 +246,21 @@
     assert 0 < len(only(actions, Send)) <= 4
 
 
-def test_a_customer_is_served_from_the_first_moment_and_a_change_of_keeper_grants_no_burst_anew() -> None:
-    first = keeper_of(5)
+def test_a_customer_is_served_at_once_and_a_change_of_the_quota_owner_grants_no_new_burst() -> None:
+    first = owner_of(5)
     second = (first + 30) % 60
-    for keeper, whole in ((first, 12.0), (second, 10.0)):
-        driver = Driver(me=keeper, gateways=60, peer_message_rate=INTAKE)
-        assert ask(driver, (keeper + 1) % 60, 1, units=4.0)[0].units == 4.0
+    for owner, whole in ((first, 12.0), (second, 10.0)):
+        driver = Driver(me=owner, gateways=60, peer_message_rate=MESSAGE_RATE)
+        assert ask(driver, (owner + 1) % 60, 1, units=4.0)[0].units == 4.0
         assert driver.gateway.quotas.accounts[5].global_bucket.fill(driver.now) == whole - 4.0
 
 
-def test_what_has_waited_too_long_for_its_aim_is_answered_while_the_fleet_is_pressed() -> None:
-    for pressed, sent in ((True, 0), (False, 1)):
+def test_a_request_that_waited_too_long_is_rejected_while_the_fleet_is_overloaded() -> None:
+    for overloaded, sent in ((True, 0), (False, 1)):
         driver = Driver()
         driver.ask(customer=1)
-        driver.gateway.limiter.latency = 0.2 if pressed else 0.05
-        late = driver.ask(customer=2, left_ns=3 * SECOND - 980 * MS)  # of an aim of 1 s
+        driver.gateway.limiter.latency = 0.2 if overloaded else 0.05
+        late = driver.ask(customer=2, left_ns=3 * SECOND - 980 * MS)  # the latency target is 1 s
         assert len(only(late, Send)) == sent and len(only(late, Refuse | Fail)) == 1 - sent
         assert len(only(driver.ask(customer=3, left_ns=3 * SECOND - 100 * MS), Send)) == 1
 
@@ -267,7 +268,7 @@
 @pytest.mark.parametrize("gateways", [2, 4, 16, 40, 64])
 def test_each_gateway_uses_few_backends_and_all_together_use_them_evenly(gateways: int) -> None:
     many = Many(gateways, backends=60)
-    out = 8  # attempts that each gateway has out all the time: more than one would wait at the same backend
+    out = 8  # attempts that each gateway keeps in flight: two at the same backend would queue there
     hits: Counter[int] = Counter()
     used = []
     for me, driver in enumerate(many.drivers):
@@ -277,10 +278,10 @@
             for send in only(driver.ask(customer=number, spread=1, first=me), Send):
                 hits[send.backend] += 1
                 mine.add(send.backend)
-        assert len(mine) == out  # none waits for another while there is room elsewhere
+        assert len(mine) == out  # none queues behind another while other backends are idle
         for send in only(driver.actions, Send):
             driver.end(send, Outcome.OK)
-        for number in range(50):  # one after the other
+        for number in range(50):  # one at a time
             for send in only(driver.ask(customer=100 + number, spread=1, first=me), Send):
                 mine.add(send.backend)
                 driver.end(send, Outcome.OK)
@@ -289,14 +290,14 @@
     assert max(hits.values()) <= 2 + 2 * gateways * out / 60
 
 
-def test_a_gateway_that_sends_more_looks_at_more_backends() -> None:
-    driver = Driver(backends=60, gateways=40, peer_message_rate=INTAKE)
+def test_a_gateway_that_sends_more_uses_more_backends() -> None:
+    driver = Driver(backends=60, gateways=40, peer_message_rate=MESSAGE_RATE)
     driver.gateway.limiter.depth = 1.0
     sent = [send for number in range(40) for send in only(driver.ask(customer=number), Send)]
     assert len(sent) == len({send.backend for send in sent}) == 40
 
 
-def test_what_a_request_costs_in_messages_is_an_ask_and_an_answer_of_a_few_bytes() -> None:
+def test_a_request_costs_a_unit_request_and_an_answer_of_a_few_bytes() -> None:
     many = Many(40)
     for step in range(400):
         many.ask(step % 40, FREE, 1000 + step, units=2.0)
@@ -305,36 +306,38 @@
     assert sum(many.sizes) <= 60 * len(many.sent)
 
 
-def test_units_are_granted_by_a_keeper_of_the_customer_and_nobody_else() -> None:
-    keeper = keeper_of(5)
-    driver = Driver(me=(keeper + 1) % 60, gateways=60, peer_message_rate=INTAKE)
+def test_only_an_owner_of_the_customers_quota_grants_units() -> None:
+    owner = owner_of(5)
+    driver = Driver(me=(owner + 1) % 60, gateways=60, peer_message_rate=MESSAGE_RATE)
     driver.ask(CEILED, customer=5, spread=60, units=2.0)
     asked = messages(driver)[-1].unit_requests[0]
     answer = gossip.UnitResponse(5, asked.request, 2.0, 0, False, False)
     granted = gossip.pack(gossip.Message(5, 1, 0, unit_responses=[answer]))
-    assert only(driver.feed(PeerMessage((keeper + 2) % 60, granted)), Send) == []
-    assert len(only(driver.feed(PeerMessage(keeper, granted)), Send)) == 1
+    assert only(driver.feed(PeerMessage((owner + 2) % 60, granted)), Send) == []
+    assert len(only(driver.feed(PeerMessage(owner, granted)), Send)) == 1
 
 
-def test_news_of_a_backend_reaches_all_gateways_though_each_passes_it_on_a_few_times_only() -> None:
+def test_a_backend_report_reaches_all_gateways_though_each_forwards_it_only_a_few_times() -> None:
     count, rng = 64, random.Random(3)
-    all_news = [gossip.BackendReports(2 * SECOND, count) for _ in range(count)]
-    all_news[0].record(7, 0, 1.0, START, True)
-    told, now = 0, START
+    all_reports = [gossip.BackendReports(2 * SECOND, count) for _ in range(count)]
+    all_reports[0].record(7, 0, 1.0, START, True)
+    sent, now = 0, START
     for _ in range(3 * count * 12):
         now += SECOND // 2000
-        sender, hearer = rng.sample(range(count), 2)
-        for mark in all_news[sender].sample(rng, now):
-            told += 1
-            all_news[hearer].record(mark.backend, mark.cls, mark.failure_score, now - mark.age_ns, True)
-    knowing = sum((7, 0) in news.known for news in all_news)
-    assert knowing >= 0.95 * count
-    assert told <= count * (count.bit_length() + 2)
-
-
-def test_what_is_owed_beyond_what_one_ask_carries_goes_with_the_next() -> None:
-    keeper = keeper_of(5)
-    driver = Driver(me=(keeper + 1) % 60, gateways=60, peer_message_rate=INTAKE)
+        sender, receiver = rng.sample(range(count), 2)
+        for report in all_reports[sender].sample(rng, now):
+            sent += 1
+            all_reports[receiver].record(
+                report.backend, report.cls, report.failure_score, now - report.age_ns, True
+            )
+    informed = sum((7, 0) in reports.known for reports in all_reports)
+    assert informed >= 0.95 * count
+    assert sent <= count * (count.bit_length() + 2)
+
+
+def test_a_debt_larger_than_one_unit_request_carries_goes_with_the_next() -> None:
+    owner = owner_of(5)
+    driver = Driver(me=(owner + 1) % 60, gateways=60, peer_message_rate=MESSAGE_RATE)
     driver.ask(RATE, customer=5, spread=60)
     driver.gateway.quotas.accounts[5].owed = 3000.0
     before = len(messages(driver))
@@ -344,8 +347,8 @@
     assert asked[0].owed > 2000 and asked[0].owed + rest == 3000.0
 
 
-def test_asks_and_answers_arrive_as_they_were_sent_and_cut_ones_do_not() -> None:
-    asks = [
+def test_messages_decode_to_what_was_encoded_and_truncated_ones_are_rejected() -> None:
+    unit_requests = [
         gossip.UnitRequest(2**33 - 1, 2**32 - 1, 6.0, -5.5, 127, 65535, 40),
         gossip.UnitRequest(0, 0, 0.0, 3.0, 0, 0, 1),
     ]
@@ -357,61 +360,62 @@
         gossip.UsageEntry(5, 7.0, 1.0, 2.0, 0.5, 3),
         gossip.UsageEntry(6, 7.0, 1.0, gossip.NOT_LOW, 0.0, 0),
     ]
-    whole = gossip.Message(5, 6, 7, 0.25, entries, asks, answers, [gossip.BackendReport(9, 1, 0, 1.0)])
-    data = gossip.pack(whole)
-    assert gossip.unpack(data) == whole
+    message = gossip.Message(
+        5, 6, 7, 0.25, entries, unit_requests, answers, [gossip.BackendReport(9, 1, 0, 1.0)]
+    )
+    data = gossip.pack(message)
+    assert gossip.unpack(data) == message
     assert all(gossip.unpack(data[:end]) is None for end in range(len(data)))
     assert gossip.unpack(data + b"x") is None
 
 
-def test_cold_backends_get_their_part_of_the_load_and_no_more_where_most_have_been_replaced() -> None:
+def test_backends_in_slow_start_get_their_share_of_the_load_and_no_more_where_most_were_replaced() -> None:
     many = Many(40, backends=0)
-    born = many.now - SECOND
-    lines = tuple(
-        Backend(n, n % 3, started_ns=born * (n % 5 < 3)) for n in range(60)
-    )  # three in five, of 28 %
+    started = many.now - SECOND
+    # Three in five have just started and have 28 % of their capacity.
+    backends = tuple(Backend(n, n % 3, started_ns=started * (n % 5 < 3)) for n in range(60))
     hits: Counter[int] = Counter()
     pairs = set()
     for me, driver in enumerate(many.drivers):
-        driver.feed(BackendList(ListKind.FULL, lines))
+        driver.feed(BackendList(ListKind.FULL, backends))
         for number in range(400):
             for send in only(driver.ask(customer=number, spread=1, first=me), Send):
                 hits[send.backend] += 1
                 pairs.add((me, send.backend))
                 driver.end(send, Outcome.OK)
-    warmth = 0.2 + 0.8 / 10
+    capacity = 0.2 + 0.8 / 10
     warm = sum(hits[n] for n in range(60) if n % 5 >= 3) / 24
     cold = [hits[n] for n in range(60) if n % 5 < 3]
-    assert 0.7 * warmth * warm <= sum(cold) / 36 <= 1.1 * warmth * warm
-    assert max(cold) <= 2.5 * warmth * warm
-    assert len(pairs) <= 40 * 12  # not each with all 60
+    assert 0.7 * capacity * warm <= sum(cold) / 36 <= 1.1 * capacity * warm
+    assert max(cold) <= 2.5 * capacity * warm
+    assert len(pairs) <= 40 * 12  # no gateway uses all 60
 
 
-def test_a_fleet_that_is_cold_whole_is_not_loaded_as_if_it_were_warm() -> None:
-    driver = Driver(backends=0, gateways=40, peer_message_rate=INTAKE)
+def test_a_fleet_completely_in_slow_start_is_not_loaded_as_if_it_were_warm() -> None:
+    driver = Driver(backends=0, gateways=40, peer_message_rate=MESSAGE_RATE)
     driver.feed(BackendList(ListKind.FULL, tuple(Backend(n, 0, started_ns=driver.now) for n in range(60))))
     assert sum(bool(driver.gateway.fleet.draw_candidates(driver.now)) for _ in range(400)) <= 0.4 * 400
 
 
-def test_messages_that_can_not_be_read_are_dropped_and_counted_in_one_line_for_a_while() -> None:
-    driver = Driver(gateways=60, peer_message_rate=INTAKE)
+def test_malformed_messages_are_dropped_and_counted_in_one_log_line_per_interval() -> None:
+    driver = Driver(gateways=60, peer_message_rate=MESSAGE_RATE)
     good = gossip.pack(gossip.Message(5, 1, 0))
     for data in (b"", b"x", good[:-1], good + bytes(250), bytes([99]) + good[1:], good, good):
         driver.feed(PeerMessage(3, data))
-    lines = only(driver.actions, Log)
-    assert len(lines) == 1 and driver.gateway.quotas.inbox.malformed == 5
+    log_lines = only(driver.actions, Log)
+    assert len(log_lines) == 1 and driver.gateway.quotas.inbox.malformed == 5
     driver.now += 6 * SECOND
     driver.feed(PeerMessage(3, b"y"))
-    assert "6 so far, the last of gatekeeper 3" in only(driver.actions, Log)[-1].text
+    assert "6 so far, the last from gatekeeper 3" in only(driver.actions, Log)[-1].text
 
 
-def test_a_false_figure_of_a_peer_shuts_no_customer_out_for_long() -> None:
-    keeper = keeper_of(5)
-    driver = Driver(me=keeper, gateways=60, peer_message_rate=INTAKE)
+def test_a_false_report_of_a_peer_locks_no_customer_out_for_long() -> None:
+    owner = owner_of(5)
+    driver = Driver(me=owner, gateways=60, peer_message_rate=MESSAGE_RATE)
     for number in range(1, 20):
-        ask(driver, (keeper + 1) % 60, number, request=number, units=0.0, owed=2000.0)
+        ask(driver, (owner + 1) % 60, number, request=number, units=0.0, owed=2000.0)
     assert driver.gateway.quotas.accounts[5].global_bucket.fill(driver.now) >= -PLANS[RATE].burst
     driver.run(3 * SECOND)
-    assert ask(driver, (keeper + 1) % 60, 30, request=30, units=2.0)[0].units == 2.0
-    ask(driver, (keeper + 1) % 60, 31, request=31, units=0.0, owed=-2000.0)  # nor grants it more
+    assert ask(driver, (owner + 1) % 60, 30, request=30, units=2.0)[0].units == 2.0
+    ask(driver, (owner + 1) % 60, 31, request=31, units=0.0, owed=-2000.0)  # a negative debt grants no units
     assert driver.gateway.quotas.accounts[5].global_bucket.fill(driver.now) <= PLANS[RATE].burst
