--- a/pepperrun/membership/service.py
+++ b/pepperrun/membership/service.py
@@ -1,7 +1,7 @@
 """Membership of a running gatekeeper: the member's datagrams, its timer, and whom it tells what it knows.
 
 Datagrams go over the socket of the ordinary messages. What the member knows reaches the decisions as their
-`standing`; nothing of a request waits for it.
+`membership_status`; nothing of a request waits for it.
 """
 
 from __future__ import annotations
