--- a/pepperrun/core/fleet.py
+++ b/pepperrun/core/fleet.py
@@ -114,9 +114,9 @@
             return 1.0
         return min_capacity + (1 - min_capacity) * max(0, now - server.started_at) / slow_start_ns
 
-    def expected_ns(self, pending: PendingRequest) -> float:
+    def expected_ns(self, request: PendingRequest) -> float:
         """Return how long an attempt is expected to take, in ns."""
-        return self.unit_latency_ns[pending.cls] * pending.units
+        return self.unit_latency_ns[request.cls] * request.units
 
     def slowdown(self, server: Server, now: int) -> float:
         """Return latency over expected: a mean that decays to 1, or the oldest attempt's age if worse."""
@@ -146,7 +146,7 @@
         return [server for server, share in window if share >= 1] or self.warm[:width]
 
     def choose(
-        self, pending: PendingRequest, now: int, avoid: Server | None = None, parallel: bool = False
+        self, request: PendingRequest, now: int, avoid: Server | None = None, parallel: bool = False
     ) -> Server | None:
         """Return the backend with the least expected wait, or None if none may take the attempt.
 
@@ -156,22 +156,22 @@
         self.refresh(now)
 
         def eligible(server: Server) -> bool:
-            score = 0.0 if self.widespread_failure else self.failure_score(server, pending.cls, now)
+            score = 0.0 if self.widespread_failure else self.failure_score(server, request.cls, now)
             # On average one of all gateways makes a trial at a time; `cost` prefers the backend on trial.
             makes_trial = self.rng.random() * self.settings.gateways < 1 and not server.in_flight
             allowed = (
                 score <= TRIAL_SCORE
                 or score <= EJECTION_SCORE
                 and makes_trial
-                and pending.request_class.repeat is Repeat.SAFE
+                and request.request_class.repeat is Repeat.SAFE
             )
             allowed = (
-                allowed and server is not avoid and pending.may_send(server, now, self.settings, parallel)
+                allowed and server is not avoid and request.may_send(server, now, self.settings, parallel)
             )
-            return allowed and (self.gate is None or self.gate.may_send(pending.gate_context, server.id, now))
+            return allowed and (self.gate is None or self.gate.may_send(request.gate_context, server.id, now))
 
         def cost(server: Server) -> float:
-            trial = not self.widespread_failure and self.failure_score(server, pending.cls, now) > TRIAL_SCORE
+            trial = not self.widespread_failure and self.failure_score(server, request.cls, now) > TRIAL_SCORE
             wait = 0.0 if trial else self.slowdown(server, now) * (len(server.in_flight) + 1)
             return wait * self.rng.uniform(1, 1.05) * self.distance(server)
 
@@ -199,42 +199,42 @@
                 change = "ejected after failures" if failed else "accepted again after successful answers"
                 self.log(change, f"backend {server.id} is {change}")
 
-    def record_abandoned(self, pending: PendingRequest, elapsed_ns: int) -> None:
+    def record_abandoned(self, request: PendingRequest, elapsed_ns: int) -> None:
         """Add the duration of an attempt that was cancelled while running to the mean latency of its class.
 
         It does not count as an answer. Slow attempts are cancelled more often than fast ones, so a mean over
         answers alone would be too low.
         """
-        step = max(0.01, 1 / max(1, self.answer_counts[pending.cls]))
-        self.unit_latency_ns[pending.cls] += step * min(
-            elapsed_ns / pending.units, MAX_SLOWDOWN * self.unit_latency_ns[pending.cls]
+        step = max(0.01, 1 / max(1, self.answer_counts[request.cls]))
+        self.unit_latency_ns[request.cls] += step * min(
+            elapsed_ns / request.units, MAX_SLOWDOWN * self.unit_latency_ns[request.cls]
         )
 
-    def record_end(self, server: Server, pending: PendingRequest, event: AttemptEnded, now: int) -> None:
+    def record_end(self, server: Server, request: PendingRequest, event: AttemptEnded, now: int) -> None:
         """Update the estimates of latency and failures with the result of an attempt."""
-        server.in_flight.pop((pending.id, event.attempt), None)
+        server.in_flight.pop((request.id, event.attempt), None)
         outcome = event.outcome
-        self.in_flight -= pending.attempts[event.attempt].counted
-        ratio = event.elapsed_ns / max(1.0, self.expected_ns(pending))
+        self.in_flight -= request.attempts[event.attempt].counted
+        ratio = event.elapsed_ns / max(1.0, self.expected_ns(request))
         if outcome is Outcome.OK:
             # It was unreachable, so it may have restarted: apply the slow start.
             server.started_at = max(server.started_at, server.unreachable_at)
             server.unreachable_at = 0
             server.slowdown += 0.2 * (min(ratio, MAX_SLOWDOWN) - self.slowdown(server, now))
             server.slowdown, server.sampled_at = max(0.2, server.slowdown), now
-            self.answer_counts[pending.cls] += 1
-            step = max(0.01, 1 / self.answer_counts[pending.cls])
-            self.unit_latency_ns[pending.cls] += step * (
-                event.elapsed_ns / pending.units - self.unit_latency_ns[pending.cls]
+            self.answer_counts[request.cls] += 1
+            step = max(0.01, 1 / self.answer_counts[request.cls])
+            self.unit_latency_ns[request.cls] += step * (
+                event.elapsed_ns / request.units - self.unit_latency_ns[request.cls]
             )
             self.tail_ratio = max(
                 1.5, self.tail_ratio + 0.1 * (TAIL_QUANTILE if ratio > self.tail_ratio else TAIL_QUANTILE - 1)
             )
         # A parallel attempt was faster, which is no failure.
-        superseded = outcome is Outcome.CANCELLED and pending.done
+        superseded = outcome is Outcome.CANCELLED and request.done
         if outcome not in (Outcome.MOOT, Outcome.STALE) and not superseded:
             # A full backend rejects fast: not counted as a failure, it would look idle and get more load.
             all_classes = outcome in (Outcome.CONNECT_FAILED, Outcome.RESET, Outcome.FULL)
             server.unreachable_at = now if outcome is Outcome.CONNECT_FAILED else server.unreachable_at
             for _ in range(3 if outcome is Outcome.CONNECT_FAILED else 1):
-                self.record_result(server, pending.cls, outcome is not Outcome.OK, now, all_classes)
+                self.record_result(server, request.cls, outcome is not Outcome.OK, now, all_classes)
--- a/pepperrun/core/gateway.py
+++ b/pepperrun/core/gateway.py
@@ -126,34 +126,34 @@
 
     def _client_left(self, event: ClientLeft | StreamStarted) -> None:
         """The client has disconnected, or a streamed answer has begun."""
-        if (pending := self.pending.get(event.request)) is not None:
-            pending.stream = isinstance(event, StreamStarted)
-            if not pending.stream:
-                self._cancel_abandoned(pending)
-                self._close(pending)
+        if (request := self.pending.get(event.request)) is not None:
+            request.stream = isinstance(event, StreamStarted)
+            if not request.stream:
+                self._cancel_abandoned(request)
+                self._close(request)
 
     def _expired(self, event: RequestExpired) -> None:
-        if (pending := self.pending.get(event.request)) is not None:
-            self._close(pending)
+        if (request := self.pending.get(event.request)) is not None:
+            self._close(request)
 
-    def _cancel_abandoned(self, pending: PendingRequest) -> None:
+    def _cancel_abandoned(self, request: PendingRequest) -> None:
         """Cancel a request's attempts after a grace period, as closing the request would not end their work.
 
         Attempts that are not safe to repeat go on: a cancelled one would not show whether it ran. Each cancel
         costs a connection, so an attempt that is about to be answered gets the grace period, as many clients
         may disconnect at once.
         """
-        if not self.settings.cancel_when_client_left or pending.request_class.repeat is not Repeat.SAFE:
+        if not self.settings.cancel_when_client_left or request.request_class.repeat is not Repeat.SAFE:
             return
-        for attempt in pending.attempts:
+        for attempt in request.attempts:
             attempt.abandoned = attempt.in_flight
 
         def cancel() -> None:
             self.actions += [
-                Cancel(pending.id, at) for at, attempt in enumerate(pending.attempts) if attempt.in_flight
+                Cancel(request.id, at) for at, attempt in enumerate(request.attempts) if attempt.in_flight
             ]
 
-        self.timers.add(self.now + ABANDONED_GRACE_NS, cancel, lambda: not pending.in_flight())
+        self.timers.add(self.now + ABANDONED_GRACE_NS, cancel, lambda: not request.in_flight())
 
     def ejected(self) -> set[int]:
         """Return the backends of all services that are ejected for at least one class."""
@@ -206,40 +206,40 @@
         if self.quotas.reports_directly:
             self.quotas.dirty[event.customer] = None
         service = self.services[event.service]
-        pending = PendingRequest(event, account, request_class, service, self.now)
-        self.pending[event.id] = pending
+        request = PendingRequest(event, account, request_class, service, self.now)
+        self.pending[event.id] = request
         # The time of a request whose body is still arriving has not begun.
-        pending.target_at -= (waited_ns := 0 if pending.unbuffered else self._waited_ns(event))
+        request.target_at -= (waited_ns := 0 if request.unbuffered else self._waited_ns(event))
         overloaded = service.limiter.latency > service.limiter.goal / 2
         if self.settings.adaptive_latency_goal:  # the work alone may take that long: others must wait too
             overloaded = service.limiter.latency > service.limiter.goal and bool(service.scheduler.waiting)
         # Answers one or two ticks before the client gives up, so that the answer arrives in time.
-        answer_by = max(self.now, pending.deadline - 2 * self.settings.tick_ns)
+        answer_by = max(self.now, request.deadline - 2 * self.settings.tick_ns)
 
         def is_finished() -> bool:
-            return pending.done or pending.stream
+            return request.done or request.stream
 
         self.timers.add(
-            answer_by, lambda: None if is_finished() else self._fail_or_refuse(pending), is_finished
+            answer_by, lambda: None if is_finished() else self._fail_or_refuse(request), is_finished
         )
         if (
             waited_ns > self.settings.tick_ns
-            and self.now + pending.service.fleet.expected_ns(pending) > pending.target_at
+            and self.now + request.service.fleet.expected_ns(request) > request.target_at
             and overloaded
         ):
-            self._fail_or_refuse(pending)
+            self._fail_or_refuse(request)
         elif account.owners and self.now < account.rejected_until:
-            self._refuse(pending, (account.rejected_until - self.now) / SECOND, True)
+            self._refuse(request, (account.rejected_until - self.now) / SECOND, True)
         elif not account.owners and not account.within_quota(event.units, self.now):
             self._refuse(
-                pending, (event.units - account.available_units(self.now)) / max(plan.rate, 1e-9), True
+                request, (event.units - account.available_units(self.now)) / max(plan.rate, 1e-9), True
             )
         elif account.owners:
-            self._request_units(pending)
+            self._request_units(request)
         elif self.quotas.members is not None and is_starved(account, self.now):
-            self._refuse(pending, refill_wait_s(account, event.units, self.now), True)
+            self._refuse(request, refill_wait_s(account, event.units, self.now), True)
         else:
-            self._admit(pending)
+            self._admit(request)
 
     def _waited_ns(self, event: Request) -> int:
         """Return how long the request has waited at its client, or here while this process was not running.
@@ -251,30 +251,30 @@
         longest = self.max_remaining_ns[event.cls] = max(self.max_remaining_ns[event.cls], event.left_ns)
         return longest - event.left_ns
 
-    def _admit(self, pending: PendingRequest) -> None:
-        pending.asking = False
-        fleet = pending.service.fleet
-        pending.service.scheduler.add(pending.account.customer, pending)
+    def _admit(self, request: PendingRequest) -> None:
+        request.asking = False
+        fleet = request.service.fleet
+        request.service.scheduler.add(request.account.customer, request)
         # A request that can be sent at once is never shed, or a period of high latency would exclude large
         # requests for good. If the work takes most of the latency target, the shed time would be now, so
         # the request may wait for a minimum part of the target.
-        min_wait = pending.target_ns // MIN_WAIT_DIVISOR if self.settings.adaptive_latency_goal else 1
+        min_wait = request.target_ns // MIN_WAIT_DIVISOR if self.settings.adaptive_latency_goal else 1
         shed_at = max(
-            self.now + min_wait, int(pending.target_at - fleet.tail_ratio * fleet.expected_ns(pending))
+            self.now + min_wait, int(request.target_at - fleet.tail_ratio * fleet.expected_ns(request))
         )
 
         def left_queue() -> bool:
-            return not pending.waiting
+            return not request.waiting
 
-        self.timers.add(shed_at, lambda: None if left_queue() else self._shed(pending), left_queue)
+        self.timers.add(shed_at, lambda: None if left_queue() else self._shed(request), left_queue)
 
-    def _shed(self, pending: PendingRequest) -> None:
+    def _shed(self, request: PendingRequest) -> None:
         wait = (
-            refill_wait_s(pending.account, pending.units, self.now)
+            refill_wait_s(request.account, request.units, self.now)
             if self.quotas.members is not None
             else 0.0
         )
-        self._refuse(pending, wait, wait > 0)
+        self._refuse(request, wait, wait > 0)
 
     def _dispatch(self) -> None:
         """Send waiting requests while the concurrency limits have capacity."""
@@ -290,103 +290,103 @@
         service.limiter.capacity = fleet.capacity
         scheduler.blocked.clear()
         while scheduler.waiting and fleet.in_flight + 1 <= service.limiter.limit():
-            pending = scheduler.pop_next(self.now)
-            if pending is None:
+            request = scheduler.pop_next(self.now)
+            if request is None:
                 break
-            if self.gate is not None and (wait := self.gate.wait_ns(pending.gate_context, self.now)):
-                self._refuse(pending, wait / SECOND)
-            elif not pending.account.owners and not pending.account.within_quota(pending.units, self.now):
-                self._refuse(pending, 0.0, True)
-            elif self._grant_expired(pending):
-                self.quotas.reconcile(pending.account, -pending.units, self.now)
-                self._request_units(pending)
-            elif (server := fleet.choose(pending, self.now)) is None:
-                scheduler.push_front(pending.account.customer, pending)
+            if self.gate is not None and (wait := self.gate.wait_ns(request.gate_context, self.now)):
+                self._refuse(request, wait / SECOND)
+            elif not request.account.owners and not request.account.within_quota(request.units, self.now):
+                self._refuse(request, 0.0, True)
+            elif self._grant_expired(request):
+                self.quotas.reconcile(request.account, -request.units, self.now)
+                self._request_units(request)
+            elif (server := fleet.choose(request, self.now)) is None:
+                scheduler.push_front(request.account.customer, request)
                 if self.gate is None:
                     break
-                scheduler.blocked.add(pending.account.customer)  # other customers may use other backends
+                scheduler.blocked.add(request.account.customer)  # other customers may use other backends
             else:
-                self._send(pending, server)
-
-    def _send(self, pending: PendingRequest, server: Server) -> None:
-        if not pending.attempts:
-            if not pending.account.owners:
-                self.quotas.reconcile(pending.account, pending.units, self.now)
-                spend_units(pending.account, pending.units, self.now)
-            pending.account.recent_use.add(pending.units, self.now)
+                self._send(request, server)
+
+    def _send(self, request: PendingRequest, server: Server) -> None:
+        if not request.attempts:
+            if not request.account.owners:
+                self.quotas.reconcile(request.account, request.units, self.now)
+                spend_units(request.account, request.units, self.now)
+            request.account.recent_use.add(request.units, self.now)
             self.retry_budget.level = min(
                 self.retry_budget.depth, self.retry_budget.level + self.settings.retry_budget_ratio
             )
-        pending.attempts.append(Attempt(server, self.now))
-        pending.account.attempts_in_flight += 1
+        request.attempts.append(Attempt(server, self.now))
+        request.account.attempts_in_flight += 1
         # A body that is still arriving costs the backend nothing yet, and its client may be slow.
-        pending.attempts[-1].counted = not pending.unbuffered
-        pending.service.fleet.in_flight += not pending.unbuffered
+        request.attempts[-1].counted = not request.unbuffered
+        request.service.fleet.in_flight += not request.unbuffered
         expected = (
-            pending.deadline - self.now if pending.unbuffered else pending.service.fleet.expected_ns(pending)
+            request.deadline - self.now if request.unbuffered else request.service.fleet.expected_ns(request)
         )
-        server.in_flight[pending.id, len(pending.attempts) - 1] = (self.now, max(1.0, expected))
+        server.in_flight[request.id, len(request.attempts) - 1] = (self.now, max(1.0, expected))
         if self.gate is not None:
-            self.gate.on_sent(pending.gate_context, server.id, self.now)
-        self.actions.append(Send(pending.id, server.id, max(1, pending.deadline - self.now)))
-        number = len(pending.attempts) - 1
-        overdue_after = int(pending.service.fleet.tail_ratio * pending.service.fleet.expected_ns(pending))
-        attempt = pending.attempts[number]
+            self.gate.on_sent(request.gate_context, server.id, self.now)
+        self.actions.append(Send(request.id, server.id, max(1, request.deadline - self.now)))
+        number = len(request.attempts) - 1
+        overdue_after = int(request.service.fleet.tail_ratio * request.service.fleet.expected_ns(request))
+        attempt = request.attempts[number]
         self.timers.add(
             self.now + overdue_after,
-            lambda: self._attempt_overdue(pending, number),
+            lambda: self._attempt_overdue(request, number),
             lambda: not attempt.in_flight,
         )
 
-    def _attempt_overdue(self, pending: PendingRequest, number: int) -> None:
+    def _attempt_overdue(self, request: PendingRequest, number: int) -> None:
         """Handle an attempt slower than TAIL_QUANTILE of all: schedule a hedged request, or cancel and retry.
 
         Hedging sends a second attempt in parallel. Without hedging only one attempt may be in flight.
         """
-        last = number == len(pending.attempts) - 1
+        last = number == len(request.attempts) - 1
         if (
-            pending.done
-            or pending.stream
-            or pending.unbuffered
-            or not pending.attempts[number].in_flight
+            request.done
+            or request.stream
+            or request.unbuffered
+            or not request.attempts[number].in_flight
             or not last
         ):
             return
-        server = pending.attempts[number].backend
-        if pending.service.limiter.latency < LATENCY_GOAL and pending.attempts[number].counted:
+        server = request.attempts[number].backend
+        if request.service.limiter.latency < LATENCY_GOAL and request.attempts[number].counted:
             # The fleet answers in time, so this backend has the fault: its hanging attempt holds no slot.
-            pending.service.fleet.record_result(server, pending.cls, True, self.now)
-            self._release_slot(pending, pending.attempts[number])
+            request.service.fleet.record_result(server, request.cls, True, self.now)
+            self._release_slot(request, request.attempts[number])
         if (
-            self.now + pending.service.fleet.expected_ns(pending) > pending.target_at
+            self.now + request.service.fleet.expected_ns(request) > request.target_at
             or self.retry_budget.level < 1
         ):
             return
         if self.settings.hedging:
             hedge_at = int(
-                pending.attempts[number].sent_at
-                + HEDGE_AT * (pending.target_at - pending.attempts[number].sent_at)
+                request.attempts[number].sent_at
+                + HEDGE_AT * (request.target_at - request.attempts[number].sent_at)
             )
             self.timers.add(
                 max(hedge_at, self.now),
-                lambda: self._hedge(pending, number),
-                lambda: not pending.attempts[number].in_flight,
+                lambda: self._hedge(request, number),
+                lambda: not request.attempts[number].in_flight,
             )
-        elif self.settings.may_cancel and self._should_switch_backend(pending, server):
-            self.actions.append(Cancel(pending.id, number))
+        elif self.settings.may_cancel and self._should_switch_backend(request, server):
+            self.actions.append(Cancel(request.id, number))
 
-    def _should_switch_backend(self, pending: PendingRequest, server: Server) -> bool:
+    def _should_switch_backend(self, request: PendingRequest, server: Server) -> bool:
         """Return whether the backend is slow and another one would take the request now."""
-        fleet = pending.service.fleet
+        fleet = request.service.fleet
         if fleet.slowdown(server, self.now) <= 2 * fleet.tail_ratio:
             return False
-        if self.gate is not None and self.gate.wait_ns(pending.gate_context, self.now):
+        if self.gate is not None and self.gate.wait_ns(request.gate_context, self.now):
             return False
-        return fleet.choose(pending, self.now, server, parallel=True) is not None
+        return fleet.choose(request, self.now, server, parallel=True) is not None
 
-    def _release_slot(self, pending: PendingRequest, attempt: Attempt) -> None:
+    def _release_slot(self, request: PendingRequest, attempt: Attempt) -> None:
         """Stop counting an attempt that may hang against the concurrency limit."""
-        pending.service.fleet.in_flight -= attempt.counted
+        request.service.fleet.in_flight -= attempt.counted
         attempt.counted = False
 
     def _suspected(self, event: AttemptSuspected) -> None:
@@ -395,38 +395,38 @@
         This also happens after the latency target, as a late answer is better than none, but then not with
         the last LATE_RETRY_RESERVE of the retry budget.
         """
-        pending = self.pending.get(event.request)
+        request = self.pending.get(event.request)
         if (
-            pending is None
-            or pending.done
-            or pending.stream
-            or pending.unbuffered
-            or event.attempt >= len(pending.attempts)
+            request is None
+            or request.done
+            or request.stream
+            or request.unbuffered
+            or event.attempt >= len(request.attempts)
         ):
             return
-        attempt = pending.attempts[event.attempt]
-        if not attempt.in_flight or pending.in_flight() > 1:
+        attempt = request.attempts[event.attempt]
+        if not attempt.in_flight or request.in_flight() > 1:
             return
-        self._release_slot(pending, attempt)
+        self._release_slot(request, attempt)
         has_reserve = self.retry_budget.level > self.retry_budget.depth * LATE_RETRY_RESERVE
         self._retry(
-            pending,
+            request,
             attempt.backend,
-            latest=pending.deadline if has_reserve else pending.target_at,
+            latest=request.deadline if has_reserve else request.target_at,
             parallel=True,
         )
 
-    def _hedge(self, pending: PendingRequest, number: int) -> None:
+    def _hedge(self, request: PendingRequest, number: int) -> None:
         """Send a hedged request, some time after the attempt became overdue.
 
         Most overdue attempts are still answered in time, so hedging each at once would waste work.
         """
-        if not pending.done and pending.attempts[number].in_flight and number == len(pending.attempts) - 1:
-            self._retry(pending, pending.attempts[number].backend)
+        if not request.done and request.attempts[number].in_flight and number == len(request.attempts) - 1:
+            self._retry(request, request.attempts[number].backend)
 
     def _retry(
         self,
-        pending: PendingRequest,
+        request: PendingRequest,
         failed: Server,
         outcome: Outcome = Outcome.TIMEOUT,
         *,
@@ -439,88 +439,88 @@
         is free; `strict_retry_budget` charges for the reset. The new attempt must be expected to end by
         `latest`, by default the latency target. `parallel`: the failed attempt may still be in flight.
         """
-        latest = pending.target_at if latest is None else latest
-        service, strict = pending.service, self.settings.strict_retry_budget
+        latest = request.target_at if latest is None else latest
+        service, strict = request.service, self.settings.strict_retry_budget
         is_free = outcome in (Outcome.CONNECT_FAILED, Outcome.MOOT) or outcome is Outcome.STALE and not strict
         full_cost = strict or service.limiter.latency > LATENCY_GOAL or service.fleet.widespread_failure
         cost = 0.0 if is_free else 1.0 if full_cost else UNLOADED_RETRY_COST
-        if self.retry_budget.level < cost or self.now + pending.service.fleet.expected_ns(pending) > latest:
+        if self.retry_budget.level < cost or self.now + request.service.fleet.expected_ns(request) > latest:
             return False
-        if self.gate is not None and self.gate.wait_ns(pending.gate_context, self.now):
+        if self.gate is not None and self.gate.wait_ns(request.gate_context, self.now):
             return False
-        server = service.fleet.choose(pending, self.now, failed, parallel)
+        server = service.fleet.choose(request, self.now, failed, parallel)
         if server is None and outcome in (Outcome.STALE, Outcome.RESET, Outcome.ERROR):
             # No other backend may take it: only the cell that has seen the request recognizes a repeat.
-            server = service.fleet.choose(pending, self.now)
+            server = service.fleet.choose(request, self.now)
         if server is not None:
             self.retry_budget.level -= cost
-            self._send(pending, server)
+            self._send(request, server)
         return server is not None
 
     def _ended(self, event: AttemptEnded) -> None:
-        pending = self.pending.get(event.request)
+        request = self.pending.get(event.request)
         if (
-            pending is None
-            or event.attempt >= len(pending.attempts)
-            or not pending.attempts[event.attempt].in_flight
+            request is None
+            or event.attempt >= len(request.attempts)
+            or not request.attempts[event.attempt].in_flight
         ):
             return
-        attempt = pending.attempts[event.attempt]
+        attempt = request.attempts[event.attempt]
         attempt.in_flight, attempt.may_have_run = False, not event.outcome.never_ran
-        if attempt.abandoned and event.outcome is Outcome.CANCELLED and not pending.unbuffered:
-            pending.service.fleet.record_abandoned(pending, event.elapsed_ns)
-        pending.body_consumed = pending.body_consumed or event.body_consumed
-        pending.account.attempts_in_flight -= 1
-        in_flight = pending.service.fleet.in_flight
-        pending.service.fleet.record_end(attempt.backend, pending, event, self.now)
-        self.quotas.attempt_ns_per_unit = sum(pending.service.fleet.unit_latency_ns) / len(
-            pending.service.fleet.unit_latency_ns
+        if attempt.abandoned and event.outcome is Outcome.CANCELLED and not request.unbuffered:
+            request.service.fleet.record_abandoned(request, event.elapsed_ns)
+        request.body_consumed = request.body_consumed or event.body_consumed
+        request.account.attempts_in_flight -= 1
+        in_flight = request.service.fleet.in_flight
+        request.service.fleet.record_end(attempt.backend, request, event, self.now)
+        self.quotas.attempt_ns_per_unit = sum(request.service.fleet.unit_latency_ns) / len(
+            request.service.fleet.unit_latency_ns
         )
         # A single failing backend says nothing about the fleet: a failure lowers the limit only if most fail.
-        widespread = pending.service.fleet.widespread_failure and event.outcome in (
+        widespread = request.service.fleet.widespread_failure and event.outcome in (
             Outcome.TIMEOUT,
             Outcome.FULL,
         )
         if (
             widespread
             or event.outcome is Outcome.OK
-            and pending.service.fleet.slowdown(attempt.backend, self.now) <= 2.0
+            and request.service.fleet.slowdown(attempt.backend, self.now) <= 2.0
         ):
-            pending.service.limiter.add_sample(
-                2.0 if widespread else event.elapsed_ns / pending.target_ns, in_flight
+            request.service.limiter.add_sample(
+                2.0 if widespread else event.elapsed_ns / request.target_ns, in_flight
             )
         if event.outcome is Outcome.OK and event.units > 0 and self.settings.reconciles_units:
-            self.quotas.reconcile(pending.account, event.units - pending.units, self.now)
-        pending.done = pending.done or event.complete
-        needs_no_retry = pending.done or pending.stream or pending.in_flight() > 0
-        if not needs_no_retry and not self._retry(pending, attempt.backend, event.outcome):
-            self._fail_or_refuse(pending)
-        self._forget_finished(pending)
-
-    def _fail_or_refuse(self, pending: PendingRequest) -> None:
+            self.quotas.reconcile(request.account, event.units - request.units, self.now)
+        request.done = request.done or event.complete
+        needs_no_retry = request.done or request.stream or request.in_flight() > 0
+        if not needs_no_retry and not self._retry(request, attempt.backend, event.outcome):
+            self._fail_or_refuse(request)
+        self._forget_finished(request)
+
+    def _fail_or_refuse(self, request: PendingRequest) -> None:
         """Refuse the request within its latency target, else fail it.
 
         A client retries at once after a refusal, which helps within the target and only adds load after it.
         """
-        if pending.may_refuse() and self.now < pending.target_at:
-            self._refuse(pending, 0.0)
+        if request.may_refuse() and self.now < request.target_at:
+            self._refuse(request, 0.0)
         else:
-            self.actions.append(Fail(pending.id))
-            self._close(pending)
+            self.actions.append(Fail(request.id))
+            self._close(request)
 
-    def _refuse(self, pending: PendingRequest, wait_s: float, over_quota: bool = False) -> None:
+    def _refuse(self, request: PendingRequest, wait_s: float, over_quota: bool = False) -> None:
         wait = int(min(wait_s * SECOND, self.settings.max_retry_after_ns)) if self.settings.retry_after else 0
-        self.actions.append(Refuse(pending.id, wait, over_quota))
-        self._close(pending)
+        self.actions.append(Refuse(request.id, wait, over_quota))
+        self._close(request)
 
-    def _close(self, pending: PendingRequest) -> None:
-        if pending.waiting and pending.account.owners and not pending.attempts:
+    def _close(self, request: PendingRequest) -> None:
+        if request.waiting and request.account.owners and not request.attempts:
             # Return units that were granted but not used.
-            self.quotas.reconcile(pending.account, -pending.units, self.now)
-        pending.done, pending.waiting, pending.asking = True, False, False
-        pending.service.scheduler.head(pending.account.customer)
-        self._forget_finished(pending)
-
-    def _forget_finished(self, pending: PendingRequest) -> None:
-        if pending.done and not pending.in_flight():
-            self.pending.pop(pending.id, None)
+            self.quotas.reconcile(request.account, -request.units, self.now)
+        request.done, request.waiting, request.asking = True, False, False
+        request.service.scheduler.head(request.account.customer)
+        self._forget_finished(request)
+
+    def _forget_finished(self, request: PendingRequest) -> None:
+        if request.done and not request.in_flight():
+            self.pending.pop(request.id, None)
--- a/pepperrun/core/state.py
+++ b/pepperrun/core/state.py
@@ -114,14 +114,14 @@
     def __init__(self) -> None:
         self.waiting: dict[int, deque[Any]] = {}
 
-    def add(self, customer: int, pending: RequestState) -> None:
+    def add(self, customer: int, request: RequestState) -> None:
         """Append to a customer's queue, but before requests with a higher `rank` number."""
-        pending.waiting = True
+        request.waiting = True
         queue = self.waiting.setdefault(customer, deque())
         position = len(queue)
-        while position and queue[position - 1].rank > pending.rank:
+        while position and queue[position - 1].rank > request.rank:
             position -= 1
-        queue.insert(position, pending)
+        queue.insert(position, request)
 
     def head(self, customer: int) -> Any:
         """Return the first request that is still waiting, or None."""
@@ -134,14 +134,14 @@
 
     def pop(self, customer: int) -> Any:
         """Remove and return the first request; `push_front` undoes this."""
-        pending = self.waiting[customer].popleft()
-        pending.waiting = False
-        return pending
+        request = self.waiting[customer].popleft()
+        request.waiting = False
+        return request
 
-    def push_front(self, customer: int, pending: RequestState) -> None:
+    def push_front(self, customer: int, request: RequestState) -> None:
         """Put a request at the front of a customer's queue."""
-        pending.waiting = True
-        self.waiting.setdefault(customer, deque()).appendleft(pending)
+        request.waiting = True
+        self.waiting.setdefault(customer, deque()).appendleft(request)
 
 
 class EventDispatcher:
