--- a/pepperrun/membership/config.py
+++ b/pepperrun/membership/config.py
@@ -1,4 +1,4 @@
-"""What switches membership on: the key `membership` of a gatekeeper's configuration, or a file like it."""
+"""Settings that switch membership on: the key `members` of a gatekeeper's configuration, or a file."""
 
 from __future__ import annotations
 
@@ -16,32 +16,32 @@
 
 @dataclass(slots=True, frozen=True)
 class MembershipConfig:
-    """Where the keys are, where this gatekeeper stands, and the pace."""
+    """Key file, failure domain of this gatekeeper, and intervals of the failure detector."""
 
     key_file: Path
     region: str
     zone: str
     probe_period_ns: int
     min_suspicion_ns: int
-    names: tuple[str, ...] = ()  # of the gatekeepers, by their numbers
+    names: tuple[str, ...] = ()  # of all gatekeepers, indexed by member number
 
     def load_keys(self) -> KeyRing:
-        """The keys as the file has them now; ValueError names the file, never what it holds."""
+        """Reads the key file again; ValueError names the file, never its contents."""
         try:
             return parse_keys(self.key_file.read_text(encoding="utf-8"))
         except (OSError, ValueError) as error:
-            why = error.strerror if isinstance(error, OSError) else error
-            raise ValueError(f"members.key_file: {self.key_file}: {why}") from None
+            reason = error.strerror if isinstance(error, OSError) else error
+            raise ValueError(f"members.key_file: {self.key_file}: {reason}") from None
 
 
 def membership_from_table(table: Mapping[str, Any], folder: Path) -> MembershipConfig:
-    """Reads the table; a key file's path counts from the folder of the file that names it."""
+    """Validates the table; a relative key file path starts at `folder`. ValueError names the bad key."""
     known_keys(table, SETTING_NAMES, "members.")
 
-    def span(key: str, default: float, least: float, most: float) -> int:
+    def duration_ns(key: str, default: float, minimum: float, maximum: float) -> int:
         value: float = get(table, key, float, default)
-        if not least <= value <= most:
-            raise ValueError(f"members.{key}: must be from {least:g} to {most:g}")
+        if not minimum <= value <= maximum:
+            raise ValueError(f"members.{key}: must be from {minimum:g} to {maximum:g}")
         return int(value * NS_PER_MS)
 
     try:
@@ -49,8 +49,8 @@
             folder / get(table, "key_file", str, required=True),
             get(table, "region", str, ""),
             get(table, "zone", str, ""),
-            span("period_ms", 200, 50, 10_000),
-            span("suspect_ms", 250, 50, 60_000),
+            duration_ns("period_ms", 200, 50, 10_000),
+            duration_ns("suspect_ms", 250, 50, 60_000),
             tuple(str(name) for name in get(table, "names", list, [])),
         )
     except ValueError as error:
@@ -59,6 +59,6 @@
 
 
 def membership_from_json(text: str, folder: Path) -> MembershipConfig:
-    """The operators' file; ValueError names a bad key."""
+    """Parses the operator's JSON file; ValueError names a bad key."""
     table = json_object(text)
     return membership_from_table(table, folder)
--- a/pepperrun/membership/gateway_probe_service.py
+++ b/pepperrun/membership/gateway_probe_service.py
@@ -1,4 +1,4 @@
-"""GatewayProbeService of a running gatekeeper: datagrams over a socket that others use too, and one timer."""
+"""Runs a gatekeeper's `GatewayProber`: datagrams over a shared socket, and one timer."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 from pepperrun.foundation.settings import Address, Settings
 from pepperrun.membership.gateway_prober import GatewayProber
 
-MIN_TIMER_S = 0.005  # between two turns: what comes in bursts is answered together
+MIN_TIMER_S = 0.005  # between two timer runs, so that a burst is handled in one of them
 
 
 class GatewayProbeService:
-    """Runs a prober on the loop. `send(data, where)` sends a datagram.
+    """Runs a prober on the event loop. `send(data, address)` sends a datagram.
 
-    `changed()` is called when somebody is found to be absent or back. Give datagrams that begin with
-    `membership.gateway_probe_wire.MARK` to `received`, records of gatekeepers to `on_gateways`.
+    `on_change()` is called when the set of absent gatekeepers or `suspects_itself` changes. The caller passes
+    datagrams that begin with `gateway_probe_wire.MAGIC` to `on_datagram`, and records to `on_gateways`.
     """
 
     def __init__(
@@ -26,14 +26,14 @@
         generation: int,
         seed: int,
         send: Callable[[bytes, Address], None],
-        changed: Callable[[], None] = lambda: None,
+        on_change: Callable[[], None] = lambda: None,
         clock: Callable[[], int] = time.monotonic_ns,
     ) -> None:
-        me, self.clock = settings.me, clock
-        self.prober = GatewayProber(me.station, me.region, generation, seed, self.clock())
+        own, self.clock = settings.me, clock
+        self.prober = GatewayProber(own.station, own.region, generation, seed, self.clock())
         self.send = send
         self.reported_state: tuple[frozenset[str], bool] = (frozenset(), False)
-        self.on_change = changed
+        self.on_change = on_change
         self.changed = False
         self.prober.on_change = self._mark_changed
         self.timer: asyncio.TimerHandle | None = None
@@ -43,7 +43,7 @@
         self.changed = True
 
     def on_gateways(self, changed: Iterable[GatewayRecord]) -> None:
-        """Records of gatekeepers that are new or have changed. It begins with the first of another one."""
+        """Applies new or changed records. Probing starts with the first record of another gatekeeper."""
         if self.closed:
             return
         self.prober.update_gateways(changed)
@@ -51,27 +51,27 @@
             self.started = True
             self._run_due()
 
-    def on_datagram(self, data: bytes, where: Address) -> None:
-        """A datagram has come."""
+    def on_datagram(self, data: bytes, address: Address) -> None:
+        """Handles a probe datagram from an address."""
         if self.started and not self.closed:
-            self.prober.receive(data, where, self.clock())
+            self.prober.receive(data, address, self.clock())
             self._flush()
 
-    def record_contact(self, station: str) -> None:
-        """Another message of that gatekeeper has come now."""
-        self.prober.record_contact(station, self.clock())
+    def record_contact(self, name: str) -> None:
+        """Notes an ordinary message of that gatekeeper, received now."""
+        self.prober.record_contact(name, self.clock())
 
-    def is_present(self, station: str) -> bool:
-        """Is that gatekeeper there, as far as is known here?"""
-        return self.prober.is_present(station)
+    def is_present(self, name: str) -> bool:
+        """Whether that gatekeeper counts as present; true for an unknown one."""
+        return self.prober.is_present(name)
 
     def absent_gateways(self) -> frozenset[str]:
-        """Stations that are suspected, dead or have left; none while this one doubts itself."""
+        """Names of gatekeepers that are suspected, dead or left; empty while this one suspects itself."""
         return frozenset() if self.prober.suspects_itself else self.prober.absent_gateways()
 
     @property
     def suspects_itself(self) -> bool:
-        """It stood still, or nobody answers it: what it thinks of others says little."""
+        """Whether this gatekeeper stalled or gets no replies, so that its view of others is unreliable."""
         return self.prober.suspects_itself
 
     def _run_due(self) -> None:
@@ -81,13 +81,13 @@
             self._flush()
 
     def _flush(self) -> None:
-        for where, data in self.prober.take_outgoing():
-            self.send(data, where)
+        for address, data in self.prober.take_outgoing():
+            self.send(data, address)
         if self.changed:
             self.changed = False
-            seen = (self.prober.absent_gateways(), self.prober.suspects_itself)
-            if seen != self.reported_state:
-                self.reported_state = seen
+            state = (self.prober.absent_gateways(), self.prober.suspects_itself)
+            if state != self.reported_state:
+                self.reported_state = state
                 self.on_change()
         loop = asyncio.get_running_loop()
         wait = max(MIN_TIMER_S, (self.prober.due() - self.clock()) / 1e9)
@@ -97,13 +97,13 @@
             self.timer = loop.call_later(wait, self._run_due)
 
     def leave(self) -> None:
-        """This gatekeeper is to stop: the others need not find out."""
+        """Announces that this gatekeeper stops, so that the others need not detect a failure."""
         if self.started and not self.closed:
             self.prober.leave(self.clock())
             self._flush()
 
     def close(self) -> None:
-        """Stops."""
+        """Cancels the timer and ignores further datagrams and records."""
         self.closed = True
         if self.timer is not None:
             self.timer.cancel()
--- a/pepperrun/membership/links.py
+++ b/pepperrun/membership/links.py
@@ -1,23 +1,23 @@
-"""How long each other member takes to answer, and whether it answers this one itself. Does no I/O."""
+"""Round-trip times to the other members, and the reachability matrix of the group. Does no I/O."""
 
 from __future__ import annotations
 
 from pepperrun.membership.roster import Roster
 from pepperrun.membership.wire import ReachabilityRow
 
-MIN_TIMEOUT_NS = 40_000_000  # an answer may wait so long for its turn on a busy core
-DEFAULT_TIMEOUT_NS = 100_000_000  # until a delay was seen
+MIN_TIMEOUT_NS = 40_000_000  # a reply may be delayed this long by a busy core
+DEFAULT_TIMEOUT_NS = 100_000_000  # before the first round trip was measured
 VERSION_LIMIT = 2**16
 
 
 class RoundTripEstimate:
-    """A round trip's mean and deviation, as TCP learns them (RFC 6298)."""
+    """Smoothed mean and deviation of a round-trip time, as for TCP (RFC 6298), in ns."""
 
     def __init__(self) -> None:
         self.mean = self.deviation = 0.0
 
     def record(self, round_trip_ns: int) -> None:
-        """A round trip, ns."""
+        """Adds a measured round trip, in ns."""
         if self.mean == 0:
             self.mean, self.deviation = float(max(1, round_trip_ns)), round_trip_ns / 2
             return
@@ -25,29 +25,29 @@
         self.mean += (round_trip_ns - self.mean) / 8
 
     def timeout(self, limit: int) -> int:
-        """How long to wait for an answer, ns."""
+        """How long to wait for a reply, in ns, at most `limit`."""
         if self.mean == 0:
             return min(limit, DEFAULT_TIMEOUT_NS)
         return min(limit, max(MIN_TIMEOUT_NS, int(self.mean + 4 * self.deviation)))
 
 
 class Links:
-    """This member's row, the delays, and the rows that the others tell."""
+    """This member's row of the reachability matrix, its round-trip times, and the rows of the others."""
 
     def __init__(self, roster: Roster) -> None:
         self.me, self.roster = roster.me, roster
         self.round_trips: dict[int, RoundTripEstimate] = {}
-        self.unreachable: set[int] = set()  # did not answer this one's own last probe
-        self.last_success_at: dict[int, int] = {}  # when a probe last came back
+        self.unreachable: set[int] = set()  # members that did not reply to this one's last direct probe
+        self.last_success_at: dict[int, int] = {}  # when a direct probe last got a reply
         self.version = 0
         self.rows: dict[int, ReachabilityRow] = {}
 
     def round_trip(self, member: int) -> RoundTripEstimate:
-        """Of the way to a member."""
+        """The round-trip estimate of a member, created on first use."""
         return self.round_trips.setdefault(member, RoundTripEstimate())
 
     def record_reply(self, member: int, round_trip_ns: int, now: int) -> None:
-        """It answered a probe of this one's own, after `took` ns."""
+        """Notes a reply to a direct probe, after `round_trip_ns`."""
         self.round_trip(member).record(round_trip_ns)
         self.last_success_at[member] = now
         if member in self.unreachable:
@@ -55,20 +55,20 @@
             self.version = (self.version + 1) % VERSION_LIMIT
 
     def record_no_reply(self, member: int) -> None:
-        """It did not."""
+        """Notes that a direct probe got no reply in time."""
         if member not in self.unreachable:
             self.unreachable.add(member)
             self.version = (self.version + 1) % VERSION_LIMIT
 
     def own_row(self) -> ReachabilityRow:
-        """Whom this one reaches, as far as it has tried."""
+        """This member's row: all members except those whose last direct probe failed."""
         bits = self.roster.bitmap
         for member in self.unreachable:
             bits &= ~(1 << member)
         return ReachabilityRow(self.me, self.version, bits)
 
     def apply_row(self, row: ReachabilityRow) -> None:
-        """Another's row; an older version changes nothing."""
+        """Stores another member's row; an older version is ignored."""
         current = self.rows.get(row.member)
         if row.member != self.me and (
             current is None or 0 < (row.version - current.version) % VERSION_LIMIT < VERSION_LIMIT // 2
@@ -76,18 +76,18 @@
             self.rows[row.member] = row
 
     def forget(self, member: int) -> None:
-        """A new life begins anew."""
+        """Drops what is known of a member that restarted or was removed."""
         self.rows.pop(member, None)
         self.round_trips.pop(member, None)
         self.unreachable.discard(member)
 
     def reports_reachable(self, one: int, other: int) -> bool:
-        """Does `one` say that it reaches the other? True while it says nothing."""
+        """Whether `one` reports that it reaches `other`; True without a row from it."""
         row = self.own_row() if one == self.me else self.rows.get(one)
         return row is None or one == other or bool(row.bitmap >> other & 1)
 
     def unreachable_pairs(self, members: list[int]) -> list[tuple[int, int]]:
-        """The pairs in which the first does not reach the second itself."""
+        """The pairs of these members whose first does not reach the second directly."""
         pairs = []
         for one in members:
             row = self.own_row() if one == self.me else self.rows.get(one)
--- a/pepperrun/membership/member.py
+++ b/pepperrun/membership/member.py
@@ -1,9 +1,9 @@
-"""One member: it joins, probes the others, denies what is untrue of it, and leaves. No socket, no clock.
+"""One member of the group: joins, probes the others, refutes suspicions, leaves. No socket, no clock.
 
-Its own state and what moves it are in `states`. Another member's is ALIVE, SUSPECT, DEAD or LEFT, by
-`records`. A suspicion is looked into by those that watch the suspected one, and becomes a death once
-enough of them agree or none has spoken against it for long; a live member hears of it and denies it with a
-higher incarnation, after its burial too.
+Its own state and the transitions are in `states`. Another member is ALIVE, SUSPECT, DEAD or LEFT, see
+`records`. When a member is suspected, its watchers probe it too. It is declared dead once enough of them
+confirm the suspicion, or once the suspicion has stood for a long time without a refutation. A live member
+that receives the suspicion refutes it with a higher incarnation, also after it was declared dead.
 """
 
 from __future__ import annotations
@@ -47,20 +47,17 @@
     name_hash,
 )
 
-JOIN_RETRY_NS = SECOND // 10  # while nobody has answered
-JOIN_TIMEOUT_NS = 2 * SECOND  # then this one is the first
+JOIN_RETRY_NS = SECOND // 10  # mean interval of SYNC_REQUESTs until the first reply
+JOIN_TIMEOUT_NS = 2 * SECOND  # without any reply by then, this member is the first of its group
 REJECTED_RETRY_NS = 2 * SECOND
-RECONNECT_INTERVAL_NS = (
-    SECOND // 2
-)  # one of the buried is greeted so often: a cut heals, a machine comes back
-GOSSIP_DELAY_NS = 40_000_000  # what is new goes on at once, in one datagram for so long
-GOSSIP_FANOUT = 2  # members that hear it then
-GOSSIP_RATE, GOSSIP_BURST = (
-    20.0,
-    20.0,
-)  # datagrams of news a second at most: a storm must not fill the intakes
-STALL_NS = SECOND // 2  # a standstill of this process: it doubts itself, not the others
-MAX_EVENTS = 512  # kept for whoever asks
+# How often one absent member is sent a SYNC_REQUEST: a partition may heal, a machine may come back.
+RECONNECT_INTERVAL_NS = SECOND // 2
+GOSSIP_DELAY_NS = 40_000_000  # new updates are collected for this long and sent in one datagram
+GOSSIP_FANOUT = 2  # members that receive that datagram
+# Datagrams of GOSSIP a second, at most: many updates at once must not fill the receivers' intake.
+GOSSIP_RATE, GOSSIP_BURST = 20.0, 20.0
+STALL_NS = SECOND // 2  # a longer pause of this process makes it suspect itself, not the others
+MAX_EVENTS = 512  # kept for the admin call `members since`
 COUNTER_NAMES = (
     "sent",
     "sent_bytes",
@@ -75,7 +72,10 @@
 
 
 class Member:
-    """Give it datagrams and the time; take what it wants sent (`outbox`) and what has happened (`events`)."""
+    """The protocol of one member. The caller passes datagrams and the time in, and sends what `outbox` holds.
+
+    `events` keeps the latest events; `on_event` is called with each new one.
+    """
 
     def __init__(self, config: MemberConfig, generation: int, seed: int, now: int) -> None:
         self.me, self.config = config.me, config
@@ -113,44 +113,44 @@
         self.gossip_bucket = Bucket(GOSSIP_RATE, GOSSIP_BURST, GOSSIP_BURST, now)
         self.started = self.last_run_at = self.state_changed_at = now
         self.join_retry_at = self.reconnect_at = now
-        self.gossip_at = 0  # when what is new goes on; 0: there is nothing
+        self.gossip_at = 0  # when new updates are sent; 0: there are none
         self.on_event: Callable[[MembershipEvent], None] | None = None
 
     @property
     def member_count(self) -> int:
-        """How many there may be."""
+        """Number of members on the roster, present or not."""
         return len(self.roster)
 
     @property
     def suspects_itself(self) -> bool:
-        """It may be this one that is not heard."""
+        """Whether this member may be the one that is unreachable."""
         return self.self_suspicion.active
 
     @property
     def rejoined_at(self) -> int:
-        """When it last came back, from a smaller side or a standstill."""
+        """When this member last returned from a minority side or recovered from a stall, in ns."""
         return self.side_tracker.rejoined_at
 
     @property
     def previously_missing(self) -> frozenset[int]:
-        """Who was missing when it last stood on a smaller side."""
+        """Members that were missing when this member was last on a minority side."""
         return self.side_tracker.previously_missing
 
     def expected_members(self) -> frozenset[int]:
-        """All members but those that left in order."""
+        """All members except those that left gracefully."""
         return self.side_tracker.expected_members()
 
     def side(self) -> Side:
-        """Where this one stands, by its view."""
+        """The partition side of this member, by its view."""
         return self.side_tracker.side()
 
     def set_keys(self, keys: KeyRing) -> None:
-        """Other keys hold at once, for what is sent and what is taken in."""
+        """Replaces the keys, with immediate effect on datagrams sent and received."""
         self.config = replace(self.config, keys=keys)
         self.outbox.codec = self.config.codec or SignedCodec(self.config.count, keys)
 
     def forget(self, member: int) -> None:
-        """It is taken from the roster: nothing is known of it any more."""
+        """Drops all state of a member that was removed from the roster."""
         self.table.forget(member)
         self.links.forget(member)
         self.name_registry.name_hashes.pop(member, None)
@@ -158,29 +158,29 @@
         self.views.reported.pop(member, None)
         self.replay_guard.forget(member)
 
-    # OwnRecord state.
+    # Own state.
 
     def _transition(self, event: OwnEvent, now: int, detail: str = "", by: int = NO_MEMBER) -> bool:
-        after = TRANSITIONS.get((self.own.state, event))
-        if after is None:
+        new_state = TRANSITIONS.get((self.own.state, event))
+        if new_state is None:
             return False
-        self.own.state, self.state_changed_at = after, now
-        self._emit(now, after.value, self.me, by, detail)
-        if after is OwnState.MEMBER:
+        self.own.state, self.state_changed_at = new_state, now
+        self._emit(now, new_state.value, self.me, by, detail)
+        if new_state is OwnState.MEMBER:
             self._announce(State.ALIVE, now)
-        elif after is OwnState.JOINING:
+        elif new_state is OwnState.JOINING:
             self.join_retry_at = now
-        elif after is OwnState.REJECTED:
+        elif new_state is OwnState.REJECTED:
             self.prober.cancel_all()
         return True
 
     def _announce(self, state: State, now: int) -> None:
-        """A word on itself."""
+        """Queues an update about this member itself."""
         self.table.apply(Update(self.me, self.own.generation, self.own.incarnation, state, self.me), now)
         self._schedule_gossip(now)
 
     def leave(self, now: int) -> None:
-        """Says that it goes: nobody has to find out."""
+        """Announces a graceful leave, so that the others need not detect a failure."""
         if self._transition(OwnEvent.LEAVE, now):
             self._announce(State.LEFT, now)
             for member in self.table.sample_alive(self.rng, 2 * GOSSIP_FANOUT):
@@ -189,7 +189,11 @@
     # Time.
 
     def _detect_stall(self, now: int) -> None:
-        """A standstill says nothing of others: what was out is void, suspicions begin anew."""
+        """Handles a stall of this process.
+
+        Missing replies during a stall say nothing about the others: probes in flight are cancelled and
+        suspicion timers start again.
+        """
         stalled_ns, self.last_run_at = now - self.last_run_at, max(now, self.last_run_at)
         if stalled_ns < STALL_NS or self.own.state is not OwnState.MEMBER:
             return
@@ -205,7 +209,7 @@
             self.prober.start_probe(member, now)
 
     def tick(self, now: int) -> None:
-        """Does what is due."""
+        """Runs all timers that are due."""
         self._detect_stall(now)
         if self.own.state is OwnState.LEFT:
             return
@@ -222,7 +226,7 @@
             record = self.table.records[member]
             if self.suspicions.is_expired(record, now):
                 self._declare_dead(record, now)
-            else:  # of its watchers some may have been found dead themselves
+            else:  # this member may have become a watcher because another watcher was found dead
                 self.suspicions.verify(record, now)
         if now >= self.reconnect_at:
             self.reconnect_at = now + RECONNECT_INTERVAL_NS
@@ -240,7 +244,7 @@
         self._update_view(now)
 
     def due(self) -> int:
-        """When `tick` is to be called at the latest, whatever is heard till then."""
+        """Latest time of the next call to `tick`, in ns, also if datagrams arrive before."""
         if self.own.state is OwnState.LEFT:
             return self.last_run_at + SECOND
         if self.own.state is OwnState.REJECTED:
@@ -264,7 +268,7 @@
         self.gossip_at = self.gossip_at or now + GOSSIP_DELAY_NS
 
     def _try_to_join(self, now: int) -> None:
-        """Joining: greets one configured member after the other until one answers."""
+        """While joining: asks random members of the roster for the group's state until one replies."""
         if now < self.join_retry_at:
             return
         if now - self.state_changed_at >= JOIN_TIMEOUT_NS or self.member_count == 1:
@@ -288,7 +292,7 @@
             failed = self.prober.consecutive_failures
             self._emit(now, "hears nobody", self.me, self.me, f"{failed} probes")
         if probe.silent_helpers and len(probe.silent_helpers) == len(probe.helpers):
-            self.prober.degrade_health()  # all helpers keep silent: it may be this one that does not hear
+            self.prober.degrade_health()  # no helper replied: this member may receive nothing itself
         record = self.table.get(probe.target)
         if record is None or record.generation != probe.generation or not record.present:
             return
@@ -305,22 +309,23 @@
         )
 
     def _apply_update(self, update: Update, now: int) -> None:
-        """Takes in a word on another member or on this one."""
+        """Applies an update about another member, or refutes one about this member."""
         if update.member == self.me:
             self._refute(update, now)
             return
-        before = self.table.get(update.member)
-        old_state, generation = (before.state, before.generation) if before is not None else (None, 0)
+        previous = self.table.get(update.member)
+        old_state, generation = (previous.state, previous.generation) if previous is not None else (None, 0)
         reported_death = (
             update.state is State.DEAD and update.reporter != self.me and old_state is State.ALIVE
         )
         if (
             reported_death
-            and before is not None
+            and previous is not None
             and update.generation == generation
-            and update.incarnation == before.incarnation
+            and update.incarnation == previous.incarnation
         ):
-            # Nobody is buried on hearsay whom nothing was said against: it has the time to deny that.
+            # A member that was not suspected here is not declared dead on another member's report:
+            # it first gets the time to refute the report.
             update = replace(update, state=State.SUSPECT)
         if not self.table.apply(update, now):
             return
@@ -339,9 +344,9 @@
             self.suspicions.verify(self.table.records[update.member], now)
 
     def _refute(self, update: Update, now: int) -> None:
-        """What others say of this one: what is untrue is denied, with a higher incarnation."""
+        """Refutes a false update about this member with a higher incarnation."""
         if update.generation > self.own.generation:
-            if self.own.state is OwnState.JOINING:  # the life before had a clock that was ahead of this one's
+            if self.own.state is OwnState.JOINING:  # the previous process had a clock ahead of this one's
                 self.own.generation = update.generation + 1
                 self.join_retry_at = now
             else:
@@ -353,7 +358,7 @@
             return
         if update.state is not State.ALIVE and update.incarnation >= self.own.incarnation:
             self.own.incarnation = update.incarnation + 1
-            if self.own.incarnation >= INCARNATION_LIMIT:  # none is left of this life
+            if self.own.incarnation >= INCARNATION_LIMIT:  # this generation has no incarnation left
                 self.own.generation, self.own.incarnation = self.own.generation + 1, 0
             self.counters["denied"] += 1
             self.prober.degrade_health()
@@ -363,12 +368,15 @@
     # Datagrams.
 
     def record_contact(self, member: int, at: int) -> None:
-        """A sign of life on the ordinary path. It saves a probe and proves nothing: it is not signed."""
+        """Notes an ordinary message from a member.
+
+        That saves a probe but is no proof that the member is alive, because ordinary messages are not signed.
+        """
         if at > self.prober.last_contact.get(member, 0):
             self.prober.last_contact[member] = at
 
     def receive(self, sender: int, data: bytes, now: int) -> None:
-        """Takes in a datagram from the address of a configured member."""
+        """Handles a datagram that came from the address of the member `sender`."""
         self._detect_stall(now)
         if self.own.state in (OwnState.LEFT, OwnState.REJECTED):
             return
@@ -386,7 +394,7 @@
             datagram, now
         ):
             return
-        denied = self.counters["denied"]
+        refuted = self.counters["denied"]
         if (
             datagram.kind not in (Kind.SYNC_REQUEST, Kind.NAME_CONFLICT)
             and self.name_registry.name_hashes.get(sender) != datagram.name_hash
@@ -395,12 +403,18 @@
         self.handlers[datagram.kind](datagram, now)
         if datagram.kind is not Kind.NAME_CONFLICT:
             self._apply_gossip(datagram, now)
-        if self.counters["denied"] > denied:  # whoever said it is the first to hear that it is untrue
+        if (
+            self.counters["denied"] > refuted
+        ):  # the member that sent the false update gets the refutation first
             self.outbox.post(sender, Kind.GOSSIP)
         self._update_view(now)
 
     def _from_current_generation(self, datagram: Datagram, now: int) -> bool:
-        """Is it from the life that is known here? A later one is taken in, an earlier one told of that."""
+        """Whether a datagram is of its sender's current generation.
+
+        A later generation is applied, or checked first if the current one may be alive. The sender of an
+        earlier one is notified.
+        """
         sender, record = datagram.sender, self.table.get(datagram.sender)
         if record is not None and datagram.generation < record.generation:
             self.outbox.post_limited(
@@ -414,8 +428,8 @@
         ):
             if record.present:
                 return True
-            # It lives, and does not know what is said of it: told, it denies that. It may say the same of
-            # this one, which is denied in the answer.
+            # The sender is alive and does not know that it counts as dead or left: it is notified and can
+            # refute that. It may hold the same of this member, which is refuted in the reply.
             for update in datagram.updates:
                 if update.member == self.me:
                     self._refute(update, now)
@@ -423,20 +437,20 @@
             return False
         was_there = record is not None and record.present
         if record is not None and was_there and datagram.generation > record.generation:
-            # The life before may still be there: until it has been asked, nothing of the new one counts.
+            # The current generation may be alive: until it was probed, nothing of the new one is applied.
             self.name_registry.check_claim(sender, datagram.generation, now)
             return False
         self._apply_update(
             Update(sender, datagram.generation, datagram.incarnation, State.ALIVE, self.me), now
         )
         if record is not None and not was_there:
-            self.outbox.post(sender, Kind.SYNC_REQUEST)  # back from behind a cut: what it knows is wanted
+            self.outbox.post(sender, Kind.SYNC_REQUEST)  # back after a partition: its state is needed here
         return True
 
     def _apply_gossip(self, datagram: Datagram, now: int) -> None:
         record = self.table.get(datagram.sender)
         if record is None or record.generation != datagram.generation or not record.present:
-            return  # who is buried here says nothing of others until it has denied that
+            return  # updates from a member that counts as dead here are ignored until it has refuted that
         self.prober.last_contact[datagram.sender] = now
         for update in datagram.updates:
             self._apply_update(update, now)
@@ -489,10 +503,10 @@
             what = f"{view.number} {view.digest:08x} {len(view.members)}"
             self._emit(now, "view", self.me, self.me, what)
 
-    # For others to see.
+    # Events.
 
     def record_step(self, step: str, now: int) -> None:
-        """For the record: what is done with quotas from now on."""
+        """Adds an event for a new quota step (see `steps`)."""
         self._emit(now, "step", self.me, self.me, step)
 
     def _emit(self, now: int, what: str, member: int, by: int, detail: str = "") -> None:
--- a/pepperrun/membership/names.py
+++ b/pepperrun/membership/names.py
@@ -1,8 +1,8 @@
-"""Who has a name: a second process under one is found, and refused while the first answers. Does no I/O.
+"""Detects two processes under one member name or number and rejects one of them. Does no I/O.
 
-A later life of a member claims its number. The life before is asked whether it is there: if it answers the
-claim is refused, if it does not the new one has the number. Of two that joined at the same time the later
-gives way.
+A later generation of a member claims its number. The current generation is probed first: if it replies, the
+claim is rejected; if not, the new generation gets the number. Of two members that joined with one name at
+the same time, the one with the later generation is rejected.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class NameRegistry:
-    """The names of all that are known, and the claims to them."""
+    """The names of the known members, and claims by later generations that are being checked."""
 
     def __init__(
         self,
@@ -30,11 +30,11 @@
     ) -> None:
         self.own, self.table, self.prober, self.outbox = own, table, prober, outbox
         self.apply_update, self.emit = apply_update, emit
-        self.name_hashes: dict[int, int] = {}  # hash of the name of each of the others
-        self.claims: dict[int, int] = {}  # member: the life that claims it while the one before is asked
+        self.name_hashes: dict[int, int] = {}  # by member, without this one
+        self.claims: dict[int, int] = {}  # member: claiming generation, while the current one is probed
 
     def on_sync_request(self, datagram: Datagram, now: int) -> None:
-        """Someone asks for all that is known here. A name that another holds is refused."""
+        """Replies with the complete state, or rejects a sender whose name another member has."""
         sender = datagram.sender
         for other, name in self.name_hashes.items():
             other_record = self.table.get(other)
@@ -70,13 +70,13 @@
         self.outbox.send_full_state(sender, datagram.generation)
 
     def check_claim(self, member: int, generation: int, now: int) -> None:
-        """The old life is asked whether it is there, unless it has said so a moment ago."""
+        """Probes the current generation of a claimed number, unless a claim was rejected a moment ago."""
         if member not in self.claims and not self.outbox.posted_recently(member, Kind.NAME_CONFLICT, now):
             self.claims[member] = generation
             self.prober.start_probe(member, now, checks_claim=True)
 
     def accept_claim(self, member: int, now: int) -> None:
-        """The old life does not answer: the new one has the name."""
+        """Accepts a claim after the current generation did not reply."""
         generation = self.claims.pop(member, 0)
         record = self.table.get(member)
         if generation and (record is None or generation > record.generation):
@@ -84,6 +84,10 @@
             self.outbox.send_full_state(member, generation)
 
     def reject(self, member: int, holder: int, now: int, generation: int = 0) -> None:
+        """Rejects a member because `holder` has its name or number, and emits an event.
+
+        The member is notified at most once in `MIN_REPEAT_NS`.
+        """
         generation = generation or self.claims.pop(member, 0)
         self.emit(now, "refused a name", member, self.own.member, f"held by member {holder}")
         self.outbox.post_limited(
@@ -91,7 +95,7 @@
         )
 
     def record_name(self, sender: int, datagram: Datagram, now: int) -> None:
-        """Two that joined at the same time may have one name: the later one gives way."""
+        """Stores a member's name. Of two present members with one name, the later generation is rejected."""
         self.name_hashes[sender] = datagram.name_hash
         for other, name in self.name_hashes.items():
             other_record = self.table.get(other)
@@ -102,8 +106,8 @@
                 or not other_record.present
             ):
                 continue
-            later = max((datagram.generation, sender), (other_record.generation, other))[1]
+            rejected = max((datagram.generation, sender), (other_record.generation, other))[1]
             holder, generation = (
-                (other, datagram.generation) if later == sender else (sender, other_record.generation)
+                (other, datagram.generation) if rejected == sender else (sender, other_record.generation)
             )
-            self.reject(later, holder, now, generation)
+            self.reject(rejected, holder, now, generation)
--- a/pepperrun/membership/records.py
+++ b/pepperrun/membership/records.py
@@ -1,8 +1,8 @@
-"""What a member knows of each other one: the newest word holds, and is passed on a few times. Does no I/O.
+"""The state that a member holds of each other one, and the updates that it still gossips. Does no I/O.
 
-Of two words on a member the one of the later life holds, then that of the higher incarnation, then the graver
-state. Only the member itself raises its incarnation, to deny what is said of it; so any order in which words
-arrive leaves the same record.
+Of two updates about a member the later generation wins, then the higher incarnation, then the state with the
+larger number. Only the member itself raises its incarnation, to refute an update. So the records converge,
+whatever the order in which updates arrive.
 """
 
 from __future__ import annotations
@@ -13,13 +13,13 @@
 from pepperrun.membership.roster import Roster
 from pepperrun.membership.wire import NO_MEMBER, State, Update
 
-MAX_SUSPICION_REPORTERS = 4  # further ones change nothing
-BASE_TRANSMISSIONS = 2  # times that a rumour is passed on beyond twice the logarithm of the number of members
+MAX_SUSPICION_REPORTERS = 4  # further ones do not shorten a suspicion
+BASE_TRANSMISSIONS = 2  # added to twice the logarithm of the number of members: how often an update is sent
 
 
 @dataclass(slots=True)
 class Record:
-    """What is known of one member. `since`: when its state was heard; `by`: who said so."""
+    """What is known of one member. `since`: when its state was received; `reporter`: who reported it."""
 
     member: int
     generation: int
@@ -27,40 +27,41 @@
     state: State
     since: int
     reporter: int = NO_MEMBER
-    suspicion_reporters: set[int] = field(default_factory=set)  # of a suspicion
-    reported_dead: bool = False  # others have buried it already
+    suspicion_reporters: set[int] = field(default_factory=set)  # members that reported the present suspicion
+    reported_dead: bool = False  # another member has declared it dead
 
     def precedence(self) -> tuple[int, int, int]:
-        """What decides between two words."""
+        """Sort key that decides which of two updates about a member wins."""
         return self.generation, self.incarnation, self.state
 
     def as_update(self, reporter: int | None = None) -> Update:
-        """The word on it."""
-        by = self.reporter if reporter is None else reporter
-        return Update(self.member, self.generation, self.incarnation, self.state, by)
+        """The record as an update to send, by `reporter` if given."""
+        update_reporter = self.reporter if reporter is None else reporter
+        return Update(self.member, self.generation, self.incarnation, self.state, update_reporter)
 
     @property
     def present(self) -> bool:
-        """Counts as there: until it is buried or has left."""
+        """Whether the member counts as present: neither dead nor left."""
         return self.state in (State.ALIVE, State.SUSPECT)
 
 
 class MemberTable:
-    """The records, and the rumours that are still to be passed on."""
+    """The records of all members, and the updates that are still to be gossiped."""
 
     def __init__(self, roster: Roster) -> None:
         self.me, self.roster = roster.me, roster
         self.records: dict[int, Record] = {}
-        self.pending_gossip: dict[tuple[int, int], int] = {}  # member and witness: times more
+        # (member, reporter): how often the update is still to be sent
+        self.pending_gossip: dict[tuple[int, int], int] = {}
         self.version = 0
-        self._members_by_state: tuple[int, dict[State, list[int]]] = (-1, {})  # as of so many changes
+        self._members_by_state: tuple[int, dict[State, list[int]]] = (-1, {})  # cached, with its version
 
     def get(self, member: int) -> Record | None:
-        """The record of a member."""
+        """The record of a member, or None."""
         return self.records.get(member)
 
     def forget(self, member: int) -> None:
-        """It is no member any more."""
+        """Drops the record of a member that was removed from the roster."""
         if self.records.pop(member, None) is not None:
             self.pending_gossip = {
                 key: times for key, times in self.pending_gossip.items() if key[0] != member
@@ -68,7 +69,7 @@
             self.version += 1
 
     def apply(self, update: Update, now: int) -> bool:
-        """Takes in a word; was it news? A further witness of a suspicion is."""
+        """Applies an update. Returns whether it changed a record; a further reporter of a suspicion does."""
         record = self.records.get(update.member)
         precedence = (update.generation, update.incarnation, update.state)
         if record is not None and precedence < record.precedence():
@@ -91,11 +92,14 @@
         return True
 
     def queue_gossip(self, member: int, reporter: int) -> None:
-        """Passes the word on: so often that it reaches nearly all."""
+        """Queues an update for as many transmissions as reach nearly all members."""
         self.pending_gossip[member, reporter] = BASE_TRANSMISSIONS + 2 * len(self.records).bit_length()
 
     def take_updates(self, limit: int, first: int = NO_MEMBER) -> list[Update]:
-        """Rumours for one datagram, those told least often first; ahead of all what concerns `first`."""
+        """Returns updates for one datagram and counts them as sent.
+
+        Those about the member `first` come first, then those sent least often.
+        """
         keys = sorted(self.pending_gossip, key=lambda key: (key[0] != first, -self.pending_gossip[key]))[
             :limit
         ]
@@ -108,8 +112,8 @@
         return out
 
     def others_in(self, *states: State) -> list[int]:
-        """Members but this one that are in one of the states, in order of their numbers."""
-        if self._members_by_state[0] != self.version:  # asked far more often than anything changes
+        """The other members in any of these states, in order of their numbers."""
+        if self._members_by_state[0] != self.version:  # read far more often than records change
             sorted_: dict[State, list[int]] = {state: [] for state in State}
             for member, record in sorted(self.records.items()):
                 if member != self.me:
@@ -120,7 +124,7 @@
         return sorted(member for state in states for member in self._members_by_state[1][state])
 
     def successors(self, member: int, count: int = 1) -> list[int]:
-        """The live ones that follow a member on the ring, nearest first."""
+        """Up to `count` alive members that follow a member on the ring, nearest first."""
         ring, found = self.roster.ring, list[int]()
         start = self.roster.ring_index[member]
         for step in range(1, len(ring)):
@@ -133,7 +137,7 @@
         return found
 
     def watchers(self, member: int, count: int) -> list[int]:
-        """The live ones before a member on the ring: these look for themselves when it is suspected."""
+        """Up to `count` alive predecessors on the ring: they probe the member when it is suspected."""
         ring, found = self.roster.ring, list[int]()
         start = self.roster.ring_index[member]
         for step in range(1, len(ring)):
@@ -146,6 +150,6 @@
         return found
 
     def sample_alive(self, rng: random.Random, count: int, *excluded: int) -> list[int]:
-        """Some live ones."""
+        """Up to `count` random alive members, without those in `excluded`."""
         live = [m for m in self.others_in(State.ALIVE) if m not in excluded]
         return rng.sample(live, min(count, len(live)))
--- a/pepperrun/membership/replay_guard.py
+++ b/pepperrun/membership/replay_guard.py
@@ -1,4 +1,4 @@
-"""No datagram counts twice, nor one that was meant for an earlier life of this member. Does no I/O."""
+"""Drops replayed datagrams and those meant for an earlier generation of this member. Does no I/O."""
 
 from __future__ import annotations
 
@@ -9,14 +9,18 @@
 
 
 class ReplayGuard:
-    """Sequence numbers that were seen, by member and life."""
+    """A replay window of sequence numbers for each generation of each sender."""
 
     def __init__(self, own: OwnRecord, table: MemberTable, outbox: Outbox, counters: dict[str, int]) -> None:
         self.own, self.table, self.outbox, self.counters = own, table, outbox, counters
         self.windows: dict[tuple[int, int], ReplayWindow] = {}
 
     def accepts(self, datagram: Datagram) -> bool:
-        """No replay: a new number of its life, and for this life of the receiver where that matters."""
+        """Whether a datagram is to be handled.
+
+        Its sequence number must be new, and except for SYNC_REQUEST it must be meant for this generation of
+        the receiver. A PING to another generation is answered, with this member's own generation.
+        """
         record = self.table.get(datagram.sender)
         if record is not None and record.generation == datagram.generation:
             window = self.windows.setdefault((datagram.sender, datagram.generation), ReplayWindow())
@@ -25,7 +29,7 @@
                 return False
         if datagram.receiver_generation != self.own.generation and datagram.kind is not Kind.SYNC_REQUEST:
             if datagram.kind is Kind.PING:
-                # The life that is asked for has ended: whoever answers here says which one this is.
+                # The probed generation has ended: the ACK carries the generation that runs here.
                 self.outbox.post(
                     datagram.sender,
                     Kind.ACK,
@@ -38,9 +42,9 @@
         return True
 
     def forget(self, member: int) -> None:
-        """It is taken from the roster."""
+        """Drops the windows of a member that was removed from the roster."""
         self.windows = {key: window for key, window in self.windows.items() if key[0] != member}
 
     def forget_generation(self, member: int, generation: int) -> None:
-        """A later life of it has come."""
+        """Drops the window of a generation that was superseded."""
         self.windows.pop((member, generation), None)
--- a/pepperrun/membership/report.py
+++ b/pepperrun/membership/report.py
@@ -1,4 +1,4 @@
-"""What operators and rigs are told of membership. Does no I/O."""
+"""Membership state as the admin calls and telemetry print it. Does no I/O."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def membership_report(member: Member, names: Sequence[str], now: int) -> dict[str, Any]:
-    """All that this member knows, times in ms before now."""
+    """What this member knows of the group, for the admin call `members`. Times are in ms before now."""
     view, views = member.views.view, member.views
     rows = []
     for number in sorted(member.roster.members):
@@ -67,7 +67,7 @@
 
 
 def events_since(member: Member, at: int) -> list[dict[str, Any]]:
-    """What has happened since a time on the machine's monotonic clock, ns."""
+    """The kept events after a time of the machine's monotonic clock, in ns."""
     return [_event_row(one) for one in member.events if one.at > at]
 
 
@@ -76,12 +76,12 @@
 
 
 def json_line(table: Any) -> bytes:
-    """One line of JSON, as the second address answers."""
+    """One line of JSON, as the admin address answers."""
     return json.dumps(table, separators=(",", ":")).encode() + b"\n"
 
 
 def figures(member: Member) -> Iterator[Figure]:
-    """For `telemetry`."""
+    """The membership metrics of the admin call `telemetry`."""
     present = member.views.view.member_numbers()
     yield Figure("members.there", len(present), False)
     yield Figure("members.view", member.views.view.number, False)
--- a/pepperrun/membership/resume.py
+++ b/pepperrun/membership/resume.py
@@ -1,6 +1,7 @@
-"""A member's state as one process hands it to the next of the same gatekeeper. Does no I/O.
+"""A member's state, handed over from one process of a gatekeeper to the next. Does no I/O.
 
-To the others it stays the same member: its life goes on, with sequence numbers that the process before left.
+The other members see no restart: the next process continues the generation, with sequence numbers that are
+beyond those of the previous process.
 """
 
 from __future__ import annotations
@@ -13,11 +14,11 @@
 from pepperrun.membership.views import View, digest_of
 from pepperrun.membership.wire import GENERATION_LIMIT, INCARNATION_LIMIT, State
 
-SEQUENCE_GAP = 500_000  # sequence numbers that a process leaves to the one before or after it
+SEQUENCE_GAP = 500_000  # sequence numbers that are left to the other process during a handover
 
 
 def export_state(member: Member) -> dict[str, Any]:
-    """What the next process needs, for JSON."""
+    """Everything that the next process needs, as JSON values."""
     view = member.views.view
     return {
         "count": member.member_count,
@@ -27,23 +28,27 @@
         "sequence": member.outbox.sequence,
         "names": sorted(member.name_registry.name_hashes.items()),
         "records": [
-            [one.member, one.generation, one.incarnation, int(one.state), one.reporter]
-            for one in member.table.records.values()
+            [record.member, record.generation, record.incarnation, int(record.state), record.reporter]
+            for record in member.table.records.values()
         ],
         "view": [view.number, sorted(view.members)],
     }
 
 
-def _checked_int(value: Any, most: int) -> int:
-    if not isinstance(value, int) or isinstance(value, bool) or not 0 <= value < most:
+def _checked_int(value: Any, limit: int) -> int:
+    if not isinstance(value, int) or isinstance(value, bool) or not 0 <= value < limit:
         raise ValueError(f"{value!r} is out of range")
     return value
 
 
 def restore_state(member: Member, saved: Any, now: int) -> None:
-    """Goes on from it; ValueError where it is no good, and the member is as it was."""
+    """Continues from exported state.
+
+    Raises ValueError, KeyError or TypeError for invalid state and leaves the member unchanged then. State of
+    a process that was not a MEMBER is ignored.
+    """
     if not isinstance(saved, dict) or saved.get("count") != member.member_count:
-        raise ValueError("of another group")
+        raise ValueError("the state is from a group of another size")
     state = OwnState(saved["state"])
     if state is not OwnState.MEMBER:
         return
@@ -53,26 +58,26 @@
     )
     sequence = _checked_int(saved["sequence"], GENERATION_LIMIT)
     records = {}
-    for number, its_generation, its_incarnation, word, by in saved["records"]:
-        one = Record(
+    for number, its_generation, its_incarnation, state_number, reporter in saved["records"]:
+        record = Record(
             _checked_int(number, member.member_count),
             _checked_int(its_generation, GENERATION_LIMIT),
             _checked_int(its_incarnation, INCARNATION_LIMIT),
-            State(word),
+            State(state_number),
             now,
-            _checked_int(by, 2**16),
+            _checked_int(reporter, 2**16),
         )
-        records[one.member] = one
+        records[record.member] = record
     names = {
         _checked_int(number, member.member_count): _checked_int(name, 2**32)
         for number, name in saved["names"]
     }
     number, members = saved["view"]
-    held = frozenset(
-        (_checked_int(one, member.member_count), _checked_int(its_generation, GENERATION_LIMIT))
-        for one, its_generation in members
+    member_set = frozenset(
+        (_checked_int(its_number, member.member_count), _checked_int(its_generation, GENERATION_LIMIT))
+        for its_number, its_generation in members
     )
-    view = View(_checked_int(number, GENERATION_LIMIT), held, digest_of(held), now)
+    view = View(_checked_int(number, GENERATION_LIMIT), member_set, digest_of(member_set), now)
     member.own.generation, member.own.incarnation, member.outbox.sequence = (
         generation,
         incarnation,
@@ -81,4 +86,4 @@
     member.own.state, member.name_registry.name_hashes = state, names
     member.table.records = records
     member.table.version += 1
-    member.views.view, member.views.candidate, member.views.highest_number = view, held, view.number
+    member.views.view, member.views.candidate, member.views.highest_number = view, member_set, view.number
--- a/pepperrun/membership/self_suspicion.py
+++ b/pepperrun/membership/self_suspicion.py
@@ -1,4 +1,4 @@
-"""Does this member hear the others? After a standstill, or many probes in vain, it doubts itself. No I/O."""
+"""Self-suspicion: after a stall or many failed probes, this member may be the unreachable one. No I/O."""
 
 from __future__ import annotations
 
@@ -9,13 +9,12 @@
 from pepperrun.membership.records import MemberTable
 from pepperrun.membership.wire import State
 
-FAILURES_BEFORE_SELF_SUSPICION = (
-    4  # probes in a row to nothing, over as many periods: it may be this one that is not heard
-)
+# Consecutive failed probes, over at least as many periods, that may show that this member is unreachable.
+FAILURES_BEFORE_SELF_SUSPICION = 4
 
 
 class SelfSuspicion:
-    """`doubts`: it may be this one that is not heard, until another member answers."""
+    """While `active`, this member may be the unreachable one; it ends when another member replies."""
 
     def __init__(
         self, table: MemberTable, links: Links, prober: Prober, rng: random.Random, period_ns: int
@@ -25,13 +24,13 @@
         self.active = False
 
     def on_stall(self) -> None:
-        """This process stood still: it doubts itself if there is anyone to ask."""
+        """Starts self-suspicion after a stall of this process, if there is another member to probe."""
         self.active = len(self.table.others_in(State.ALIVE, State.SUSPECT, State.DEAD)) > 0
 
     def on_probe_failed(self, now: int) -> bool:
-        """Many probes in a row came to nothing: those that seem well are asked before it doubts itself.
+        """Counts a failed probe. Returns whether self-suspicion begins with it.
 
-        True where the doubt begins.
+        After several in a row, members that seem reachable are probed before this member suspects itself.
         """
         failed = self.prober.consecutive_failures = self.prober.consecutive_failures + 1
         reachable = [
--- a/pepperrun/membership/service.py
+++ b/pepperrun/membership/service.py
@@ -1,7 +1,7 @@
-"""Membership of a running gatekeeper: the member's datagrams, its timer, and whom it tells what it knows.
+"""Runs a gatekeeper's `Member`: its datagrams, its timer, its log lines and its effect on the quotas.
 
-Datagrams go over the socket of the ordinary messages. What the member knows reaches the decisions as their
-`membership_status`; nothing of a request waits for it.
+Datagrams go over the socket of the ordinary peer messages. The quotas get the result as their `standing`; no
+request waits for membership.
 """
 
 from __future__ import annotations
@@ -24,16 +24,16 @@
 from pepperrun.membership.steps import Step, next_step_change, standing_of, step_of
 from pepperrun.membership.wire import MAGIC, MAX_MEMBERS
 
-MIN_TIMER_S = 0.002  # between two turns: what comes in bursts is answered together
+MIN_TIMER_S = 0.002  # between two timer runs, so that a burst is handled in one of them
 
 
 def is_membership_datagram(data: bytes) -> bool:
-    """Is this a datagram of membership?"""
+    """Whether a datagram belongs to membership, by its first byte."""
     return data[:1] == bytes((MAGIC,))
 
 
 class MembershipService:
-    """Runs a member on the gatekeeper's loop."""
+    """Runs a member on the gatekeeper's event loop. `send(peer, data)` sends a datagram."""
 
     def __init__(
         self,
@@ -49,7 +49,8 @@
         if settings.gateways > MAX_MEMBERS:
             raise ValueError(f"members: {settings.gateways} gatekeepers, {MAX_MEMBERS} at most")
         self.config, self.member_names, self.gatekeeper, self.send = config, names, gatekeeper, send
-        # Not the gatekeeper's clock: that one may step. A life has to be later than the one before, though.
+        # The monotonic clock, because the gatekeeper's clock may step. The generation is taken from the
+        # gatekeeper's clock all the same: it must be later than that of the previous process.
         self.clock = time.monotonic_ns
         now, pace = self.clock(), (config.probe_period_ns, config.min_suspicion_ns)
         member_config = MemberConfig(settings.me, settings.gateways, name, config.load_keys(), *pace)
@@ -61,41 +62,44 @@
         self.member.on_event = self._on_event
         self.step: Step | None = None
         self.timer: asyncio.TimerHandle | None = None
-        self.standing_inputs: object = None  # what the last standing was derived from
-        self.next_step_change_at: int | None = None  # when the step changes by time alone
+        self.standing_inputs: object = None  # values that the last standing was derived from
+        self.next_step_change_at: int | None = None  # when the step next changes through time alone
         self.closed = False
-        self.inactive = False  # another process of this gatekeeper is the member
+        self.inactive = False  # another process of this gatekeeper is the member now
         self.run_due()
 
     def _restore(self, saved_state: Any, now: int) -> None:
         try:
             restore_state(self.member, saved_state, now)
         except (KeyError, TypeError, ValueError) as error:
-            say("members", f"membership begins anew: what was handed over is no good: {error}")
+            say(
+                "members",
+                f"membership starts without the state of the previous process: invalid state: {error}",
+            )
 
-    # Turns.
+    # Events of the loop.
 
     def on_datagram(self, peer: int, data: bytes) -> None:
-        """A datagram from a configured address."""
+        """Handles a datagram from the configured address of a peer."""
         if self.closed or self.inactive or not self.gatekeeper.telling:
             return
         self.member.receive(peer, data, self.clock())
         self._flush()
 
     def run_due(self) -> None:
-        """What is due now."""
+        """Runs the timers that are due and schedules the next call."""
         self.timer = None
         if self.closed:
             return
         if not self.gatekeeper.telling:
             self.inactive = True
-        elif self.inactive:  # the successor never came: this process is the member again
+        elif self.inactive:  # the next process did not start: this process is the member again
             self.inactive = False
             self.member.outbox.sequence += 2 * SEQUENCE_GAP
         if not self.inactive:
-            now, ahead = self.clock(), self.gatekeeper.clock() - self.clock()
-            for peer, known in self.gatekeeper.gateway.quotas.inbox.peers.items():
-                self.member.record_contact(peer, known[2] - ahead)
+            now, clock_offset = self.clock(), self.gatekeeper.clock() - self.clock()
+            for peer, peer_state in self.gatekeeper.gateway.quotas.inbox.peers.items():
+                self.member.record_contact(peer, peer_state[2] - clock_offset)
             self.member.tick(now)
         self._flush()
 
@@ -115,7 +119,7 @@
             self.timer = loop.call_later(max(MIN_TIMER_S, wait / SECOND), self.run_due)
 
     def _update_standing(self, now: int) -> None:
-        """Tells the decisions; where something has changed, their stores follow at once."""
+        """Passes a changed standing to the quotas and refreshes their accounts at once."""
         member, quotas = self.member, self.gatekeeper.gateway.quotas
         changed_at = member.state_changed_at, member.rejoined_at
         state = (
@@ -128,7 +132,7 @@
         if state == self.standing_inputs and (
             self.next_step_change_at is None or now < self.next_step_change_at
         ):
-            return  # nothing that the steps go by is different
+            return  # no input of the steps has changed
         self.standing_inputs, self.next_step_change_at = state, next_step_change(member, now)
         standing, step = standing_of(self.member, now), step_of(self.member, now)
         if step is not self.step:
@@ -147,42 +151,42 @@
         )
         say(f"members {happened.what}", f"members: {name}: {happened.what} {happened.detail}".rstrip())
 
-    # What others want.
+    # Calls of the gatekeeper.
 
     def reload(self, config: MembershipConfig) -> None:
-        """Another key file, or the same one with other keys: they hold at once."""
+        """Reads the key file again; its keys take effect at once. ValueError if the file is invalid."""
         self.member.set_keys(config.load_keys())
         self.config = config
 
     def export_state(self) -> dict[str, Any]:
-        """For a process that takes this one's place."""
+        """The state for the process that replaces this one."""
         return export_state(self.member)
 
     def answer_call(self, call: bytes) -> bytes | None:
-        """The second address's calls `membership` and `members since AT`; None for any other."""
+        """Answers the admin calls `members` and `members since NANOSECONDS`; None for any other call."""
         words = call.split()
         if words[:1] != [b"members"]:
             return None
         now = self.clock()
         if words == [b"members"]:
-            place = {"region": self.config.region, "zone": self.config.zone}
-            return json_line(membership_report(self.member, self.member_names, now) | place)
+            failure_domain = {"region": self.config.region, "zone": self.config.zone}
+            return json_line(membership_report(self.member, self.member_names, now) | failure_domain)
         if len(words) == 3 and words[1] == b"since" and words[2].isdigit():
             return json_line({"now": now, "events": events_since(self.member, int(words[2]))})
         return b"error members, or members since NANOSECONDS\n"
 
     def figures(self) -> Iterable[Figure]:
-        """For `telemetry`."""
+        """The membership metrics of the admin call `telemetry`."""
         return figures(self.member)
 
     def leave(self) -> None:
-        """The gatekeeper drains: the others need not find out."""
+        """Announces a graceful leave, so that the others need not detect a failure."""
         if not self.closed and not self.inactive:
             self.member.leave(self.clock())
             self._flush()
 
     def close(self) -> None:
-        """Stops."""
+        """Cancels the timer and ignores further datagrams."""
         self.closed = True
         if self.timer is not None:
             self.timer.cancel()
--- a/pepperrun/membership/states.py
+++ b/pepperrun/membership/states.py
@@ -1,13 +1,13 @@
-"""A member's own states and what moves it, and the few values around it. Does no I/O.
+"""The state machine of a member's own state, its configuration, and the replay window. Does no I/O.
 
-This table is what the code goes by:
+`TRANSITIONS` holds this table:
 
 | state | event | next |
 | --- | --- | --- |
-| JOINING | WELCOMED | MEMBER |
-| JOINING | UNANSWERED (nobody is there, for JOIN_ALONE_NS) | MEMBER |
-| JOINING, MEMBER | TAKEN (another live process has the name or number) | REFUSED |
-| REFUSED | AGAIN (after TRY_AGAIN_NS) | JOINING |
+| JOINING | WELCOMED (a SYNC_REPLY) | MEMBER |
+| JOINING | UNANSWERED (no reply for JOIN_TIMEOUT_NS) | MEMBER |
+| JOINING, MEMBER | NAME_CONFLICT (another live process has the name or number) | REJECTED |
+| REJECTED | RETRY (after REJECTED_RETRY_NS) | JOINING |
 | any | LEAVE | LEFT |
 """
 
@@ -21,11 +21,11 @@
 from pepperrun.membership.roster import Roster
 from pepperrun.membership.wire import Codec
 
-REPLAY_WINDOW = 64  # datagrams may overtake each other by so many
+REPLAY_WINDOW = 64  # a datagram may arrive after at most this many later ones
 
 
 class OwnState(enum.Enum):
-    """This member's own state."""
+    """State of this member; the values are printed by the admin calls."""
 
     JOINING = "joining"
     MEMBER = "member"
@@ -34,7 +34,7 @@
 
 
 class OwnEvent(enum.Enum):
-    """What moves it."""
+    """Event that changes a member's own state."""
 
     WELCOMED = "welcomed"
     UNANSWERED = "unanswered"
@@ -55,10 +55,10 @@
 
 @dataclass(slots=True, frozen=True)
 class MemberConfig:
-    """What a member is told: its number among so many, its name, the keys and the pace.
+    """Configuration of a member: its number `me` of `count`, its name, the keys and the intervals.
 
-    `period_ns`: between two probes of its own; `suspect_ns`: how long a suspicion stands at least. Where the
-    group is learnt, `roster` has it, and `wire` writes its datagrams.
+    `probe_period_ns`: between two probes; `min_suspicion_ns`: how long a suspicion stands at least. For a
+    learned group, `roster` holds its members and `codec` encodes its datagrams.
     """
 
     me: int
@@ -73,7 +73,7 @@
 
 @dataclass(slots=True)
 class OwnRecord:
-    """What a member says of itself with each datagram, `name` as a hash, and its state."""
+    """Identity of this member, sent in the header of each datagram, and its state."""
 
     member: int
     name_hash: int
@@ -84,7 +84,10 @@
 
 @dataclass(slots=True, frozen=True)
 class MembershipEvent:
-    """Something for people and rigs to see."""
+    """An event for operators and the lab; the admin call `members since` prints all fields.
+
+    `at`: ns of the monotonic clock; `what`: kind of event; `member`: whom it is about; `by`: who reported it.
+    """
 
     at: int
     what: str
@@ -94,13 +97,13 @@
 
 
 class ReplayWindow:
-    """The sequence numbers that were seen of one life of a member."""
+    """The sequence numbers received from one generation of a member."""
 
     def __init__(self) -> None:
         self.highest, self.seen_bits = 0, 0
 
     def accept(self, sequence: int) -> bool:
-        """Was this one not seen, and is it not too old to tell? Then it counts as seen."""
+        """Marks a sequence number as received; returns False if it was already, or is too old to know."""
         if sequence > self.highest:
             self.seen_bits = (self.seen_bits << min(REPLAY_WINDOW, sequence - self.highest) | 1) & (
                 (1 << REPLAY_WINDOW) - 1
--- a/pepperrun/membership/steps.py
+++ b/pepperrun/membership/steps.py
@@ -1,18 +1,19 @@
-"""What a gatekeeper does while the others are not all there, step by step, and how far off it may be. No I/O.
+"""How a gatekeeper enforces quotas while members are missing, and the error bounds of that. Does no I/O.
 
-| step | when | quotas | keeping others' stores |
+| step | when | quotas | grants as owner of others' accounts |
 | --- | --- | --- | --- |
-| WHOLE | all are there | whole, over all | yes |
-| WITHOUT | some are missing, this is the larger side | whole, over those there | yes, the first one there |
-| SLICES | the smaller side, or a side by itself | its members' slices, together | yes, at that rate |
-| NEW | joined less than FENCE_NS ago, or not yet | its own slice | yes |
-| NEW | back from the smaller side less than FENCE_NS ago | as on that side | at that rate |
-| DOUBT | stood still, or nobody answers it | its own slice | no |
-| GONE | left in order, or its name is refused | its own slice | no |
-
-Ceilings need no step: each gatekeeper (of two keepers each) has a part of a hard ceiling to itself, all parts
-together are the ceiling, and units move only from one that has them to one that has not, the giver debited
-first. So no cut, death or return lets more through than the ceiling and its slack (`FLEET.md`, `MEMBERS.md`).
+| COMPLETE | all members are present | global, over all | yes |
+| MAJORITY | some are missing, majority side | global, over those present | yes, the first owner present |
+| LOCAL_BUCKETS | minority side, or isolated | the sum of its members' local buckets | yes, at that rate |
+| JOINED_RECENTLY | joined less than FENCE_NS ago, or joining | its own local bucket | yes |
+| JOINED_RECENTLY | left a minority side less than FENCE_NS ago | as on that side | yes, at that rate |
+| SELF_SUSPECT | stalled, or gets no replies | its own local bucket | no |
+| NOT_MEMBER | left gracefully, or its name was rejected | its own local bucket | no |
+
+Hard rate limits need no step: each gatekeeper (of two owners each) has its own share of a hard limit, all
+shares together are the limit, and units move only from a gatekeeper that has them to one that needs them,
+debited at the giver first. So no partition, failure or return lets more through than the limit and its slack
+(`FLEET.md`, `MEMBERS.md`).
 """
 
 from __future__ import annotations
@@ -27,11 +28,11 @@
 from pepperrun.membership.views import Side
 from pepperrun.membership.wire import State
 
-FENCE_NS = SECOND  # a newcomer hears of the use of late within it: peers tell once a second
+FENCE_NS = SECOND  # within it a new member learns the recent usage: peers report it once a second
 
 
 class Step(enum.Enum):
-    """A row of the table."""
+    """A row of the table above; the values are printed by the admin calls and the log."""
 
     COMPLETE = "whole"
     MAJORITY = "without"
@@ -42,13 +43,13 @@
 
 
 def step_of(member: Member, now: int) -> Step:
-    """The step in force."""
+    """The step in force at a time."""
     if member.own.state in (OwnState.LEFT, OwnState.REJECTED):
         return Step.NOT_MEMBER
     if member.suspects_itself:
         return Step.SELF_SUSPECT
-    lately = min(now - member.state_changed_at, now - member.rejoined_at)
-    if member.own.state is OwnState.JOINING or lately < FENCE_NS:
+    since_change_ns = min(now - member.state_changed_at, now - member.rejoined_at)
+    if member.own.state is OwnState.JOINING or since_change_ns < FENCE_NS:
         return Step.JOINED_RECENTLY
     side = member.side()
     if side is Side.COMPLETE:
@@ -57,22 +58,22 @@
 
 
 def next_step_change(member: Member, now: int) -> int | None:
-    """When the step changes by time alone; None where it does not."""
+    """When the step next changes through time alone, in ns; None if it does not."""
     ends = [at + FENCE_NS for at in (member.state_changed_at, member.rejoined_at)]
-    ahead = [end for end in ends if end > now]
-    return min(ahead) if ahead else None
+    upcoming = [end for end in ends if end > now]
+    return min(upcoming) if upcoming else None
 
 
 def standing_of(member: Member, now: int) -> MembershipStatus:
-    """What the decisions are told. Who is suspected keeps no store, though it still counts as there."""
+    """The standing for the quotas. A suspected member owns no account, though it still counts as present."""
     step = step_of(member, now)
     present = member.views.view.member_numbers()
     suspects = member.table.others_in(State.SUSPECT, State.DEAD, State.LEFT)
     lost = frozenset(m for m in member.roster.members if m not in present) | frozenset(suspects)
     lost -= {member.me}
     if step is Step.JOINED_RECENTLY and not present:
-        lost = frozenset()  # it knows of nobody yet: asking a keeper that is not there costs one ask
-    # Back from the smaller side it goes on as it did there: what was used on the other is on its way here.
+        lost = frozenset()  # no member is known yet; a message to an absent owner costs no more than itself
+    # Back from a minority side it continues as there, until the usage of the other side has arrived.
     rejoined_from_minority = (
         step is Step.JOINED_RECENTLY
         and now - member.state_changed_at >= FENCE_NS
@@ -96,7 +97,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Quota:
-    """A customer's quota, units a second and units at once, over `spread` gatekeepers."""
+    """A customer's quota: units a second, and units at once, over `spread` gatekeepers."""
 
     rate: float
     burst: float
@@ -104,11 +105,12 @@
 
 
 def quota_error_bound(quota: Quota, minority_gateways: int, partition_s: float, detection_s: float) -> float:
-    """Units beyond a quota that a cut of `cut_s` may let through, `behind` of the spread on the smaller side.
+    """Units beyond a quota that a partition of `partition_s` may admit.
 
-    Until the cut is found (`found_s`) both sides hold the whole, a store's burst each once; from then on the
-    larger side has the whole rate and the smaller one its slices. Two that let go at once between two
-    messages are the ordinary path's own error and not counted here.
+    `minority_gateways` of the quota's spread are on the minority side. Until the partition is detected, after
+    `detection_s`, both sides admit the whole quota, each with one burst. From then on the majority side has
+    the whole rate and the minority side its local buckets. The error of two gatekeepers that admit units
+    between two peer messages also occurs without a partition and is not counted here.
     """
     if minority_gateways <= 0 or quota.spread <= 1:
         return 0.0
@@ -121,5 +123,5 @@
 
 
 def restart_error_bound(quota: Quota, restarted: int) -> float:
-    """Units beyond a quota when so many of its gatekeepers restart together: each begins with its part."""
+    """Units beyond a quota if that many of its gatekeepers restart together: each starts with its share."""
     return quota.burst * min(restarted, quota.spread) / quota.spread
--- a/pepperrun/membership/wire.py
+++ b/pepperrun/membership/wire.py
@@ -1,18 +1,19 @@
-"""The datagrams of membership: at most 256 bytes, versioned and signed. Nothing here decides anything.
+"""Encoding of the membership datagrams: at most 256 bytes, versioned and signed.
 
 Little-endian:
 
-    u8 mark and version (0xB1: ordinary messages begin with another byte), u8 key, u8 kind, u8 health
-    u16 sender, u16 subject, u32 sender's life, u32 receiver's life (0: not known), u32 sequence
-    u16 probe, u16 its incarnation, u32 name, u32 view's number, u32 view's digest
-    u8 rumours, u8 rows, u8 bytes in a row
-    rumours, each: u16 member, u32 life, u16 incarnation, u16 witness, u8 state
-    rows, each: u16 member, u16 version, the bits of those whom it reaches
-    12 bytes: BLAKE2b of all before, keyed
-
-A life is one start of a process: later ones have larger numbers. An incarnation grows within a life each time
-that the member denies what is said of it. `sequence` grows with each datagram of a life: an older one, or one
-for another life of the receiver, is a replay.
+    u8 magic and version (0xB1; ordinary messages begin with another byte), u8 key ID, u8 kind
+    u8 local health score, u16 sender, u16 subject, u32 sender's generation
+    u32 receiver's generation (0: unknown), u32 sequence
+    u16 probe ID, u16 sender's incarnation, u32 name hash, u32 view number, u32 view digest
+    u8 number of updates, u8 number of rows, u8 bytes in a row
+    each update: u16 member, u32 generation, u16 incarnation, u16 reporter, u8 state
+    each row: u16 member, u16 version, bitmap of the members that it reaches
+    12 bytes: keyed BLAKE2b of all before
+
+A generation is one start of a process; a later start has a larger number. An incarnation grows within a
+generation each time that the member refutes an update about itself. `sequence` grows with each datagram of a
+generation: a datagram with a used number, or for another generation of the receiver, is a replay.
 """
 
 from __future__ import annotations
@@ -27,8 +28,8 @@
 
 MAGIC = 0xB1
 MAX_DATAGRAM_BYTES = 256
-NO_MEMBER = 0xFFFF  # a subject or witness that is none
-MAX_MEMBERS = 1024  # a row and a rumour then still fit
+NO_MEMBER = 0xFFFF  # no subject or reporter
+MAX_MEMBERS = 1024  # with more, a row and an update no longer fit into a datagram
 _HEADER = struct.Struct("<BBBBHHIIIHHIIIBBB")
 _UPDATE = struct.Struct("<HIHHB")
 _ROW = struct.Struct("<HH")
@@ -37,20 +38,20 @@
 
 
 class Kind(enum.IntEnum):
-    """What a datagram is for."""
+    """Type of a datagram; most types also carry piggybacked updates and rows."""
 
-    PING = 1  # answer with an ACK of this probe
+    PING = 1  # asks for an ACK with the same probe ID
     ACK = 2
-    PING_REQ = 3  # ping `subject` for me
-    NACK = 4  # `subject` did not answer me in time either: the asker's own path is fine
-    SYNC_REQUEST = 5  # tell me all that you know
-    SYNC_REPLY = 6  # a part of that
-    GOSSIP = 7  # rumours only
-    NAME_CONFLICT = 8  # `subject` has this name or number already
+    PING_REQ = 3  # asks a helper to ping `subject`
+    NACK = 4  # a helper got no reply from `subject` in time; its link to the requester works
+    SYNC_REQUEST = 5  # asks for the complete state
+    SYNC_REPLY = 6  # a part of the complete state
+    GOSSIP = 7  # updates and rows only
+    NAME_CONFLICT = 8  # `subject` already has the receiver's name or number
 
 
 class State(enum.IntEnum):
-    """What is said of a member. Of two words on one life and incarnation the larger one holds."""
+    """State of a member. Of two updates for one generation and incarnation, the larger state wins."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -65,7 +66,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Update:
-    """What `witness` says of a member."""
+    """A gossiped statement of `reporter` about a member's state."""
 
     member: int
     generation: int
@@ -76,7 +77,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ReachabilityRow:
-    """Whom a member reaches: bit j for member j. Later versions hold."""
+    """The members that a member reaches, bit j for member j. A later version replaces an earlier one."""
 
     member: int
     version: int
@@ -85,7 +86,7 @@
 
 @dataclass(slots=True)
 class Datagram:
-    """One datagram, unsigned."""
+    """A decoded datagram."""
 
     kind: Kind
     sender: int
@@ -104,7 +105,7 @@
 
 
 class Codec(Protocol):
-    """How a group's datagrams are written: of listed members by their numbers, or of learnt ones."""
+    """Encodes a group's datagrams, with member numbers (static group) or wire IDs (learned group)."""
 
     def pack(self, datagram: Datagram) -> bytes: ...
 
@@ -116,29 +117,29 @@
 
 
 def name_hash(name: str) -> int:
-    """A name as the wire has it."""
+    """The hash of a member's name in datagrams."""
     return int.from_bytes(hashlib.blake2b(name.encode(), digest_size=4).digest(), "little")
 
 
 def row_bytes(members: int) -> int:
-    """Bytes of a row for so many members."""
+    """Bytes of the bitmap of a row for that many members."""
     return (members + 7) // 8
 
 
 def update_capacity(members: int, rows: int) -> int:
-    """How many rumours fit beside so many rows."""
-    taken = _HEADER.size + TAG_BYTES + rows * (_ROW.size + row_bytes(members))
-    return max(0, (MAX_DATAGRAM_BYTES - taken) // _UPDATE.size)
+    """How many updates fit into a datagram with that many rows."""
+    used = _HEADER.size + TAG_BYTES + rows * (_ROW.size + row_bytes(members))
+    return max(0, (MAX_DATAGRAM_BYTES - used) // _UPDATE.size)
 
 
 def row_capacity(members: int, updates: int) -> int:
-    """How many rows fit beside so many rumours."""
-    taken = _HEADER.size + TAG_BYTES + updates * _UPDATE.size
-    return max(0, (MAX_DATAGRAM_BYTES - taken) // (_ROW.size + row_bytes(members)))
+    """How many rows fit into a datagram with that many updates."""
+    used = _HEADER.size + TAG_BYTES + updates * _UPDATE.size
+    return max(0, (MAX_DATAGRAM_BYTES - used) // (_ROW.size + row_bytes(members)))
 
 
 def pack(datagram: Datagram, members: int, keys: KeyRing) -> bytes:
-    """The signed bytes; ValueError where they would be too many."""
+    """Encodes and signs a datagram; ValueError if it is longer than `MAX_DATAGRAM_BYTES`."""
     width = row_bytes(members)
     parts = [
         _HEADER.pack(
@@ -161,19 +162,19 @@
         )
     ]
     parts += [
-        _UPDATE.pack(one.member, one.generation, one.incarnation, one.reporter, one.state)
-        for one in datagram.updates
+        _UPDATE.pack(update.member, update.generation, update.incarnation, update.reporter, update.state)
+        for update in datagram.updates
     ]
     for row in datagram.rows:
         parts.append(_ROW.pack(row.member, row.version) + row.bitmap.to_bytes(width, "little"))
     data = b"".join(parts)
     if len(data) + TAG_BYTES > MAX_DATAGRAM_BYTES:
-        raise ValueError(f"a datagram of {len(data) + TAG_BYTES} bytes")
+        raise ValueError(f"a datagram of {len(data) + TAG_BYTES} bytes is too long")
     return data + keys.tag(data, keys.signing_id)
 
 
 def unpack(data: bytes, members: int, keys: KeyRing) -> Datagram | None:
-    """The datagram in these bytes; None where it is garbled, forged, of another version or says nonsense."""
+    """Decodes a datagram; None if it is corrupt, forged, of another version, or has invalid values."""
     if not _HEADER.size + TAG_BYTES <= len(data) <= MAX_DATAGRAM_BYTES or data[0] != MAGIC:
         return None
     body, tag = data[:-TAG_BYTES], data[-TAG_BYTES:]
@@ -198,9 +199,9 @@
     ) = _HEADER.unpack_from(body)
     updates, rows, width = counts
     rows_at = _HEADER.size + updates * _UPDATE.size
-    wide = width == row_bytes(members)
+    width_matches = width == row_bytes(members)
     if (
-        not wide
+        not width_matches
         or len(body) != rows_at + rows * (_ROW.size + width)
         or kind not in _KINDS
         or sender >= members
@@ -228,18 +229,18 @@
         if member >= members or state not in _STATES or not (reporter < members or reporter == NO_MEMBER):
             return None
         datagram.updates.append(Update(member, its_generation, its_incarnation, _STATES[state], reporter))
-    for at in range(rows_at, len(body), _ROW.size + width):
-        member, version = _ROW.unpack_from(body, at)
+    for offset in range(rows_at, len(body), _ROW.size + width):
+        member, version = _ROW.unpack_from(body, offset)
         if member >= members:
             return None
-        bits = int.from_bytes(body[at + _ROW.size : at + _ROW.size + width], "little")
+        bits = int.from_bytes(body[offset + _ROW.size : offset + _ROW.size + width], "little")
         datagram.rows.append(ReachabilityRow(member, version, bits & ((1 << members) - 1)))
     return datagram
 
 
 @dataclass(slots=True, frozen=True)
 class SignedCodec:
-    """The format of a listed group, signed."""
+    """The signed datagram format of a static group."""
 
     member_count: int
     keys: KeyRing
