--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -1,4 +1,4 @@
-"""Membership in virtual time: failures, cuts, names, keys, and what the decisions make of it."""
+"""Membership in virtual time: failures, partitions, names, keys, and the effect on quotas."""
 
 from __future__ import annotations
 
@@ -8,9 +8,8 @@
 import pytest
 from helpers import RATE, Driver, only
 from helpers import make_settings as gateway_settings
-from hypothesis import given
-from hypothesis import settings as quickly
-from hypothesis import strategies as some
+from hypothesis import given, strategies
+from hypothesis import settings as hypothesis_settings
 
 from pepperrun.core.clock import SECOND
 from pepperrun.core.interface import Plan, Request, Send
@@ -44,7 +43,7 @@
 
 
 def group(count: int, seed: int = 1, loss: float = 0.0) -> Members:
-    """Members that know each other."""
+    """A group whose members have all joined and hold one view."""
     world = Members(count, seed, Path(loss=loss))
     world.start_all()
     assert world.run(15, world.settled)
@@ -53,20 +52,22 @@
 
 
 def events(world: Members, what: str, since: int = 0) -> list[tuple[int, int]]:
-    """Who saw it of whom."""
+    """(observer, member) of each event of a kind since a time."""
     return [(at, one.member) for at, one in world.happened if one.what == what and one.at >= since]
 
 
 # Datagrams.
 
 
-def test_largest_datagram_fits_and_comes_back() -> None:
+def test_largest_datagram_fits_and_round_trips() -> None:
     for count in (2, 48, 256, 1024):
         rows = row_capacity(count, 2)
-        many = update_capacity(count, 1)
-        assert many >= 4 and rows >= 1
+        capacity = update_capacity(count, 1)
+        assert capacity >= 4 and rows >= 1
         datagram = Datagram(Kind.GOSSIP, count - 1, 7, 8, 9, 1, 2, 3, 4, 5, 6, 1)
-        datagram.updates = [Update(k % count, 2**32 - 1, 65535, State.DEAD, k % count) for k in range(many)]
+        datagram.updates = [
+            Update(k % count, 2**32 - 1, 65535, State.DEAD, k % count) for k in range(capacity)
+        ]
         datagram.rows = [ReachabilityRow(count - 1, 65535, (1 << count) - 1)]
         data = pack(datagram, count, KEYS)
         assert len(data) <= MAX_DATAGRAM_BYTES and unpack(data, count, KEYS) == datagram
@@ -75,9 +76,9 @@
             pack(datagram, count, KEYS)
 
 
-@quickly(max_examples=200, deadline=None)
-@given(some.binary(max_size=300), some.integers(0, 255), some.integers(1, 255))
-def test_what_is_garbled_is_nothing(noise: bytes, where: int, flip: int) -> None:
+@hypothesis_settings(max_examples=200, deadline=None)
+@given(strategies.binary(max_size=300), strategies.integers(0, 255), strategies.integers(1, 255))
+def test_corrupt_datagrams_are_dropped(noise: bytes, where: int, flip: int) -> None:
     good = pack(Datagram(Kind.PING, 3, 7, updates=[Update(1, 2, 3, State.SUSPECT, 4)]), 8, KEYS)
     assert unpack(noise, 8, KEYS) is None
     bad = bytearray(good)
@@ -87,14 +88,14 @@
         None,
         unpack(good, 8, KEYS),
     )
-    # Signed, and still no sense: a member that there is not.
+    # Correctly signed, but about a member that does not exist.
     assert (
         unpack(pack(Datagram(Kind.PING, 3, 7, updates=[Update(9, 2, 3, State.DEAD)]), 8, KEYS), 8, KEYS)
         is None
     )
 
 
-def test_keys_are_rotated_and_bad_files_told() -> None:
+def test_keys_are_rotated_and_invalid_key_files_are_rejected() -> None:
     old, new = bytes(range(32)), bytes(range(1, 33))
     text = f"1 {old.hex()}\n# next\n2 {new.hex()}  # signs soon\n"
     keys = parse_keys(text)
@@ -105,18 +106,18 @@
     assert unpack(pack(datagram, 4, KeyRing({3: new})), 4, keys) is None
     assert parse_keys(generate_key_file()).signing_id == 1
     for bad in ("", "1 zz", "1 aabb", f"300 {old.hex()}", f"1 {old.hex()}\n1 {new.hex()}", "x " + old.hex()):
-        with pytest.raises(ValueError) as told:
+        with pytest.raises(ValueError) as raised:
             parse_keys(bad)
-        assert old.hex() not in str(told.value)
+        assert old.hex() not in str(raised.value)
     with pytest.raises(ValueError, match="3 keys"):
         parse_keys("\n".join(f"{n} {old.hex()}" for n in range(3)))
 
 
-def test_a_sequence_number_counts_once() -> None:
+def test_each_sequence_number_is_accepted_once() -> None:
     window = ReplayWindow()
     order = list(range(1, 200))
     rng = random.Random(1)
-    for at in range(0, 199, 20):  # overtaking, within the window
+    for at in range(0, 199, 20):  # reordering, within the window
         part = order[at : at + 20]
         rng.shuffle(part)
         order[at : at + 20] = part
@@ -129,7 +130,7 @@
 
 
 @pytest.mark.parametrize(("count", "loss"), [(2, 0.0), (3, 0.0), (8, 0.05), (24, 0.0), (24, 0.2)])
-def test_a_death_is_known_to_all_and_a_return_too(count: int, loss: float) -> None:
+def test_all_members_detect_a_death_and_a_return(count: int, loss: float) -> None:
     world = group(count, 3, loss)
     start = world.now
     world.kill(1)
@@ -137,12 +138,12 @@
     assert world.run(3, world.settled)
     world.start(1)
     assert world.run(3, world.settled)
-    if not loss:  # one change of view for each
+    if not loss:  # one view change for the death and one for the return
         assert max(world.member(n).views.installed_count for n in world.up() if n != 1) <= 2 + 2
         assert {dead for _, dead in events(world, "dead", start)} == {1}
 
 
-def test_seven_in_ten_killed_at_once_are_one_change_of_view() -> None:
+def test_simultaneous_death_of_seven_in_ten_makes_one_view_change() -> None:
     for seed in range(3):
         world = group(20, seed)
         dead = world.random.sample(range(20), 14)
@@ -159,7 +160,7 @@
         assert {step_of(world.member(n), world.now) for n in world.up()} == {Step.COMPLETE}
 
 
-def test_nobody_is_buried_for_lost_datagrams_alone() -> None:
+def test_datagram_loss_alone_declares_no_member_dead() -> None:
     world = group(8, 5, 0.05)
     start = world.now
     world.run(300)
@@ -167,7 +168,7 @@
 
 
 @pytest.mark.parametrize("seconds", [0.3, 1.0, 3.0, 10.0])
-def test_who_stood_still_doubts_itself_and_comes_back(seconds: float) -> None:
+def test_a_stalled_member_suspects_itself_and_recovers(seconds: float) -> None:
     world = group(6, 2)
     start = world.now
     world.pause(2, seconds)
@@ -176,10 +177,10 @@
     if seconds >= 0.5:
         assert step_of(member, world.now) is Step.SELF_SUSPECT
         assert not standing_of(member, world.now).may_grant
-        assert [one for at, one in events(world, "dead", start) if at == 2] == []  # it buries nobody
+        assert [one for at, one in events(world, "dead", start) if at == 2] == []  # it declares nobody dead
     assert world.run(3, world.settled)
     assert member.own.generation == world.member(2).own.generation and member.own.state is OwnState.MEMBER
-    if seconds > 1:  # it had been buried: for a while its own slice
+    if seconds > 1:  # it had been declared dead: for a while it uses its own local bucket only
         assert (
             step_of(member, world.now) is Step.JOINED_RECENTLY
             and standing_of(member, world.now).local_share_only
@@ -188,48 +189,52 @@
     assert step_of(member, world.now) is Step.COMPLETE
 
 
-def test_halves_take_their_sides_and_heal() -> None:
+def test_partition_sides_are_determined_and_heal() -> None:
     for count in (6, 7):
         world = group(count, 4)
-        some_, others = list(range(count // 2)), list(range(count // 2, count))
-        world.cut(some_, others)
-        assert world.run(4, lambda: world.agreed(some_) and world.agreed(others))  # noqa: B023
+        first_side, second_side = list(range(count // 2)), list(range(count // 2, count))
+        world.cut(first_side, second_side)
+        assert world.run(4, lambda: world.agreed(first_side) and world.agreed(second_side))  # noqa: B023
         sides = [world.member(0).side(), world.member(count - 1).side()]
-        # Of two equal halves the one with the lowest number is the larger.
+        # Of two equal halves the one with the lowest number is the majority side.
         expected = [Side.MAJORITY, Side.MINORITY] if count == 6 else [Side.MINORITY, Side.MAJORITY]
         assert sides == expected
-        back = world.member(count - 1 if count == 6 else 0)
-        assert standing_of(back, world.now).unreachable == frozenset(some_ if count == 6 else others)
-        world.cut(some_, others, on=False)
+        returned = world.member(count - 1 if count == 6 else 0)
+        assert standing_of(returned, world.now).unreachable == frozenset(
+            first_side if count == 6 else second_side
+        )
+        world.cut(first_side, second_side, on=False)
         assert world.run(3, world.settled)
-        # For a while it goes on as on that side; the larger side had the whole all the time.
+        # For a while it continues as on the minority side; the majority side always had the global quota.
         assert (
-            step_of(back, world.now) is Step.JOINED_RECENTLY
-            and not standing_of(back, world.now).local_share_only
+            step_of(returned, world.now) is Step.JOINED_RECENTLY
+            and not standing_of(returned, world.now).local_share_only
+        )
+        assert standing_of(returned, world.now).unreachable == frozenset(
+            first_side if count == 6 else second_side
         )
-        assert standing_of(back, world.now).unreachable == frozenset(some_ if count == 6 else others)
         assert step_of(world.member(0 if count == 6 else count - 1), world.now) is Step.COMPLETE
         world.run(1.1)
-        assert standing_of(back, world.now).unreachable == frozenset()
-        world.cut(some_, others)  # and at once again
-        assert world.run(4, lambda: world.agreed(some_) and world.agreed(others))  # noqa: B023
-        world.cut(some_, others, on=False)
+        assert standing_of(returned, world.now).unreachable == frozenset()
+        world.cut(first_side, second_side)  # a second partition right after the first
+        assert world.run(4, lambda: world.agreed(first_side) and world.agreed(second_side))  # noqa: B023
+        world.cut(first_side, second_side, on=False)
         assert world.run(3, world.settled)
 
 
-def test_one_way_cut_makes_the_one_that_is_not_heard_doubt_itself() -> None:
+def test_one_way_partition_makes_the_unreachable_member_suspect_itself() -> None:
     world = group(5, 1)
-    rest = [0, 1, 2, 4]
-    world.cut([3], rest, both=False)  # it hears all, nobody hears it
-    assert world.run(4, lambda: world.agreed(rest))
+    others = [0, 1, 2, 4]
+    world.cut([3], others, both=False)  # it receives from all, and nobody receives from it
+    assert world.run(4, lambda: world.agreed(others))
     assert world.run(
         4, lambda: step_of(world.member(3), world.now) in (Step.SELF_SUSPECT, Step.LOCAL_BUCKETS)
     )
-    world.cut([3], rest, on=False, both=False)
+    world.cut([3], others, on=False, both=False)
     assert world.run(4, world.settled)
 
 
-def test_partial_cut_buries_nobody_and_is_seen_by_a_third() -> None:
+def test_partial_partition_declares_nobody_dead_and_is_seen_by_a_third_member() -> None:
     world = group(4, 1)
     start = world.now
     world.cut([0], [1])
@@ -246,30 +251,30 @@
     assert world.run(4, world.settled)
 
 
-# Names, lives, replays.
+# Names, generations, replays.
 
 
-def test_a_name_that_is_held_is_refused_and_told() -> None:
+def test_a_name_in_use_is_rejected_and_reported() -> None:
     world = group(4, 1)
     world.kill(3)
     assert world.run(4, world.settled)
-    world.start(3, name="n1")  # another machine with a copied file
+    world.start(3, name="n1")  # another machine with a copied configuration
     world.run(3)
     assert world.member(3).own.state is not OwnState.MEMBER
     assert (3, 3) in events(world, "refused")
     assert (
         world.member(1).own.state is OwnState.MEMBER and 3 not in world.member(0).views.view.member_numbers()
     )
-    world.start(3)  # mended
+    world.start(3)  # with its own name again
     assert world.run(4, world.settled)
 
 
-def test_a_second_process_of_a_live_member_is_refused() -> None:
+def test_a_second_process_of_a_live_member_is_rejected() -> None:
     world = group(4, 1)
     alive = world.member(1)
     twin = replace(alive.config)
     second = type(alive)(twin, alive.own.generation + 50, 7, world.now)
-    # Its greeting reaches member 0; the old life, which is there, still answers.
+    # Its SYNC_REQUEST reaches member 0; the current process is alive and still replies.
     second.tick(second.join_retry_at)
     for _, data in second.outbox.take_outgoing():
         world.member(0).receive(1, data, world.now)
@@ -307,7 +312,7 @@
     before = [(world.member(n).views.view.digest, world.member(n).counters["replayed"]) for n in range(3)]
     for sender, receiver, data in old:
         world.member(receiver).receive(sender, data, world.now)
-        world.member(receiver).receive((sender + 1) % 3, data, world.now)  # from another one's address
+        world.member(receiver).receive((sender + 1) % 3, data, world.now)  # from another member's address
     world.run(2)
     assert world.settled()
     for number, (digest, replayed) in enumerate(before):
@@ -315,7 +320,7 @@
         assert world.member(number).counters["replayed"] > replayed
 
 
-def test_leaving_in_order_needs_no_burial() -> None:
+def test_graceful_leave_causes_no_suspicion() -> None:
     world = group(5, 1)
     start = world.now
     world.member(4).leave(world.now)
@@ -326,7 +331,7 @@
     assert {world.member(n).side() for n in range(4)} == {Side.COMPLETE}
 
 
-def test_one_seed_is_one_run_to_the_byte() -> None:
+def test_runs_with_one_seed_are_identical() -> None:
     runs = []
     for seed in (1, 1, 2):
         world = Members(6, seed, Path(loss=0.1, twice=0.1))
@@ -338,7 +343,7 @@
     assert runs[0] == runs[1] != runs[2]
 
 
-def test_another_process_goes_on_as_the_same_member() -> None:
+def test_handover_continues_the_same_member() -> None:
     world = group(3, 1)
     table, old = export_state(world.member(1)), world.member(1)
     host = world.hosts[1]
@@ -362,7 +367,7 @@
         assert fresh.own.state is OwnState.JOINING
 
 
-# What the decisions make of it.
+# Effect on quotas.
 
 
 def quotas_of(standing: MembershipStatus, me: int = 0, gateways: int = 4, intake: float = 100.0) -> Quotas:
@@ -381,21 +386,21 @@
     return quotas
 
 
-def test_smaller_side_has_its_slices_and_the_larger_one_the_whole() -> None:
+def test_minority_side_has_local_buckets_and_majority_side_the_global_quota() -> None:
     asked = Request(1, 5, 0, 0, SECOND, 1.0, 4, 0)
     alone = Account(
         asked, 0, quotas_of(MembershipStatus(True, frozenset({1, 2, 3}), frozenset({1, 2, 3}), True))
     )
     alone.local_bucket.level = 3.0
     assert alone.available_units(0) == 3.0 and alone.local_bucket.rate == 2.5
-    # A bucket that is created meanwhile starts with this gateway's share.
+    # A bucket that is created meanwhile starts with this gatekeeper's share.
     assert alone.global_bucket.level == pytest.approx(5.0)
     larger = quotas_of(MembershipStatus(True, frozenset({3})))
     account = larger.accounts[5] = Account(asked, 0, larger)
     larger.inbox.peers = {3: (1, 1, -100 * SECOND)}
     larger.refresh(SECOND)
-    assert account.global_bucket.rate == 10.0  # without membership a quiet peer's part is left to it
-    # On the smaller side of a partition, with one other gateway.
+    assert account.global_bucket.rate == 10.0  # without membership a silent peer keeps its share
+    # On a minority side of two gatekeepers.
     larger.membership_status = MembershipStatus(True, frozenset({2, 3}), frozenset({2, 3}))
     larger.refresh(SECOND)
     assert account.global_bucket.rate == 5.0 and account.available_units(SECOND) == 20.0
@@ -405,7 +410,7 @@
     assert account.global_bucket.rate == 7.5
 
 
-def test_keepers_that_are_lost_are_replaced_in_one_order_and_doubt_grants_nothing() -> None:
+def test_lost_owners_are_replaced_in_one_order_and_self_suspicion_grants_nothing() -> None:
     asked = Request(1, 77, 0, 0, SECOND, 1.0, 8, 0)
     members = [quotas_of(MembershipStatus(True), me, 8, 1.0) for me in range(8)]
     accounts = [Account(asked, 0, one) for one in members]
@@ -418,14 +423,14 @@
     assert {one.unit_grants.owner_of(account, 0) for one, account in zip(members, accounts, strict=True)} == {
         second
     }
-    keeper = members[first]
-    granted = keeper.unit_grants.grant(accounts[first], second, 1, 1.0, 4 * SECOND)
+    owner = members[first]
+    granted = owner.unit_grants.grant(accounts[first], second, 1, 1.0, 4 * SECOND)
     assert granted.units == 1.0
-    keeper.membership_status = MembershipStatus(True, may_grant=False)
-    assert keeper.unit_grants.grant(accounts[first], second, 2, 1.0, 4 * SECOND).units == 0.0
+    owner.membership_status = MembershipStatus(True, may_grant=False)
+    assert owner.unit_grants.grant(accounts[first], second, 2, 1.0, 4 * SECOND).units == 0.0
 
 
-def test_sides_and_stated_errors() -> None:
+def test_partition_sides_and_quota_error_bounds() -> None:
     every = frozenset(range(4))
     assert side_of(every, every, 0) is Side.COMPLETE
     assert side_of(frozenset({0, 1}), every, 1) is Side.MAJORITY
@@ -438,25 +443,24 @@
     assert restart_error_bound(quota, 8) == 20.0
 
 
-def test_keepers_that_are_not_there_are_not_waited_for() -> None:
+def test_absent_owners_are_not_waited_for() -> None:
     for lost, at_once in ((frozenset[int](), False), (frozenset(range(1, 8)), True)):
         driver = Driver(gateways=8, peer_message_rate=1.0)
         driver.gateway.quotas.membership_status = MembershipStatus(True, lost)
-        # A customer whose keepers are others.
+        # A customer whose owners are other gatekeepers.
         asked = [Request(1, c, RATE, 0, 1, 1.0, 8, 0) for c in range(1, 99)]
         customer = next(a.customer for a in asked if 0 not in Account(a, 0, driver.gateway.quotas).owners)
         sent = only(driver.ask(RATE, customer=customer, spread=8), Send)
         assert bool(sent) is at_once
-        assert at_once or only(
-            driver.run(SECOND), Send
-        )  # else its slice decides once they were asked in vain
+        # Otherwise its local bucket decides after the owners did not reply.
+        assert at_once or only(driver.run(SECOND), Send)
 
 
-def test_a_view_that_is_held_up_does_not_keep_a_member_busy() -> None:
+def test_a_delayed_view_causes_no_busy_polling() -> None:
     views = Views(0)
     views.set_candidate(frozenset({(1, 1)}), SECOND)
     assert views.next_check_at(SECOND) == SECOND + SETTLE_NS
-    for later in range(2, 30):  # somebody is suspected all the time
+    for later in range(2, 30):  # a member is suspected all the time
         now = SECOND + later * SETTLE_NS // 2
         assert (
             views.install_if_settled(frozenset({(1, 1)}), True, now) is None
@@ -467,11 +471,11 @@
         )
 
 
-def test_a_suspected_one_that_is_heard_does_not_keep_a_member_busy() -> None:
+def test_a_suspected_member_that_is_heard_from_causes_no_busy_polling() -> None:
     world = group(3, 1)
     member = world.member(0)
-    known = member.table.records[1]
-    member._apply_update(Update(1, known.generation, known.incarnation, State.SUSPECT, 2), world.now)
+    record = member.table.records[1]
+    member._apply_update(Update(1, record.generation, record.incarnation, State.SUSPECT, 2), world.now)
     for step in range(1, 40):
         now = world.now + step * SECOND // 50
         member.record_contact(1, now)
@@ -480,21 +484,21 @@
             break
         assert member.due() > now
     assert member.table.records[1].state is State.SUSPECT
-    # Who is heard and never denies hears nothing itself: it is buried all the same, later.
+    # A member that is heard from but never refutes receives nothing: it is declared dead later.
     member.record_contact(1, world.now + 4 * SECOND)
-    member.last_run_at = world.now + 4 * SECOND  # no standstill of this one's
+    member.last_run_at = world.now + 4 * SECOND  # this member did not stall
     member.tick(world.now + 4 * SECOND)
     assert member.table.records[1].state is State.DEAD
 
 
-def test_a_standstill_of_another_teaches_no_patience_and_a_slow_link_does() -> None:
+def test_time_outs_adapt_to_a_slow_link_and_not_to_a_stall() -> None:
     world = group(4, 1)
     world.pause(2, 3.0)
     world.run(3.5)
     assert world.run(3, world.settled)
     world.run(2)
     assert max(world.member(n).prober.timeout(2) for n in (0, 1, 3)) <= 100 * MS
-    for other in (0, 1, 3):  # 280 ms there and back: slower than the pace of the probes
+    for other in (0, 1, 3):  # round trips of up to 280 ms: longer than the probe period
         for pair in ((2, other), (other, 2)):
             world.way(*pair).delay, world.way(*pair).jitter = 120 * MS, 20 * MS
     start = world.now
@@ -503,35 +507,35 @@
     assert min(world.member(n).prober.timeout(2) for n in (0, 1, 3)) > 200 * MS
 
 
-def test_own_trouble_lengthens_a_suspicion_once() -> None:
+def test_degraded_local_health_lengthens_a_suspicion_once() -> None:
     member = group(4, 1).member(0)
     member.prober.local_health = 8
-    known = member.table.records[1]
-    known.state, known.since, known.suspicion_reporters, known.reported_dead = (
+    record = member.table.records[1]
+    record.state, record.since, record.suspicion_reporters, record.reported_dead = (
         State.SUSPECT,
         10 * SECOND,
         {0},
         True,
     )
-    least, usual = member.config.min_suspicion_ns, member.prober.base_timeout(1)
-    assert usual < SECOND // 10
-    assert member.suspicions.expires_at(known) == known.since + least + usual
-    known.reported_dead = False
-    assert member.suspicions.expires_at(known) == known.since + 6 * 9 * least + usual
-    known.suspicion_reporters = {0, 2, 3}  # all that are left agree: nothing is waited for
-    assert member.suspicions.expires_at(known) == known.since + least + usual
+    min_suspicion, base_timeout = member.config.min_suspicion_ns, member.prober.base_timeout(1)
+    assert base_timeout < SECOND // 10
+    assert member.suspicions.expires_at(record) == record.since + min_suspicion + base_timeout
+    record.reported_dead = False
+    assert member.suspicions.expires_at(record) == record.since + 6 * 9 * min_suspicion + base_timeout
+    record.suspicion_reporters = {0, 2, 3}  # all remaining members confirm: the minimum time applies
+    assert member.suspicions.expires_at(record) == record.since + min_suspicion + base_timeout
 
 
-def test_a_life_whose_denials_are_used_up_is_followed_by_another() -> None:
+def test_a_generation_without_free_incarnations_is_followed_by_another() -> None:
     world = group(3, 1)
     member = world.member(1)
-    life = member.own.generation
-    for witness in (0, 2):  # said of its last incarnation
-        world.member(witness)._apply_update(Update(1, life, 65535, State.DEAD, witness), world.now)
+    generation = member.own.generation
+    for reporter in (0, 2):  # about its last possible incarnation
+        world.member(reporter)._apply_update(Update(1, generation, 65535, State.DEAD, reporter), world.now)
     world._wake(0)
 
-    def known() -> bool:
-        lives = {world.member(0).table.records[1].generation, world.member(1).own.generation}
-        return len(lives) == 1 and life not in lives
+    def generation_changed() -> bool:
+        generations = {world.member(0).table.records[1].generation, world.member(1).own.generation}
+        return len(generations) == 1 and generation not in generations
 
-    assert world.run(8, known) and world.run(3, world.settled)
+    assert world.run(8, generation_changed) and world.run(3, world.settled)
--- a/tests/test_running_members.py
+++ b/tests/test_running_members.py
@@ -1,4 +1,4 @@
-"""Membership switched on: the tool, the program's options, the operators' call, a key rotated by SIGHUP."""
+"""Membership in real processes: the tool, command-line options, the admin call, key rotation by SIGHUP."""
 
 from __future__ import annotations
 
@@ -27,17 +27,17 @@
 from pepperrun.tool.commands import check, write
 
 HOST = "127.0.0.1"
-END = (ROOT / "examples/clinic.toml").read_text().split("[[worker]]", 1)[1]
+APPLICATION_TAIL = (ROOT / "examples/clinic.toml").read_text().split("[[worker]]", 1)[1]
 
 
 def application(ports: list[int], members: str = "[members]\n") -> str:
-    """Three gatekeepers: listen, second and peers' addresses from nine ports."""
+    """An application file of three gatekeepers, with listen, admin and peer addresses from nine ports."""
     text = 'name = "a"\nzones = ["here"]\n' + members
     for number in range(3):
         listen, admin, peer = ports[3 * number : 3 * number + 3]
         text += f'[[gatekeeper]]\nname = "n{number}"\nlisten = "{HOST}:{listen}"\n'
         text += f'admin = "{HOST}:{admin}"\npeer_listen = "{HOST}:{peer}"\n'
-    return text + "[[worker]]" + END
+    return text + "[[worker]]" + APPLICATION_TAIL
 
 
 def ports() -> list[int]:
@@ -46,7 +46,7 @@
     return free_ports(9, socket.SOCK_STREAM)
 
 
-def test_tool_makes_a_key_once_and_every_file_names_it(tmp_path: Path) -> None:
+def test_tool_creates_the_key_once_and_every_configuration_names_it(tmp_path: Path) -> None:
     file = tmp_path / "a.toml"
     file.write_text(application(ports()))
     written = write(file, tmp_path / "out")
@@ -59,9 +59,9 @@
     assert found.names == ("n0", "n1", "n2") and found.probe_period_ns == 200_000_000 and found.zone == "here"
     assert check(tmp_path / "out" / "n1.json") == ("gatekeeper", [])
     key.write_text("1 secret-no-hex\n")
-    with pytest.raises(ValueError, match=r"members\.key_file: .*line 1") as told:
+    with pytest.raises(ValueError, match=r"members\.key_file: .*line 1") as raised:
         check(tmp_path / "out" / "n1.json")
-    assert "secret" not in str(told.value)
+    assert "secret" not in str(raised.value)
 
 
 @pytest.mark.parametrize(
@@ -73,18 +73,21 @@
         ("members = 3\n", "members: not a dict"),
     ],
 )
-def test_bad_tables_are_told_by_their_key(members: str, text: str) -> None:
-    with pytest.raises(ValueError) as told:
+def test_invalid_tables_are_reported_by_their_key(members: str, text: str) -> None:
+    with pytest.raises(ValueError) as raised:
         configurations(application(ports(), members))
-    assert text in str(told.value)
+    assert text in str(raised.value)
 
 
 def test_members_need_peers_and_the_file_is_checked(
     tmp_path: Path, capfd: pytest.CaptureFixture[str]
 ) -> None:
-    lonely = 'name = "a"\n[members]\n[[gatekeeper]]\nname = "n0"\nlisten = "127.0.0.1:1"\n[[worker]]' + END
+    without_peers = (
+        'name = "a"\n[members]\n[[gatekeeper]]\nname = "n0"\nlisten = "127.0.0.1:1"\n[[worker]]'
+        + APPLICATION_TAIL
+    )
     with pytest.raises(ValueError, match="members: gatekeeper.peer_listen is missing"):
-        configurations(lonely)
+        configurations(without_peers)
     file = tmp_path / "members.json"
     for bad in ("{", "[]", '{"key": 1}', '{"key_file": 3}', '{"key_file": "k", "suspect_ms": "x"}'):
         file.write_text(bad)
@@ -112,8 +115,8 @@
 
 
 @contextlib.contextmanager
-def three(folder: Path, numbers: list[int]) -> Iterator[list[subprocess.Popen[bytes]]]:
-    """Three real gatekeepers that know each other."""
+def three_gatekeepers(folder: Path, numbers: list[int]) -> Iterator[list[subprocess.Popen[bytes]]]:
+    """Three gatekeeper processes configured as peers."""
     (folder / "a.toml").write_text(application(numbers))
     write(folder / "a.toml", folder)
     running = []
@@ -131,14 +134,14 @@
             process.wait()
 
 
-def until(holds: Callable[[], bool], seconds: float = 20.0) -> None:
+def wait_until(holds: Callable[[], bool], seconds: float = 20.0) -> None:
     limit = time.monotonic() + seconds
     while not holds():
         assert time.monotonic() < limit
         time.sleep(0.02)
 
 
-def test_operators_see_a_death_a_leave_and_a_key_rotated(
+def test_operators_see_a_death_a_graceful_leave_and_a_key_rotation(
     tmp_path: Path, capfd: pytest.CaptureFixture[str]
 ) -> None:
     numbers = ports()
@@ -151,17 +154,17 @@
                 found.append(ask(address))
         return found
 
-    def whole() -> bool:
+    def all_present() -> bool:
         return [t["step"] for t in tables()] == ["whole"] * 3
 
-    with three(tmp_path, numbers) as running:
-        until(whole)
+    with three_gatekeepers(tmp_path, numbers) as running:
+        wait_until(all_present)
         assert main(["members", f"{HOST}:{numbers[1]}", "--json"]) == 0
         shown = json.loads(capfd.readouterr().out)
         assert [row["name"] for row in shown["members"]] == ["n0", "n1", "n2"] and shown["view"][
             "members"
         ] == [0, 1, 2]
-        # The key, in three steps; each process reads it anew, and nobody is lost on the way.
+        # Rotates the key in three steps; each process reads it again, and no member is lost meanwhile.
         key = tmp_path / "members.key"
         old = key.read_text().splitlines()[-1]
         new = "2 " + "ab" * 32
@@ -170,22 +173,22 @@
             for process in running:
                 process.send_signal(signal.SIGHUP)
             sent = [t["counts"]["heard"] for t in tables()]
-            until(
+            wait_until(
                 lambda sent=sent: all(
                     t["counts"]["heard"] > was + 5 for t, was in zip(tables(), sent, strict=True)
                 )
             )
-        assert whole() and sum(t["counts"]["buried"] for t in tables()) == 0
-        # A death: found by both; the operators' call says so.
+        assert all_present() and sum(t["counts"]["buried"] for t in tables()) == 0
+        # A death is detected by both others, and the admin call shows it.
         running[2].kill()
-        until(lambda: [t["step"] for t in tables()] == ["without"] * 2)
+        wait_until(lambda: [t["step"] for t in tables()] == ["without"] * 2)
         assert main(["members", f"{HOST}:{numbers[1]}"]) == 1
         assert "n2" in capfd.readouterr().out and "dead" in worded(ask(admins[0]))
-        # A leave in order: nobody is suspected, and the one that is left has all that is configured.
+        # After a graceful leave nobody is suspected, and the remaining member counts the other as left.
         suspected = ask(admins[0])["counts"]["suspected"]
         running[1].send_signal(signal.SIGTERM)
         assert running[1].wait(20) == 0
-        until(lambda: ask(admins[0])["members"][1]["state"] == "left")
+        wait_until(lambda: ask(admins[0])["members"][1]["state"] == "left")
         assert ask(admins[0])["counts"]["suspected"] == suspected
         events = ask(admins[0], "members since 0")["events"]
         assert {"dead", "left", "view", "step"} <= {event["what"] for event in events}
