--- a/pepperrun/lab/explore.py
+++ b/pepperrun/lab/explore.py
@@ -25,7 +25,7 @@
 from pepperrun.lab.virtual import KEYS, MS
 from pepperrun.membership.member import STALL_NS, Member
 from pepperrun.membership.states import MemberConfig, OwnState
-from pepperrun.membership.steps import Step, standing_of, step_of
+from pepperrun.membership.steps import Step, membership_status_of, step_of
 from pepperrun.membership.wire import State
 
 KINDS = ("lose", "overtake", "double", "timer", "crash", "pause", "cut")
@@ -243,7 +243,10 @@
             step = step_of(member, self.now)
             if step is Step.MAJORITY:
                 larger.append((number, member.views.view.member_numbers()))
-            if step in (Step.SELF_SUSPECT, Step.NOT_MEMBER) and standing_of(member, self.now).may_grant:
+            if (
+                step in (Step.SELF_SUSPECT, Step.NOT_MEMBER)
+                and membership_status_of(member, self.now).may_grant
+            ):
                 return f"n{number} grants in step {step.value}"
         for index, (number, view) in enumerate(larger):
             for other, its_view in larger[index + 1 :]:
--- a/pepperrun/membership/service.py
+++ b/pepperrun/membership/service.py
@@ -1,7 +1,7 @@
 """Runs a gatekeeper's `Member`: its datagrams, its timer, its log lines and its effect on the quotas.
 
-Datagrams go over the socket of the ordinary peer messages. The quotas get the result as their `standing`; no
-request waits for membership.
+Datagrams go over the socket of the ordinary peer messages. The quotas get the result as their
+`membership_status`; no request waits for membership.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 from pepperrun.membership.report import events_since, figures, json_line, membership_report
 from pepperrun.membership.resume import SEQUENCE_GAP, export_state, restore_state
 from pepperrun.membership.states import MemberConfig, MembershipEvent
-from pepperrun.membership.steps import Step, next_step_change, standing_of, step_of
+from pepperrun.membership.steps import Step, membership_status_of, next_step_change, step_of
 from pepperrun.membership.wire import MAGIC, MAX_MEMBERS
 
 MIN_TIMER_S = 0.002  # between two timer runs, so that a burst is handled in one of them
@@ -62,7 +62,7 @@
         self.member.on_event = self._on_event
         self.step: Step | None = None
         self.timer: asyncio.TimerHandle | None = None
-        self.standing_inputs: object = None  # values that the last standing was derived from
+        self.status_inputs: object = None  # values that the last status was derived from
         self.next_step_change_at: int | None = None  # when the step next changes through time alone
         self.closed = False
         self.inactive = False  # another process of this gatekeeper is the member now
@@ -107,7 +107,7 @@
         for peer, data in self.member.outbox.take_outgoing():
             self.send(peer, data)
         now = self.clock()
-        self._update_standing(now)
+        self._update_membership_status(now)
         due = self.member.due()
         if self.next_step_change_at is not None:
             due = min(due, self.next_step_change_at)
@@ -118,8 +118,8 @@
                 self.timer.cancel()
             self.timer = loop.call_later(max(MIN_TIMER_S, wait / SECOND), self.run_due)
 
-    def _update_standing(self, now: int) -> None:
-        """Passes a changed standing to the quotas and refreshes their accounts at once."""
+    def _update_membership_status(self, now: int) -> None:
+        """Passes a changed membership status to the quotas and refreshes their accounts at once."""
         member, quotas = self.member, self.gatekeeper.gateway.quotas
         changed_at = member.state_changed_at, member.rejoined_at
         state = (
@@ -129,18 +129,18 @@
             member.own.state,
             changed_at,
         )
-        if state == self.standing_inputs and (
+        if state == self.status_inputs and (
             self.next_step_change_at is None or now < self.next_step_change_at
         ):
             return  # no input of the steps has changed
-        self.standing_inputs, self.next_step_change_at = state, next_step_change(member, now)
-        standing, step = standing_of(self.member, now), step_of(self.member, now)
+        self.status_inputs, self.next_step_change_at = state, next_step_change(member, now)
+        status, step = membership_status_of(self.member, now), step_of(self.member, now)
         if step is not self.step:
             say(f"members step {step.value}", f"members: step {step.value}, side {self.member.side().value}")
             self.member.record_step(step.value, now)
             self.step = step
-        if standing != quotas.membership_status:
-            quotas.membership_status = standing
+        if status != quotas.membership_status:
+            quotas.membership_status = status
             quotas.refresh(max(self.gatekeeper.clock(), self.gatekeeper.gateway.now))
 
     def _on_event(self, happened: MembershipEvent) -> None:
--- a/pepperrun/membership/steps.py
+++ b/pepperrun/membership/steps.py
@@ -64,35 +64,37 @@
     return min(upcoming) if upcoming else None
 
 
-def standing_of(member: Member, now: int) -> MembershipStatus:
-    """The standing for the quotas. A suspected member owns no account, though it still counts as present."""
+def membership_status_of(member: Member, now: int) -> MembershipStatus:
+    """The status for the quotas. A suspected member owns no account, though it still counts as present."""
     step = step_of(member, now)
     present = member.views.view.member_numbers()
     suspects = member.table.others_in(State.SUSPECT, State.DEAD, State.LEFT)
-    lost = frozenset(m for m in member.roster.members if m not in present) | frozenset(suspects)
-    lost -= {member.me}
+    absent = frozenset(m for m in member.roster.members if m not in present) | frozenset(suspects)
+    absent -= {member.me}
     if step is Step.JOINED_RECENTLY and not present:
-        lost = frozenset()  # no member is known yet; a message to an absent owner costs no more than itself
+        absent = frozenset()  # no member is known yet; asking an absent owner costs one message
     # Back from a minority side it continues as there, until the usage of the other side has arrived.
     rejoined_from_minority = (
         step is Step.JOINED_RECENTLY
         and now - member.state_changed_at >= FENCE_NS
         and bool(member.previously_missing)
     )
-    missing = (
+    unreachable = (
         member.previously_missing
         if rejoined_from_minority
-        else lost
+        else absent
         if step is Step.LOCAL_BUCKETS
         else frozenset()
     )
-    slices = (
+    local_share_only = (
         step in (Step.JOINED_RECENTLY, Step.SELF_SUSPECT, Step.NOT_MEMBER)
         and not rejoined_from_minority
         or step is Step.LOCAL_BUCKETS
         and len(present) < 2
     )
-    return MembershipStatus(True, lost, missing, slices, step not in (Step.SELF_SUSPECT, Step.NOT_MEMBER))
+    return MembershipStatus(
+        True, absent, unreachable, local_share_only, step not in (Step.SELF_SUSPECT, Step.NOT_MEMBER)
+    )
 
 
 @dataclass(slots=True, frozen=True)
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -22,9 +22,9 @@
 from pepperrun.membership.steps import (
     Quota,
     Step,
+    membership_status_of,
     quota_error_bound,
     restart_error_bound,
-    standing_of,
     step_of,
 )
 from pepperrun.membership.views import MAX_UNSETTLED_NS, RECHECK_NS, SETTLE_NS, Side, Views, side_of
@@ -176,14 +176,14 @@
     member = world.member(2)
     if seconds >= 0.5:
         assert step_of(member, world.now) is Step.SELF_SUSPECT
-        assert not standing_of(member, world.now).may_grant
+        assert not membership_status_of(member, world.now).may_grant
         assert [one for at, one in events(world, "dead", start) if at == 2] == []  # it declares nobody dead
     assert world.run(3, world.settled)
     assert member.own.generation == world.member(2).own.generation and member.own.state is OwnState.MEMBER
     if seconds > 1:  # it had been declared dead: for a while it uses its own local bucket only
         assert (
             step_of(member, world.now) is Step.JOINED_RECENTLY
-            and standing_of(member, world.now).local_share_only
+            and membership_status_of(member, world.now).local_share_only
         )
     world.run(1.1)
     assert step_of(member, world.now) is Step.COMPLETE
@@ -200,7 +200,7 @@
         expected = [Side.MAJORITY, Side.MINORITY] if count == 6 else [Side.MINORITY, Side.MAJORITY]
         assert sides == expected
         returned = world.member(count - 1 if count == 6 else 0)
-        assert standing_of(returned, world.now).unreachable == frozenset(
+        assert membership_status_of(returned, world.now).unreachable == frozenset(
             first_side if count == 6 else second_side
         )
         world.cut(first_side, second_side, on=False)
@@ -208,14 +208,14 @@
         # For a while it continues as on the minority side; the majority side always had the global quota.
         assert (
             step_of(returned, world.now) is Step.JOINED_RECENTLY
-            and not standing_of(returned, world.now).local_share_only
+            and not membership_status_of(returned, world.now).local_share_only
         )
-        assert standing_of(returned, world.now).unreachable == frozenset(
+        assert membership_status_of(returned, world.now).unreachable == frozenset(
             first_side if count == 6 else second_side
         )
         assert step_of(world.member(0 if count == 6 else count - 1), world.now) is Step.COMPLETE
         world.run(1.1)
-        assert standing_of(returned, world.now).unreachable == frozenset()
+        assert membership_status_of(returned, world.now).unreachable == frozenset()
         world.cut(first_side, second_side)  # a second partition right after the first
         assert world.run(4, lambda: world.agreed(first_side) and world.agreed(second_side))  # noqa: B023
         world.cut(first_side, second_side, on=False)
@@ -370,7 +370,7 @@
 # Effect on quotas.
 
 
-def quotas_of(standing: MembershipStatus, me: int = 0, gateways: int = 4, intake: float = 100.0) -> Quotas:
+def quotas_of(status: MembershipStatus, me: int = 0, gateways: int = 4, intake: float = 100.0) -> Quotas:
     plan = Plan("p", 10.0, 20.0, 0, 20.0, 40.0, 4.0, over_quota_cost=1.0)
     quotas = Quotas(
         replace(
@@ -382,7 +382,7 @@
             peer_message_rate=intake,
         )
     )
-    quotas.membership_status = standing
+    quotas.membership_status = status
     return quotas
 
 
