--- a/benchmarks/capacity_control.py
+++ b/benchmarks/capacity_control.py
@@ -41,7 +41,7 @@
 from pepperrun.control.records import GatewayRecord, Worker, WorkerState
 from pepperrun.control.table_codec import encode_table
 from pepperrun.dataplane.numbering import Numbering
-from pepperrun.dataplane.routes import Table
+from pepperrun.dataplane.routes import RoutingTable
 from pepperrun.distribution import repair
 from pepperrun.distribution.publisher import Publisher, state_checksum
 from pepperrun.distribution.replicated_state import ReplicatedState
@@ -173,11 +173,11 @@
     assert new is not None, verdict
     digest_of(held)
     numbering = Numbering(Bounds())
-    before = Table(1, held, numbering, None)
+    before = RoutingTable(1, held, numbering, None)
     numbering.settings()
 
     def taken() -> None:
-        Table(2, new, numbering, before)
+        RoutingTable(2, new, numbering, before)
 
     texts = CachedJsonEncoder(sort_keys=True)
     gc.collect()
--- a/benchmarks/capacity_members.py
+++ b/benchmarks/capacity_members.py
@@ -27,8 +27,8 @@
 from pepperrun.control.records import GatewayRecord
 from pepperrun.core import gossip
 from pepperrun.core.quota_owners import rendezvous_weight
-from pepperrun.dataplane.numbering import PEER_INTAKE, Numbering
-from pepperrun.dataplane.peer_messages import HEAD
+from pepperrun.dataplane.numbering import PEER_MESSAGES_PER_S, Numbering
+from pepperrun.dataplane.peer_messages import HEADER
 from pepperrun.foundation.settings import Bounds
 from pepperrun.membership.gateway_prober import MAX_GATEWAYS, GatewayProber
 
@@ -122,7 +122,7 @@
     ask = gossip.Message(1, 2, 0, 0.1, unit_requests=[gossip.UnitRequest(7, 1, 1.0, 0.0, 1, 1, 1)])
     answer = gossip.Message(1, 2, 0, 0.1, unit_responses=[gossip.UnitResponse(7, 1, 1.0, 0, False, False)])
     asked, answered = gossip.pack(ask), gossip.pack(answer)
-    sizes = [len(one) + HEAD.size + IP_UDP for one in (asked, answered)]
+    sizes = [len(one) + HEADER.size + IP_UDP for one in (asked, answered)]
     took = each_us(
         lambda: (gossip.pack(ask), gossip.unpack(asked), gossip.pack(answer), gossip.unpack(answered))
     )
@@ -130,13 +130,13 @@
         f"quota ask_bytes={sizes[0]} answer_bytes={sizes[1]} packed_and_read_us={took:.1f}"
         f" requests_a_second={rate:g} bytes_a_second={rate * sum(sizes):.0f}"
         f" as_asker_and_as_keeper={2 * rate * sum(sizes):.0f} ms_a_second={rate * took / 1000:.2f}"
-        f" intake_a_second={PEER_INTAKE:g}"
+        f" intake_a_second={PEER_MESSAGES_PER_S:g}"
     )
     bounds, numbering = Bounds(quota_slack=10.0), Numbering(Bounds(quota_slack=10.0))
     for gateways in (30, 100, 300, 1000, 19000):
-        numbering.meet(gateways)
+        numbering.set_gateways(gateways)
         deep = 4 * (1 + bounds.quota_excess) + bounds.quota_slack
-        part = deep / numbering.parts
+        part = deep / numbering.quota_shares
         print(f"quota surge=4 slack=10 gateways={gateways} deep={deep:g} one_part={part:.4f} requests")
 
 
--- a/benchmarks/capacity_memory.py
+++ b/benchmarks/capacity_memory.py
@@ -2,7 +2,7 @@
 
     python3 benchmarks/capacity_memory.py [--sizes 1000 3000 10000 30000] [--only KIND ...]
 
-The real NewsBook, GatewayProbeService and Plane, fed with messages as they come off a link, in a process
+The real NewsBook, GatewayProbeService and DataPlane, fed with messages as they come off a link, in a process
 of its own for each size. A line: bytes of resident memory for one more row (least squares), the base,
 the largest residual, what was measured, and the size at which 32 MB are full. `book` is the record
 alone, `gateway` all that a gatekeeper makes of it. A service comes with one route; routes and tenants
@@ -32,7 +32,7 @@
 
 from pepperrun.control.endpoint_registry import EndpointRegistry, WorkerHeartbeat
 from pepperrun.control.records import WorkerState
-from pepperrun.dataplane.plane import Plane
+from pepperrun.dataplane.plane import DataPlane
 from pepperrun.distribution import repair
 from pepperrun.distribution.replicated_state import ReplicatedState
 from pepperrun.membership.gateway_probe_service import GatewayProbeService
@@ -49,12 +49,12 @@
         repair.handle(book, lambda workers, gateways, now: book.update_records(workers, gateways), message, 1)
 
 
-def plane_for(book: ReplicatedState) -> Plane:
+def plane_for(book: ReplicatedState) -> DataPlane:
     """All that a gatekeeper makes of its news."""
-    plane = Plane(settings(), 1, time.monotonic_ns, lambda: 1, lambda: 1, lambda: 1)
+    plane = DataPlane(settings(), 1, time.monotonic_ns, lambda: 1, lambda: 1, lambda: 1)
     probes = GatewayProbeService(settings(), 1, 1, lambda data, where: None)
     probes.started = True  # it sends nothing here
-    book.on_state.append(plane.on_agreed)
+    book.on_state.append(plane.on_agreed_state)
     book.on_workers.append(plane.on_workers)
     book.on_gateways += [plane.on_gateways, probes.on_gateways]
     return plane
--- a/benchmarks/control_cost.py
+++ b/benchmarks/control_cost.py
@@ -27,7 +27,7 @@
 from pepperrun.control.order_codec import read_amend, read_replace
 from pepperrun.control.table_codec import encode_table
 from pepperrun.dataplane.numbering import Numbering
-from pepperrun.dataplane.routes import Table
+from pepperrun.dataplane.routes import RoutingTable
 from pepperrun.foundation.netstring import Decoder, encode, packed
 from pepperrun.foundation.settings import Bounds
 from pepperrun.simulation import virtual_time
@@ -82,8 +82,8 @@
     took, _ = best(lambda: Decoder().feed(short))
     print(f"read off a link ms={took:.1f}")
     numbering = Numbering(Bounds())
-    before = Table(1, held, numbering, None)
-    took, _ = best(lambda: Table(2, new, numbering, before))
+    before = RoutingTable(1, held, numbering, None)
+    took, _ = best(lambda: RoutingTable(2, new, numbering, before))
     print(f"made ready by a gatekeeper ms={took:.1f}")
 
 
--- a/benchmarks/ill_workers.py
+++ b/benchmarks/ill_workers.py
@@ -69,16 +69,16 @@
     def __init__(self, ejection: OutlierEjection | None) -> None:
         self.ejection, self.safe_at = ejection, dict[int, int]()
 
-    def wait_ns(self, lot: object, now: int) -> int:
+    def wait_ns(self, gate_context: object, now: int) -> int:
         return 0
 
-    def may_send(self, lot: tuple[int, bool], backend: int, now: int) -> bool:
-        safe = lot[1] or now - self.safe_at.get(lot[0], -5 * SECOND) >= 5 * SECOND
+    def may_send(self, gate_context: tuple[int, bool], backend: int, now: int) -> bool:
+        safe = gate_context[1] or now - self.safe_at.get(gate_context[0], -5 * SECOND) >= 5 * SECOND
         return self.ejection is None or self.ejection.may_send(backend, now, safe)
 
-    def on_sent(self, lot: tuple[int, bool], backend: int, now: int) -> None:
-        if lot[1]:
-            self.safe_at[lot[0]] = now
+    def on_sent(self, gate_context: tuple[int, bool], backend: int, now: int) -> None:
+        if gate_context[1]:
+            self.safe_at[gate_context[0]] = now
         if self.ejection is not None:
             self.ejection.on_sent(backend, now)
 
@@ -92,15 +92,15 @@
         self.agenda: list[tuple[int, int, Callable[[], None]]] = []
         self.rate, self.shares = rate, shares
         self.numbering = Numbering(Bounds(retry_ratio=0.2, retry_slack=208))
-        self.numbering.seats = self.numbering.gateways = 84
+        self.numbering.agreed_gateways = self.numbering.gateways = 84
         self.classes = {}
         for name, (safe, service, _, _, aim, _) in KINDS.items():
-            line = self.numbering.service(service)
-            self.numbering.allow_tries(2)
-            self.classes[name] = self.numbering.kind(line, safe, aim * MS)
+            line = self.numbering.service_number(service)
+            self.numbering.allow_attempts(2)
+            self.classes[name] = self.numbering.class_number(line, safe, aim * MS)
         self.rows, self.of, self.ill = list[Backend](), dict[int, list[int]](), set[int]()
         for service, number in SERVICES.items():
-            line = self.numbering.service(service)
+            line = self.numbering.service_number(service)
             own = [self.rng.getrandbits(32) for _ in range(number)]
             self.of |= {one: own for one in own}
             self.rows += [Backend(one, at % ZONES, service=line) for at, one in enumerate(own)]
@@ -147,7 +147,7 @@
         self.at(self.rng.expovariate(self.rate), lambda: self.ask(node))
         name = self.rng.choices(list(KINDS), [row[2] for row in KINDS.values()])[0]
         safe, service, _, _, _, deadline = KINDS[name]
-        line, id = self.numbering.service(service), next(self.order)
+        line, id = self.numbering.service_number(service), next(self.order)
         self.info[id] = name, self.now
         self.asked += FROM <= self.now < FROM + FOR + 2 * SECOND
         self.tell(
--- a/features/playing.py
+++ b/features/playing.py
@@ -43,7 +43,7 @@
     SendPeerMessage,
     TimerFired,
 )
-from pepperrun.dataplane.numbering import Numbering, number_of
+from pepperrun.dataplane.numbering import Numbering, name_hash
 from pepperrun.dataplane.peer_messages import PeerMessages, Peers
 from pepperrun.distribution.follower import Follower
 from pepperrun.distribution.publisher import Publisher
@@ -52,7 +52,7 @@
 from pepperrun.foundation.link import Link
 from pepperrun.foundation.netstring import Decoder, encode
 from pepperrun.foundation.settings import Bounds, parse
-from pepperrun.gateway_node import Program
+from pepperrun.gateway_node import GatewayNode
 from pepperrun.membership.gateway_prober import GatewayProber
 from pepperrun.storage.store import DiskStore
 
@@ -319,11 +319,11 @@
         self.gateways, self.hums, self.log, self.least = {}, {}, [], TENANT.surge
         for name in ("g1", "g2"):
             numbering = Numbering(Bounds())
-            self.plan, self.line = numbering.plan(TENANT), numbering.service("ant")
-            self.kind = numbering.kind(self.line, True, 400 * MS)
-            numbering.meet(2)
+            self.plan, self.line = numbering.plan_number(TENANT), numbering.service_number("ant")
+            self.kind = numbering.class_number(self.line, True, 400 * MS)
+            numbering.set_gateways(2)
             peers, gateway = Peers(name), Gateway(numbering.settings(), 1)
-            peers.take([gateway_record("g1"), gateway_record("g2")])
+            peers.update([gateway_record("g1"), gateway_record("g2")])
             gateway.quotas.members = peers.members
             peer_messages = PeerMessages(
                 peers, lambda: 7, lambda number, data, name=name: self.heard(name, number, data)
@@ -338,7 +338,7 @@
                 events = [TimerFired(0)]
                 if step % (5 if name == "g1" else 1000) == 0:
                     number += 1
-                    events.append(Request(number, number_of(TENANT.name), self.plan, self.kind, 1500 * MS))
+                    events.append(Request(number, name_hash(TENANT.name), self.plan, self.kind, 1500 * MS))
                 self.does(name, events)
                 said = [data.hex() for data in self.hums[name].transport.sent]
                 self.hums[name].transport.sent.clear()
@@ -349,13 +349,13 @@
                     other = "g2" if name == "g1" else "g1"
                     self.hums[other].datagram_received(bytes.fromhex(data), ("10.1.0.9", SIDING))
             if step > 100:  # what the second one would let through of the tenant's quota, at the least
-                account = self.gateways["g2"].quotas.accounts[number_of(TENANT.name)]
+                account = self.gateways["g2"].quotas.accounts[name_hash(TENANT.name)]
                 self.least = min(self.least, account.available_units(self.now))
 
     def does(self, name, events):
         for action in self.gateways[name].handle(self.now, events):
             if isinstance(action, SendPeerMessage):
-                self.hums[name].tell(action.peer, action.data)
+                self.hums[name].send_to_peer(action.peer, action.data)
             elif isinstance(action, Send):  # served at once
                 self.does(name, [AttemptEnded(action.request, 0, 7, Outcome.OK, MS, True)])
 
@@ -382,12 +382,14 @@
         memory.accepted = memory.chosen = initial_proposal(CORES[:1])
         hub = ControlNode(settings("sorting"), memory, InMemoryStore(), 1, lambda: START)
         hub.merge(*rows, START)
-        program = Program(settings("counter"), None)
-        program.news.replicated.update_state(1, state)
-        program.news.replicated.update_records(*rows)
+        program = GatewayNode(settings("counter"), None)
+        program.distribution.replicated.update_state(1, state)
+        program.distribution.replicated.update_records(*rows)
         ears = Ear("operator"), Ear("operator")
         for ear, does in zip(
-            ears, (hub.heard, DownlinkUser(program.news, program.news.publisher).heard), strict=True
+            ears,
+            (hub.heard, DownlinkUser(program.distribution, program.distribution.publisher).heard),
+            strict=True,
         ):
             does(ear, {"k": "show"})
         hub.close()
--- a/features/steps/versions.py
+++ b/features/steps/versions.py
@@ -297,10 +297,10 @@
     for _, speaker, text in context.said["hum"]:
         data = bytes.fromhex(text)
         peers = context.hears.hums["g2" if speaker == "g1" else "g1"].peers
-        tag, station, life = peer_messages.HEAD.unpack_from(data)
-        message = gossip.unpack(data[peer_messages.HEAD.size :])
-        assert tag == peer_messages.TAG and peers.of(station, life) is not None and message is not None
-        assert gossip.pack(message) == data[peer_messages.HEAD.size :]
+        tag, station, life = peer_messages.HEADER.unpack_from(data)
+        message = gossip.unpack(data[peer_messages.HEADER.size :])
+        assert tag == peer_messages.TAG and peers.find(station, life) is not None and message is not None
+        assert gossip.pack(message) == data[peer_messages.HEADER.size :]
         told += len(message.entries)
     assert told > 5
 
--- a/pepperrun/dataplane/answer_times.py
+++ b/pepperrun/dataplane/answer_times.py
@@ -32,7 +32,7 @@
         self.answers += 1
         self.mean_ns += (elapsed_ns - self.mean_ns) * max(WEIGHT, 1 / self.answers)
 
-    def add_cut_short(self, elapsed_ns: int) -> None:
+    def add_cancelled(self, elapsed_ns: int) -> None:
         """Take in the time of an attempt that was given up while its worker may have been at work.
 
         It adds to the total time on test and not to the answers. Long attempts are given up more often than
--- a/pepperrun/dataplane/draining.py
+++ b/pepperrun/dataplane/draining.py
@@ -14,10 +14,10 @@
 # New connections are taken for so long after the stop is told: clients keep what the directory answered for
 # `control.handlers.DIRECTORY_TTL_S`, and it hears of the stop a moment later. Work that begins by then has
 # more than half of the grace left.
-ACCEPT_S = 2.2
-ACCEPT_PART = 0.37  # of the grace at the most, so that idle connections outlast it
-IDLE_PART = 0.4  # of the grace: by then a connection on which nothing is asked ends
-LAST_S = 0.4  # before the grace is over: what is still out gets the answer that there is
+DRAIN_ACCEPT_S = 2.2
+DRAIN_ACCEPT_FRACTION = 0.37  # of the grace at the most, so that idle connections outlast it
+DRAIN_IDLE_FRACTION = 0.4  # of the grace: by then a connection on which nothing is asked ends
+EXPIRE_BEFORE_END_S = 0.4  # before the grace is over: what is still out gets the answer that there is
 
 
 class ReadyClient(HttpClient):
@@ -45,34 +45,37 @@
 
 
 async def drain(
-    listener: Listener, grace_s: float, is_at_work: Callable[[], bool], out_of_time: Callable[[], None]
+    listener: Listener,
+    grace_s: float,
+    has_pending_requests: Callable[[], bool],
+    expire_all: Callable[[], None],
 ) -> None:
     """Answers all that has been read, each answer the last on its connection, and ends within the grace.
 
-    Connections on which nothing is asked stay for a while: a request that crosses a closing is a lost one.
-    Attempts that go on without their clients (`is_at_work`) keep the process too: its end would cut them off.
-    `out_of_time` is to give what is then still out its final answer. Whoever ends an attempt wakes the
-    listener.
+    Idle connections stay open for a while, because a request that is sent while its connection closes is
+    lost. Attempts that go on without their clients (`has_pending_requests`) keep the process alive too: its
+    end would cut them off. `expire_all` gives the requests that are then still pending their final answer.
+    Whoever ends an attempt wakes the listener.
     """
     loop = asyncio.get_running_loop()
     begun = loop.time()
     listener.draining = True
-    await asyncio.sleep(min(ACCEPT_S, grace_s * ACCEPT_PART))
+    await asyncio.sleep(min(DRAIN_ACCEPT_S, grace_s * DRAIN_ACCEPT_FRACTION))
     listener.stop_listening()
-    await _until_over(listener, is_at_work, begun + grace_s * IDLE_PART)
+    await _until_over(listener, has_pending_requests, begun + grace_s * DRAIN_IDLE_FRACTION)
     for client in list(listener.clients):
         if not client.is_busy():
             client.close()
-    await _until_over(listener, is_at_work, begun + grace_s - LAST_S)
+    await _until_over(listener, has_pending_requests, begun + grace_s - EXPIRE_BEFORE_END_S)
     if listener.clients:
-        out_of_time()
-        await _until_over(listener, lambda: False, begun + grace_s - LAST_S / 2)
+        expire_all()
+        await _until_over(listener, lambda: False, begun + grace_s - EXPIRE_BEFORE_END_S / 2)
 
 
-async def _until_over(listener: Listener, is_at_work: Callable[[], bool], at: float) -> None:
+async def _until_over(listener: Listener, has_pending_requests: Callable[[], bool], at: float) -> None:
     try:
         async with asyncio.timeout_at(at):
-            while listener.clients or is_at_work():
+            while listener.clients or has_pending_requests():
                 await listener.wait_for_change()
     except TimeoutError:
         pass
--- a/pepperrun/dataplane/front.py
+++ b/pepperrun/dataplane/front.py
@@ -8,8 +8,8 @@
 from typing import TYPE_CHECKING, Any, Protocol
 
 from pepperrun.dataplane.gate import AGAIN_NS, Gate
-from pepperrun.dataplane.numbering import MOST_WAIT_NS, MS, number_of
-from pepperrun.dataplane.routes import Lot, Table, Way
+from pepperrun.dataplane.numbering import MOST_WAIT_NS, MS, name_hash
+from pepperrun.dataplane.routes import GateContext, RoutingTable, Way
 from pepperrun.exchange import End, Exchange, Final
 from pepperrun.foundation.hosts import host_of
 from pepperrun.fronts.http_client import NOT_PASSED_ON, TEXT, Answer, Fields, HttpClient
@@ -61,12 +61,12 @@
 
 
 class RequestLog(Protocol):
-    """Where requests are logged that were not simply served; `dataplane.trace.Trace` is one."""
+    """Where requests are logged that were not simply served; `dataplane.trace.RequestTrace` is one."""
 
     def answered(self, exchange: Exchange[Any, Any], status: int, final: Final[Any]) -> None:
         """A final answer."""
 
-    def at_once(self, request: Request, status: int) -> None:
+    def answered_directly(self, request: Request, status: int) -> None:
         """Answered without the decisions."""
 
 
@@ -92,11 +92,11 @@
         )
         self.rng = random.Random(seed)
         self.sure_ns = sure_ns  # what is held may be so old for a word on what there is not
-        self.table: Table | None = None
+        self.table: RoutingTable | None = None
         self.trace: RequestLog | None = None  # where requests are logged
         self._times, self._keep = ClientTimeouts(), b""
 
-    def take(self, table: Table) -> None:
+    def update_table(self, table: RoutingTable) -> None:
         """A newer configuration."""
         self.table, limits = table, table.limits
         dwell_ns, whole_ns = int(limits.dwell_ms * MS), int(limits.envelope_ms * MS)
@@ -110,94 +110,102 @@
             request_from_connect=False,
         )
 
-    def times(self) -> ClientTimeouts:
+    def timeouts_of(self) -> ClientTimeouts:
         """How long connections last."""
         return self._times
 
-    def make(self, listener: Listener) -> FrontClient:
+    def make_client(self, listener: Listener) -> FrontClient:
         """A new connection."""
         return FrontClient(self, listener)
 
     def _unsure(self, answer: Answer, now: int) -> Answer:
         """No word on what there is not, while a newer configuration may be in force."""
-        return answer if self.gate.fresh(now, self.sure_ns) else self.back_later()
+        return answer if self.gate.is_fresh(now, self.sure_ns) else self.retry_later()
 
-    def back_later(self, wait_ns: int = 0) -> Answer:
+    def retry_later(self, wait_ns: int = 0) -> Answer:
         """It has not run and never will: when to come back."""
         wait_ns = wait_ns or int(self.rng.uniform(*BACK_NS))
         return 503, [TEXT, *retry_after(wait_ns)], b"not now\n"
 
-    def read(self, request: Request) -> tuple[Lot, dict[str, Any]] | Answer:
+    def route_request(self, request: Request) -> tuple[GateContext, dict[str, Any]] | Answer:
         """Where a request is to go and what its exchange is made of, or the answer at once."""
         names, table = request.headers, self.table
         if _ID.match(names.get(b"attempt-id", b"")) is None:
             return 400, [TEXT], b"Attempt-Id: one is needed\n"
         if table is None:
-            return self.back_later(AGAIN_NS)
+            return self.retry_later(AGAIN_NS)
         host, path = host_of(names.get(b"host", b"")), request.target.partition(b"?")[0]
-        way = table.find(host, path)
-        if way is None:
+        route = table.find(host, path)
+        if route is None:
             return self._unsure((404, [TEXT], b"no such route\n"), request.arrived_at)
-        left_ns = way.deadline_ns
+        remaining_ns = route.deadline_ns
         if b"deadline-ms" in names:
             if _MS.match(names[b"deadline-ms"]) is None:
                 return 400, [TEXT], b"Deadline-Ms: a number is needed\n"
-            left_ns = min(left_ns, int(float(names[b"deadline-ms"]) * MS))
-        return self._keyed(request, table, way, host, path, left_ns)
+            remaining_ns = min(remaining_ns, int(float(names[b"deadline-ms"]) * MS))
+        return self._keyed(request, table, route, host, path, remaining_ns)
 
     def _keyed(
-        self, request: Request, table: Table, way: Way, host: bytes, path: bytes, left_ns: int
-    ) -> tuple[Lot, dict[str, Any]] | Answer:
+        self,
+        request: Request,
+        table: RoutingTable,
+        route: Way,
+        host: bytes,
+        path: bytes,
+        remaining_ns: int,
+    ) -> tuple[GateContext, dict[str, Any]] | Answer:
         told = request.headers.get(b"authorization")
         match = _TOKEN.match(told) if told is not None else None
         key, tenant = match[1] if match is not None else None, None
-        plan, customer, dropped = 0, number_of(host.decode("latin-1")), NOT_TO_WORKER
-        if table.keyed(way):
+        plan, customer, dropped = 0, name_hash(host.decode("latin-1")), NOT_TO_WORKER
+        if table.requires_key(route):
             tenant = table.keys.get(key) if key is not None else None
             if tenant is None:
                 challenge = b"WWW-Authenticate", b"Token"
                 return self._unsure((401, [challenge, TEXT], b"no such key\n"), request.arrived_at)
             plan, customer = tenant.plan, tenant.customer
-        if told is not None and table.asks_keys and _SCHEME.search(told) is not None:
+        if told is not None and table.keys_required and _SCHEME.search(told) is not None:
             dropped = dropped | {b"authorization"}  # it may be a key, and no worker is to see one
-        at = way.draw(self.rng)
-        lot = Lot(table, way, host, path, key if tenant is not None else None, tenant, way.services[at])
-        if lot.homes is not None and not lot.homes:
+        at = route.choose_service(self.rng)
+        context = GateContext(
+            table, route, host, path, key if tenant is not None else None, tenant, route.services[at]
+        )
+        if context.home_regions is not None and not context.home_regions:
             # Homes of its route and of its tenant have no region in common: no wait could bring it a worker.
-            return self.back_later(MOST_WAIT_NS)
+            return self.retry_later(MOST_WAIT_NS)
         request.fields = fields_less(request.fields, request.headers, dropped)
         # One whose body is still coming has the time that it takes, and its client's from its last byte on.
         more_ns = 0 if request.complete else UPLOAD_NS
         parts = {
-            "cls": way.classes[at],
+            "cls": route.classes[at],
             "plan": plan,
             "customer": customer,
             "started": request.arrived_at,
-            "deadline": request.arrived_at + left_ns + more_ns,
-            "patience": max(1, left_ns) if more_ns else 0,
+            "deadline": request.arrived_at + remaining_ns + more_ns,
+            "patience": max(1, remaining_ns) if more_ns else 0,
             "spread": self.numbering.gateways,
             "first": 0,
-            "line": lot.service,
-            "rank": lot.rank,
-            "lot": lot,
-            "limits": way.allow(left_ns),
+            "line": context.service,
+            "rank": context.rank,
+            "gate_context": context,
+            "limits": route.limits_for(remaining_ns),
         }
-        return lot, parts
+        return context, parts
 
     def answer(self, exchange: Exchange[Request, Response], final: Final[Response]) -> Answer:
         """How a final answer reads. 429 and 503 promise that the request has not run and never will."""
-        lot: Lot = exchange.lot
+        context: GateContext = exchange.gate_context
         risky = exchange.ran or bool(exchange.open)
         if final.end is End.SERVED and final.given is not None:
             return self.given(final.given)
         if exchange.fault is not None:
             return self.given(exchange.fault)
-        if final.end is End.REFUSED and (lot.safe or not risky):
+        if final.end is End.REFUSED and (context.safe or not risky):
             if final.beyond:
                 return 429, [TEXT, *retry_after(final.wait_ns)], b"beyond the quota\n"
-            return self.back_later(final.wait_ns)
+            return self.retry_later(final.wait_ns)
         if not risky:
-            return self.back_later(final.wait_ns)
+            return self.retry_later(final.wait_ns)
         if final.end is End.OUT_OF_TIME:
             return 504, [TEXT], b"out of time\n"
         return 502, [TEXT], b"failed\n"
@@ -240,13 +248,13 @@
         super()._cut(504 if status == 408 and spent else status, text)
 
     def begin(self, request: Request) -> Step | Answer:
-        what = self.front.read(request)
+        what = self.front.route_request(request)
         self._limit()
-        if isinstance(what[0], Lot):
+        if isinstance(what[0], GateContext):
             _, parts = what
             return self.front.gatekeeper, Exchange(request, self.final, **parts)
         if self.front.trace is not None:
-            self.front.trace.at_once(request, what[0])
+            self.front.trace.answered_directly(request, what[0])
         return what
 
     def follow(self, final: Final[Any]) -> Step | Answer:
--- a/pepperrun/dataplane/inspection.py
+++ b/pepperrun/dataplane/inspection.py
@@ -9,7 +9,7 @@
 from pepperrun.control.records import GatewayRecord, WorkerState
 from pepperrun.core.clock import Bucket
 from pepperrun.dataplane.attempt_reports import ANSWERED_OVER, CLIENT_LEFT, LATE, OUTLIVED
-from pepperrun.dataplane.plane import Plane
+from pepperrun.dataplane.plane import DataPlane
 from pepperrun.distribution.service import DistributionService
 from pepperrun.distribution.tree import parents
 from pepperrun.foundation.netstring import Message
@@ -20,7 +20,7 @@
 
 
 def shown(
-    row: GatewayRecord, news: DistributionService, plane: Plane, probes: GatewayProbeService, now: int
+    row: GatewayRecord, news: DistributionService, plane: DataPlane, probes: GatewayProbeService, now: int
 ) -> Message:
     """The answer to `show`: ages in ms, levels in requests. Keys are not in it."""
     book, follower, keeper, table = news.replicated, news.follower, plane.gatekeeper, plane.table
@@ -43,8 +43,12 @@
             for port, peer in news.publisher.peers.items()
             if peer.is_attached
         ],
-        "keepers": {place: len(held) for place, held in plane.quota_keepers.domains.items()},
-        **{"seats": plane.numbering.seats, "parts": plane.numbering.parts, "shares": _shares(plane, now)},
+        "keepers": {place: len(held) for place, held in plane.quota_owners.domains.items()},
+        **{
+            "seats": plane.numbering.agreed_gateways,
+            "parts": plane.numbering.quota_shares,
+            "shares": _shares(plane, now),
+        },
         **{"workers": _workers(plane, now), "evacuated": sorted(table.evacuated) if table else []},
         "scouts": {
             "watched": max(0, len(probes.prober.address_by_number)),
@@ -61,12 +65,12 @@
     }
 
 
-def _answer_times(plane: Plane) -> dict[str, int]:
+def _answer_times(plane: DataPlane) -> dict[str, int]:
     """How many classes of requests there are, and for how many of them late attempts are told by now."""
     shared = plane.outcome_sharing
     judged = sum(known.late_ns() < float("inf") for known in shared.answer_times.values())
     return {
-        "classes": len(plane.numbering.rows),
+        "classes": len(plane.numbering.request_classes),
         "judged": judged,
         "failing_workers": len(shared.ejection.records),
     }
@@ -90,7 +94,7 @@
     return round(min(bucket.depth, filled), 2)
 
 
-def _shares(plane: Plane, now: int) -> list[dict[str, Any]]:
+def _shares(plane: DataPlane, now: int) -> list[dict[str, Any]]:
     """This gatekeeper's part of each tenant's quota: a request a second, the most it holds, what is there."""
     if plane.table is None:
         return []
@@ -101,23 +105,23 @@
         if plan.ceiling_rate <= 0:
             out.append({"tenant": name, "rate": None, "depth": None, "level": None})
             continue
-        places = plane.quota_keepers.domains
+        places = plane.quota_owners.domains
         part = 1 / max(1, settings.gateways, settings.min_quota_shares)
         if places:  # kept by some for all: a part that is this gatekeeper's, or none
-            part = 0.0 if plane.quota_keepers.share_starts_at(tenant.customer) is None else 1 / len(places)
+            part = 0.0 if plane.quota_owners.share_starts_at(tenant.customer) is None else 1 / len(places)
         row = {"tenant": name, "rate": plan.ceiling_rate * part, "depth": plan.ceiling_depth * part}
         out.append(row | {"level": _level(account.hard_limit, now) if account is not None else None})
     return out
 
 
-def _workers(plane: Plane, now: int) -> dict[str, dict[str, int]]:
+def _workers(plane: DataPlane, now: int) -> dict[str, dict[str, int]]:
     """By service: how many in each state, and how many of the boarding ones are cold or may be."""
     out: dict[str, Counter[str]] = {}
     for known in plane.workers.by_number.values():
         counted = out.setdefault(known.record.service, Counter())
         counted[known.record.state] += 1
         if known.record.state == WorkerState.SERVING:
-            counted["cold"] += plane.workers.cold(known, now)
+            counted["cold"] += plane.workers.is_warming_up(known, now)
             counted["misdirected"] += bool(known.misdirected_until)
             counted["ejected"] += plane.outcome_sharing.ejection.is_ejected(known.number, now)
     return {line: dict(sorted(counted.items())) for line, counted in sorted(out.items())}
--- a/pepperrun/dataplane/numbering.py
+++ b/pepperrun/dataplane/numbering.py
@@ -19,14 +19,14 @@
 TICK_NS = MS
 MOST_CLASSES = 240  # the decisions tell each other of classes in eight bits
 MOST_WAIT_NS = 5_000_000_000  # advice to come back later than that is of no use to a client
-PEER_INTAKE = 100.0  # messages a second: little work beside what they are about
+PEER_MESSAGES_PER_S = 100.0  # messages a second: little work beside what they are about
 RATIO_PART = 0.75  # of the share of further attempts that the rules allow
 SLACK_PART = 0.6  # of their number, split over all gatekeepers
-LEAST_LATE_S = 0.1  # between a keeper's grant and its use: ways and a turn take less
+LEAST_LATE_S = 0.1  # between a keeper's grant and its use: transit and a turn take less
 FEWEST = 4  # gatekeepers that there are at the least, for one that does not know of others yet
 
 
-def number_of(name: str) -> int:
+def name_hash(name: str) -> int:
     """32 bits, the same at all gatekeepers and after each start."""
     return int.from_bytes(hashlib.blake2s(name.encode(), digest_size=4).digest(), "little")
 
@@ -36,70 +36,70 @@
 
     def __init__(self, bounds: Bounds, zone: int = 0) -> None:
         self.bounds, self.zone = bounds, zone
-        self.services: dict[str, int] = {}
-        self.classes: dict[tuple[int, bool, int], int] = {}
-        self.most_tries = 1
-        self.rows = [RequestClass("none", 1000 * MS, 10_000 * MS, Repeat.UNSAFE)]
-        self.plans = {"": 0}  # by tenant
-        self.plan_rows = [Plan("none")]
+        self.service_numbers: dict[str, int] = {}
+        self.class_numbers: dict[tuple[int, bool, int], int] = {}
+        self.max_attempts = 1
+        self.request_classes = [RequestClass("none", 1000 * MS, 10_000 * MS, Repeat.UNSAFE)]
+        self.plan_numbers = {"": 0}  # by tenant
+        self.plans = [Plan("none")]
         self.gateways = 2  # one that knows of no other leaves room for one
-        self.seats = 0  # among so many each quota is split at the least, as agreed on
-        self.kept = False  # one gatekeeper of each place keeps a tenant's part
+        self.agreed_gateways = 0  # among so many each quota is split at the least, as agreed on
+        self.has_quota_owners = False  # one gatekeeper of each place keeps a tenant's part
         self.changed = True
 
-    def service(self, name: str) -> int:
+    def service_number(self, name: str) -> int:
         """The number of a service."""
-        if name not in self.services:
-            self.services[name] = len(self.services)
+        if name not in self.service_numbers:
+            self.service_numbers[name] = len(self.service_numbers)
             self.changed = True
-        return self.services[name]
+        return self.service_numbers[name]
 
-    def kind(self, service: int, safe: bool, target_ns: int) -> int:
+    def class_number(self, service: int, safe: bool, target_ns: int) -> int:
         """Return the class of such requests: the kind of work, by which answers' times are learnt.
 
         What a route allows (time-outs, tries, a changed aim) goes with each request (`RequestLimits`) and
         makes no class. Of too many kinds the last ones share one, of the same service where there is one.
         """
         key = service, safe, target_ns
-        if key not in self.classes:
-            if len(self.rows) >= MOST_CLASSES:
-                alike = [known for known in self.classes if known[1] == safe]
+        if key not in self.class_numbers:
+            if len(self.request_classes) >= MOST_CLASSES:
+                alike = [known for known in self.class_numbers if known[1] == safe]
                 of_service = [known for known in alike if known[0] == service]
                 if alike:
-                    return self.classes[(of_service or alike)[-1]]
-            self.classes[key] = len(self.rows)
+                    return self.class_numbers[(of_service or alike)[-1]]
+            self.class_numbers[key] = len(self.request_classes)
             repeat = Repeat.SAFE if safe else Repeat.UNSAFE
-            name = f"{'safe' if safe else 'unsafe'}-{len(self.rows)}"
+            name = f"{'safe' if safe else 'unsafe'}-{len(self.request_classes)}"
             aim_ns = max(1, target_ns)
-            self.rows.append(RequestClass(name, aim_ns, aim_ns, repeat))
+            self.request_classes.append(RequestClass(name, aim_ns, aim_ns, repeat))
             self.changed = True
-        return self.classes[key]
+        return self.class_numbers[key]
 
-    def allow_tries(self, tries: int) -> None:
+    def allow_attempts(self, attempts: int) -> None:
         """A route allows so many attempts."""
-        if tries > self.most_tries:
-            self.most_tries, self.changed = tries, True
+        if attempts > self.max_attempts:
+            self.max_attempts, self.changed = attempts, True
 
-    def plan(self, sender: Sender) -> int:
+    def plan_number(self, sender: Sender) -> int:
         """The plan of a tenant, with its quota as it is now."""
-        at = self.plans.get(sender.name)
+        at = self.plan_numbers.get(sender.name)
         if at is None:
-            at = self.plans[sender.name] = len(self.plan_rows)
+            at = self.plan_numbers[sender.name] = len(self.plans)
         # The store holds a request at the least: a tenant with a rate and no surge is allowed its rate.
         burst = max(sender.surge, 1.0) if sender.rate_per_s > 0 else 0.0
         row = Plan(sender.name, rate=max(0.0, sender.rate_per_s), burst=burst)
-        if at == len(self.plan_rows):
-            self.plan_rows.append(row)
+        if at == len(self.plans):
+            self.plans.append(row)
             self.changed = True
-        elif self.plan_rows[at] != row:
-            self.plan_rows[at] = row
+        elif self.plans[at] != row:
+            self.plans[at] = row
             self.changed = True
         return at
 
     @property
-    def parts(self) -> int:
+    def quota_shares(self) -> int:
         """Among how many gatekeepers what all may spend together is split."""
-        return max(FEWEST, self.gateways, self.seats)
+        return max(FEWEST, self.gateways, self.agreed_gateways)
 
     def _bounded(self, plan: Plan) -> Plan:
         """With the hard bound on what all gatekeepers together let through, whoever hears whom.
@@ -115,9 +115,9 @@
             return plan
         excess, slack = self.bounds.quota_excess, self.bounds.quota_slack
         least, most = plan.burst * (1 + excess) + slack / 2, plan.burst * (1 + excess) + slack
-        deep = max(least, min(most, float(self.parts)))
+        deep = max(least, min(most, float(self.quota_shares)))
         rate = plan.rate * (1 + excess / 2)
-        if self.kept:
+        if self.has_quota_owners:
             # All parts hold D together. What is granted may go out a little later, and so in the next window:
             # within as long as fills what the rate's excess and a quarter of the slack leave room for.
             late = excess * plan.rate * self.bounds.quota_window_s / 2 + slack / 4
@@ -129,15 +129,15 @@
             plan, ceiling_rate=rate, ceiling_depth=deep, ceiling_slack=2 * deep, over_quota_cost=1.0
         )
 
-    def agreed(self, seats: int) -> None:
+    def set_agreed_gateways(self, gateways: int) -> None:
         """The number of gatekeepers that is agreed on."""
-        if seats != self.seats:
-            self.seats, self.changed = seats, True
+        if gateways != self.agreed_gateways:
+            self.agreed_gateways, self.changed = gateways, True
 
-    def keep(self, kept: bool) -> None:
+    def set_quota_owners(self, has_owners: bool) -> None:
         """Is each tenant's quota kept by some gatekeepers for all?"""
-        if kept != self.kept:
-            self.kept, self.changed = kept, True
+        if has_owners != self.has_quota_owners:
+            self.has_quota_owners, self.changed = has_owners, True
 
     def settings(self) -> Settings:
         """What the decisions are told now."""
@@ -147,18 +147,18 @@
             me=0,
             gateways=self.gateways,
             zone=self.zone,
-            classes=tuple(self.rows),
-            plans=tuple(self._bounded(plan) for plan in self.plan_rows),
+            classes=tuple(self.request_classes),
+            plans=tuple(self._bounded(plan) for plan in self.plans),
             tick_ns=TICK_NS,
-            max_attempts=self.most_tries,
+            max_attempts=self.max_attempts,
             peer_messages=True,
-            peer_message_rate=PEER_INTAKE,
+            peer_message_rate=PEER_MESSAGES_PER_S,
             retry_after=True,
             max_retry_after_ns=MOST_WAIT_NS,
-            services=max(1, len(self.services)),
+            services=max(1, len(self.service_numbers)),
             retry_budget_ratio=bounds.retry_ratio * RATIO_PART,
-            retry_budget_burst=bounds.retry_slack * SLACK_PART / self.parts,
-            min_quota_shares=self.parts,
+            retry_budget_burst=bounds.retry_slack * SLACK_PART / self.quota_shares,
+            min_quota_shares=self.quota_shares,
             strict_retry_budget=True,
             cancel_when_client_left=True,
             adaptive_latency_goal=True,
@@ -166,7 +166,7 @@
             local_plan_numbers=True,
         )
 
-    def meet(self, gateways: int) -> None:
+    def set_gateways(self, gateways: int) -> None:
         """So many gatekeepers there are, this one included."""
         if max(2, gateways) != self.gateways:
             self.gateways, self.changed = max(2, gateways), True
--- a/pepperrun/dataplane/outcome_report.py
+++ b/pepperrun/dataplane/outcome_report.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass
 
 from pepperrun.dataplane.ejection import OutcomeCount
-from pepperrun.dataplane.peer_messages import HEAD
+from pepperrun.dataplane.peer_messages import HEADER
 
 TAG = 0xB4
 MAX_ROWS = 32  # in a datagram
@@ -34,17 +34,17 @@
 def encode(report: OutcomeReport) -> bytes:
     """Return the bytes of a datagram."""
     rows = b"".join(_ROW.pack(*count) for count in report.counts)
-    head = HEAD.pack(TAG, report.station, report.incarnation)
+    head = HEADER.pack(TAG, report.station, report.incarnation)
     return head + _NUMBERS.pack(len(report.counts), len(report.rests)) + rows + bytes(report.rests)
 
 
 def decode(data: bytes) -> OutcomeReport | None:
     """Return what a datagram says; None where it is cut short."""
-    at = HEAD.size + _NUMBERS.size
+    at = HEADER.size + _NUMBERS.size
     if len(data) < at:
         return None
-    _, station, incarnation = HEAD.unpack_from(data)
-    rows, rests = _NUMBERS.unpack_from(data, HEAD.size)
+    _, station, incarnation = HEADER.unpack_from(data)
+    rows, rests = _NUMBERS.unpack_from(data, HEADER.size)
     end = at + rows * _ROW.size
     if len(data) < end + rests:
         return None
--- a/pepperrun/dataplane/outcome_sharing.py
+++ b/pepperrun/dataplane/outcome_sharing.py
@@ -17,7 +17,7 @@
 from pepperrun.dataplane.answer_times import AnswerTime
 from pepperrun.dataplane.attempt_reports import AttemptReports
 from pepperrun.dataplane.ejection import FailureRecord, OutlierEjection
-from pepperrun.dataplane.numbering import MS, number_of
+from pepperrun.dataplane.numbering import MS, name_hash
 from pepperrun.dataplane.outcome_report import MAX_ROWS, TAG, OutcomeReport, decode, encode
 from pepperrun.dataplane.peer_messages import PeerMessages
 from pepperrun.dataplane.workers import WorkerTable
@@ -35,7 +35,7 @@
 FAILED = (Outcome.ERROR, Outcome.RESET, Outcome.TIMEOUT, Outcome.CONNECT_FAILED)
 
 
-class SharedWear(StaleRates):
+class SharedStaleRates(StaleRates):
     """What is learnt of rested connections, here and by the others of the zone."""
 
     def __init__(self, report: Callable[[int], None]) -> None:
@@ -48,7 +48,7 @@
         if stale:
             self.report(self._bucket(idle_ns))
 
-    def reported(self, step: int) -> None:
+    def merge_reported(self, step: int) -> None:
         """Another has met one: as if it were the first here. Who has met more knows better."""
         if step < len(self.rates):
             self.rates[step] = max(self.rates[step], self.SAMPLE_WEIGHT)
@@ -81,24 +81,24 @@
         reports: AttemptReports,
     ) -> None:
         self.loop, self.clock, self.workers, self.peer_messages = loop, clock, workers, peer_messages
-        self.passed, self.suspected, self.reports = passed, suspected, reports
+        self.passed, self.on_suspected, self.reports = passed, suspected, reports
         self.is_draining = reports.is_draining
         self.answer_times: defaultdict[int, AnswerTime] = defaultdict(AnswerTime)  # by class
         self.ejection = OutlierEjection(self._alternatives, draw, self._on_ejected)
-        self.wear = SharedWear(self._on_stale_rest)
-        self.servers: UpstreamClient | None = None
+        self.stale_rates = SharedStaleRates(self._on_stale_rest)
+        self.upstream: UpstreamClient | None = None
         self.receivers: list[int] = []  # peers' numbers: whom this one reports to
         self.unreported_rests: set[int] = set()
         self.late: set[tuple[int, int]] = set()  # attempts that were counted before their end
         self.report_timer: asyncio.TimerHandle | None = None
         self.checked_at = clock()
         self.check_timer = loop.call_later(CHECK_S, self.check_late_attempts)
-        peer_messages.others[TAG] = self.on_report
+        peer_messages.handlers[TAG] = self.on_report
 
     def start(self, servers: UpstreamClient) -> None:
         """These carry out the attempts."""
-        self.servers = servers
-        servers.stale_rates = self.wear
+        self.upstream = servers
+        servers.stale_rates = self.stale_rates
         servers.ends_stalled = self.stalled
 
     # Who there is.
@@ -109,10 +109,10 @@
         for gateway in gateways:
             if gateway.zone == zone and gateway.state in (GatewayState.READY, GatewayState.STARTING):
                 names.add(gateway.name)
-        ring = sorted(names, key=number_of)
+        ring = sorted(names, key=name_hash)
         self.ejection.zone_size = len(ring)
         at = ring.index(station)
-        lives = self.peer_messages.peers.lives
+        lives = self.peer_messages.peers.present
         next_ones = (ring[at + 1 :] + ring[:at])[:MAX_RECEIVERS]
         self.receivers = [lives[name][1] for name in next_ones if name in lives]
 
@@ -127,12 +127,12 @@
             for number, one in workers.by_number.items()
             if (one.service, one.region) == (known.service, known.region)
             and one.record.state == WorkerState.SERVING
-            and not workers.cold(one, now)
+            and not workers.is_warming_up(one, now)
             and workers.address(number) is not None
         ]
 
     def _on_ejected(self, worker: int, record: FailureRecord) -> None:
-        name = self.workers.names.get(worker, "?")
+        name = self.workers.id_by_number.get(worker, "?")
         event("ejected", worker=name, ms=record.ejected_ns // MS, seen_by=len(record.reporters))
 
     # What is seen.
@@ -152,15 +152,15 @@
         if outcome is Outcome.OK:
             self.answer_times[exchange.cls].add(now - exchange.attempts[attempt])
         elif outcome is Outcome.CANCELLED and exchange.end is End.LEFT and not exchange.patience:
-            self.answer_times[exchange.cls].add_cut_short(now - exchange.attempts[attempt])
+            self.answer_times[exchange.cls].add_cancelled(now - exchange.attempts[attempt])
         if key in self.late:
             self.late.discard(key)
         elif outcome is Outcome.OK or outcome in FAILED and not self._own_doing(exchange, backend, outcome):
             self._record(backend, outcome is Outcome.OK, now)
         self.passed(exchange, attempt, backend, outcome, given, units)
-        if outcome is Outcome.OK and self.servers is not None:
+        if outcome is Outcome.OK and self.upstream is not None:
             for other in sorted(exchange.open):
-                self.servers.cancel(exchange, other, AbandonReason.SUPERSEDED)
+                self.upstream.cancel(exchange, other, AbandonReason.SUPERSEDED)
 
     def _own_doing(self, exchange: Exchange[Any, Any], backend: int, outcome: Outcome) -> bool:
         """It got no connection: none may go there now, or all that this gatekeeper may have were busy."""
@@ -183,7 +183,7 @@
         the long ones, and no good answer to a short one offsets them.
         """
         self.check_timer = self.loop.call_later(CHECK_S, self.check_late_attempts)
-        now, servers = self.clock(), self.servers
+        now, servers = self.clock(), self.upstream
         stood_still, self.checked_at = now - self.checked_at > 3 * CHECK_S * SECOND, now
         if servers is None or stood_still:  # that they are late is this process's own doing
             return
@@ -199,7 +199,7 @@
             if not self.is_draining():
                 self._count_late(attempt, limit_ns, now)
             if self.ejection.is_ejected(attempt.backend, now) and _is_safe(attempt):
-                self.suspected(attempt.exchange, attempt.number)
+                self.on_suspected(attempt.exchange, attempt.number)
 
     def _count_late(self, attempt: Attempt, limit_ns: float, now: int) -> None:
         key = (attempt.exchange.id, attempt.number)
@@ -215,7 +215,7 @@
         Returns whether the attempt is to end for that, which it never is: its worker may go on.
         """
         if _is_safe(attempt):
-            self.suspected(attempt.exchange, attempt.number)
+            self.on_suspected(attempt.exchange, attempt.number)
         return False
 
     # Between gatekeepers.
@@ -236,21 +236,21 @@
 
     def _send(self, data: bytes) -> None:
         for number in self.receivers:
-            if (where := self.peer_messages.peers.where.get(number)) is not None:
-                self.peer_messages.send(data, where)
+            if (where := self.peer_messages.peers.addresses.get(number)) is not None:
+                self.peer_messages.send_datagram(data, where)
 
     def on_report(self, data: bytes, addr: Address) -> None:
         """A datagram of another gatekeeper."""
         report = decode(data)
         if report is None:
             return
-        source = self.peer_messages.peers.of(report.station, report.incarnation)
+        source = self.peer_messages.peers.find(report.station, report.incarnation)
         if source is None:
             return
         known = [count for count in report.counts if count.worker in self.workers.by_number]
         self.ejection.record_reported(source, known, self.clock())
         for step in report.rests:
-            self.wear.reported(step)
+            self.stale_rates.merge_reported(step)
 
     def close(self) -> None:
         """Ends it."""
@@ -264,4 +264,4 @@
 
 
 def _is_safe(attempt: Attempt) -> bool:
-    return attempt.exchange.lot is not None and attempt.exchange.lot.safe
+    return attempt.exchange.gate_context is not None and attempt.exchange.gate_context.safe
--- a/pepperrun/dataplane/trace.py
+++ b/pepperrun/dataplane/trace.py
@@ -1,4 +1,4 @@
-"""Trace (request log): a line for each request not served at the first try within its aim, bounded a second.
+"""Request log: a line for each request not served at the first attempt within its latency target.
 
 Off unless asked for: while it is off the request path has no more than a look at a name. What is left out for
 the bound is counted and told once a second has begun anew. A reason that the decisions do not tell is read
@@ -18,7 +18,7 @@
 
 if TYPE_CHECKING:
     from pepperrun.dataplane.front import Front
-    from pepperrun.dataplane.routes import Lot
+    from pepperrun.dataplane.routes import GateContext
     from pepperrun.net.http1 import Request
 
 SECOND = 1_000_000_000
@@ -30,7 +30,7 @@
     """Lets so many through a second, and as many at once; counts the others. `now` in steady ns."""
 
     def __init__(self, rate: float, now: int) -> None:
-        self.rate, self.most, self.level, self.at, self.left_out = (
+        self.rate, self.most, self.level, self.at, self.suppressed = (
             rate,
             max(1.0, rate),
             max(1.0, rate),
@@ -43,27 +43,29 @@
         self.level = min(self.most, self.level + self.rate * (now - self.at) / SECOND)
         self.at = now
         if self.level < 1:
-            self.left_out += 1
+            self.suppressed += 1
             return False
         self.level -= 1
         return True
 
 
-class Trace:
+class RequestTrace:
     """Requests of one front, as its lines. `tell(name, **pairs)` writes one."""
 
     def __init__(self, front: Front, rate: float, tell: Callable[..., None] = event) -> None:
         self.front, self.tell = front, tell
         self.limit = LogRateLimit(rate, front.clock())
-        self.said: dict[int, tuple[int, Final[Any]]] = {}  # status and end, until the last attempt has ended
+        self.final_answers: dict[
+            int, tuple[int, Final[Any]]
+        ] = {}  # status and end, until the last attempt has ended
 
     def answered(self, exchange: Exchange[Any, Any], status: int, final: Final[Any]) -> None:
         """A final answer. One that was served at the first try, in time, costs no more than this look."""
-        late = self.front.clock() - exchange.started > exchange.lot.way.route.target_ms * MS
+        late = self.front.clock() - exchange.started > exchange.gate_context.route.config.target_ms * MS
         if late or final.end is not End.SERVED or len(exchange.attempts) > 1:
-            self.said[exchange.id] = status, final
+            self.final_answers[exchange.id] = status, final
 
-    def at_once(self, request: Request, status: int) -> None:
+    def answered_directly(self, request: Request, status: int) -> None:
         """Answered without the decisions."""
         reasons = {400: "bad", 401: "key", 404: "route", 503: "stale"}
         now = self.front.clock()
@@ -75,24 +77,24 @@
             took = (now - request.arrived_at) / MS
             self.tell("request", id=_id(request), **known, reason=reason, ms=took, **more)
 
-    def over(self, exchange: Exchange[Any, Any]) -> None:
+    def finished(self, exchange: Exchange[Any, Any]) -> None:
         """It has its answer and no attempt is out (`Gatekeeper.observer`)."""
-        status, final = self.said.pop(exchange.id, (0, None))
+        status, final = self.final_answers.pop(exchange.id, (0, None))
         if final is None and exchange.end is End.SERVED:
             return
         now = self.front.clock()
         if not self._let(now):
             return
-        lot: Lot = exchange.lot
+        context: GateContext = exchange.gate_context
         ended = exchange.finished or now
         table = self.front.table
         self.tell(
             "request",
             id=_id(exchange.asked),
-            route=lot.way.name,
-            tenant=lot.tenant.decode("latin-1") if lot.tenant is not None else "-",
-            kind="safe" if lot.safe else "unsafe",
-            aim=lot.way.route.target_ms,
+            route=context.route.name,
+            tenant=context.tenant.decode("latin-1") if context.tenant is not None else "-",
+            kind="safe" if context.safe else "unsafe",
+            aim=context.route.config.target_ms,
             status=status,
             reason=self._reason(exchange, final, now),
             ms=(ended - exchange.started) / MS,
@@ -104,14 +106,14 @@
         limit = self.limit
         if not limit.allow(now):
             return False
-        if limit.left_out:
-            self.tell("requests-left-out", count=limit.left_out)
-            limit.left_out = 0
+        if limit.suppressed:
+            self.tell("requests-left-out", count=limit.suppressed)
+            limit.suppressed = 0
         return True
 
     def _tries(self, exchange: Exchange[Any, Any]) -> str:
         """Of each attempt: worker, when it was sent, how it ended, how long that took (ms)."""
-        names = self.front.gate.workers.names
+        names = self.front.gate.workers.id_by_number
         parts = []
         for backend, sent, outcome, ended in exchange.trace or ():
             how = outcome.value if outcome is not None else "out"
@@ -131,26 +133,30 @@
             return "worker-failed"
         if exchange.ran:
             return "may-have-run" if exchange.end is not End.OUT_OF_TIME else "out-of-time"
-        if self.front.gate.wait_ns(exchange.lot, now):
+        if self.front.gate.wait_ns(exchange.gate_context, now):
             return "fence"
         if exchange.end is End.OUT_OF_TIME or (final is not None and final.late):
             return "out-of-time"
-        there = self._there(exchange.lot)
+        there = self._there(exchange.gate_context)
         if not there:
             return "no-worker"
         if exchange.trace and any(one[2] in (Outcome.FULL, Outcome.CONNECT_FAILED) for one in exchange.trace):
-            return "budget" if len(exchange.attempts) < exchange.lot.way.limits.tries else "tries"
+            return (
+                "budget"
+                if len(exchange.attempts) < exchange.gate_context.route.limits.max_attempts
+                else "tries"
+            )
         workers = self.front.gate.workers
-        return "cold" if all(workers.cold(known, now) for known in there) else "full"
+        return "cold" if all(workers.is_warming_up(known, now) for known in there) else "full"
 
-    def _there(self, lot: Lot) -> list[Any]:
+    def _there(self, context: GateContext) -> list[Any]:
         workers = self.front.gate.workers
         return [
             known
             for known in workers.by_number.values()
-            if known.service == lot.service
+            if known.service == context.service
             and workers.address(known.number) is not None
-            and (lot.homes is None or known.region in lot.homes)
+            and (context.home_regions is None or known.region in context.home_regions)
         ]
 
 
--- a/pepperrun/dataplane/wire.py
+++ b/pepperrun/dataplane/wire.py
@@ -8,7 +8,7 @@
 from pepperrun.core.interface import Outcome
 from pepperrun.dataplane.gate import Gate
 from pepperrun.dataplane.numbering import MS
-from pepperrun.dataplane.routes import Lot
+from pepperrun.dataplane.routes import GateContext
 from pepperrun.dataplane.workers import WorkerTable
 from pepperrun.net.connection import Attempt, Connection, Wire, encode_request
 from pepperrun.net.http1 import Response
@@ -54,18 +54,18 @@
     def encode(self, attempt: Attempt, left_ns: int) -> bytes | None:
         """Return the request as the worker reads it; None where it may no longer go out."""
         exchange = attempt.exchange
-        lot: Lot = exchange.lot
-        if exchange.end is not None or not self.gate.still(lot, attempt.backend, self.clock()):
+        context: GateContext = exchange.gate_context
+        if exchange.end is not None or not self.gate.may_write(context, attempt.backend, self.clock()):
             return None
-        id = self.workers.names[attempt.backend].encode()
+        id = self.workers.id_by_number[attempt.backend].encode()
         more = b"Deadline-Ms: %d\r\nExpect-Worker: %b\r\n" % (max(1, left_ns // MS), id)
-        if lot.tenant is not None:
-            more += b"Sender: %b\r\n" % lot.tenant
+        if context.tenant is not None:
+            more += b"Sender: %b\r\n" % context.tenant
         return encode_request(exchange.asked, more)
 
     def is_idempotent(self, attempt: Attempt) -> bool:
         """Whether its route lets it run again."""
-        return bool(attempt.exchange.lot.safe)
+        return bool(attempt.exchange.gate_context.safe)
 
     def request_id(self, attempt: Attempt) -> object:
         """The client's `Attempt-Id`."""
--- a/pepperrun/dataplane/workers.py
+++ b/pepperrun/dataplane/workers.py
@@ -6,7 +6,7 @@
 
 from pepperrun.control.records import Worker, WorkerState
 from pepperrun.core.interface import Backend, BackendList, BackendState, ListKind
-from pepperrun.dataplane.numbering import Numbering, number_of
+from pepperrun.dataplane.numbering import Numbering, name_hash
 from pepperrun.foundation.errors import PepperrunError
 from pepperrun.foundation.logs import trouble
 from pepperrun.foundation.settings import Address, address
@@ -35,29 +35,29 @@
     def __init__(self, numbering: Numbering, zones: Mapping[str, str], zone: str, region: str) -> None:
         self.numbering, self.zones, self.zone, self.region = numbering, zones, zone, region
         self.by_number: dict[int, KnownWorker] = {}
-        self.names: dict[int, str] = {}
-        self.ids: dict[str, int] = {}
+        self.id_by_number: dict[int, str] = {}
+        self.number_by_id: dict[str, int] = {}
         self.zone_numbers: dict[str, int] = {}
         self.evacuated: frozenset[str] = frozenset()
         self.reopened: dict[str, int] = {}  # zone: until when its workers may have turned cold unheard
 
-    def id_of(self, name: str) -> int:
+    def number_for(self, name: str) -> int:
         """The number of a worker's id."""
-        if name not in self.ids:
-            number = number_of(name)
-            while number in self.names:
+        if name not in self.number_by_id:
+            number = name_hash(name)
+            while number in self.id_by_number:
                 number = (number + 1) % 2**32
-            self.ids[name], self.names[number] = number, name
-        return self.ids[name]
+            self.number_by_id[name], self.id_by_number[number] = number, name
+        return self.number_by_id[name]
 
-    def take(self, workers: Iterable[Worker]) -> BackendList:
+    def update(self, workers: Iterable[Worker]) -> BackendList:
         """Takes in records that are new or have changed."""
         changed = []
         for worker in workers:
-            number = self.id_of(worker.id)
+            number = self.number_for(worker.id)
             if worker.is_gone:
                 self.by_number.pop(number, None)
-                service = self.numbering.service(worker.service)
+                service = self.numbering.service_number(worker.service)
                 changed.append(
                     Backend(number, self.zone_number(worker.zone), state=BackendState.GONE, service=service)
                 )
@@ -67,13 +67,13 @@
             except PepperrunError as error:
                 trouble(error, worker=worker.id)
                 continue
-            service = self.numbering.service(worker.service)
+            service = self.numbering.service_number(worker.service)
             known = KnownWorker(worker, number, service, self.zones.get(worker.zone), where)
             self.by_number[number] = known
             changed.append(self._row(known))
         for row in changed:
             if row.state is BackendState.GONE and row.id not in self.by_number:
-                self.ids.pop(self.names.pop(row.id, ""), None)
+                self.number_by_id.pop(self.id_by_number.pop(row.id, ""), None)
         return BackendList(ListKind.DELTA, tuple(changed))
 
     def evacuate(self, zones: frozenset[str], now: int) -> BackendList | None:
@@ -143,7 +143,7 @@
 
     # For the gate.
 
-    def cold(self, known: KnownWorker, now: int) -> bool:
+    def is_warming_up(self, known: KnownWorker, now: int) -> bool:
         """Is it cold, or may it be?"""
         worker = known.record
         return worker.maybe_cold or worker.warming_until > now or self.reopened.get(worker.zone, 0) > now
--- a/pepperrun/exchange.py
+++ b/pepperrun/exchange.py
@@ -47,7 +47,7 @@
     __slots__ = (
         *("asked", "attempts", "cls", "cost", "customer", "deadline", "end", "first", "id", "on_final"),
         *("finished", "open", "passing", "patience", "plan", "spent", "spread", "started", "trace", "units"),
-        *("fault", "limits", "line", "lot", "ran", "rank"),
+        *("fault", "gate_context", "limits", "line", "ran", "rank"),
     )
 
     def __init__(
@@ -65,7 +65,7 @@
         first: int = 0,
         patience: int = 0,
         line: int = 0,
-        lot: Any = None,
+        gate_context: Any = None,
         rank: int = 0,
         limits: RequestLimits | None = None,
     ) -> None:
@@ -74,7 +74,8 @@
         self.started, self.deadline = started, deadline
         self.units, self.spread, self.first = units, spread, first
         self.limits = limits  # of its route, where they are not those of its class
-        self.line, self.lot, self.rank = line, lot, rank  # its service, what the gate goes by, its standing
+        # Its service, what the gate decides by, and its rank.
+        self.line, self.gate_context, self.rank = line, gate_context, rank
         self.id = 0
         self.end: End | None = None
         self.attempts: list[int] = []  # when each was sent
--- a/pepperrun/gatekeeper.py
+++ b/pepperrun/gatekeeper.py
@@ -286,7 +286,7 @@
             exchange.first,
             exchange.patience > 0,
             exchange.line,
-            exchange.lot,
+            exchange.gate_context,
             exchange.rank,
             exchange.limits,
         )
--- a/pepperrun/gateway_node.py
+++ b/pepperrun/gateway_node.py
@@ -15,7 +15,7 @@
 from pepperrun.control.records import GatewayRecord, GatewayState
 from pepperrun.dataplane import inspection
 from pepperrun.dataplane.draining import drain, ready_listener
-from pepperrun.dataplane.plane import Plane
+from pepperrun.dataplane.plane import DataPlane
 from pepperrun.dataplane.trace import VERBOSE
 from pepperrun.distribution.service import DistributionService
 from pepperrun.foundation import logs
@@ -28,15 +28,15 @@
 AGAIN_S = 0.3  # between tries for an address that an earlier process still has
 
 
-class Program:
+class GatewayNode:
     """One life of a gatekeeper."""
 
     def __init__(self, settings: Settings, path: str | None, trace: float = 0) -> None:
         self.settings, self.path = settings, path
         self.life, self.serial, self.state = time.time_ns() // 1_000_000, 0, GatewayState.STARTING
-        self.news = DistributionService(settings, self.life, self.row)
-        book = self.news.replicated
-        self.plane = Plane(
+        self.distribution = DistributionService(settings, self.life, self.row)
+        book = self.distribution.replicated
+        self.plane = DataPlane(
             settings,
             secrets.randbits(32),
             time.monotonic_ns,
@@ -46,15 +46,17 @@
         )
         self.tracing, self.number = trace > 0, -1
         self.plane.log_requests(trace)
-        book.on_state += [self.plane.on_agreed, self.on_agreed]
+        book.on_state += [self.plane.on_agreed_state, self.on_agreed_state]
         book.on_workers.append(self.plane.on_workers)
         book.on_gateways.append(self.on_gateways)
         self.probes = GatewayProbeService(
-            settings, self.life, secrets.randbits(32), self.plane.peer_messages.send, self.on_probes
+            settings, self.life, secrets.randbits(32), self.plane.peer_messages.send_datagram, self.on_probes
+        )
+        self.plane.peer_messages.handlers[MAGIC] = self.probes.on_datagram
+        self.distribution.follower.parents.is_present = self.probes.is_present
+        self.distribution.shown = lambda now: inspection.shown(
+            self.row(), self.distribution, self.plane, self.probes, now
         )
-        self.plane.peer_messages.others[MAGIC] = self.probes.on_datagram
-        self.news.follower.parents.is_present = self.probes.is_present
-        self.news.shown = lambda now: inspection.shown(self.row(), self.news, self.plane, self.probes, now)
         self.asked = ready_listener(time.monotonic_ns, self.plane.ready)
         self.stop = asyncio.Event()
 
@@ -66,14 +68,16 @@
             me.station, me.zone, me.region, counter, internal_port, self.life, self.serial, self.state
         )
 
-    def on_agreed(self, number: int, state: dict[str, Any], change: object = None) -> None:
+    def on_agreed_state(self, number: int, state: dict[str, Any], change: object = None) -> None:
         """The plane has taken it: one line for each number, and how deep in the tree where more is logged."""
         if number <= self.number:
             return
         self.number, me = number, self.settings.me
         known = {"number": number, "edition": state.get("edition") or 0, "station": me.station}
         if self.tracing:
-            known["depth"] = inspection.depth(me.station, me.zone, self.news.replicated.gateways.values())
+            known["depth"] = inspection.depth(
+                me.station, me.zone, self.distribution.replicated.gateways.values()
+            )
         logs.event("agreed", **known)
 
     def on_gateways(self, changed: list[GatewayRecord]) -> None:
@@ -84,12 +88,12 @@
 
     def on_probes(self) -> None:
         """Who of the other gatekeepers is thought to be there may have changed."""
-        self.plane.stand(self.probes.absent_gateways(), self.probes.suspects_itself)
-        self.news.membership_changed()
+        self.plane.update_membership_status(self.probes.absent_gateways(), self.probes.suspects_itself)
+        self.distribution.membership_changed()
 
     def known_life(self) -> int:
         """The life by which others know this one: the time of day may have been ahead in an earlier one."""
-        held = self.news.replicated.gateways.get(self.settings.me.station)
+        held = self.distribution.replicated.gateways.get(self.settings.me.station)
         return held.incarnation if held is not None else self.life
 
     def say(self, state: GatewayState) -> None:
@@ -97,7 +101,7 @@
         if state != self.state:
             self.state, self.serial = state, self.serial + 1
             logs.event("gateway", state=state)
-            self.news.send_own_record()
+            self.distribution.send_own_record()
 
     def reread(self) -> None:
         """The settings file may have changed: zones, contacts and the rules' figures hold at once."""
@@ -106,8 +110,8 @@
         except PepperrunError as error:
             logs.trouble(error)
             return
-        self.plane.reread(self.settings)
-        self.news.set_contacts(self.settings.contacts())
+        self.plane.reload_settings(self.settings)
+        self.distribution.set_contacts(self.settings.contacts())
         logs.event("settings", reread=True)
 
     async def run(self) -> None:
@@ -122,7 +126,7 @@
             "peer-messages",
             lambda: loop.create_datagram_endpoint(lambda: plane.peer_messages, self.settings.internal_port),
         )
-        await self._patiently("news", self.news.start)
+        await self._patiently("news", self.distribution.start)
         if counter is not None:
             await self._patiently("counter", lambda: _opened(plane.listener.open, counter))
         if ready is not None:
@@ -141,11 +145,11 @@
         self.say(GatewayState.DRAINING)
         self.probes.leave()
         grace_s = self.settings.tariffs.bounds.grace_s
-        await drain(plane.listener, grace_s, plane.is_at_work, plane.out_of_time)
+        await drain(plane.listener, grace_s, plane.has_pending_requests, plane.expire_all)
         self.asked.close()
         self.probes.close()
         plane.close()
-        await self.news.close()
+        await self.distribution.close()
 
     async def _patiently(self, step: str, start: Callable[[], Awaitable[object]]) -> None:
         """Tries again while an earlier process still has the address."""
@@ -186,7 +190,7 @@
     trace = options.trace if options.trace is not None else VERBOSE * options.verbose
 
     async def run() -> None:
-        await Program(settings, options.settings, trace).run()
+        await GatewayNode(settings, options.settings, trace).run()
 
     asyncio.run(run())
     return 0
--- a/pepperrun/simulation/actors.py
+++ b/pepperrun/simulation/actors.py
@@ -389,7 +389,7 @@
             back(Outcome.CONNECT_FAILED)
         elif not worker.serve(name, id, back, token):
             day.say(f"misdirected {name} {id}")
-            number = gate.plane.workers.ids.get(id)
+            number = gate.plane.workers.number_by_id.get(id)
             if number is not None:
                 do(gate.plane._on_misdirected, number)
             back(Outcome.MOOT)
--- a/pepperrun/simulation/bugs.py
+++ b/pepperrun/simulation/bugs.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from pepperrun.dataplane.plane import Plane
+from pepperrun.dataplane.plane import DataPlane
 from pepperrun.distribution.publisher import Port
 from pepperrun.distribution.service import DistributionService
 from pepperrun.foundation.netstring import Message
@@ -16,14 +16,14 @@
 BUGS = (EMPTY_VOTES, COLD_FOREVER, BACKWARDS, GIVES_UP)
 
 
-def put_in(bug: str, news: DistributionService, plane: Plane) -> None:
+def put_in(bug: str, news: DistributionService, plane: DataPlane) -> None:
     """Makes one gatekeeper behave so."""
     if bug == COLD_FOREVER:
-        plane.shares.sent = lambda number, rate, now: None  # type: ignore[method-assign,assignment]
+        plane.slow_start.on_sent = lambda number, rate, now: None  # type: ignore[method-assign,assignment]
     elif bug == GIVES_UP:
         backends = plane.gatekeeper.backends
         assert backends is not None
-        plane.outcome_sharing.suspected = backends.cancel
+        plane.outcome_sharing.on_suspected = backends.cancel
     elif bug == BACKWARDS:
         follower, heard, states = news.follower, news.follower.heard, dict[int, Any]()
         news.replicated.on_state.append(lambda number, state, change: states.setdefault(number, state))
@@ -31,8 +31,8 @@
         def backwards(port: Port, message: Message, now: int) -> None:
             heard(port, message, now)
             old = states.get(message.get("n", 0)) if message["k"] in ("change", "agreed", "tock") else None
-            if old is not None and plane.table is not None and message["n"] < plane.table.number:
+            if old is not None and plane.table is not None and message["n"] < plane.table.version:
                 plane.table = None
-                plane.on_agreed(message["n"], old)
+                plane.on_agreed_state(message["n"], old)
 
         follower.heard = backwards  # type: ignore[method-assign]
--- a/pepperrun/simulation/conversations/bugs.py
+++ b/pepperrun/simulation/conversations/bugs.py
@@ -64,7 +64,7 @@
 
     def refuse(self: Front, exchange: Any, final: Any) -> Any:
         given = answer(self, exchange, final)
-        return self.back_later() if given[0] == 502 else given
+        return self.retry_later() if given[0] == 502 else given
 
     return [mock.patch.object(Front, "answer", refuse)]
 
@@ -124,7 +124,7 @@
     answer = Front.answer
 
     def refuse(self: Front, exchange: Any, final: Any) -> Any:
-        return self.back_later() if final.end is End.OUT_OF_TIME else answer(self, exchange, final)
+        return self.retry_later() if final.end is End.OUT_OF_TIME else answer(self, exchange, final)
 
     return [mock.patch.object(Front, "answer", refuse)]
 
--- a/pepperrun/simulation/conversations/play.py
+++ b/pepperrun/simulation/conversations/play.py
@@ -11,7 +11,7 @@
 
 from pepperrun.control.records import Worker, WorkerState
 from pepperrun.dataplane.draining import drain
-from pepperrun.dataplane.plane import Plane
+from pepperrun.dataplane.plane import DataPlane
 from pepperrun.foundation.settings import Settings, parse
 from pepperrun.simulation.conversations.client import ClientConnection, ScriptedClient
 from pepperrun.simulation.conversations.judge import Judge, Record
@@ -83,7 +83,7 @@
         self.number = self.lives = 0
         self.places: list[Place] = []
         self.record = Record([], self.seen, {})
-        self.plane: Plane | None = None
+        self.plane: DataPlane | None = None
         self.clients: list[ScriptedClient] = []
 
     # The data plane's side: each call runs in its loop.
@@ -93,7 +93,7 @@
 
     async def _put_up(self) -> None:
         now = self.stage.clock
-        plane = self.plane = Plane(settings(), self.script.seed, now, lambda: 1, now, now)
+        plane = self.plane = DataPlane(settings(), self.script.seed, now, lambda: 1, now, now)
         self._agree()
         plane.listener.open((own_address(), 0))
         plane.gatekeeper.gateway.retry_budget.depth = plane.gatekeeper.gateway.retry_budget.level = (
@@ -106,7 +106,7 @@
             services = {split["line"] for split in item.get("splits") or ()} | {item["line"]} - {None}
             self.record.allowed.setdefault(name, set()).update(services)
         self.number += 1
-        self.plane.on_agreed(self.number, self.state)
+        self.plane.on_agreed_state(self.number, self.state)
 
     def _tell(self, worker: ScriptedWorker, zone: str, state: WorkerState = WorkerState.SERVING) -> None:
         assert self.plane is not None
@@ -142,11 +142,11 @@
                 self.record.drains.append((stage.now, GRACE_S))
                 self._in_plane(
                     lambda: stage.plane.create_task(
-                        drain(plane.listener, GRACE_S, plane.is_at_work, plane.out_of_time)
+                        drain(plane.listener, GRACE_S, plane.has_pending_requests, plane.expire_all)
                     )
                 )
             case "reread":
-                self._in_plane(lambda: plane.reread(settings()))
+                self._in_plane(lambda: plane.reload_settings(settings()))
             case "move":
                 item = dict(self.state["routes"]["once"], line="two")
                 self.state = dict(self.state, routes=self.state["routes"] | {"once": item})
--- a/pepperrun/simulation/nodes.py
+++ b/pepperrun/simulation/nodes.py
@@ -17,10 +17,10 @@
 from pepperrun.control.node import ControlNode
 from pepperrun.control.records import GatewayRecord, GatewayState
 from pepperrun.core.interface import Outcome
-from pepperrun.dataplane.draining import ACCEPT_S, LAST_S
-from pepperrun.dataplane.plane import Plane
-from pepperrun.dataplane.routes import Lot
-from pepperrun.dataplane.trace import Trace
+from pepperrun.dataplane.draining import DRAIN_ACCEPT_S, EXPIRE_BEFORE_END_S
+from pepperrun.dataplane.plane import DataPlane
+from pepperrun.dataplane.routes import GateContext
+from pepperrun.dataplane.trace import RequestTrace
 from pepperrun.distribution.service import DistributionService
 from pepperrun.exchange import Exchange
 from pepperrun.foundation import link
@@ -155,27 +155,28 @@
         self.loop = loop
         self.news = DistributionService(self.settings, self.life, self._row, loop.clock)
         book = self.news.replicated
-        self.plane = Plane(
+        self.plane = DataPlane(
             *(self.settings, seed, loop.clock, self._known_life),
             *(lambda: book.confirmed_at, lambda: book.records_confirmed_at),
         )
-        self.plane.servers.sweep_timer.cancel()
+        self.plane.upstream.sweep_timer.cancel()
         backends = Backends(self, loop)
         self.plane.gatekeeper.backends = backends
         self.plane.outcome_sharing.start(cast(UpstreamClient, backends))
         bugs.put_in(self.bug, self.news, self.plane)
-        self.trace = self.plane.front.trace = Trace(self.plane.front, EVERY, self.seen.cause)
-        self.plane.gatekeeper.observer = self.trace.over
+        self.trace = self.plane.front.trace = RequestTrace(self.plane.front, EVERY, self.seen.cause)
+        self.plane.gatekeeper.observer = self.trace.finished
         held, world = self.seen.starts(loop), loop.world
         book.on_state.append(lambda number, state, change: held.append((world.now, state["edition"])))
-        book.on_state.append(self.plane.on_agreed)
+        book.on_state.append(self.plane.on_agreed_state)
         book.on_workers.append(self.plane.on_workers)
         book.on_gateways.append(self._on_gateways)
         peer_messages = self.plane.peer_messages
         self.probes = GatewayProbeService(
-            *(self.settings, self.life, seed ^ 1, peer_messages.send, self._on_probes), clock=loop.clock
+            *(self.settings, self.life, seed ^ 1, peer_messages.send_datagram, self._on_probes),
+            clock=loop.clock,
         )
-        peer_messages.others[MAGIC] = self.probes.on_datagram
+        peer_messages.handlers[MAGIC] = self.probes.on_datagram
         self.news.follower.parents.is_present = self.probes.is_present
         loop.datagrams(PORT, peer_messages)
         spawn(loop, self.news.start())
@@ -192,7 +193,7 @@
         self._on_probes()
 
     def _on_probes(self) -> None:
-        self.plane.stand(self.probes.absent_gateways(), self.probes.suspects_itself)
+        self.plane.update_membership_status(self.probes.absent_gateways(), self.probes.suspects_itself)
         self.news.membership_changed()
 
     def _known_life(self) -> int:
@@ -201,7 +202,7 @@
 
     def _look(self) -> None:
         plane, bounds = self.plane, self.settings.tariffs.bounds
-        fresh = plane.gate.fresh(self.loop.clock(), int(bounds.edition_ms * MS))
+        fresh = plane.gate.is_fresh(self.loop.clock(), int(bounds.edition_ms * MS))
         if self.state == GatewayState.STARTING and plane.table is not None and fresh:
             self._say(GatewayState.READY)
         self.loop.call_later(LOOK_S, self._look)
@@ -215,8 +216,10 @@
         self._say(GatewayState.DRAINING)
         self.probes.leave()
         self.plane.listener.draining = True
-        self.accepts_until = self.machine.world.now + int(ACCEPT_S * 1000) * MS
-        self.loop.call_later(self.settings.tariffs.bounds.grace_s - LAST_S, self.plane.out_of_time)
+        self.accepts_until = self.machine.world.now + int(DRAIN_ACCEPT_S * 1000) * MS
+        self.loop.call_later(
+            self.settings.tariffs.bounds.grace_s - EXPIRE_BEFORE_END_S, self.plane.expire_all
+        )
 
     @property
     def accepts(self) -> bool:
@@ -227,9 +230,9 @@
         """A client's request has come; runs in the process."""
         front = self.plane.front
         asked.arrived_at = self.loop.clock()
-        what = front.read(asked)
-        if not isinstance(what[0], Lot):
-            self.trace.at_once(asked, int(what[0]))
+        what = front.route_request(asked)
+        if not isinstance(what[0], GateContext):
+            self.trace.answered_directly(asked, int(what[0]))
             done(int(what[0]))
             return
         exchange: Any = None
@@ -265,7 +268,7 @@
         if exchange.end is not None or known is None:
             self._end(attempt, Outcome.MOOT)
             return
-        if not plane.gate.still(cast(Lot, exchange.lot), attempt.backend, now):
+        if not plane.gate.may_write(cast(GateContext, exchange.gate_context), attempt.backend, now):
             self._end(attempt, Outcome.MOOT)
             return
         attempt.connection = cast(Any, self)  # it has one; which, nobody asks
--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -77,7 +77,7 @@
 
     def __init__(self, kind: str = "safe", **more: Any) -> None:
         super().__init__(route("r", "/p/", route_kind=kind, target_ms=3000, deadline_ms=12000, **more))
-        self.gatekeeper, self.servers = self.plane.gatekeeper, self.plane.servers
+        self.gatekeeper, self.servers = self.plane.gatekeeper, self.plane.upstream
 
     async def ask_with_long_deadline(self, id: str = "i1", **more: Any) -> Client:
         """Sends a request with a deadline of 12 s."""
@@ -168,7 +168,9 @@
         client.writer.close()
         await until(cluster.has_noticed_disconnects)
         plane = cluster.plane
-        stop = asyncio.ensure_future(drain(plane.listener, 100.0, plane.is_at_work, plane.out_of_time))
+        stop = asyncio.ensure_future(
+            drain(plane.listener, 100.0, plane.has_pending_requests, plane.expire_all)
+        )
         await until(lambda: plane.listener.socket is None)
         for _ in range(20):
             await asyncio.sleep(0)
@@ -525,7 +527,7 @@
         driver.feed(ClientLeft(send.request))
         driver.run(ABANDONED_GRACE_NS)
         driver.feed(AttemptEnded(send.request, 0, send.backend, Outcome.CANCELLED, 500 * MS, True))
-        times.add_cut_short(500 * MS)
+        times.add_cancelled(500 * MS)
     (expected, *_) = driver.gateway.fleet.unit_latency_ns
     assert 700 * MS < expected < 1400 * MS and 600 * MS < times.mean_ns < 1500 * MS
 
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -25,7 +25,7 @@
 from pepperrun.control.table_codec import decode_table
 from pepperrun.control.verdict import Verdict
 from pepperrun.dataplane.numbering import Numbering
-from pepperrun.dataplane.routes import Table
+from pepperrun.dataplane.routes import RoutingTable
 from pepperrun.foundation.errors import PepperrunError
 from pepperrun.foundation.settings import Bounds, parse
 
@@ -47,14 +47,18 @@
     assert back["limits"] == {"dwell_ms": 15000} and back["edition"] == 3
     assert apply({}, put(back))[0] == apply(None, put(whole()))[0] | {"taken": [[3, put(back)["digest"]]]}
     numbering = Numbering(Bounds())
-    read = Table(1, state, numbering)
-    splits = read.ways["a"].route.splits
-    assert splits and splits[0].line == "x" and read.ways["b"].route.line == "y"
-    assert read.services[numbering.service("y")].cold_s == 0 and read.tenants["s"].sender.rate_per_s == 70
+    read = RoutingTable(1, state, numbering)
+    splits = read.routes["a"].config.splits
+    assert splits and splits[0].line == "x" and read.routes["b"].config.line == "y"
+    assert (
+        read.services[numbering.service_number("y")].cold_s == 0 and read.tenants["s"].config.rate_per_s == 70
+    )
     after = apply(state, amend({"edition": 4, "withdraw": {"senders": ["t"]}}, 3))[0]
     assert after is not None
-    again = Table(2, after, numbering, read)
-    assert again.ways["a"] is read.ways["a"] and set(again.tenants) == {"s"}  # what is the same is not reread
+    again = RoutingTable(2, after, numbering, read)
+    assert again.routes["a"] is read.routes["a"] and set(again.tenants) == {
+        "s"
+    }  # what is the same is not reread
 
 
 Spoil = Callable[[dict[str, Any]], Any]
--- a/tests/test_dataplane.py
+++ b/tests/test_dataplane.py
@@ -19,12 +19,12 @@
 from pepperrun.core.gateway import Gateway
 from pepperrun.core.interface import Backend, BackendList, ListKind, Refuse, Send, SetTimer, TimerFired
 from pepperrun.core.interface import Request as CoreRequest
-from pepperrun.dataplane.cold import ColdShares, chosen, spacing
-from pepperrun.dataplane.draining import ACCEPT_PART, ACCEPT_S, IDLE_PART, drain
+from pepperrun.dataplane.draining import DRAIN_ACCEPT_FRACTION, DRAIN_ACCEPT_S, DRAIN_IDLE_FRACTION, drain
 from pepperrun.dataplane.numbering import Numbering
 from pepperrun.dataplane.peer_messages import Peers
-from pepperrun.dataplane.plane import Plane
-from pepperrun.dataplane.routes import Lot, Table
+from pepperrun.dataplane.plane import DataPlane
+from pepperrun.dataplane.routes import GateContext, RoutingTable
+from pepperrun.dataplane.slow_start import SlowStartShares, assigned_gateways, send_interval_ns
 from pepperrun.foundation.hosts import host_of
 from pepperrun.foundation.settings import Bounds, Settings, parse
 from pepperrun.fronts.kept import KeptClient
@@ -69,7 +69,7 @@
 
     def __init__(self, *routes: dict[str, Any], **more: Any) -> None:
         self.fresh = self.cells = time.monotonic_ns() + 3600 * SECOND
-        self.plane = Plane(
+        self.plane = DataPlane(
             settings(), 1, time.monotonic_ns, lambda: 1, lambda: self.fresh, lambda: self.cells
         )
         self.number = 0
@@ -78,7 +78,7 @@
 
     def agree(self, *routes: dict[str, Any], **more: Any) -> None:
         self.number += 1
-        self.plane.on_agreed(self.number, state(*routes, **more))
+        self.plane.on_agreed_state(self.number, state(*routes, **more))
 
     def work(self, id: str, port: int, **more: Any) -> None:
         self.plane.on_workers(
@@ -98,8 +98,8 @@
         return client
 
 
-def table(*routes: dict[str, Any], **more: Any) -> Table:
-    return Table(1, state(*routes, **more), Numbering(Bounds()))
+def table(*routes: dict[str, Any], **more: Any) -> RoutingTable:
+    return RoutingTable(1, state(*routes, **more), Numbering(Bounds()))
 
 
 def test_the_longest_prefix_of_the_host_wins_and_shares_are_kept():
@@ -110,8 +110,8 @@
     ]
     assert names == ["r", "r", "s", "t"] and found.find(b"other", b"/") is None
     assert host_of(b"H.Example:8080") == b"h.example"
-    way, rng = found.ways["s"], random.Random(1)
-    drawn = sum(way.draw(rng) for _ in range(2000))
+    way, rng = found.routes["s"], random.Random(1)
+    drawn = sum(way.choose_service(rng) for _ in range(2000))
     assert len(way.services) == 2 and 120 < drawn < 290
 
 
@@ -122,8 +122,8 @@
     body["routes"] = {"columns": columns, "rows": [["r", "h.example", "/", 900, "one", 1.0, 2.0]]}
     body["carrier_lines"] = {"columns": ["name", "berth_cap"], "rows": [["one", 9.0]]}
     held = read_replace(json.dumps(body).encode(), 0) | {"evacuated": []}
-    way = Table(1, held, Numbering(Bounds())).find(b"h.example", b"/x")
-    assert way is not None and not way.safe and (way.limits.max_attempts, way.route.target_ms) == (2, 900)
+    way = RoutingTable(1, held, Numbering(Bounds())).find(b"h.example", b"/x")
+    assert way is not None and not way.safe and (way.limits.max_attempts, way.config.target_ms) == (2, 900)
 
 
 def test_a_request_reaches_a_worker_with_its_tenants_name_and_without_its_key():
@@ -307,7 +307,9 @@
         ):
             await asyncio.sleep(0)
         plane = cluster.plane
-        ending = asyncio.ensure_future(drain(plane.listener, 2.0, plane.is_at_work, plane.out_of_time))
+        ending = asyncio.ensure_future(
+            drain(plane.listener, 2.0, plane.has_pending_requests, plane.expire_all)
+        )
         while cluster.plane.listener.socket is not None:
             await asyncio.sleep(0)
         assert not cluster.plane.ready()
@@ -323,8 +325,8 @@
 
 
 def test_who_drains_serves_new_connections_while_the_directorys_answers_still_name_it():
-    assert DIRECTORY_TTL_S < ACCEPT_S < 3.0  # later work may not end in time, and would be lost
-    assert ACCEPT_PART < IDLE_PART and 6.0 * ACCEPT_PART > ACCEPT_S
+    assert DIRECTORY_TTL_S < DRAIN_ACCEPT_S < 3.0  # later work may not end in time, and would be lost
+    assert DRAIN_ACCEPT_FRACTION < DRAIN_IDLE_FRACTION and 6.0 * DRAIN_ACCEPT_FRACTION > DRAIN_ACCEPT_S
 
     async def test():
         cluster, worker = Cluster(route("r", "/p/")), await StandIn(ok()).start()
@@ -333,9 +335,11 @@
         waits, loop.call_later = loop.call_later, lambda *given: at.append(given[0]) or waits(*given)
         at: list[float] = []
         plane = cluster.plane
-        ending = asyncio.ensure_future(drain(plane.listener, 6.0, plane.is_at_work, plane.out_of_time))
+        ending = asyncio.ensure_future(
+            drain(plane.listener, 6.0, plane.has_pending_requests, plane.expire_all)
+        )
         await asyncio.sleep(0)
-        assert at == [ACCEPT_S]
+        assert at == [DRAIN_ACCEPT_S]
         status, fields, _ = await (await cluster.ask()).answer()
         assert (status, fields["connection"]) == (200, "close") and not cluster.plane.ready()
         ending.cancel()
@@ -343,18 +347,18 @@
     going(test)
 
 
-def lot(held: Table, key: bytes = b"k1", path: bytes = b"/p/") -> Lot:
+def lot(held: RoutingTable, key: bytes = b"k1", path: bytes = b"/p/") -> GateContext:
     way, tenant = held.find(b"h.example", path), held.keys.get(key)
     assert way is not None
-    return Lot(held, way, b"h.example", path, key, tenant, way.services[0])
+    return GateContext(held, way, b"h.example", path, key, tenant, way.services[0])
 
 
 def test_with_old_news_no_key_counts_and_without_a_key_it_goes_on():
     async def test():
         cluster = Cluster(route("r", "/p/"), route("u", "/u/", unstamped=True))
         gate, keyed = cluster.plane.gate, lot(cluster.plane.table)
-        open_one = Lot(
-            cluster.plane.table, cluster.plane.table.ways["u"], b"h.example", b"/u/", None, None, 0
+        open_one = GateContext(
+            cluster.plane.table, cluster.plane.table.routes["u"], b"h.example", b"/u/", None, None, 0
         )
         cluster.fresh = 100 * SECOND
         assert gate.wait_ns(keyed, 104 * SECOND) == 0 and gate.wait_ns(open_one, 200 * SECOND) == 0
@@ -369,19 +373,19 @@
     async def test():
         cluster = Cluster(route("r", "/p/"))
         cluster.work("w1", 1, zone="a")
-        gate, number = cluster.plane.gate, cluster.plane.workers.ids["w1"]
+        gate, number = cluster.plane.gate, cluster.plane.workers.number_by_id["w1"]
         waits = lot(cluster.plane.table)
         now = time.monotonic_ns()
         assert (
             gate.wait_ns(waits, now) == 0
             and gate.may_send(waits, number, now)
-            and gate.still(waits, number, now)
+            and gate.may_write(waits, number, now)
         )
         cluster.agree(route("r", "/p/"), evacuated=["a"])
         assert (
             gate.wait_ns(waits, now) == 0
             and not gate.may_send(waits, number, now)
-            and not gate.still(waits, number, now)
+            and not gate.may_write(waits, number, now)
         )
         cluster.agree(route("r", "/p/", home_regions=["r2"]))
         assert gate.wait_ns(waits, now) == 0 and not gate.may_send(waits, number, now)
@@ -450,20 +454,22 @@
 def test_cold_shares_keep_their_bound_over_many_guards_that_see_different_ones():
     """Half of eleven gateways know the others as they were; all send to one cold worker whenever they may."""
     everybody = gateways(11)
-    shares = [ColdShares(gateway.name, ZONES, 1.5, 5) for gateway in everybody]
+    shares = [SlowStartShares(gateway.name, ZONES, 1.5, 5) for gateway in everybody]
     for number, one in enumerate(shares):
-        one.take(everybody if number % 2 else everybody[6:] + everybody[number : number + 1])
+        one.update(everybody if number % 2 else everybody[6:] + everybody[number : number + 1])
     sent: list[int] = []
     for now in range(0, 20 * SECOND, 10 * MS):
         for one in shares:
-            if one.may(7, "w", "a", 5.3, now):
-                one.sent(7, 5.3, now)
+            if one.may_send(7, "w", "a", 5.3, now):
+                one.on_sent(7, 5.3, now)
                 sent.append(now)
     most = max(sum(at <= other < at + SECOND for other in sent) for at in sent)
     assert 4 <= most <= 5.3 * 1.5 + 5
-    assert len(chosen("w", "a", everybody, ZONES)) == 3
-    assert all(int(name[1:]) % 2 == 0 for name in chosen("w", "a", everybody, ZONES))  # its own zone's first
-    assert spacing(50.0, 1.0, 0.0) > SECOND // 8  # each of six sends at most 8 a second
+    assert len(assigned_gateways("w", "a", everybody, ZONES)) == 3
+    assert all(
+        int(name[1:]) % 2 == 0 for name in assigned_gateways("w", "a", everybody, ZONES)
+    )  # its own zone's first
+    assert send_interval_ns(50.0, 1.0, 0.0) > SECOND // 8  # each of six sends at most 8 a second
 
 
 def test_a_zone_taken_back_and_a_worker_unsure_count_as_cold():
@@ -472,14 +478,14 @@
         cluster.work("w1", 1, zone="a")
         cluster.work("w2", 1, zone="b", maybe_cold=True)
         workers, now = cluster.plane.workers, time.monotonic_ns()
-        one, two = (workers.by_number[workers.ids[name]] for name in ("w1", "w2"))
-        assert not workers.cold(one, now) and workers.cold(two, now)
+        one, two = (workers.by_number[workers.number_by_id[name]] for name in ("w1", "w2"))
+        assert not workers.is_warming_up(one, now) and workers.is_warming_up(two, now)
         cluster.agree(route("r", "/p/"), evacuated=["a"])
         assert workers.address(one.number) is None
         cluster.agree(route("r", "/p/"))
         now = time.monotonic_ns()
-        assert workers.address(one.number) and workers.cold(one, now)
-        assert not workers.cold(one, now + 10 * SECOND)
+        assert workers.address(one.number) and workers.is_warming_up(one, now)
+        assert not workers.is_warming_up(one, now + 10 * SECOND)
         # Its share of a cold worker is nobody's until it is known who is there.
         assert not cluster.plane.gate.may_send(lot(cluster.plane.table), two.number, now + 60 * SECOND)
         cluster.cells = now - 10 * SECOND  # nothing has been heard: any may have turned cold
@@ -490,24 +496,24 @@
 
 def test_each_life_of_a_peer_has_its_own_number():
     peers, (first, *_) = Peers("me"), gateways(1)
-    assert peers.take([first]) and peers.members == (1,)
+    assert peers.update([first]) and peers.members == (1,)
     later = replace(first, incarnation=2, serial=0, state=GatewayState.READY)
-    assert peers.take([later]) and peers.members == (2,)
-    assert not peers.take([first]) and peers.members == (2,)
+    assert peers.update([later]) and peers.members == (2,)
+    assert not peers.update([first]) and peers.members == (2,)
 
 
 def test_what_did_not_change_is_not_read_again():
     numbering = Numbering(Bounds())
-    before = Table(1, state(route("r", "/p/"), route("s", "/s/")), numbering)
-    after = Table(2, state(route("r", "/p/"), route("s", "/s/", tries=1)), numbering, before)
-    assert after.ways["r"] is before.ways["r"] and after.ways["s"] is not before.ways["s"]
+    before = RoutingTable(1, state(route("r", "/p/"), route("s", "/s/")), numbering)
+    after = RoutingTable(2, state(route("r", "/p/"), route("s", "/s/", tries=1)), numbering, before)
+    assert after.routes["r"] is before.routes["r"] and after.routes["s"] is not before.routes["s"]
 
 
 def decisions() -> tuple[Gateway, Numbering, int]:
     """The decisions with one ready worker and one class."""
     numbering = Numbering(Bounds())
-    line = numbering.service("one")
-    cls = numbering.kind(line, True, 1000 * MS)
+    line = numbering.service_number("one")
+    cls = numbering.class_number(line, True, 1000 * MS)
     gateway = Gateway(numbering.settings(), 1)
     gateway.handle(SECOND, [BackendList(ListKind.DELTA, (Backend(7, 0, service=line),))])
     return gateway, numbering, cls
@@ -525,7 +531,7 @@
 
 def test_a_request_waits_a_part_of_its_aim_for_its_slice():
     gateway, numbering, cls = decisions()
-    plan = numbering.plan(Sender("ann", ["k"], rate_per_s=100.0, surge=10.0))
+    plan = numbering.plan_number(Sender("ann", ["k"], rate_per_s=100.0, surge=10.0))
     gateway.update_settings(numbering.settings())
     gateway.services[
         0
@@ -559,11 +565,11 @@
         )
         cluster.work("w1", worker.port)
         assert (await (await cluster.ask()).answer())[0] == 200
-        (kept,) = cluster.plane.servers.connections
+        (kept,) = cluster.plane.upstream.connections
         now = time.monotonic_ns()
-        assert cluster.plane.servers._is_reusable(
+        assert cluster.plane.upstream._is_reusable(
             kept, now + 2 * SECOND
-        ) and not cluster.plane.servers._is_reusable(kept, now + 3 * SECOND)
+        ) and not cluster.plane.upstream._is_reusable(kept, now + 3 * SECOND)
 
     going(test)
 
@@ -579,7 +585,7 @@
         status, fields, _ = await (await cluster.ask()).answer()
         assert status == 429 and 0 < float(fields["retry-after"]) <= 2  # its part has not begun, g2 is away
         assert (await (await cluster.ask(key="k3")).answer())[0] == 200  # no quota, nobody is asked
-        quota_keepers, quotas = cluster.plane.quota_keepers, cluster.plane.gatekeeper.gateway.quotas
+        quota_keepers, quotas = cluster.plane.quota_owners, cluster.plane.gatekeeper.gateway.quotas
         (account,) = [one for one in quotas.accounts.values() if one.plan.rate]
         begins = quota_keepers.share_starts_at(account.customer)
         assert begins is not None and 0 < begins - time.monotonic_ns() <= SECOND
--- a/tests/test_ejection.py
+++ b/tests/test_ejection.py
@@ -24,8 +24,8 @@
     OutlierEjection,
 )
 from pepperrun.dataplane.outcome_report import TAG, OutcomeReport, decode, encode
-from pepperrun.dataplane.outcome_sharing import SharedWear
-from pepperrun.dataplane.peer_messages import HEAD
+from pepperrun.dataplane.outcome_sharing import SharedStaleRates
+from pepperrun.dataplane.peer_messages import HEADER
 
 MS = 1_000_000
 
@@ -147,14 +147,14 @@
     report = OutcomeReport(5, 6, [OutcomeCount(2**32 - 1, 255, 1)], [4, 9])
     data = encode(report)
     assert decode(data + b"more of a later version") == report
-    assert data[0] == TAG and all(decode(data[:size]) is None for size in range(HEAD.size, len(data)))
+    assert data[0] == TAG and all(decode(data[:size]) is None for size in range(HEADER.size, len(data)))
 
 
 def test_a_rest_that_was_not_safe_elsewhere_is_not_trusted_with_what_may_not_repeat():
     told: list[int] = []
-    here, there = SharedWear(told.append), SharedWear(lambda step: None)
+    here, there = SharedStaleRates(told.append), SharedStaleRates(lambda step: None)
     here.record_reuse(400 * MS, True)
-    there.reported(*told)
+    there.merge_reported(*told)
     for wear in (here, there):
         assert (
             not wear.is_trusted(400 * MS, 0.03)
@@ -177,7 +177,7 @@
             cluster.plane.gatekeeper.gateway.retry_budget.level = 1.0
             assert (await (await cluster.ask()).answer())[0] in (502, 503)
         assert full.heads and failing.heads
-        charts, ids = cluster.plane.outcome_sharing.ejection.records, cluster.plane.workers.ids
+        charts, ids = cluster.plane.outcome_sharing.ejection.records, cluster.plane.workers.number_by_id
         assert ids["full"] not in charts and charts[ids["ill"]].score >= FAILURE_SCORE
 
     going(test)
@@ -207,17 +207,17 @@
         one, two, three = (cluster.plane.outcome_sharing for cluster in clusters)
         assert one.ejection.zone_size == 2 and len(one.receivers) == 1 and not three.receivers
         heard = asyncio.Event()
-        two.peer_messages.others[TAG] = lambda data, addr: (two.on_report(data, addr), heard.set())
-        worker = clusters[0].plane.workers.ids["w1"]
+        two.peer_messages.handlers[TAG] = lambda data, addr: (two.on_report(data, addr), heard.set())
+        worker = clusters[0].plane.workers.number_by_id["w1"]
         one._record(worker, False, one.clock())
-        one.wear.record_reuse(400 * MS, True)
+        one.stale_rates.record_reuse(400 * MS, True)
         one.send_report()
         await heard.wait()
         assert two.ejection.records[worker].score == FAILURE_SCORE and two.ejection.records[
             worker
-        ].reporters == {clusters[1].plane.peers.lives["g1"][1]}
+        ].reporters == {clusters[1].plane.peers.present["g1"][1]}
         assert (
-            not two.wear.is_trusted(400 * MS, 0.03)
+            not two.stale_rates.is_trusted(400 * MS, 0.03)
             and not three.ejection.records
             and not two.ejection.unreported
         )
@@ -235,10 +235,10 @@
         worker = await StandIn(stall).start()  # takes the request and says nothing
         cluster = Cluster(route("r", "/p/"))
         cluster.work("mute", worker.port)
-        shared, number = cluster.plane.outcome_sharing, cluster.plane.workers.ids["mute"]
+        shared, number = cluster.plane.outcome_sharing, cluster.plane.workers.number_by_id["mute"]
         client = await cluster.ask()
         await worker.arrived.get()
-        ((key, attempt),) = cluster.plane.servers.attempts.items()
+        ((key, attempt),) = cluster.plane.upstream.attempts.items()
         for _ in range(8):
             shared.answer_times[attempt.exchange.cls].add(40 * MS)
         begun = attempt.exchange.attempts[0]
@@ -251,7 +251,7 @@
         assert cluster.plane.reports.counts == {LATE: 1}
         shared.ejection.records[number].ejected_until = begun + SECOND
         shared.check_late_attempts()
-        assert cluster.plane.servers.attempts == {key: attempt} and worker.closed.empty()
+        assert cluster.plane.upstream.attempts == {key: attempt} and worker.closed.empty()
         await worker.stop()
         assert (await client.answer())[0] in (502, 503)
         assert cluster.plane.gatekeeper.outcomes[Outcome.CANCELLED] == 0 and not shared.late
--- a/tests/test_late_attempts.py
+++ b/tests/test_late_attempts.py
@@ -18,7 +18,7 @@
 from pepperrun.core.interface import Outcome
 from pepperrun.dataplane.numbering import Numbering
 from pepperrun.dataplane.outcome_sharing import OutcomeSharing
-from pepperrun.dataplane.routes import Table
+from pepperrun.dataplane.routes import RoutingTable
 from pepperrun.foundation.settings import Bounds
 from pepperrun.net.connection import BODY_STALL_NS, AbandonReason
 
@@ -29,13 +29,13 @@
 def begun_at(cluster: Cluster) -> int:
     """When the attempts that are out began: the earliest of them, steady ns."""
     return min(
-        attempt.exchange.attempts[attempt.number] for attempt in cluster.plane.servers.attempts.values()
+        attempt.exchange.attempts[attempt.number] for attempt in cluster.plane.upstream.attempts.values()
     )
 
 
 def answers_taken(cluster: Cluster, count: int, elapsed_ns: int) -> None:
     """So many answers of the class of what is out have taken so long."""
-    (cls,) = {attempt.exchange.cls for attempt in cluster.plane.servers.attempts.values()}
+    (cls,) = {attempt.exchange.cls for attempt in cluster.plane.upstream.attempts.values()}
     for _ in range(count):
         cluster.plane.outcome_sharing.answer_times[cls].add(elapsed_ns)
 
@@ -82,7 +82,7 @@
         cluster, worker, clients = await at_work(3)
         cluster.plane.listener.draining = True
         answers_taken(cluster, 100, 300 * MS)  # so that what runs counts for little: they are late
-        begun, number = begun_at(cluster), cluster.plane.workers.ids["w1"]
+        begun, number = begun_at(cluster), cluster.plane.workers.number_by_id["w1"]
         for after_ms in (1500, 1750, 2000):
             shared = check_at(cluster, begun + after_ms * MS)
         shared.ejection.records.setdefault(number, _ejected(shared, number)).ejected_until = (
@@ -109,7 +109,7 @@
     async def test():
         cluster, worker, clients = await at_work(3)
         answers_taken(cluster, 100, 300 * MS)
-        begun, number = begun_at(cluster), cluster.plane.workers.ids["w1"]
+        begun, number = begun_at(cluster), cluster.plane.workers.number_by_id["w1"]
         shared = check_at(cluster, begun)
         shared.clock = lambda: begun + 2500 * MS
         shared.check_late_attempts()
@@ -136,7 +136,7 @@
         first, second = (
             cluster.plane.gatekeeper.gateway.pending[one] for one in cluster.plane.gatekeeper.exchanges
         )
-        assert first.cls == second.cls and len(cluster.plane.numbering.rows) == 2
+        assert first.cls == second.cls and len(cluster.plane.numbering.request_classes) == 2
         assert (first.target_ns, first.max_attempts, second.target_ns, second.max_attempts) == (
             3000 * MS,
             1,
@@ -158,11 +158,11 @@
             route("history", "/h/", target_ms=3000, **fields),
             route("lookup", "/l/", target_ms=800, **fields),
         ]
-        before = Table(change + 1, state(*routes), numbering, before)
-        long.update(before.ways["history"].classes)
-        short.update(before.ways["lookup"].classes)
+        before = RoutingTable(change + 1, state(*routes), numbering, before)
+        long.update(before.routes["history"].classes)
+        short.update(before.routes["lookup"].classes)
     assert len(long) == 1 and len(short) == 1 and not long & short
-    assert len(numbering.rows) <= 4
+    assert len(numbering.request_classes) <= 4
 
 
 def test_the_first_answers_are_the_quick_ones_and_make_nothing_late():
@@ -189,7 +189,7 @@
         cluster.work("well", well.port)
         cluster.plane.gatekeeper.gateway.retry_budget.level = 1.0
         answers_taken(cluster, 40, 20 * MS)
-        begun, number = begun_at(cluster), cluster.plane.workers.ids["hung"]
+        begun, number = begun_at(cluster), cluster.plane.workers.number_by_id["hung"]
         shared = check_at(cluster, begun + 500 * MS)
         assert shared.late and shared.ejection.records[number].score > 0
         shared.ejection.records[number].ejected_until = begun + 9 * SECOND
@@ -235,7 +235,7 @@
         whole = ok(b"fine", b"i0")
         worker = await StandIn(pausing(whole, len(whole) - 2)).start()
         cluster.work("w1", worker.port)
-        servers, stalled = cluster.plane.servers, asyncio.Event()
+        servers, stalled = cluster.plane.upstream, asyncio.Event()
         ends, servers.wire.stall_timeout_s = servers.ends_stalled, 0.01
         servers.ends_stalled = lambda attempt: (stalled.set(), ends(attempt))[1]
         (client,) = await sent_to(worker, cluster, 1)
@@ -252,7 +252,7 @@
         whole = ok(b"fine", b"i0")
         worker, other = await StandIn(pausing(whole, len(whole) - 2)).start(), await StandIn(whole).start()
         cluster.work("w1", worker.port)
-        cluster.plane.servers.wire.stall_timeout_s = 0.01
+        cluster.plane.upstream.wire.stall_timeout_s = 0.01
         cluster.plane.gatekeeper.gateway.retry_budget.level = 1.0
         (client,) = await sent_to(worker, cluster, 1)
         cluster.work("w2", other.port)
@@ -277,7 +277,7 @@
         client = await cluster.ask(Attempt_Id="i0", Deadline_Ms="12000", **more)
         await worker.arrived.get()
         await client.reader.readuntil(b"\r\n\r\n")
-        (connection,) = cluster.plane.servers.connections
+        (connection,) = cluster.plane.upstream.connections
         assert connection.download is not None and BODY_STALL_NS < 11 * SECOND
         assert not connection.is_stalled(connection.last_progress_at + 11 * SECOND)
         assert connection.is_stalled(connection.last_progress_at + 13 * SECOND)
@@ -312,12 +312,12 @@
     """SIGHUP, with settings that no longer name the worker's zone."""
     settings = cluster.plane.settings
     network = replace(settings.network, zones={})
-    cluster.plane.reread(replace(settings, network=network))
+    cluster.plane.reload_settings(replace(settings, network=network))
 
 
 def misdirect(cluster: Cluster, port: int) -> None:
     """Another request got 421 at the address."""
-    cluster.plane._on_misdirected(cluster.plane.workers.ids["w1"])
+    cluster.plane._on_misdirected(cluster.plane.workers.number_by_id["w1"])
 
 
 def move_worker(cluster: Cluster, port: int) -> None:
@@ -332,8 +332,8 @@
     for client in list(cluster.plane.listener.clients):
         if not client.is_busy():
             client.close()
-    for backend in list(cluster.plane.servers.pools):
-        cluster.plane.servers.close_idle(backend)
+    for backend in list(cluster.plane.upstream.pools):
+        cluster.plane.upstream.close_idle(backend)
 
 
 @pytest.mark.parametrize("kind", ["safe", "unsafe"])
@@ -348,7 +348,7 @@
     async def test() -> None:
         cluster, worker, clients = await at_work(2, route_kind=kind)
         change(cluster, worker.port)
-        cluster.plane.servers._sweep()
+        cluster.plane.upstream._sweep()
         check_at(cluster, begun_at(cluster) + 2 * SECOND)
         assert await all_served(worker, clients)
         assert not cluster.plane.reports.counts
--- a/tests/test_quota_owners.py
+++ b/tests/test_quota_owners.py
@@ -36,7 +36,7 @@
     TimerFired,
 )
 from pepperrun.core.quota_owners import ABSENT, GRANT_TTL_NS, QuotaOwners, rendezvous_weight
-from pepperrun.dataplane.numbering import Numbering, number_of
+from pepperrun.dataplane.numbering import Numbering, name_hash
 from pepperrun.foundation.settings import Bounds
 
 MS, SECOND = 1_000_000, 1_000_000_000
@@ -44,7 +44,7 @@
 FENCE = 4500 * MS
 RATE, SURGE = 60.0, 30.0
 TENANT = Sender("t", ["k"], None, RATE, SURGE)
-CUSTOMER = number_of("t")
+CUSTOMER = name_hash("t")
 MAX_IN_WINDOW = (RATE * 5 + SURGE) * 1.1 + 20  # the rule, in any five seconds
 
 
@@ -54,10 +54,10 @@
     def __init__(self, world: World, station: str) -> None:
         self.world, self.station, self.domain = world, station, station[0]
         self.numbering = Numbering(BOUNDS)
-        self.numbering.plan(TENANT)
-        self.numbering.service("one")
-        self.cls = self.numbering.kind(0, True, 2 * SECOND)
-        self.numbering.meet(len(world.stations))
+        self.numbering.plan_number(TENANT)
+        self.numbering.service_number("one")
+        self.cls = self.numbering.class_number(0, True, 2 * SECOND)
+        self.numbering.set_gateways(len(world.stations))
         self.updated_at, self.known = 0, 0
         self.quota_owners = QuotaOwners(
             station, (self.domain,), lambda: world.fence, self.is_fresh, self.peer_number
@@ -91,10 +91,10 @@
         chosen = len(self.world.chosen)
         if chosen > self.known:
             self.known = chosen
-            self.quota_owners.plans = {CUSTOMER: self.numbering.plans["t"]}
+            self.quota_owners.plans = {CUSTOMER: self.numbering.plan_numbers["t"]}
             if self.quota_owners.update(self.world.chosen[-1], now):
                 self.gateway.quotas.quota_owners = self.quota_owners if self.quota_owners.domains else None
-                self.numbering.keep(bool(self.quota_owners.domains))
+                self.numbering.set_quota_owners(bool(self.quota_owners.domains))
         self.gateway.quotas.members = tuple(g.incarnation for g in self.world.nodes.values() if g is not self)
         self.gateway.update_settings(self.numbering.settings())
         self.updated_at = now
@@ -175,7 +175,7 @@
         station = self.rng.choice(list(self.nodes))
         node = self.nodes[station]
         self.ids += 1
-        plan = node.numbering.plans["t"]
+        plan = node.numbering.plan_numbers["t"]
         self.deliver(node, Request(self.ids, CUSTOMER, plan, node.cls, 5 * SECOND, 1.0, self.fleet_size))
         self.at(self.now + int(self.rng.expovariate(self.load * RATE) * SECOND), self.send_request)
 
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -16,7 +16,7 @@
 from pepperrun import operatorctl
 from pepperrun.consensus.state import FIRST_DISK_ID
 from pepperrun.core.interface import Outcome
-from pepperrun.dataplane.trace import LogRateLimit, Trace
+from pepperrun.dataplane.trace import LogRateLimit, RequestTrace
 from pepperrun.foundation import logs
 from pepperrun.foundation.errors import PepperrunError
 from pepperrun.operator import explain, loss_accounting, page, state
@@ -165,8 +165,8 @@
         cluster = Cluster(route("r", "/p/", route_kind="unsafe", tries=1))
         front = cluster.plane.front
         cluster.plane.log_requests(100)
-        front.trace = Trace(front, 100, lambda name, **pairs: told.append((1, name, pairs)))
-        cluster.plane.gatekeeper.observer = front.trace.over
+        front.trace = RequestTrace(front, 100, lambda name, **pairs: told.append((1, name, pairs)))
+        cluster.plane.gatekeeper.observer = front.trace.finished
         full = answer(503, b"", b"Not-Run: 1", b"Attempt-Id: i1")
         worker = await StandIn(ok(), full).start()
         cluster.work("w1", worker.port)
@@ -177,7 +177,7 @@
         cluster.fresh = 1
         assert (await (await cluster.ask(Attempt_Id="i9")).answer())[0] == 503
         await asyncio.sleep(0)
-        assert not front.trace.said
+        assert not front.trace.final_answers
 
     going(test)
     first, second, third = (pairs for _, _, pairs in told)
@@ -193,7 +193,7 @@
 def test_lines_are_bounded_and_what_is_left_out_is_counted() -> None:
     limit = LogRateLimit(2, 0)
     assert [limit.allow(0) for _ in range(5)] == [True, True, False, False, False]
-    assert limit.allow(SECOND // 2) and limit.left_out == 3
+    assert limit.allow(SECOND // 2) and limit.suppressed == 3
 
 
 def test_a_change_is_followed_to_each_gatekeeper(tmp_path: Path) -> None:
