--- a/benchmarks/capacity_members.py
+++ b/benchmarks/capacity_members.py
@@ -20,10 +20,10 @@
 
 from capacity_common import ZONES, best_ms, each_us, gateway_rows, in_child, law, state
 
-from pepperrun.control.changes import written
-from pepperrun.control.directory import choose
+from pepperrun.control.changes import encode_configuration
+from pepperrun.control.directory import choose_gateways
 from pepperrun.control.endpoint_registry import EndpointRegistry
-from pepperrun.control.quota_placement import first_places
+from pepperrun.control.quota_placement import first_domains
 from pepperrun.control.records import GatewayRecord
 from pepperrun.core import gossip
 from pepperrun.core.quota_owners import rendezvous_weight
@@ -80,7 +80,7 @@
 def keepers_costs(size: int) -> dict[str, float]:
     """Agreed lists of keepers of so many gatekeepers; what a tenant's first request after a change takes."""
     gateways = [GatewayRecord.from_row(row) for row in gateway_rows(size)]
-    places = first_places(gateways, frozenset(one.name for one in gateways))
+    places = first_domains(gateways, frozenset(one.name for one in gateways))
     all_regions = {one.region: [] for one in gateways}  # type: dict[str, list[str]]
     for one in gateways:
         all_regions[one.region].append(one.name)
@@ -101,7 +101,7 @@
         cells.gateway_heartbeat(GatewayRecord.from_row(row), MS)
 
     def asked() -> None:
-        choose(cells.ready_gateways(MS), "zone-3", "region-1", ZONES, next(seeds))
+        choose_gateways(cells.ready_gateways(MS), "zone-3", "region-1", ZONES, next(seeds))
 
     return {"look_up_us": each_us(asked, 30)}
 
@@ -109,9 +109,9 @@
 def read_costs(size: int) -> dict[str, float]:
     """A read of the whole configuration with so many tenants: bytes, and what it takes to make."""
     body = state(0, size)
-    text = json.dumps(written(body), separators=(",", ":"))
+    text = json.dumps(encode_configuration(body), separators=(",", ":"))
     return {
-        "read_ms": best_ms(lambda: json.dumps(written(body), separators=(",", ":")), 3),
+        "read_ms": best_ms(lambda: json.dumps(encode_configuration(body), separators=(",", ":")), 3),
         "read_bytes": len(text),
         "read_parsed_ms": best_ms(lambda: json.loads(text), 3),
     }
--- a/features/playing.py
+++ b/features/playing.py
@@ -25,7 +25,7 @@
     initial_proposal,
 )
 from pepperrun.control import changes
-from pepperrun.control.configuration import Sender
+from pepperrun.control.configuration import TenantConfig
 from pepperrun.control.endpoint_registry import EndpointRegistry, WorkerHeartbeat
 from pepperrun.control.node import ControlNode
 from pepperrun.control.order_codec import read_amend, read_replace
@@ -61,7 +61,7 @@
 ZONES = {"a": "r1", "b": "r2", "c": "r3"}
 CORES = ["10.0.0.1", "10.0.0.2", "10.0.0.3"]
 SIDING = 7600
-TENANT = Sender("ann", ["k1"], rate_per_s=5.0, surge=10.0)
+TENANT = TenantConfig("ann", ["k1"], rate_per_s=5.0, surge=10.0)
 
 
 def configuration(edition=5, **more):
--- a/features/steps/operators.py
+++ b/features/steps/operators.py
@@ -8,14 +8,14 @@
 from playing import CORES
 
 from pepperrun.control.endpoint_registry import EndpointRegistry
-from pepperrun.control.handlers import Control
+from pepperrun.control.handlers import ControlApi
 from pepperrun.control.matchers import Call, dispatch
 from pepperrun.foundation.settings import Settings, parse
 from pepperrun.operator import problems
 
 
 class Machine:
-    """`Core` for the control calls of one machine."""
+    """`NodeInterface` for the control calls of one machine."""
 
     def __init__(self, trio, ip):
         self.trio, self.ip, self.retiring = trio, ip, False
@@ -23,7 +23,7 @@
         network = {"sidings": [7600, 7615], "first_contacts": [], "zones": playing.ZONES}
         self.settings: Settings = parse({"self": me, "network": network})
         self.registry = EndpointRegistry(ip, 1500, trio.now)
-        self.tree = Control(self).tree()
+        self.tree = ControlApi(self).control_tree()
         self.waiting = []
 
     def now(self):
--- a/pepperrun/control/changes.py
+++ b/pepperrun/control/changes.py
@@ -24,12 +24,12 @@
 from pepperrun.control.order_deduplication import SeenOrder
 from pepperrun.control.table_codec import encode_table
 from pepperrun.control.validation import check_keys_distinct, check_services_known
-from pepperrun.control.verdict import Verdict, refusal
+from pepperrun.control.verdict import Verdict, configuration_error
 from pepperrun.foundation.errors import PepperrunError
 
 State = dict[str, Any]
 
-EMPTY: State = {
+EMPTY_STATE: State = {
     "edition": 0,
     "routes": {},
     "carrier_lines": {},
@@ -39,10 +39,10 @@
     "taken": [],
 }
 # Parts of the state that a change of the configuration leaves as they are.
-CARRIED = ("seats", "keepers", "evacuations")
+KEPT_PARTS = ("seats", "keepers", "evacuations")
 
 
-def evacuation(zone: str, begin: bool, count: int | None = None) -> Operation:
+def evacuation_operation(zone: str, begin: bool, count: int | None = None) -> Operation:
     """Return the operation that empties a zone, or takes that back, as an operator asks for it."""
     op: Operation = {"do": "evacuate", "zone": zone, "begin": begin}
     return op if count is None else op | {"count": count}
@@ -50,7 +50,7 @@
 
 def apply(state: State | None, op: Operation) -> Evaluation:
     """Evaluate an operation on the agreed state, None for the empty one."""
-    state = state or EMPTY
+    state = state or EMPTY_STATE
     match op["do"]:
         case "evacuate":
             return apply_order(state, op)
@@ -109,7 +109,7 @@
     except PepperrunError as error:
         return _refused(400, error.detail, error.code)
     new = configuration | {"edition": op["edition"], "evacuated": state["evacuated"]}
-    new |= {key: state[key] for key in CARRIED if key in state}
+    new |= {key: state[key] for key in KEPT_PARTS if key in state}
     new.pop("older", None)
     new |= order_deduplication.record(state, op)
     return Evaluation(new, Verdict(200, f"Edition {op['edition']} is taken."))
@@ -119,7 +119,7 @@
     """Return the configuration that an order asks for; raises PepperrunError where it is not valid."""
     if op["edition"] <= state["edition"]:
         detail = f"Edition {op['edition']} is not above the current {state['edition']}."
-        raise refusal("old-edition", detail)
+        raise configuration_error("old-edition", detail)
     return _replace(op) if op["do"] == "replace" else _amend(state, op)
 
 
@@ -138,7 +138,7 @@
     there, however they were sent, and what did not change stays the same objects. Another edition makes it
     fail as before.
     """
-    state = state or EMPTY
+    state = state or EMPTY_STATE
     if op["do"] != "replace" or not state["edition"] or op["on"] != state["edition"]:
         return op
     if op.get("more") != state.get("more") or not state["limits"].keys() <= op["limits"].keys():
@@ -190,8 +190,8 @@
     return new
 
 
-def written(state: State | None) -> dict[str, Any]:
+def encode_configuration(state: State | None) -> dict[str, Any]:
     """Return the configuration as operators put it."""
-    state = state or EMPTY
+    state = state or EMPTY_STATE
     tables = {kind: encode_table(state[kind]) for kind in ITEM_TYPES}
     return {"edition": state["edition"], **tables, "limits": state["limits"], **state.get("more", {})}
--- a/pepperrun/control/configuration.py
+++ b/pepperrun/control/configuration.py
@@ -34,7 +34,7 @@
 
 
 @dataclass(frozen=True)
-class CarrierLine:
+class ServiceConfig:
     """A service."""
 
     name: str
@@ -57,7 +57,7 @@
 
 
 @dataclass(frozen=True)
-class Sender:
+class TenantConfig:
     """A tenant: its keys, its quota over all gatekeepers (0: none), its homes."""
 
     name: str
--- a/pepperrun/control/directory.py
+++ b/pepperrun/control/directory.py
@@ -22,16 +22,16 @@
     ----------
     addresses : list of str
         Of gatekeepers, the nearest first.
-    is_makeshift : bool
+    is_fallback : bool
         Whether none is ready where the host's requests may go: these are better than none and no more, and
         the client should ask again soon.
     """
 
     addresses: list[str]
-    is_makeshift: bool = False
+    is_fallback: bool = False
 
 
-class HostHomes:
+class HostHomeRegions:
     """The regions in which requests for a host may be served, by the agreed routes."""
 
     def __init__(self) -> None:
@@ -50,7 +50,7 @@
         return frozenset(self._homes.get(host_of(host.encode()), ()))
 
 
-def choose(
+def choose_gateways(
     gateways: Iterable[GatewayRecord],
     zone: str,
     region: str,
@@ -98,4 +98,4 @@
     at_home = [one.client_address for one in far if one.region in allowed or not allowed]
     if near or at_home:
         return DirectoryAnswer((near + at_home)[:MAX_ADDRESSES])
-    return DirectoryAnswer([one.client_address for one in far][:MAX_ADDRESSES], is_makeshift=True)
+    return DirectoryAnswer([one.client_address for one in far][:MAX_ADDRESSES], is_fallback=True)
--- a/pepperrun/control/endpoint_registry.py
+++ b/pepperrun/control/endpoint_registry.py
@@ -62,7 +62,8 @@
     """One control node's copy. Times are steady ns; peers are other control nodes, by ip.
 
     After each call `take_messages` gives messages with the ips they go to, `take_changed` the records that
-    changed, and `waits.take_completed` the tokens of `heartbeat` and `leave` that enough nodes hold by now.
+    changed, and `waits.take_completed` the tokens of `heartbeat` and `worker_ended` that enough nodes hold by
+    now.
 
     Attributes
     ----------
@@ -229,7 +230,7 @@
     def _last_serial(self, worker: Worker) -> int:
         return max(worker.serial, self.last_serials.get(worker.id, 0))
 
-    def leave(self, worker_id: str, needed: int, now: int) -> int | None:
+    def worker_ended(self, worker_id: str, needed: int, now: int) -> int | None:
         """Handle the end of a worker; return a token as `heartbeat` does."""
         known = self.workers.get(worker_id)
         if known is None:
@@ -247,7 +248,7 @@
         self._urgent.pop(worker_record_id(worker_id), None)
         return token
 
-    def doubt_zone(self, zone: str, now: int) -> None:
+    def mark_zone_maybe_cold(self, zone: str, now: int) -> None:
         """Count a zone's workers as cold until their next heartbeats: they may have cooled down."""
         for worker in list(self.workers.values()):
             if worker.zone != zone or worker.state is not WorkerState.SERVING or worker.maybe_cold:
--- a/pepperrun/control/evacuation_codec.py
+++ b/pepperrun/control/evacuation_codec.py
@@ -2,7 +2,7 @@
 
 | stored or sent | typed |
 | --- | --- |
-| `evacuated` of the state: a zone once for each order that stands | `ZoneOrders.standing` |
+| `evacuated` of the state: a zone once for each order that stands | `ZoneOrders.active` |
 | `evacuations` of the state: `begun`, `finished`, `doubted`, `calls` by zone | the rest of `ZoneOrders` |
 | operation with `call`, `sure`, `seen`, `count` | `OrderCall` |
 | operation with `call`, `lapse`, `count` | `Expiry` |
@@ -28,7 +28,7 @@
 
     Attributes
     ----------
-    standing : int
+    active : int
         Orders that are not ended, the uncertain ones included.
     uncertain : int
         Those of them that may be repeats of others: once no other stands they expire.
@@ -38,7 +38,7 @@
         Ids of the last calls that changed anything.
     """
 
-    standing: int = 0
+    active: int = 0
     uncertain: int = 0
     begin_serial: int = 0
     end_serial: int = 0
@@ -105,11 +105,11 @@
 def decode_orders(state: Mapping[str, Any], zone: str) -> ZoneOrders:
     """Return the orders for a zone; fields of later versions are passed over."""
     known = state.get("evacuations", {}).get(zone, {})
-    standing = state.get("evacuated", []).count(zone)
+    active = state.get("evacuated", []).count(zone)
     return ZoneOrders(
-        standing=standing,
+        active=active,
         # A version that knows nothing of uncertain orders may have ended some.
-        uncertain=min(known.get("doubted", 0), standing),
+        uncertain=min(known.get("doubted", 0), active),
         begin_serial=known.get("begun", 0),
         end_serial=known.get("finished", 0),
         call_ids=tuple(known.get("calls", ())),
@@ -126,7 +126,7 @@
     }
     other_zones = [other for other in state["evacuated"] if other != zone]
     return state | {
-        "evacuated": sorted(other_zones + [zone] * orders.standing),
+        "evacuated": sorted(other_zones + [zone] * orders.active),
         "evacuations": state.get("evacuations", {}) | {zone: entry},
     }
 
@@ -149,13 +149,13 @@
     return OrderCall(zone, begins, op["call"], op["sure"], op["seen"])
 
 
-def encode_call(call: OrderCall, standing_after: int) -> Operation:
+def encode_call(call: OrderCall, active_after: int) -> Operation:
     """Return the operation for an operator's call, after which so many orders are expected to stand."""
     return {
         "do": "evacuate",
         "zone": call.zone,
         "begin": call.begins,
-        "count": standing_after,
+        "count": active_after,
         "call": call.call_id,
         "sure": call.is_new,
         "seen": call.seen_serial,
--- a/pepperrun/control/evacuation_orders.py
+++ b/pepperrun/control/evacuation_orders.py
@@ -23,7 +23,7 @@
 )
 from pepperrun.control.verdict import Verdict
 
-MAX_STANDING_ORDERS = 8  # for one zone: more are the mistake of a script
+MAX_ACTIVE_ORDERS = 8  # for one zone: more are the mistake of a script
 MAX_CALL_IDS = 16  # kept of one zone; eight orders may be under way at once
 
 
@@ -45,44 +45,44 @@
 
 def _expire(state: State, expiry: Expiry, orders: ZoneOrders) -> Evaluation:
     serials = (expiry.begin_serial, expiry.end_serial)
-    all_uncertain = 0 < orders.standing <= orders.uncertain
+    all_uncertain = 0 < orders.active <= orders.uncertain
     if serials != (orders.begin_serial, orders.end_serial) or not all_uncertain:
         return Evaluation(None, Verdict(412, f"Orders for zone {expiry.zone} have come meanwhile."))
-    ended = replace(_after_end(orders, expiry.call_id), standing=0, uncertain=0)
+    ended = replace(_after_end(orders, expiry.call_id), active=0, uncertain=0)
     return _changed(state, expiry.zone, ended, f"Zone {expiry.zone} is in use again.")
 
 
 def _begin(state: State, call: OrderCall, orders: ZoneOrders, is_new: bool) -> Evaluation:
     # One uncertain order covers all repeats. Where only such stand, another keeps them from expiring.
-    adds_order = is_new or orders.uncertain in (0, orders.standing)
-    if orders.standing >= MAX_STANDING_ORDERS or not adds_order:
+    adds_order = is_new or orders.uncertain in (0, orders.active)
+    if orders.active >= MAX_ACTIVE_ORDERS or not adds_order:
         return _unchanged(f"Zone {call.zone} is evacuated already.")
-    is_uncertain = not is_new and orders.standing > 0 and not orders.uncertain
+    is_uncertain = not is_new and orders.active > 0 and not orders.uncertain
     begun = replace(
         _after_begin(orders, call.call_id),
-        standing=orders.standing + 1,
+        active=orders.active + 1,
         uncertain=orders.uncertain + is_uncertain,
     )
-    already = " already" if orders.standing and not is_new else ""
+    already = " already" if orders.active and not is_new else ""
     return _changed(state, call.zone, begun, f"Zone {call.zone} is evacuated{already}.")
 
 
 def _end(state: State, call: OrderCall, orders: ZoneOrders, is_new: bool) -> Evaluation:
-    if not orders.standing:
+    if not orders.active:
         return _unchanged(f"Zone {call.zone} is in use already.")
-    standing = orders.standing - 1 if is_new else orders.standing
-    uncertain = min(standing, orders.uncertain if is_new else orders.uncertain + 1)
-    sentence = f"Zone {call.zone} is {_after_one_end(standing, uncertain)}."
+    active = orders.active - 1 if is_new else orders.active
+    uncertain = min(active, orders.uncertain if is_new else orders.uncertain + 1)
+    sentence = f"Zone {call.zone} is {_after_one_end(active, uncertain)}."
     if not is_new and uncertain == orders.uncertain:
         return _unchanged(sentence)
-    ended = replace(_after_end(orders, call.call_id), standing=standing, uncertain=uncertain)
+    ended = replace(_after_end(orders, call.call_id), active=active, uncertain=uncertain)
     return _changed(state, call.zone, ended, sentence)
 
 
-def _after_one_end(standing: int, uncertain: int) -> str:
-    if not standing:
+def _after_one_end(active: int, uncertain: int) -> str:
+    if not active:
         return "in use again"
-    if uncertain == standing:
+    if uncertain == active:
         return "still evacuated by another order, or in use soon"
     return "still evacuated by another order"
 
@@ -95,25 +95,25 @@
 
 
 def _begin_up_to(state: State, order: CountedOrder, orders: ZoneOrders) -> Evaluation:
-    count = max(1, orders.standing) if order.count is None else order.count
-    if orders.standing >= count:
+    count = max(1, orders.active) if order.count is None else order.count
+    if orders.active >= count:
         return _already(order.zone, orders)
-    begun = replace(_after_begin(orders), standing=orders.standing + 1)
+    begun = replace(_after_begin(orders), active=orders.active + 1)
     return _changed(state, order.zone, begun, f"Zone {order.zone} is evacuated.")
 
 
 def _end_down_to(state: State, order: CountedOrder, orders: ZoneOrders) -> Evaluation:
     count = 0 if order.count is None else order.count
-    if orders.standing <= count:
+    if orders.active <= count:
         return _already(order.zone, orders)
-    standing = orders.standing - 1
-    ended = replace(_after_end(orders), standing=standing, uncertain=min(standing, orders.uncertain))
-    in_force = "still evacuated by another order" if standing else "in use again"
+    active = orders.active - 1
+    ended = replace(_after_end(orders), active=active, uncertain=min(active, orders.uncertain))
+    in_force = "still evacuated by another order" if active else "in use again"
     return _changed(state, order.zone, ended, f"Zone {order.zone} is {in_force}.")
 
 
 def _already(zone: str, orders: ZoneOrders) -> Evaluation:
-    in_force = "evacuated" if orders.standing else "in use"
+    in_force = "evacuated" if orders.active else "in use"
     return _unchanged(f"Zone {zone} is {in_force} already.")
 
 
--- a/pepperrun/control/evacuations.py
+++ b/pepperrun/control/evacuations.py
@@ -26,7 +26,7 @@
     evacuated_zones,
     zones_with_orders,
 )
-from pepperrun.control.evacuation_orders import MAX_STANDING_ORDERS
+from pepperrun.control.evacuation_orders import MAX_ACTIVE_ORDERS
 
 MS = 1_000_000  # ns
 SECOND = 1000 * MS
@@ -79,12 +79,12 @@
             if orders.serial(begins=begins) != before.serial(begins=begins):
                 self.learnt_at[zone, begins] = now
                 is_moved = True
-        if not orders.standing or (is_moved and not is_one_operation):
+        if not orders.active or (is_moved and not is_one_operation):
             self.emptied_at.pop(zone, None)
-        elif not before.standing and is_one_operation:
+        elif not before.active and is_one_operation:
             self.emptied_at[zone] = now
         if _is_change_without_serial(before, orders):
-            self.learnt_at[zone, orders.standing > before.standing] = now
+            self.learnt_at[zone, orders.active > before.active] = now
         self.known[zone] = orders
 
     # Proposing.
@@ -111,7 +111,7 @@
         learnt_at = self.learnt_at.get((zone, begins))
         is_new = learnt_at is None or now - learnt_at > _repeated_for_ns(receipt_ms)
         call = OrderCall(zone, begins, next_call_id(), is_new, orders.serial(begins=begins))
-        return encode_call(call, _standing_after(call, orders))
+        return encode_call(call, _active_after(call, orders))
 
     def next_expiry(
         self, state: Mapping[str, Any], next_call_id: Callable[[], str], receipt_ms: float, now: int
@@ -121,7 +121,7 @@
             return None
         for zone in sorted(evacuated_zones(state)):
             orders = decode_orders(state, zone)
-            if orders.standing <= orders.uncertain and now > self._expires_at(zone, receipt_ms):
+            if orders.active <= orders.uncertain and now > self._expires_at(zone, receipt_ms):
                 self.proposed_at = now
                 expiry = Expiry(zone, next_call_id(), orders.begin_serial, orders.end_serial)
                 return encode_expiry(expiry)
@@ -141,13 +141,13 @@
 
 def _is_change_without_serial(before: ZoneOrders, after: ZoneOrders) -> bool:
     """Whether a version of the program that keeps no serials changed the number of orders."""
-    return after.standing != before.standing and after == replace(before, standing=after.standing)
+    return after.active != before.active and after == replace(before, active=after.active)
 
 
-def _standing_after(call: OrderCall, orders: ZoneOrders) -> int:
+def _active_after(call: OrderCall, orders: ZoneOrders) -> int:
     if call.begins:
-        return min(MAX_STANDING_ORDERS, orders.standing + 1)
-    return max(0, orders.standing - 1) if call.is_new else orders.standing
+        return min(MAX_ACTIVE_ORDERS, orders.active + 1)
+    return max(0, orders.active - 1) if call.is_new else orders.active
 
 
 def _repeated_for_ns(receipt_ms: float) -> int:
--- a/pepperrun/control/handlers.py
+++ b/pepperrun/control/handlers.py
@@ -8,8 +8,8 @@
 from typing import Any, Protocol
 
 from pepperrun.consensus.state import Operation
-from pepperrun.control.changes import evacuation, written
-from pepperrun.control.directory import HostHomes, choose
+from pepperrun.control.changes import encode_configuration, evacuation_operation
+from pepperrun.control.directory import HostHomeRegions, choose_gateways
 from pepperrun.control.endpoint_registry import EndpointRegistry, WorkerHeartbeat
 from pepperrun.control.matchers import (
     Answer,
@@ -25,7 +25,7 @@
 from pepperrun.control.order_codec import read_amend, read_replace
 from pepperrun.control.records import WorkerState
 from pepperrun.control.table_codec import parse_body
-from pepperrun.control.verdict import Verdict, refusal
+from pepperrun.control.verdict import Verdict, configuration_error
 from pepperrun.foundation.errors import PepperrunError
 from pepperrun.foundation.logs import event
 from pepperrun.foundation.settings import Settings
@@ -36,7 +36,7 @@
 ORDER_TIMEOUT_NS_PER_KB = 2 * MS  # for each KB of the body, as long ones take longer to bring
 READ_TIMEOUT_S = 0.7  # for a read to be confirmed as the newest
 DIRECTORY_TTL_S = 2.0  # for which clients keep what the directory answered
-MAKESHIFT_TTL_S = 0.5  # the same for an answer that is better than none and no more
+FALLBACK_TTL_S = 0.5  # the same for an answer that is better than none and no more
 RETRY_AFTER_S = 0.2  # with a 503
 MAX_EDITION_DIGITS = 18
 MAX_PORT = 65535
@@ -44,7 +44,7 @@
 AwaitedAnswer = Awaitable[Answer]
 
 
-class Core(Protocol):
+class NodeInterface(Protocol):
     """The parts of the running control node that calls need. Times are steady ns."""
 
     settings: Settings
@@ -98,7 +98,7 @@
 # Answers.
 
 
-def explain(status: int, code: str, detail: str = "", retry_after_s: float = 0.0) -> Answer:
+def detail_answer(status: int, code: str, detail: str = "", retry_after_s: float = 0.0) -> Answer:
     """Return an answer that says in a sentence what is the matter."""
     content = {"code": code, "detail": detail} if detail else {"code": code}
     headers = (("Retry-After", f"{retry_after_s:g}"),) if retry_after_s else ()
@@ -107,7 +107,7 @@
 
 def unavailable(code: str, detail: str = "") -> Answer:
     """Return the answer of a node that can't; another may, or this one later."""
-    return explain(503, code, detail, RETRY_AFTER_S)
+    return detail_answer(503, code, detail, RETRY_AFTER_S)
 
 
 def _no_quorum() -> Answer:
@@ -118,15 +118,15 @@
     return unavailable("not-fresh", "It is not known whether what is held is the newest.")
 
 
-class Control:
+class ControlApi:
     """Answers calls on the control and the directory port."""
 
-    def __init__(self, core: Core) -> None:
-        self.core = core
-        self.host_homes = HostHomes()
+    def __init__(self, node: NodeInterface) -> None:
+        self.node = node
+        self.host_homes = HostHomeRegions()
         self.directory_calls = 0  # so that each begins at another gatekeeper
 
-    def tree(self) -> Matcher:
+    def control_tree(self) -> Matcher:
         """Return the matchers of the control port."""
         return any_of(self._worker_calls(), self._configuration_calls(), self._evacuation_calls())
 
@@ -148,7 +148,7 @@
         finish = segment("finish", _post(self.finish))
         return segment("evacuate", variable("zone", begin, finish))
 
-    def directory(self) -> Matcher:
+    def directory_tree(self) -> Matcher:
         """Return the matchers of the directory port."""
         return segment("resolve", method("GET", endpoint(self.resolve)))
 
@@ -156,43 +156,43 @@
 
     def beat(self, call: Call) -> Answer | AwaitedAnswer:
         """POST /crew/ID/beat: a worker's heartbeat."""
-        core = self.core
-        if core.lacks_quorum:
+        node = self.node
+        if node.lacks_quorum:
             return _no_quorum()
         try:
             heartbeat = read_heartbeat(call.values["id"], call.body)
         except PepperrunError as error:
-            return explain(400, error.code, error.detail)
+            return detail_answer(400, error.code, error.detail)
         drains = heartbeat.state is WorkerState.DRAINING
-        needed = core.voter_count // 2 if drains else 0
-        token = core.registry.heartbeat(heartbeat, needed, core.now())
-        core.process_pending()
+        needed = node.voter_count // 2 if drains else 0
+        token = node.registry.heartbeat(heartbeat, needed, node.now())
+        node.process_pending()
         body = self._forwarding(heartbeat)
         return Answer(200, body) if token is None else self._once_replicated(token, body)
 
     def _forwarding(self, heartbeat: WorkerHeartbeat) -> bytes:
         """Return the body that names the node which should get a worker's heartbeats."""
-        core = self.core
-        zones = core.settings.network.zones
-        ip = core.registry.forward_to(heartbeat.id, heartbeat.zone, core.settings.me.zone, zones)
-        return json.dumps({"forward_to": core.control_address(ip)}).encode() if ip is not None else b"{}"
+        node = self.node
+        zones = node.settings.network.zones
+        ip = node.registry.forward_to(heartbeat.id, heartbeat.zone, node.settings.me.zone, zones)
+        return json.dumps({"forward_to": node.control_address(ip)}).encode() if ip is not None else b"{}"
 
     def leave(self, call: Call) -> Answer | AwaitedAnswer:
         """POST /crew/ID/leave: a worker ends."""
-        core = self.core
-        if core.lacks_quorum:
+        node = self.node
+        if node.lacks_quorum:
             return _no_quorum()
-        token = core.registry.leave(call.values["id"], core.voter_count // 2, core.now())
-        core.process_pending()
+        token = node.registry.worker_ended(call.values["id"], node.voter_count // 2, node.now())
+        node.process_pending()
         return Answer(200, b"{}") if token is None else self._once_replicated(token, b"{}")
 
     async def _once_replicated(self, token: int, body: bytes) -> Answer:
         """Acknowledge once so many nodes hold it that a loss does not undo it."""
         try:
             async with asyncio.timeout(REPLICATION_TIMEOUT_S):
-                await self.core.replicated(token)
+                await self.node.replicated(token)
         except TimeoutError:
-            self.core.registry.waits.give_up(token)
+            self.node.registry.waits.give_up(token)
             return unavailable("not-held", "Too few other machines hold it.")
         return Answer(200, body)
 
@@ -202,7 +202,7 @@
         """Return the handler of POST /timetable/replace or /timetable/amend."""
 
         def handle(call: Call) -> Answer | AwaitedAnswer:
-            if self.core.lacks_quorum:
+            if self.node.lacks_quorum:
                 return _no_quorum()
             try:
                 op = read(call.body, _based_on(call))
@@ -218,7 +218,7 @@
         if not await self._is_confirmed():
             return _not_confirmed()
         event("refused", code=error.code, detail=error.detail)
-        return explain(400, error.code, error.detail)
+        return detail_answer(400, error.code, error.detail)
 
     def begin(self, call: Call) -> Answer | AwaitedAnswer:
         """POST /evacuate/ZONE/begin: a zone is to be emptied."""
@@ -231,46 +231,46 @@
     def _evacuate(self, call: Call, *, begin: bool) -> Answer | AwaitedAnswer:
         zone = call.values["zone"]
         # A zone that was evacuated is known, also where this node's settings are not of that day.
-        evacuated_before = (self.core.state or {}).get("evacuations", {})
-        if zone not in self.core.settings.network.zones and zone not in evacuated_before:
-            return explain(404, "unknown-zone", f"There is no zone {zone}.")
-        return self.order(call, evacuation(zone, begin), ORDER_TIMEOUT_NS)
+        evacuated_before = (self.node.state or {}).get("evacuations", {})
+        if zone not in self.node.settings.network.zones and zone not in evacuated_before:
+            return detail_answer(404, "unknown-zone", f"There is no zone {zone}.")
+        return self.order(call, evacuation_operation(zone, begin), ORDER_TIMEOUT_NS)
 
     def order(self, call: Call, op: Operation, timeout_ns: int) -> Answer | AwaitedAnswer:
         """Propose an order; a node that stops or has no quorum says so at once."""
-        core = self.core
-        other = core.other_node() if core.retiring else None
+        node = self.node
+        other = node.other_node() if node.retiring else None
         if other is not None:
             path = "/" + "/".join(call.path)
             return Answer(307, headers=(("Location", f"http://{other}{path}"),))
-        if core.lacks_quorum or core.retiring:
+        if node.lacks_quorum or node.retiring:
             return _no_quorum()
         return self._ordered(op, timeout_ns)
 
     async def _ordered(self, op: Operation, timeout_ns: int) -> Answer:
-        started_at = self.core.now()
-        verdict = await self.core.order(op, timeout_ns)
+        started_at = self.node.now()
+        verdict = await self.node.order(op, timeout_ns)
         if verdict is None:
             return unavailable("uncertain", "It may be taken or not: ask again.")
-        _log_order(op, verdict, (self.core.now() - started_at) // MS)
+        _log_order(op, verdict, (self.node.now() - started_at) // MS)
         if verdict.status == 503:
             return unavailable(verdict.code, verdict.detail)
         code = verdict.code or ("ok" if verdict.status == 200 else "stale-base")
-        return explain(verdict.status, code, verdict.detail)
+        return detail_answer(verdict.status, code, verdict.detail)
 
     async def read(self, call: Call) -> Answer:
         """GET /timetable/read: the configuration as operators put it."""
-        if self.core.lacks_quorum:
+        if self.node.lacks_quorum:
             return _no_quorum()
         if not await self._is_confirmed():
             return _not_confirmed()
-        return Answer(200, json.dumps(written(self.core.state), separators=(",", ":")).encode())
+        return Answer(200, json.dumps(encode_configuration(self.node.state), separators=(",", ":")).encode())
 
     async def _is_confirmed(self) -> bool:
         """Whether a quorum answers a read that is sent after this call came."""
         try:
             async with asyncio.timeout(READ_TIMEOUT_S):
-                await self.core.confirmed()
+                await self.node.confirmed()
         except TimeoutError:
             return False
         return True
@@ -279,20 +279,20 @@
 
     def resolve(self, call: Call) -> Answer:
         """GET /resolve: gatekeepers for a client."""
-        core = self.core
+        node = self.node
         self.directory_calls += 1
-        chosen = choose(
-            core.registry.ready_gateways(core.now()),
+        chosen = choose_gateways(
+            node.registry.ready_gateways(node.now()),
             zone=call.query.get("zone", ""),
             region=call.query.get("region", ""),
-            regions=core.settings.network.zones,
+            regions=node.settings.network.zones,
             seed=self.directory_calls,
-            homes=lambda: self.host_homes.of(core.state, call.query.get("name", "")),
+            homes=lambda: self.host_homes.of(node.state, call.query.get("name", "")),
         )
         if not chosen.addresses:
             return unavailable("no-gateway", "No gatekeeper is ready.")
-        ttl_s = MAKESHIFT_TTL_S if chosen.is_makeshift else DIRECTORY_TTL_S
-        ttl_s = min(ttl_s, core.settings.tariffs.bounds.ttl_max_s)
+        ttl_s = FALLBACK_TTL_S if chosen.is_fallback else DIRECTORY_TTL_S
+        ttl_s = min(ttl_s, node.settings.tariffs.bounds.ttl_max_s)
         return Answer(200, json.dumps({"addresses": chosen.addresses, "ttl_s": ttl_s}).encode())
 
 
@@ -309,7 +309,7 @@
 def _based_on(call: Call) -> int:
     text = call.values["based-on"].strip()
     if not (text.isascii() and text.isdigit()) or len(text) > MAX_EDITION_DIGITS:
-        raise refusal("bad-type", f"Based-On is no edition: {text:.40}.")
+        raise configuration_error("bad-type", f"Based-On is no edition: {text:.40}.")
     return int(text)
 
 
--- a/pepperrun/control/inspection.py
+++ b/pepperrun/control/inspection.py
@@ -16,7 +16,7 @@
 
 
 class InspectedNode(Protocol):
-    """What `shown` reads of a running control node; `control.node.ControlNode` is one."""
+    """What `inspect_node` reads of a running control node; `control.node.ControlNode` is one."""
 
     settings: Settings
     incarnation: int
@@ -30,7 +30,7 @@
         """How old what this node knows may be, ms; None where nothing is confirmed."""
 
 
-def shown(node: InspectedNode, now: int) -> Message:
+def inspect_node(node: InspectedNode, now: int) -> Message:
     """Return the answer to `show`: ages in ms, addresses as in the settings. Nothing secret is in it."""
     me = node.settings.me
     replica = node.replica
@@ -57,7 +57,7 @@
         "leaving_voters": [list(voter) for voter in outgoing],
         "keeper": replica.coordinator,
         "stopping": node.retiring,
-        "peers": node.peer_links.cores(),
+        "peers": node.peer_links.linked_nodes(),
         "evacuated": sorted(body.get("evacuated", ())),
         "cells": _endpoints_by_zone(node, now),
         "children": [
--- a/pepperrun/control/item_conversion.py
+++ b/pepperrun/control/item_conversion.py
@@ -14,14 +14,18 @@
 
 import dacite
 
-from pepperrun.control.configuration import UNSAFE, CarrierLine, Limits, Route, Sender, Split
-from pepperrun.control.verdict import refusal
+from pepperrun.control.configuration import UNSAFE, Limits, Route, ServiceConfig, Split, TenantConfig
+from pepperrun.control.verdict import configuration_error
 
 Item = dict[str, Any]
 Items = dict[str, Item]  # by name
 T = TypeVar("T")
 
-ITEM_TYPES: dict[str, type] = {"routes": Route, "carrier_lines": CarrierLine, "senders": Sender}  # by table
+ITEM_TYPES: dict[str, type] = {
+    "routes": Route,
+    "carrier_lines": ServiceConfig,
+    "senders": TenantConfig,
+}  # by table
 ITEM_NAMES = {"routes": "route", "carrier_lines": "service", "senders": "sender"}  # in sentences, by table
 MAX_EXACT_INT = 1 << 53  # whole numbers below it are the same as floats
 DEFAULTED_COLUMNS = ("route_kind", "target_ms")  # of a route: `_with_defaults` has them
@@ -92,7 +96,7 @@
     return column.default is MISSING and column.default_factory is MISSING and not is_defaulted
 
 
-CONVERTED_TYPES: tuple[type, ...] = (Route, CarrierLine, Limits, Sender, Split)
+CONVERTED_TYPES: tuple[type, ...] = (Route, ServiceConfig, Limits, TenantConfig, Split)
 COLUMN_CHECKS: dict[type, dict[str, Check]] = {
     kind: {column.name: CHECKS[column.type] for column in fields(kind)} for kind in CONVERTED_TYPES
 }
@@ -132,7 +136,7 @@
     try:
         return dacite.from_dict(kind, item, DACITE_CONFIG)
     except (dacite.DaciteError, TypeError, ValueError, OverflowError) as error:
-        raise refusal("bad-type", f"{name}: {error}") from None
+        raise configuration_error("bad-type", f"{name}: {error}") from None
 
 
 def convert_conforming(kind: type[T], item: Item) -> T:
--- a/pepperrun/control/node.py
+++ b/pepperrun/control/node.py
@@ -20,7 +20,7 @@
 from pepperrun.control.coordinator_tasks import CoordinatorTasks
 from pepperrun.control.endpoint_registry import EndpointRegistry
 from pepperrun.control.evacuations import Evacuations
-from pepperrun.control.inspection import shown
+from pepperrun.control.inspection import inspect_node
 from pepperrun.control.peer_links import CONTROL_CLASS, PeerLinks
 from pepperrun.control.pending_calls import PendingCalls
 from pepperrun.control.records import GatewayRecord, Worker
@@ -39,7 +39,7 @@
 
 
 class ControlNode:
-    """`Core` for the control calls, `Source` for the publisher, `User` of all links.
+    """`NodeInterface` for the control calls, `Source` for the publisher, `User` of all links.
 
     Parameters
     ----------
@@ -104,7 +104,7 @@
         self._connect_to_wanted_peers()
 
     def _connect_to_wanted_peers(self) -> None:
-        self.peer_links.want(self._first_contacts | self.replica.voter_ips, self.now())
+        self.peer_links.set_wanted(self._first_contacts | self.replica.voter_ips, self.now())
 
     def hello(self) -> Message:
         """Return the message by which this node begins a link."""
@@ -134,7 +134,7 @@
         now = self.now()
         ip = self.peer_links.ip_of(link)
         if message["k"] == "show":
-            link.send(shown(self, now))
+            link.send(inspect_node(self, now))
         elif ip is None:
             self.publisher.heard(link, message, now)
         else:
@@ -149,7 +149,7 @@
             case peer_messages.CONSENSUS:
                 self.replica.receive(ip, peer_messages.decode_consensus(data), now)
             case peer_messages.KNOWN_PEERS:
-                self.peer_links.learn(peer_messages.decode_known_peers(data), now)
+                self.peer_links.add_known(peer_messages.decode_known_peers(data), now)
             case peer_messages.PEER_STOPPING:
                 self.registry.stop_forwarding_to(ip)
 
@@ -170,7 +170,7 @@
         self.replica.connected(ip, zone, now)
         self.registry.connected(ip, zone, now)
         frame = encode(peer_messages.encode_known_peer(ip, zone))
-        for other, _ in self.peer_links.cores():
+        for other, _ in self.peer_links.linked_nodes():
             if other != ip:
                 self.peer_links.write(other, frame)
 
@@ -216,7 +216,7 @@
     @property
     def control_nodes(self) -> list[list[str]]:
         """[ip, zone] of this node and of the control nodes that it is linked with."""
-        return [[self.settings.me.ip, self.settings.me.zone], *self.peer_links.cores()]
+        return [[self.settings.me.ip, self.settings.me.zone], *self.peer_links.linked_nodes()]
 
     def age_ms(self, now: int) -> float | None:
         """How old what this node knows may be, ms; None where nothing is confirmed."""
@@ -231,7 +231,7 @@
         """Take over newer records that a gatekeeper holds."""
         self.registry.merge(workers, gateways, now)
 
-    # What calls need (`control.handlers.Core`).
+    # What calls need (`control.handlers.NodeInterface`).
 
     @property
     def lacks_quorum(self) -> bool:
@@ -352,7 +352,7 @@
         body = self.replica.body
         evacuated_zones = set(body.get("evacuated", ()))
         for zone in self._evacuated_zones - evacuated_zones:
-            self.registry.doubt_zone(zone, now)
+            self.registry.mark_zone_maybe_cold(zone, now)
         self._evacuated_zones = evacuated_zones
         self.evacuations.on_state(body, now, is_one_operation=change.operation is not None)
         self._log_change(change)
@@ -360,7 +360,7 @@
         self.publisher.state_changed(known, now)
         wanted = self._first_contacts | self.replica.voter_ips
         if wanted - {self.settings.me.ip} != self.peer_links.wanted:
-            self.peer_links.want(wanted, now)
+            self.peer_links.set_wanted(wanted, now)
 
     def _log_change(self, change: BodyChange) -> None:
         fields: dict[str, Any] = {}
@@ -390,7 +390,7 @@
             self.replica.tick(now)
         if now >= self.registry.next_tick_at():
             self.registry.tick(now)
-            self.peer_links.turn(now, tidy=True)
+            self.peer_links.maintain(now, prune=True)
             self._coordinate(now)
         if self._publish_at and now >= self._publish_at:
             self._publish_at = 0
@@ -411,7 +411,7 @@
         """Prepare a graceful shutdown: the role goes to another node, and the others are told."""
         self.retiring = True
         self.replica.request_stop(self.now())
-        for ip, _ in self.peer_links.cores():
+        for ip, _ in self.peer_links.linked_nodes():
             self.peer_links.send(ip, peer_messages.encode_stopping())
         self.process_pending()
 
--- a/pepperrun/control/order_codec.py
+++ b/pepperrun/control/order_codec.py
@@ -14,7 +14,7 @@
 from pepperrun.control.item_conversion import ITEM_NAMES, ITEM_TYPES, Item, Items, conforms, convert
 from pepperrun.control.table_codec import decode_table, parse_body
 from pepperrun.control.validation import check_items, check_keys_distinct, check_services_known
-from pepperrun.control.verdict import refusal
+from pepperrun.control.verdict import configuration_error
 
 DIGEST_BYTES = 12
 OTHER_KEYS = (*ITEM_TYPES, "edition", "limits")  # of a whole configuration; what else it has is kept
@@ -50,7 +50,7 @@
 
 def _whole_table(kind: str, body: dict[str, Any]) -> Items:
     if kind not in body and kind != "senders":
-        raise refusal("cut-short", f"The configuration has no {kind}.")
+        raise configuration_error("cut-short", f"The configuration has no {kind}.")
     if body.get(kind) is None:
         return {}
     items = decode_table(kind, body[kind])
@@ -72,7 +72,7 @@
     upsert = body.get("upsert") or {}
     withdraw = body.get("withdraw") or {}
     if not isinstance(upsert, dict) or not isinstance(withdraw, dict):
-        raise refusal("bad-type", "upsert and withdraw are no objects.")
+        raise configuration_error("bad-type", "upsert and withdraw are no objects.")
     for kind in ITEM_TYPES:
         if upsert.get(kind) is not None:
             op["upsert"][kind] = decode_table(kind, upsert[kind])
@@ -88,24 +88,26 @@
 
 def _withdrawn(kind: str, names: Any, upserted: Items) -> list[str]:
     if not isinstance(names, list) or not all(isinstance(name, str) for name in names):
-        raise refusal("bad-type", f"withdraw: {kind} is no list of names.")
+        raise configuration_error("bad-type", f"withdraw: {kind} is no list of names.")
     for name in names:
         if name in upserted:
-            raise refusal("twice-named", f"{ITEM_NAMES[kind]} {name} is to be both put and withdrawn.")
+            raise configuration_error(
+                "twice-named", f"{ITEM_NAMES[kind]} {name} is to be both put and withdrawn."
+            )
     return names
 
 
 def _edition(body: dict[str, Any]) -> int:
     edition = body.get("edition")
     if isinstance(edition, bool) or not isinstance(edition, int) or edition < 1:
-        raise refusal("bad-type", f"The edition is no whole number above 0: {edition!r:.40}.")
+        raise configuration_error("bad-type", f"The edition is no whole number above 0: {edition!r:.40}.")
     return edition
 
 
 def _limits(body: dict[str, Any]) -> Item:
     limits = body.get("limits") or {}
     if not isinstance(limits, dict):
-        raise refusal("bad-type", "limits is no object.")
+        raise configuration_error("bad-type", "limits is no object.")
     limits = {key: value for key, value in limits.items() if value is not None}
     if not conforms(Limits, limits):
         convert(Limits, limits, "limits")
--- a/pepperrun/control/order_deduplication.py
+++ b/pepperrun/control/order_deduplication.py
@@ -5,10 +5,10 @@
 as long as the chain is known from some edition on, an order based on that edition or a later one was applied
 if and only if it is in the chain. Of an order with an older base nothing can be said.
 
-The newest `RECENT` are in the state's `taken` with their full digests, as every version of the program keeps
-them. What drops out there goes to `older`: pages by their first edition, never changed once they are full, so
-that a change writes the text of one page only (`consensus.canonical_json`). A node of a version that does not
-know `older` drops it, or leaves it as it is: `HEAD` tells whether it still joins on to `taken`.
+The newest `RECENT_ORDERS` are in the state's `taken` with their full digests, as every version of the program
+keeps them. Older ones move to `older`: pages by their first edition. A full page never changes, so a change
+writes the text of one page only (`consensus.canonical_json`). A node of a version that does not know `older`
+drops it, or leaves it as it is: `HEADER` tells whether `older` still ends where `taken` begins.
 """
 
 from __future__ import annotations
@@ -21,12 +21,13 @@
 State = dict[str, Any]
 Page = dict[str, str]  # short digests by edition
 
-RECENT = 64  # orders in `taken`
-PAGE = 64  # orders on a page of `older`
+RECENT_ORDERS = 64  # orders in `taken`
+PAGE_ORDERS = 64  # orders on a page of `older`
 MAX_PAGES = 64
-REMEMBERED = RECENT + (MAX_PAGES - 1) * PAGE + 1  # orders at least, once there were so many
-SHORT_DIGEST = 12  # hex digits in `older`: 48 bits, compared under one edition only
-HEAD = "head"  # of `older`: {"from": edition, "next": edition}
+# Orders that are known at least, once so many were applied.
+MIN_REMEMBERED_ORDERS = RECENT_ORDERS + (MAX_PAGES - 1) * PAGE_ORDERS + 1
+SHORT_DIGEST_DIGITS = 12  # hex digits in `older`: 48 bits, compared under one edition only
+HEADER = "head"  # of `older`: {"from": edition, "next": edition}
 
 
 class SeenOrder(enum.Enum):
@@ -42,8 +43,8 @@
     if [op["edition"], op["digest"]] in state["taken"]:
         return SeenOrder.APPLIED
     edition = str(op["edition"])
-    short = op["digest"][:SHORT_DIGEST]
-    pages = (page for name, page in _continuous_pages(state).items() if name != HEAD)
+    short = op["digest"][:SHORT_DIGEST_DIGITS]
+    pages = (page for name, page in _continuous_pages(state).items() if name != HEADER)
     if any(page.get(edition) == short for page in pages):
         return SeenOrder.APPLIED
     return SeenOrder.NOT_APPLIED if op["on"] >= known_since(state) else SeenOrder.UNKNOWN
@@ -53,21 +54,21 @@
     """Return the edition from which on it is known of orders based on it whether they were applied."""
     older = _continuous_pages(state)
     if older:
-        return int(older[HEAD]["from"])
+        return int(older[HEADER]["from"])
     taken = state["taken"]
-    return taken[0][0] if len(taken) >= RECENT else 0
+    return taken[0][0] if len(taken) >= RECENT_ORDERS else 0
 
 
 def record(before: State, op: Operation) -> State:
     """Return `taken` and `older` of the state after this order was applied on top of `before`."""
     taken = [*before["taken"], [op["edition"], op["digest"]]]
     older = _continuous_pages(before)
-    if not older and len(taken) == RECENT:
-        older = {HEAD: {"from": 0, "next": taken[0][0]}}  # nothing has been forgotten so far
-    while len(taken) > RECENT:
+    if not older and len(taken) == RECENT_ORDERS:
+        older = {HEADER: {"from": 0, "next": taken[0][0]}}  # nothing has been forgotten so far
+    while len(taken) > RECENT_ORDERS:
         edition, digest = taken.pop(0)
-        older = _append(older or {HEAD: {"from": edition}}, edition, digest[:SHORT_DIGEST])
-        older[HEAD] = {"from": older[HEAD]["from"], "next": taken[0][0]}
+        older = _append(older or {HEADER: {"from": edition}}, edition, digest[:SHORT_DIGEST_DIGITS])
+        older[HEADER] = {"from": older[HEADER]["from"], "next": taken[0][0]}
     return {"taken": taken, "older": older} if older else {"taken": taken}
 
 
@@ -81,16 +82,16 @@
 def _continuous_pages(state: State) -> dict[str, Any]:
     """Return `older` if it ends where `taken` begins, else {}: an older version was at work."""
     older: dict[str, Any] = state.get("older") or {}
-    return older if older and older[HEAD]["next"] == state["taken"][0][0] else {}
+    return older if older and older[HEADER]["next"] == state["taken"][0][0] else {}
 
 
 def _append(older: dict[str, Any], edition: int, short: str) -> dict[str, Any]:
     """Return a copy of `older` with one more order, and without the oldest page where there are too many."""
-    names = sorted((name for name in older if name != HEAD), key=int)
-    if names and len(older[names[-1]]) < PAGE:
+    names = sorted((name for name in older if name != HEADER), key=int)
+    if names and len(older[names[-1]]) < PAGE_ORDERS:
         return older | {names[-1]: older[names[-1]] | {str(edition): short}}
     older = older | {str(edition): {str(edition): short}}
     if len(names) >= MAX_PAGES:
         dropped: Page = older.pop(names[0])
-        older[HEAD] = {"from": max(map(int, dropped))}
+        older[HEADER] = {"from": max(map(int, dropped))}
     return older
--- a/pepperrun/control/peer_links.py
+++ b/pepperrun/control/peer_links.py
@@ -69,19 +69,19 @@
         self._zones: dict[str, str] = {}  # of linked nodes
         self._known_since: dict[str, int] = {}  # when known nodes were last linked or learnt
 
-    def want(self, ips: Iterable[str], now: int) -> None:
+    def set_wanted(self, ips: Iterable[str], now: int) -> None:
         """Keep links to these for as long as they are named so."""
         self.wanted = {ip for ip in ips if ip != self.own_ip}
         for ip in self.wanted:
             self._known_since[ip] = now
-        self.turn(now)
+        self.maintain(now)
 
-    def learn(self, ips: Iterable[str], now: int) -> None:
+    def add_known(self, ips: Iterable[str], now: int) -> None:
         """Link to nodes of which another told."""
         for ip in ips:
             if ip != self.own_ip:
                 self._known_since.setdefault(ip, now)
-        self.turn(now)
+        self.maintain(now)
 
     def opened(self, link: Link, hello: Message, now: int) -> None:
         """Handle a link on which a control node has said hello."""
@@ -95,7 +95,7 @@
         if len(links) == 1:
             self._zones[ip] = str(hello["zone"])
             self.listener.peer_up(ip, self._zones[ip])
-        self.learn([row[0] for row in hello.get("cores", ())], now)
+        self.add_known([row[0] for row in hello.get("cores", ())], now)
 
     def closed(self, link: Link, now: int) -> None:
         """Handle the end of a link."""
@@ -111,26 +111,26 @@
             del self._zones[ip]
             self._known_since[ip] = now
             self.listener.peer_down(ip)
-        self.turn(now)
+        self.maintain(now)
 
     def ip_of(self, link: Link) -> str | None:
         """Return the ip of the node at the other end; None for a link of somebody else."""
         return next((ip for ip, links in self._links.items() if link in links), None)
 
-    def turn(self, now: int, *, tidy: bool = False) -> None:
+    def maintain(self, now: int, *, prune: bool = False) -> None:
         """Dial who is known and not linked.
 
         Parameters
         ----------
-        tidy : bool
+        prune : bool
             Also give up second links, and nodes that have long been away.
         """
         for ip in list(self._known_since):
-            if tidy and self._should_forget(ip, now):
+            if prune and self._should_forget(ip, now):
                 self._forget(ip)
             elif ip not in self._dialers and not self._links.get(ip):
                 self._dialers[ip] = self.dial((ip, self.port), self.user, self.hello)
-            elif tidy and self._dialled_in_vain(ip):
+            elif prune and self._dialled_in_vain(ip):
                 self._dialers.pop(ip).close()
 
     def _should_forget(self, ip: str, now: int) -> bool:
@@ -159,7 +159,7 @@
         if links:
             links[0].write(frame)
 
-    def cores(self) -> list[list[str]]:
+    def linked_nodes(self) -> list[list[str]]:
         """Return [ip, zone] of the nodes that are linked."""
         return [[ip, zone] for ip, zone in self._zones.items()]
 
--- a/pepperrun/control/quota_placement.py
+++ b/pepperrun/control/quota_placement.py
@@ -96,13 +96,13 @@
         if now - self.joined_at < QUIET_NS:
             return None
         if not agreed["term"]:
-            places = first_places(known.values(), self.present)
+            places = first_domains(known.values(), self.present)
             if len(places) < 2 or not is_crowded(body, bounds, len(known)):
                 return None
         else:
             if now - self.changed_at < CHANGE_INTERVAL_NS or now - self.joined_at < JOIN_BATCH_NS:
                 return None
-            places = updated_places(agreed["places"], known, self.present, silent_ns)
+            places = updated_domains(agreed["places"], known, self.present, silent_ns)
             if places == agreed["places"]:
                 return None
         return {"do": "keepers", "places": places, "instead": agreed["term"]}
@@ -119,7 +119,7 @@
     return 2 * too_small > len(buckets)
 
 
-def first_places(gateways: Iterable[GatewayRecord], present: frozenset[str]) -> Places:
+def first_domains(gateways: Iterable[GatewayRecord], present: frozenset[str]) -> Places:
     """Return the first lists, of the gatekeepers that are present."""
     regions: Places = {}
     zones: Places = {}
@@ -132,7 +132,7 @@
     return {name: sorted(places[name]) for name in sorted(largest)}
 
 
-def updated_places(
+def updated_domains(
     places: Mapping[str, list[str]],
     known: Mapping[str, GatewayRecord],
     present: frozenset[str],
--- a/pepperrun/control/records.py
+++ b/pepperrun/control/records.py
@@ -35,7 +35,7 @@
 
 
 # How far a worker's state is from serving; of two copies with one serial the graver counts.
-GRAVITY = {WorkerState.SERVING: 0, WorkerState.LOST: 1, WorkerState.DRAINING: 2, WorkerState.GONE: 3}
+FINALITY = {WorkerState.SERVING: 0, WorkerState.LOST: 1, WorkerState.DRAINING: 2, WorkerState.GONE: 3}
 
 
 @dataclass(slots=True, frozen=True)
@@ -66,9 +66,9 @@
     @property
     def rank(self) -> tuple[int, int, int]:
         """Order of copies: draining and gone are never undone; else the later heartbeat, then the graver."""
-        gravity = GRAVITY[self.state]
-        is_final = gravity > GRAVITY[WorkerState.LOST]
-        return (gravity if is_final else 0), self.serial, gravity * 2 + (not self.maybe_cold)
+        finality = FINALITY[self.state]
+        is_final = finality > FINALITY[WorkerState.LOST]
+        return (finality if is_final else 0), self.serial, finality * 2 + (not self.maybe_cold)
 
     @property
     def is_gone(self) -> bool:
--- a/pepperrun/control/server.py
+++ b/pepperrun/control/server.py
@@ -25,7 +25,7 @@
 SWEEP_S = 2.0
 
 
-class CallerConnection(asyncio.BufferedProtocol):
+class ClientConnection(asyncio.BufferedProtocol):
     """A connection of a caller: one call after another."""
 
     def __init__(self, server: Server) -> None:
@@ -49,7 +49,7 @@
     def connection_lost(self, exc: Exception | None) -> None:
         """Cancel the answer that is awaited."""
         self.transport = None
-        self.server.callers.pop(self, None)
+        self.server.connections.pop(self, None)
         if self.busy is not None:
             self.busy.cancel()
 
@@ -172,7 +172,7 @@
 
     def __init__(self, tree: Matcher) -> None:
         self.tree = tree
-        self.callers: dict[CallerConnection, None] = {}  # the oldest first
+        self.connections: dict[ClientConnection, None] = {}  # the oldest first
         self.closing = False
         self.listener: asyncio.Server | None = None
         self.timer: asyncio.TimerHandle | None = None
@@ -182,7 +182,7 @@
         loop = asyncio.get_running_loop()
         try:
             self.listener = await loop.create_server(
-                lambda: CallerConnection(self), *where, reuse_address=True, backlog=256
+                lambda: ClientConnection(self), *where, reuse_address=True, backlog=256
             )
         except OSError as error:
             raise PepperrunError("no-listen", "opening", str(error), f"{where[0]}:{where[1]}") from None
@@ -191,19 +191,19 @@
     def sweep(self) -> None:
         """End connections that have waited for too long, by one timer for all."""
         now = time.monotonic_ns()
-        for caller in list(self.callers):
+        for caller in list(self.connections):
             caller.sweep(now)
         self.timer = asyncio.get_running_loop().call_later(SWEEP_S, self.sweep)
 
-    def add(self, caller: CallerConnection) -> None:
+    def add(self, caller: ClientConnection) -> None:
         """Add a connection; beyond the limit the one that has been idle for longest gives way."""
-        self.callers[caller] = None
-        if len(self.callers) > MAX_CONNECTIONS:
+        self.connections[caller] = None
+        if len(self.connections) > MAX_CONNECTIONS:
             idle = min(
-                (one for one in self.callers if one.busy is None), key=lambda one: one.since, default=None
+                (one for one in self.connections if one.busy is None), key=lambda one: one.since, default=None
             )
             if idle is not None and idle.transport is not None:
-                del self.callers[idle]
+                del self.connections[idle]
                 idle.transport.abort()
 
     async def close(self, timeout_s: float) -> None:
@@ -211,8 +211,8 @@
         self.closing = True
         if self.listener is not None:
             self.listener.close()
-        busy = [one.busy for one in self.callers if one.busy is not None]
-        for caller in list(self.callers):
+        busy = [one.busy for one in self.connections if one.busy is not None]
+        for caller in list(self.connections):
             if caller.busy is None and caller.transport is not None:
                 caller.transport.close()
         if busy:
--- a/pepperrun/control/table_codec.py
+++ b/pepperrun/control/table_codec.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from pepperrun.control.item_conversion import ITEM_NAMES, Item, Items
-from pepperrun.control.verdict import refusal
+from pepperrun.control.verdict import configuration_error
 
 
 def _reject_constant(text: str) -> Any:
@@ -27,9 +27,9 @@
     try:
         body = json.loads(data, parse_constant=_reject_constant)
     except (ValueError, RecursionError) as error:
-        raise refusal("cut-short", f"The body can't be read whole: {error}.") from None
+        raise configuration_error("cut-short", f"The body can't be read whole: {error}.") from None
     if not isinstance(body, dict):
-        raise refusal("cut-short", "The body is no JSON object.")
+        raise configuration_error("cut-short", "The body is no JSON object.")
     return body
 
 
@@ -53,30 +53,32 @@
         item = _decode_row(kind, columns, row)
         name = item["name"]
         if name in items:
-            raise refusal("twice-named", f"{ITEM_NAMES[kind]} {name} is there twice.")
+            raise configuration_error("twice-named", f"{ITEM_NAMES[kind]} {name} is there twice.")
         items[name] = item
     return items
 
 
 def _columns_and_rows(kind: str, table: Any) -> tuple[list[str], list[Any]]:
     if not isinstance(table, dict):
-        raise refusal("cut-short", f"{kind} is no table.")
+        raise configuration_error("cut-short", f"{kind} is no table.")
     columns = table.get("columns")
     rows = table.get("rows")
     if not isinstance(columns, list) or not isinstance(rows, list):
-        raise refusal("cut-short", f"{kind} has no columns and rows.")
+        raise configuration_error("cut-short", f"{kind} has no columns and rows.")
     if not all(isinstance(column, str) for column in columns) or len(set(columns)) != len(columns):
-        raise refusal("bad-type", f"{kind}: the columns are not distinct names.")
+        raise configuration_error("bad-type", f"{kind}: the columns are not distinct names.")
     return columns, rows
 
 
 def _decode_row(kind: str, columns: list[str], row: Any) -> Item:
     if not isinstance(row, list) or len(row) != len(columns):
-        raise refusal("cut-short", f"{kind}: a row does not have {len(columns)} values: {row!r:.80}.")
+        raise configuration_error(
+            "cut-short", f"{kind}: a row does not have {len(columns)} values: {row!r:.80}."
+        )
     item = {column: value for column, value in zip(columns, row, strict=True) if value is not None}
     name = item.get("name")
     if not isinstance(name, str) or not name:
-        raise refusal("bad-type", f"{kind}: a row has no name: {row!r:.80}.")
+        raise configuration_error("bad-type", f"{kind}: a row has no name: {row!r:.80}.")
     return item
 
 
--- a/pepperrun/control/validation.py
+++ b/pepperrun/control/validation.py
@@ -10,7 +10,7 @@
 
 from pepperrun.control.configuration import Route
 from pepperrun.control.item_conversion import ITEM_NAMES, ITEM_TYPES, Item, Items, conforms, convert
-from pepperrun.control.verdict import refusal
+from pepperrun.control.verdict import configuration_error
 
 MAX_DEADLINE_MS = 600_000
 
@@ -40,10 +40,10 @@
     """
     name = item["name"]
     if "deadline_ms" not in item:
-        raise refusal("no-timeout", f"Route {name} has no deadline_ms.")
+        raise configuration_error("no-timeout", f"Route {name} has no deadline_ms.")
     if "prefix" not in item or "depot" not in item:
         code = "no-host" if "depot" not in item else "bare-prefix"
-        raise refusal(code, f"Route {name} has no host or prefix.")
+        raise configuration_error(code, f"Route {name} has no host or prefix.")
     if conforms(Route, item):
         splits = item.get("splits")
         shares = None if splits is None else [split["share"] for split in splits]
@@ -59,25 +59,33 @@
 def _check_match(name: str, deadline_ms: float, prefix: str, host: str) -> None:
     """Check which requests a route takes, and for how long."""
     if not deadline_ms > 0:
-        raise refusal("no-timeout", f"Route {name} has a deadline_ms of {deadline_ms:g}, not above 0.")
+        raise configuration_error(
+            "no-timeout", f"Route {name} has a deadline_ms of {deadline_ms:g}, not above 0."
+        )
     if deadline_ms > MAX_DEADLINE_MS:
-        raise refusal("long-timeout", f"Route {name} has a deadline_ms of {deadline_ms:g}, over ten minutes.")
+        raise configuration_error(
+            "long-timeout", f"Route {name} has a deadline_ms of {deadline_ms:g}, over ten minutes."
+        )
     if not prefix.startswith("/"):
-        raise refusal("bare-prefix", f"Route {name} has the prefix {prefix!r}, which begins with no slash.")
+        raise configuration_error(
+            "bare-prefix", f"Route {name} has the prefix {prefix!r}, which begins with no slash."
+        )
     if not host.strip():
-        raise refusal("no-host", f"Route {name} has an empty depot.")
+        raise configuration_error("no-host", f"Route {name} has an empty depot.")
 
 
 def _check_destination(name: str, service: str | None, shares: list[float] | None) -> None:
     """Check that a route goes to one service, or to several by their shares."""
     if shares:
         if service is not None:
-            raise refusal("no-service", f"Route {name} has both a line and splits.")
+            raise configuration_error("no-service", f"Route {name} has both a line and splits.")
         if any(share < 0 for share in shares) or not sum(shares) > 0:
-            raise refusal("no-weight", f"Route {name} has splits whose shares don't add up to more than 0.")
+            raise configuration_error(
+                "no-weight", f"Route {name} has splits whose shares don't add up to more than 0."
+            )
     elif service is None:
         code = "no-service" if shares is None else "no-weight"
-        raise refusal(code, f"Route {name} goes to no service.")
+        raise configuration_error(code, f"Route {name} goes to no service.")
 
 
 def check_services_known(routes: Iterable[Item], services: Mapping[str, Any] | set[str]) -> None:
@@ -91,7 +99,7 @@
     for route in routes:
         for service in _services_of(route):
             if service not in services:
-                raise refusal(
+                raise configuration_error(
                     "unknown-service", f"Route {route['name']} names the unknown service {service!r}."
                 )
 
@@ -113,4 +121,4 @@
     for name, sender in senders.items():
         for key in sender.get("stamps", ()):
             if owners.setdefault(key, name) != name:
-                raise refusal("shared-key", f"Senders {owners[key]} and {name} share a key.")
+                raise configuration_error("shared-key", f"Senders {owners[key]} and {name} share a key.")
--- a/pepperrun/control/verdict.py
+++ b/pepperrun/control/verdict.py
@@ -17,7 +17,7 @@
     code: str = ""
 
 
-def refusal(code: str, sentence: str) -> PepperrunError:
+def configuration_error(code: str, sentence: str) -> PepperrunError:
     """Return the error that says why a configuration is not taken, its sentence made whole."""
     whole = sentence[:1].upper() + sentence[1:].rstrip()
     return PepperrunError(code, STEP, whole if whole.endswith(".") else whole + ".")
--- a/pepperrun/control_node.py
+++ b/pepperrun/control_node.py
@@ -10,7 +10,7 @@
 import sys
 
 from pepperrun.consensus.state import DurableState, InMemoryStore, StateStore
-from pepperrun.control.handlers import Control
+from pepperrun.control.handlers import ControlApi
 from pepperrun.control.node import ControlNode
 from pepperrun.control.server import Server
 from pepperrun.foundation import link, logs
@@ -35,8 +35,11 @@
         state, store = open_store(settings)
         logs.event("starting", station=settings.me.station, ip=settings.me.ip, starts=state.starts)
         self.node = ControlNode(settings, state, store, state.starts)
-        control = Control(self.node)
-        self.servers = {"control_port": Server(control.tree()), "directory_port": Server(control.directory())}
+        control_api = ControlApi(self.node)
+        self.servers = {
+            "control_port": Server(control_api.control_tree()),
+            "directory_port": Server(control_api.directory_tree()),
+        }
 
     def settings_mtime_ns(self) -> int:
         """Return when the settings file was last changed."""
@@ -51,7 +54,7 @@
         loop = asyncio.get_running_loop()
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, self.stop.set)
-        loop.add_signal_handler(signal.SIGHUP, self.reread)
+        loop.add_signal_handler(signal.SIGHUP, self.reload_settings)
         listener = await link.listen(self.settings.internal_port, self.node, self.node.hello)
         for name, server in self.servers.items():
             where = self.settings.postbox(name)
@@ -64,7 +67,7 @@
                     await self.stop.wait()
             except TimeoutError:
                 if self.settings_mtime_ns() != self.settings_changed_at:
-                    self.reread()
+                    self.reload_settings()
         logs.event("stopping", station=self.settings.me.station)
         self.node.request_stop()
         listener.close()
@@ -82,7 +85,7 @@
             await asyncio.sleep(HANDOVER_CHECK_S)
         logs.event("handover-timed-out", station=self.settings.me.station)
 
-    def reread(self) -> None:
+    def reload_settings(self) -> None:
         """Read the settings file again; one that is not valid changes nothing."""
         self.settings_changed_at = self.settings_mtime_ns()
         try:
--- a/pepperrun/dataplane/numbering.py
+++ b/pepperrun/dataplane/numbering.py
@@ -9,7 +9,7 @@
 import hashlib
 from dataclasses import replace
 
-from pepperrun.control.configuration import Sender
+from pepperrun.control.configuration import TenantConfig
 from pepperrun.core.interface import Plan, Repeat, RequestClass, Settings
 from pepperrun.core.quota_owners import GRANT_TTL_NS
 from pepperrun.foundation.settings import Bounds
@@ -80,7 +80,7 @@
         if attempts > self.max_attempts:
             self.max_attempts, self.changed = attempts, True
 
-    def plan_number(self, sender: Sender) -> int:
+    def plan_number(self, sender: TenantConfig) -> int:
         """The plan of a tenant, with its quota as it is now."""
         at = self.plan_numbers.get(sender.name)
         if at is None:
--- a/pepperrun/dataplane/routes.py
+++ b/pepperrun/dataplane/routes.py
@@ -8,7 +8,7 @@
 from functools import partial
 from typing import Any, TypeVar
 
-from pepperrun.control.configuration import SAFE, CarrierLine, Limits, Route, Sender
+from pepperrun.control.configuration import SAFE, Limits, Route, ServiceConfig, TenantConfig
 from pepperrun.control.item_conversion import conforms, convert, convert_conforming
 from pepperrun.core.interface import RequestLimits
 from pepperrun.dataplane.numbering import MS, Numbering, name_hash
@@ -128,7 +128,7 @@
 
     def __init__(self, item: Item, numbering: Numbering) -> None:
         self.item = item
-        self.config: Sender = read_item(Sender, item)
+        self.config: TenantConfig = read_item(TenantConfig, item)
         self.name = self.config.name.encode()
         self.customer = name_hash(self.config.name)
         self.home_regions = region_set(self.config.home_regions)
@@ -146,9 +146,9 @@
         self.limits: Limits = read_item(Limits, state.get("limits") or {})
         self.evacuated = frozenset(state.get("evacuated") or ())
         self.keys_required = bool(state.get("senders"))  # are keys asked for at all?
-        self.services: dict[int, CarrierLine] = {}
+        self.services: dict[int, ServiceConfig] = {}
         for item in (state.get("carrier_lines") or {}).values():
-            service = convert_or_log(item, lambda one: read_item(CarrierLine, one))
+            service = convert_or_log(item, lambda one: read_item(ServiceConfig, one))
             if service is not None:
                 self.services[numbering.service_number(service.name)] = service
         self.routes: dict[str, Way] = _reuse_or_convert(
--- a/pepperrun/operator/state.py
+++ b/pepperrun/operator/state.py
@@ -23,7 +23,7 @@
 import lmdb
 
 from pepperrun.consensus.state import DurableState
-from pepperrun.control.changes import written
+from pepperrun.control.changes import encode_configuration
 from pepperrun.foundation.errors import PepperrunError
 from pepperrun.storage.records import (
     BODY_PREFIX,
@@ -197,7 +197,7 @@
     if memory.chosen is None or "edition" not in memory.chosen.body:
         return text
     beside = folder / f"timetable-{memory.chosen.body['edition']}.json"
-    beside.write_text(json.dumps(written(memory.chosen.body), ensure_ascii=False))
+    beside.write_text(json.dumps(encode_configuration(memory.chosen.body), ensure_ascii=False))
     beside.chmod(0o600)
     return f"{text}; the configuration lies in {beside.name}, for reading or for `put`"
 
--- a/pepperrun/simulation/cutoff_days.py
+++ b/pepperrun/simulation/cutoff_days.py
@@ -1,9 +1,9 @@
 """Days on which control nodes are cut off, drawn by a seed; the histories of calls are judged linearizable.
 
-The control nodes' own `Hub` and `Control` run on virtual loops, two gateways subscribe to their news, three
-operators race. A trouble lasts up to twenty seconds and befalls the reader, the keeper, or the node that
-acknowledged last. Judged besides: a node that reaches no other answers 503 and nothing else, at once when it
-has had the time to know; gateways leave it, and never hold an older number than before.
+The control nodes' own `Hub` and `ControlApi` run on virtual loops, two gateways subscribe to their news,
+three operators race. A trouble lasts up to twenty seconds and befalls the reader, the keeper, or the node
+that acknowledged last. Judged besides: a node that reaches no other answers 503 and nothing else, at once
+when it has had the time to know; gateways leave it, and never hold an older number than before.
 
 `python3 -m pepperrun.simulation.cutoff_days --seeds 200` plays them.
 """
--- a/pepperrun/simulation/nodes.py
+++ b/pepperrun/simulation/nodes.py
@@ -12,7 +12,7 @@
 from typing import Any, cast
 
 from pepperrun.consensus.state import FIRST_DISK_ID, DurableState, initial_proposal
-from pepperrun.control.handlers import Control
+from pepperrun.control.handlers import ControlApi
 from pepperrun.control.matchers import Answer, Call, dispatch
 from pepperrun.control.node import ControlNode
 from pepperrun.control.records import GatewayRecord, GatewayState
@@ -98,7 +98,7 @@
         assert loop is not None
         self.node = ControlNode(self.settings, memory, self.disk, memory.starts, loop.clock)
         control_bugs.put_in(self.bug, self.node)
-        self.tree = Control(self.node).tree()
+        self.tree = ControlApi(self.node).control_tree()
         spawn(loop, link.listen(self.settings.internal_port, self.node, self.node.hello))
         self.node.start()
 
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -8,7 +8,7 @@
 from clusters import A, B, C, World, beat, gateway, put, whole
 
 from pepperrun.control.changes import apply
-from pepperrun.control.directory import DirectoryAnswer, HostHomes, choose
+from pepperrun.control.directory import DirectoryAnswer, HostHomeRegions, choose_gateways
 from pepperrun.control.endpoint_registry import GATEWAY_GONE_NS, GATEWAY_SILENT_NS
 from pepperrun.control.gateway_count import GatewayCount
 from pepperrun.control.records import GatewayRecord, Worker, WorkerState
@@ -32,7 +32,7 @@
     world.cells[A].heartbeat(beat("w1", 3), 0, world.now)  # late
     world.settle()
     assert world.states("w1") == {"unloading"}
-    world.cells[A].leave("w1", 1, world.now)
+    world.cells[A].worker_ended("w1", 1, world.now)
     world.cells[B].heartbeat(beat("w1", 9), 0, world.now)
     world.settle()
     assert world.states("w1") == {"gone"}
@@ -89,7 +89,7 @@
     token = world.cells[A].heartbeat(beat("w1", 3, "unloading"), 2, world.now)
     world.settle()
     assert world.cells[A].waits.take_completed() == [token]
-    assert world.cells[B].leave("w1", 2, world.now) is not None
+    assert world.cells[B].worker_ended("w1", 2, world.now) is not None
     world.settle()
     assert len(world.cells[B].waits.take_completed()) == 1 and world.states("w1") == {"gone"}
 
@@ -159,7 +159,7 @@
         world.cells[A].heartbeat(beat("w1", serial), 0, world.now)
         world.cells[A].heartbeat(beat("w2", serial, zone="z1"), 0, world.now)
     world.settle()
-    world.cells[A].doubt_zone(
+    world.cells[A].mark_zone_maybe_cold(
         "z0", world.now
     )  # which hears the worker; B has not learnt yet that it is taken back
     world.run(1.2)  # and what it holds must not undo the doubt
@@ -218,10 +218,12 @@
     assert world.cells[B].gateways["g1"].state == "ready"
     regions = {"z0": "r0", "z1": "r0", "z2": "r1"}
     several = [gateway(f"g{n}", f"z{n % 3}", regions[f"z{n % 3}"]) for n in range(90)]
-    told = [choose(several, "z0", "r0", regions, seed).addresses for seed in range(40)]
+    told = [choose_gateways(several, "z0", "r0", regions, seed).addresses for seed in range(40)]
     assert all(len(one) == 60 and len(set(one)) == 60 for one in told)
     assert len({one[0] for one in told}) > 10  # load spreads
-    assert choose(several[2:3], "z0", "", regions, 1).addresses == ["g2:80"]  # a far one rather than none
+    assert choose_gateways(several[2:3], "z0", "", regions, 1).addresses == [
+        "g2:80"
+    ]  # a far one rather than none
 
 
 def test_in_a_roll_the_directory_leads_nobody_out_of_a_hosts_homes() -> None:
@@ -233,15 +235,15 @@
         "b": {"depot": "h.example:80", "home_regions": []},
         "c": {"depot": "other.example", "home_regions": []},
     }
-    homes = HostHomes()
+    homes = HostHomeRegions()
 
     def told(ready: list[GatewayRecord], host: str) -> DirectoryAnswer:
-        return choose(ready, "z0", "r0", regions, 1, lambda: homes.of({"routes": routes}, host))
+        return choose_gateways(ready, "z0", "r0", regions, 1, lambda: homes.of({"routes": routes}, host))
 
     assert told([near, home, far], "h.EXAMPLE") == DirectoryAnswer(["g0:80", "g1:80"])
     assert told([near, far], "h.example") == DirectoryAnswer(["g0:80"])
     assert told([home, far], "h.example") == DirectoryAnswer(["g1:80"])
-    assert told([far], "h.example") == DirectoryAnswer(["g2:80"], is_makeshift=True)
+    assert told([far], "h.example") == DirectoryAnswer(["g2:80"], is_fallback=True)
     assert set(told([near, home, far], "other.example").addresses) == {"g0:80", "g1:80", "g2:80"}
 
 
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -13,15 +13,15 @@
 
 from pepperrun.consensus.state import Operation, digest_of
 from pepperrun.control import item_conversion
-from pepperrun.control.changes import apply, compact, evacuation, written
+from pepperrun.control.changes import apply, compact, encode_configuration, evacuation_operation
 from pepperrun.control.endpoint_registry import BATCH_NS, ROUND_NS, EndpointRegistry
-from pepperrun.control.handlers import Control, read_heartbeat
+from pepperrun.control.handlers import ControlApi, read_heartbeat
 from pepperrun.control.item_conversion import ITEM_TYPES
 from pepperrun.control.matchers import Answer, Call, dispatch, parse_target
 from pepperrun.control.node import tolerated_losses
 from pepperrun.control.order_codec import read_replace
 from pepperrun.control.peer_links import FORGET_NS, PeerLinks
-from pepperrun.control.server import CallerConnection, Server
+from pepperrun.control.server import ClientConnection, Server
 from pepperrun.control.table_codec import decode_table
 from pepperrun.control.verdict import Verdict
 from pepperrun.dataplane.numbering import Numbering
@@ -36,7 +36,7 @@
 def test_a_configuration_reads_back_as_it_was_sent_and_planes_read_the_same() -> None:
     state, verdict = apply(None, put(whole()))
     assert verdict[0] == 200 and state is not None
-    back = written(state)
+    back = encode_configuration(state)
     for kind in ("routes", "carrier_lines", "senders"):
         sent, told = ((set(t["columns"]), t) for t in (whole()[kind], back[kind]))
         items = [
@@ -140,13 +140,16 @@
 
 def test_a_zone_is_emptied_and_taken_back_once_however_often_it_is_asked() -> None:
     state, _ = apply(None, put(whole()))
-    begun, verdict = apply(state, evacuation("z1", True))
+    begun, verdict = apply(state, evacuation_operation("z1", True))
     assert begun and begun["evacuated"] == ["z1"] and verdict[0] == 200
-    assert apply(begun, evacuation("z1", True)) == (None, Verdict(200, "Zone z1 is evacuated already."))
+    assert apply(begun, evacuation_operation("z1", True)) == (
+        None,
+        Verdict(200, "Zone z1 is evacuated already."),
+    )
     kept, _ = apply(begun, put(whole(5), on=3))
     assert kept and kept["evacuated"] == ["z1"]
-    done, _ = apply(kept, evacuation("z1", False))
-    assert done and done["evacuated"] == [] and apply(done, evacuation("z1", False))[0] is None
+    done, _ = apply(kept, evacuation_operation("z1", False))
+    assert done and done["evacuated"] == [] and apply(done, evacuation_operation("z1", False))[0] is None
 
 
 class Core:
@@ -214,7 +217,11 @@
     async def ask() -> Answer:
         path, query = parse_target(target.encode())
         data = body if isinstance(body, bytes) else json.dumps(body).encode()
-        tree = Control(core).tree() if not target.startswith("/resolve") else Control(core).directory()
+        tree = (
+            ControlApi(core).control_tree()
+            if not target.startswith("/resolve")
+            else ControlApi(core).directory_tree()
+        )
         answer = dispatch(tree, Call(method, path, query, headers, data))
         return answer if isinstance(answer, Answer) else await answer
 
@@ -303,8 +310,8 @@
 
 def test_the_server_answers_calls_in_order_chunked_or_not_and_ends_on_garbage() -> None:
     async def play(data: bytes, size: int) -> Wire:
-        server = Server(Control(Core()).tree())
-        caller, wire = CallerConnection(server), Wire()
+        server = Server(ControlApi(Core()).control_tree())
+        caller, wire = ClientConnection(server), Wire()
         caller.connection_made(wire)
         while data:
             view = caller.get_buffer(-1)
@@ -361,7 +368,7 @@
             told.append(("lost", ip))
 
     mesh = PeerLinks("10.0.0.5", 7600, None, Told(), dict, Dial)  # type: ignore[arg-type]
-    mesh.want(["10.0.0.1", "10.0.0.5"], SECOND)
+    mesh.set_wanted(["10.0.0.1", "10.0.0.5"], SECOND)
     assert [one.where for one in mesh._dialers.values()] == [("10.0.0.1", 7600)]
     own, theirs = Plug(), Plug()
     mesh._dialers["10.0.0.1"].link = own
@@ -370,15 +377,15 @@
     mesh.opened(theirs, hello, SECOND)  # type: ignore[arg-type]
     assert told == [("up", "10.0.0.1")] and set(mesh._dialers) == {"10.0.0.1", "10.0.0.7"}
     dialer = mesh._dialers["10.0.0.1"]
-    mesh.turn(2 * SECOND)
+    mesh.maintain(2 * SECOND)
     assert dialer.open
-    mesh.turn(2 * SECOND, tidy=True)  # the lower one dialled too: its link stays
+    mesh.maintain(2 * SECOND, prune=True)  # the lower one dialled too: its link stays
     assert not dialer.open and "10.0.0.1" not in mesh._dialers
     mesh.closed(own, 2 * SECOND)  # type: ignore[arg-type]
     assert told[1:] == [("lost", "10.0.0.1")]
     mesh.closed(theirs, 3 * SECOND)  # type: ignore[arg-type]
     assert told[-1] == ("down", "10.0.0.1") and "10.0.0.1" in mesh._dialers
-    mesh.turn(FORGET_NS + 4 * SECOND, tidy=True)
+    mesh.maintain(FORGET_NS + 4 * SECOND, prune=True)
     assert set(mesh._dialers) == {"10.0.0.1"}  # which is wanted; the other was only hearsay
 
 
--- a/tests/test_cutoff_sockets.py
+++ b/tests/test_cutoff_sockets.py
@@ -13,7 +13,7 @@
 import pytest
 
 from pepperrun.consensus.state import FIRST_DISK_ID, DurableState, InMemoryStore, initial_proposal
-from pepperrun.control.handlers import Control
+from pepperrun.control.handlers import ControlApi
 from pepperrun.control.matchers import Answer, Call
 from pepperrun.control.node import ControlNode
 from pepperrun.control.server import Server
@@ -134,7 +134,7 @@
             hub = self.hubs[ip] = ControlNode(settings, memory, InMemoryStore(), 1)
             ports = {one: await self.network.way(ip, one, self.port) for one in NODES if one != ip}
             hub.peer_links.dial = self._dialer(ip, ports)
-            server = Server(Control(hub).tree())
+            server = Server(ControlApi(hub).control_tree())
             await server.open((ip, self.control_port))
             self.servers += [server, await listen((ip, self.port), hub, hub.hello)]
         for hub in self.hubs.values():
--- a/tests/test_dataplane.py
+++ b/tests/test_dataplane.py
@@ -12,7 +12,7 @@
 import pytest
 from standins import HOST, MS, SECOND, Client, StandIn, answer, cut_short, going, reset, wait_then
 
-from pepperrun.control.configuration import Sender
+from pepperrun.control.configuration import TenantConfig
 from pepperrun.control.handlers import DIRECTORY_TTL_S
 from pepperrun.control.order_codec import read_replace
 from pepperrun.control.records import GatewayRecord, GatewayState, Worker
@@ -531,7 +531,7 @@
 
 def test_a_request_waits_a_part_of_its_aim_for_its_slice():
     gateway, numbering, cls = decisions()
-    plan = numbering.plan_number(Sender("ann", ["k"], rate_per_s=100.0, surge=10.0))
+    plan = numbering.plan_number(TenantConfig("ann", ["k"], rate_per_s=100.0, surge=10.0))
     gateway.update_settings(numbering.settings())
     gateway.services[
         0
--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -292,7 +292,7 @@
     core = ("1.1.1.2", 7600)
     follower = Follower("g", "z", 7600, {"z": "r"}, [core], row=lambda: row, apply=changes.apply, now=0)
     follower.opened(core, port, {"k": "hello", "station": "s", "class": "sorting", "cores": []}, 1)
-    op = changes.evacuation("z", True)
+    op = changes.evacuation_operation("z", True)
     state, _ = changes.apply(None, op)
     told = len(written)
     follower.heard(port, {"k": "change", "base": 0, "n": 1, "op": op, "seal": state_checksum(state)}, 2)
--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -190,7 +190,7 @@
     assert apply(state, expiry)[1][0] == 412
     # Versions before say how many orders stand: 2, then 1, then none.
     for begin, count in ((True, 3), (False, 2), (False, 1), (False, 0)):
-        held, verdict = apply(state, changes.evacuation("z1", begin, count))
+        held, verdict = apply(state, changes.evacuation_operation("z1", begin, count))
         assert held is not None and verdict[0] == 200
         state = held
     assert state["evacuated"] == [] and state["evacuations"]["z1"]["doubted"] == 0
--- a/tests/test_orders_again.py
+++ b/tests/test_orders_again.py
@@ -14,7 +14,7 @@
 from pepperrun.consensus.state import NO_BALLOT, Ballot, Evaluation, Proposal, Value, digest_of
 from pepperrun.control import changes, order_deduplication
 from pepperrun.control.changes import apply, apply_at_gateway, compact
-from pepperrun.control.order_deduplication import PAGE, RECENT, REMEMBERED
+from pepperrun.control.order_deduplication import MIN_REMEMBERED_ORDERS, PAGE_ORDERS, RECENT_ORDERS
 from pepperrun.control.verdict import Verdict
 from pepperrun.simulation.consensus_world import MS, Machine, Try, World
 from pepperrun.storage.store import DiskStore
@@ -45,13 +45,16 @@
     return state
 
 
-@pytest.mark.parametrize("further", [0, 1, 62, 63, 64, 65, 500, REMEMBERED - 2, REMEMBERED + PAGE, 5000])
+@pytest.mark.parametrize(
+    "further",
+    [0, 1, 62, 63, 64, 65, 500, MIN_REMEMBERED_ORDERS - 2, MIN_REMEMBERED_ORDERS + PAGE_ORDERS, 5000],
+)
 def test_a_taken_order_is_known_after_further_changes_or_left_unclear(further: int) -> None:
     state, op, rival = first(), numbered(9, 3), numbered(9, 3, mark=1)
     state, _ = apply(state, op)  # type: ignore[assignment]
     state, _ = chain(state, further)
     again, other = apply(state, op), apply(state, rival)
-    if further < REMEMBERED:
+    if further < MIN_REMEMBERED_ORDERS:
         assert again == (None, Verdict(200, "Edition 9 has been taken already.")) and other[1][0] == 412
     else:
         assert again[1][0] == other[1][0] == 503  # never refused; and what lost is not confirmed
@@ -107,7 +110,7 @@
 
 def before(state: State | None, op: dict[str, Any]) -> Evaluation:
     """What the version before makes of a configuration: it keeps 64 in one list, and no pages."""
-    state = state or changes.EMPTY
+    state = state or changes.EMPTY_STATE
     if [op["edition"], op["digest"]] in state["taken"]:
         return Evaluation(None, Verdict(200, "Taken already."))
     if op["on"] != state["edition"]:
@@ -134,7 +137,7 @@
         old = rng.choice(taken)
         assert apply(state, old)[1][0] in (200, 503), (step, old["edition"])
         # Until the version before is at work again, what it kept at the end is known for good.
-        known = taken[91 - RECENT if not seed else -RECENT :]
+        known = taken[91 - RECENT_ORDERS if not seed else -RECENT_ORDERS :]
         assert step < 90 or apply(state, rng.choice(known))[1][0] == 200
 
 
@@ -234,12 +237,12 @@
     world = Cluster(5, 1)
     world.run(3000)
     ips, ops = list(world.machines), [put(whole(1))]
-    for edition in range(1, RECENT + 12):
+    for edition in range(1, RECENT_ORDERS + 12):
         ops.append(numbered(edition + 1, edition))
     for op in ops:
         world.order(op, ips)
         world.run(300)
-    assert world.current() == RECENT + 12
+    assert world.current() == RECENT_ORDERS + 12
     for ip in ips:
         world.kill(ip, power=True)
     world.wipe(ips[1])
@@ -249,7 +252,7 @@
     world.run(15000)
     replica = world.machines[new].replica
     assert replica is not None and new in replica.voter_ips and ips[0] not in replica.voter_ips
-    picked = [ops[0], ops[1], ops[10], ops[11], ops[-RECENT], ops[-1]]
+    picked = [ops[0], ops[1], ops[10], ops[11], ops[-RECENT_ORDERS], ops[-1]]
     for ip in (new, ips[1]):
         assert world.answers_to(picked, [ip], 2000) == [200] * len(picked)
 
@@ -261,7 +264,7 @@
     world.start(ips[2])
     del world.apply
     world.run(3000)
-    for edition in range(RECENT + 20):
+    for edition in range(RECENT_ORDERS + 20):
         op = put(whole(1)) if not edition else numbered(edition + 1, edition)
         assert world.answers_to([op], [ips[edition % 3]], 400) == [200], edition
         if edition % 9 == 0:
@@ -270,7 +273,7 @@
     world.run(3000)
     assert world.bytes - sent < 60_000  # nobody fetches bodies without end
     bodies = [one.replica.body for one in world.machines.values() if one.replica]
-    assert bodies[0] == bodies[1] == bodies[2] and bodies[0]["edition"] == RECENT + 20
+    assert bodies[0] == bodies[1] == bodies[2] and bodies[0]["edition"] == RECENT_ORDERS + 20
 
 
 def drawn_day(seed: int, steps: int = 60) -> str:
@@ -279,7 +282,7 @@
     world.run(3000)
     ips, ops = list(world.machines), [put(whole(1))]
     world.answers_to(ops, ips, 1000)
-    for _ in range(RECENT + 6):  # quickly, on a calm day
+    for _ in range(RECENT_ORDERS + 6):  # quickly, on a calm day
         on = world.current()
         ops.append(numbered(on + 1, on))
         world.order(ops[-1], [rng.choice(ips)])
--- a/tests/test_quota_owners.py
+++ b/tests/test_quota_owners.py
@@ -12,7 +12,7 @@
 import pytest
 
 from pepperrun.control.changes import apply
-from pepperrun.control.configuration import Sender
+from pepperrun.control.configuration import TenantConfig
 from pepperrun.control.quota_placement import (
     CHANGE_INTERVAL_NS,
     JOIN_BATCH_NS,
@@ -43,7 +43,7 @@
 BOUNDS = Bounds(quota_window_s=5, quota_excess=0.1, quota_slack=20, revoke_ms=5000, revocation_total=True)
 FENCE = 4500 * MS
 RATE, SURGE = 60.0, 30.0
-TENANT = Sender("t", ["k"], None, RATE, SURGE)
+TENANT = TenantConfig("t", ["k"], None, RATE, SURGE)
 CUSTOMER = name_hash("t")
 MAX_IN_WINDOW = (RATE * 5 + SURGE) * 1.1 + 20  # the rule, in any five seconds
 
--- a/tests/test_recorded.py
+++ b/tests/test_recorded.py
@@ -19,9 +19,9 @@
 from pepperrun.consensus.replica import Replica
 from pepperrun.consensus.state import Ballot
 from pepperrun.control import order_deduplication
-from pepperrun.control.changes import apply, written
+from pepperrun.control.changes import apply, encode_configuration
 from pepperrun.control.order_codec import read_amend
-from pepperrun.control.order_deduplication import RECENT, SeenOrder
+from pepperrun.control.order_deduplication import RECENT_ORDERS, SeenOrder
 from pepperrun.handover import state as handover_state
 from pepperrun.handover import wire as handover_wire
 from pepperrun.storage import records
@@ -54,7 +54,7 @@
     assert state.accepted is not None and state.chosen is not None
     assert state.accepted.ballot == Ballot(41, "10.0.0.3/first/2")
     assert (state.chosen.ballot.round, state.chosen.value.version) == (40, EDITION + 1)
-    assert written(state.chosen.body)["edition"] == EDITION
+    assert encode_configuration(state.chosen.body)["edition"] == EDITION
     assert state.chosen.body["evacuated"] == ["z1"]
     assert state.accepted.body["edition"] == EDITION + 1
 
@@ -63,7 +63,7 @@
     state = DiskStore(str(disk_folder), 4).load_or_create("s1", NODES[0], [])
     assert state.chosen is not None
     body = state.chosen.body
-    for edition in (2, 30, EDITION - RECENT, EDITION):
+    for edition in (2, 30, EDITION - RECENT_ORDERS, EDITION):
         again = limits(edition, 9000 + edition, edition - 1)
         assert order_deduplication.lookup(body, again) is SeenOrder.APPLIED
         assert apply(body, again).verdict.status == 200
