--- a/features/playing.py
+++ b/features/playing.py
@@ -25,7 +25,7 @@
     initial_proposal,
 )
 from pepperrun.control import changes
-from pepperrun.control.configuration import Sender
+from pepperrun.control.configuration import TenantConfig
 from pepperrun.control.endpoint_registry import EndpointRegistry, WorkerHeartbeat
 from pepperrun.control.node import ControlNode
 from pepperrun.control.order_codec import read_amend, read_replace
@@ -40,10 +40,10 @@
     PeerMessage,
     Request,
     Send,
-    TellPeer,
+    SendPeerMessage,
     TimerFired,
 )
-from pepperrun.dataplane.numbering import Numbering, number_of
+from pepperrun.dataplane.numbering import Numbering, name_hash
 from pepperrun.dataplane.peer_messages import PeerMessages, Peers
 from pepperrun.distribution.follower import Follower
 from pepperrun.distribution.publisher import Publisher
@@ -52,7 +52,7 @@
 from pepperrun.foundation.link import Link
 from pepperrun.foundation.netstring import Decoder, encode
 from pepperrun.foundation.settings import Bounds, parse
-from pepperrun.gateway_node import Program
+from pepperrun.gateway_node import GatewayNode
 from pepperrun.membership.gateway_prober import GatewayProber
 from pepperrun.storage.store import DiskStore
 
@@ -61,7 +61,7 @@
 ZONES = {"a": "r1", "b": "r2", "c": "r3"}
 CORES = ["10.0.0.1", "10.0.0.2", "10.0.0.3"]
 SIDING = 7600
-TENANT = Sender("ann", ["k1"], rate_per_s=5.0, surge=10.0)
+TENANT = TenantConfig("ann", ["k1"], rate_per_s=5.0, surge=10.0)
 
 
 def configuration(edition=5, **more):
@@ -283,13 +283,13 @@
     addresses = {name: (f"10.1.0.{name[-1]}", SIDING) for name in ("g1", "g2")}
     probes = {name: GatewayProber(name, "r1", 5000, at, START) for at, name in enumerate(addresses)}
     for prober in probes.values():
-        prober.take([gateway_record("g1"), gateway_record("g2")])
+        prober.update_gateways([gateway_record("g1"), gateway_record("g2")])
     log = []
     for step in range(300):
         now = START + step * 10 * MS
         for name, prober in probes.items():
             prober.tick(now)
-            said = [data for _, data in prober.take_out()]
+            said = [data for _, data in prober.take_outgoing()]
             if name == "g1" and hear is not None:
                 said = [bytes.fromhex(data) for at, speaker, data in hear if (at, speaker) == (step, "g1")]
             log += [[step, name, data.hex()] for data in said]
@@ -319,18 +319,18 @@
         self.gateways, self.hums, self.log, self.least = {}, {}, [], TENANT.surge
         for name in ("g1", "g2"):
             numbering = Numbering(Bounds())
-            self.plan, self.line = numbering.plan(TENANT), numbering.service("ant")
-            self.kind = numbering.kind(self.line, True, 400 * MS)
-            numbering.meet(2)
+            self.plan, self.line = numbering.plan_number(TENANT), numbering.service_number("ant")
+            self.kind = numbering.class_number(self.line, True, 400 * MS)
+            numbering.set_gateways(2)
             peers, gateway = Peers(name), Gateway(numbering.settings(), 1)
-            peers.take([gateway_record("g1"), gateway_record("g2")])
+            peers.update([gateway_record("g1"), gateway_record("g2")])
             gateway.quotas.members = peers.members
             peer_messages = PeerMessages(
                 peers, lambda: 7, lambda number, data, name=name: self.heard(name, number, data)
             )
             peer_messages.connection_made(Air())
             self.gateways[name], self.hums[name] = gateway, peer_messages
-            gateway.handle(START, [BackendList(ListKind.DELTA, (Backend(7, 0, line=self.line),))])
+            gateway.handle(START, [BackendList(ListKind.DELTA, (Backend(7, 0, service=self.line),))])
         self.now, number = START, 0
         for step in range(300):
             self.now += 10 * MS
@@ -338,7 +338,7 @@
                 events = [TimerFired(0)]
                 if step % (5 if name == "g1" else 1000) == 0:
                     number += 1
-                    events.append(Request(number, number_of(TENANT.name), self.plan, self.kind, 1500 * MS))
+                    events.append(Request(number, name_hash(TENANT.name), self.plan, self.kind, 1500 * MS))
                 self.does(name, events)
                 said = [data.hex() for data in self.hums[name].transport.sent]
                 self.hums[name].transport.sent.clear()
@@ -349,13 +349,13 @@
                     other = "g2" if name == "g1" else "g1"
                     self.hums[other].datagram_received(bytes.fromhex(data), ("10.1.0.9", SIDING))
             if step > 100:  # what the second one would let through of the tenant's quota, at the least
-                account = self.gateways["g2"].quotas.accounts[number_of(TENANT.name)]
-                self.least = min(self.least, account.room(self.now))
+                account = self.gateways["g2"].quotas.accounts[name_hash(TENANT.name)]
+                self.least = min(self.least, account.available_units(self.now))
 
     def does(self, name, events):
         for action in self.gateways[name].handle(self.now, events):
-            if isinstance(action, TellPeer):
-                self.hums[name].tell(action.peer, action.data)
+            if isinstance(action, SendPeerMessage):
+                self.hums[name].send_to_peer(action.peer, action.data)
             elif isinstance(action, Send):  # served at once
                 self.does(name, [AttemptEnded(action.request, 0, 7, Outcome.OK, MS, True)])
 
@@ -382,12 +382,14 @@
         memory.accepted = memory.chosen = initial_proposal(CORES[:1])
         hub = ControlNode(settings("sorting"), memory, InMemoryStore(), 1, lambda: START)
         hub.merge(*rows, START)
-        program = Program(settings("counter"), None)
-        program.news.replicated.update_state(1, state)
-        program.news.replicated.update_records(*rows)
+        program = GatewayNode(settings("counter"), None)
+        program.distribution.replicated.update_state(1, state)
+        program.distribution.replicated.update_records(*rows)
         ears = Ear("operator"), Ear("operator")
         for ear, does in zip(
-            ears, (hub.heard, DownlinkUser(program.news, program.news.publisher).heard), strict=True
+            ears,
+            (hub.heard, DownlinkUser(program.distribution, program.distribution.publisher).heard),
+            strict=True,
         ):
             does(ear, {"k": "show"})
         hub.close()
@@ -399,7 +401,7 @@
 def disk(folder):
     """A core machine that has taken more than it knows as chosen; the bytes of its disk, as text."""
     disk = DiskStore(str(folder), 1)
-    memory = disk.begin("s1", CORES[0], CORES)
+    memory = disk.load_or_create("s1", CORES[0], CORES)
     first, _ = changes.apply(None, read_replace(body(configuration()), 0))
     value = replace(memory.chosen.value, version=1, digest=digest_of(first))
     memory.promised, memory.accepted = Ballot(3, "s1#1"), Proposal(Ballot(3, "s1#1"), value, first)
--- a/pepperrun/control/quota_placement.py
+++ b/pepperrun/control/quota_placement.py
@@ -1,7 +1,7 @@
 """Quota placement: agreed lists of gatekeepers by place, for fleets too large to split quotas. No I/O.
 
 Split among n gatekeepers a tenant's quota comes to buckets that hold no request where n is large. Then one
-gatekeeper of each place owns a share of it (`core.quota_keepers`), chosen from these lists. A place is a
+gatekeeper of each place owns a share of it (`core.quota_owners`), chosen from these lists. A place is a
 region, or a zone where there is one region. Each change makes the tenants that it moves wait until the former
 owners have surely stopped, so changes are seldom: new gatekeepers come in together, a silent one is replaced
 only after long, and a place of which most are silent is partitioned rather than gone: its list stays. Lists
@@ -15,7 +15,7 @@
 from typing import Any
 
 from pepperrun.control.records import GatewayRecord
-from pepperrun.core.quota_keepers import GRANT_NS
+from pepperrun.core.quota_owners import GRANT_TTL_NS
 from pepperrun.foundation.settings import Bounds
 
 MS = 1_000_000  # ns
@@ -78,7 +78,7 @@
 
     def _settle(self, agreed: dict[str, Any], bounds: Bounds, now: int) -> dict[str, Any] | None:
         """Return the operation that marks the lists as settled, once former owners have stopped."""
-        stopped_ns = int(bounds.revoke_ms * MS) + GRANT_NS
+        stopped_ns = int(bounds.revoke_ms * MS) + GRANT_TTL_NS
         if agreed["term"] and not agreed.get("settled") and now - self.changed_at > stopped_ns:
             return {"do": "settled", "term": agreed["term"]}
         return None
@@ -96,13 +96,13 @@
         if now - self.joined_at < QUIET_NS:
             return None
         if not agreed["term"]:
-            places = first_places(known.values(), self.present)
+            places = first_domains(known.values(), self.present)
             if len(places) < 2 or not is_crowded(body, bounds, len(known)):
                 return None
         else:
             if now - self.changed_at < CHANGE_INTERVAL_NS or now - self.joined_at < JOIN_BATCH_NS:
                 return None
-            places = updated_places(agreed["places"], known, self.present, silent_ns)
+            places = updated_domains(agreed["places"], known, self.present, silent_ns)
             if places == agreed["places"]:
                 return None
         return {"do": "keepers", "places": places, "instead": agreed["term"]}
@@ -119,7 +119,7 @@
     return 2 * too_small > len(buckets)
 
 
-def first_places(gateways: Iterable[GatewayRecord], present: frozenset[str]) -> Places:
+def first_domains(gateways: Iterable[GatewayRecord], present: frozenset[str]) -> Places:
     """Return the first lists, of the gatekeepers that are present."""
     regions: Places = {}
     zones: Places = {}
@@ -132,7 +132,7 @@
     return {name: sorted(places[name]) for name in sorted(largest)}
 
 
-def updated_places(
+def updated_domains(
     places: Mapping[str, list[str]],
     known: Mapping[str, GatewayRecord],
     present: frozenset[str],
--- a/pepperrun/dataplane/outcome_report.py
+++ b/pepperrun/dataplane/outcome_report.py
@@ -2,8 +2,9 @@
 
 A tag, the hash of the sender's station and its incarnation, as the counts of the quotas have them; two
 numbers, of rows and of rests; rows of a worker's number and what was seen of it, good and bad; a byte for
-each length of rest after which a kept connection was reset unanswered (`net.wear`). What follows is passed
-over. It stays within a zone, goes out only where there is something to report, and is lost without harm.
+each length of rest after which a kept connection was reset unanswered (`net.stale_rates`). What follows is
+passed over. It stays within a zone, goes out only where there is something to report, and is lost without
+harm.
 """
 
 from __future__ import annotations
@@ -12,7 +13,7 @@
 from dataclasses import dataclass
 
 from pepperrun.dataplane.ejection import OutcomeCount
-from pepperrun.dataplane.peer_messages import HEAD
+from pepperrun.dataplane.peer_messages import HEADER
 
 TAG = 0xB4
 MAX_ROWS = 32  # in a datagram
@@ -22,7 +23,7 @@
 
 @dataclass(frozen=True)
 class OutcomeReport:
-    """What one gatekeeper saw since its last report. `rests`: steps of `net.wear.Wear`."""
+    """What one gatekeeper saw since its last report. `rests`: steps of `net.stale_rates.StaleRates`."""
 
     station: int
     incarnation: int
@@ -33,17 +34,17 @@
 def encode(report: OutcomeReport) -> bytes:
     """Return the bytes of a datagram."""
     rows = b"".join(_ROW.pack(*count) for count in report.counts)
-    head = HEAD.pack(TAG, report.station, report.incarnation)
+    head = HEADER.pack(TAG, report.station, report.incarnation)
     return head + _NUMBERS.pack(len(report.counts), len(report.rests)) + rows + bytes(report.rests)
 
 
 def decode(data: bytes) -> OutcomeReport | None:
     """Return what a datagram says; None where it is cut short."""
-    at = HEAD.size + _NUMBERS.size
+    at = HEADER.size + _NUMBERS.size
     if len(data) < at:
         return None
-    _, station, incarnation = HEAD.unpack_from(data)
-    rows, rests = _NUMBERS.unpack_from(data, HEAD.size)
+    _, station, incarnation = HEADER.unpack_from(data)
+    rows, rests = _NUMBERS.unpack_from(data, HEADER.size)
     end = at + rows * _ROW.size
     if len(data) < end + rests:
         return None
--- a/pepperrun/dataplane/workers.py
+++ b/pepperrun/dataplane/workers.py
@@ -6,7 +6,7 @@
 
 from pepperrun.control.records import Worker, WorkerState
 from pepperrun.core.interface import Backend, BackendList, BackendState, ListKind
-from pepperrun.dataplane.numbering import Numbering, number_of
+from pepperrun.dataplane.numbering import Numbering, name_hash
 from pepperrun.foundation.errors import PepperrunError
 from pepperrun.foundation.logs import trouble
 from pepperrun.foundation.settings import Address, address
@@ -30,36 +30,36 @@
 
 
 class WorkerTable:
-    """All workers that the roster names. Answers what `ServerSide` asks of a directory."""
+    """All workers that the roster names. Answers what `UpstreamClient` asks of a directory."""
 
     def __init__(self, numbering: Numbering, zones: Mapping[str, str], zone: str, region: str) -> None:
         self.numbering, self.zones, self.zone, self.region = numbering, zones, zone, region
         self.by_number: dict[int, KnownWorker] = {}
-        self.names: dict[int, str] = {}
-        self.ids: dict[str, int] = {}
+        self.id_by_number: dict[int, str] = {}
+        self.number_by_id: dict[str, int] = {}
         self.zone_numbers: dict[str, int] = {}
         self.evacuated: frozenset[str] = frozenset()
         self.reopened: dict[str, int] = {}  # zone: until when its workers may have turned cold unheard
 
-    def id_of(self, name: str) -> int:
+    def number_for(self, name: str) -> int:
         """The number of a worker's id."""
-        if name not in self.ids:
-            number = number_of(name)
-            while number in self.names:
+        if name not in self.number_by_id:
+            number = name_hash(name)
+            while number in self.id_by_number:
                 number = (number + 1) % 2**32
-            self.ids[name], self.names[number] = number, name
-        return self.ids[name]
+            self.number_by_id[name], self.id_by_number[number] = number, name
+        return self.number_by_id[name]
 
-    def take(self, workers: Iterable[Worker]) -> BackendList:
+    def update(self, workers: Iterable[Worker]) -> BackendList:
         """Takes in records that are new or have changed."""
         changed = []
         for worker in workers:
-            number = self.id_of(worker.id)
+            number = self.number_for(worker.id)
             if worker.is_gone:
                 self.by_number.pop(number, None)
-                service = self.numbering.service(worker.service)
+                service = self.numbering.service_number(worker.service)
                 changed.append(
-                    Backend(number, self.zone_number(worker.zone), state=BackendState.GONE, line=service)
+                    Backend(number, self.zone_number(worker.zone), state=BackendState.GONE, service=service)
                 )
                 continue
             try:
@@ -67,13 +67,13 @@
             except PepperrunError as error:
                 trouble(error, worker=worker.id)
                 continue
-            service = self.numbering.service(worker.service)
+            service = self.numbering.service_number(worker.service)
             known = KnownWorker(worker, number, service, self.zones.get(worker.zone), where)
             self.by_number[number] = known
             changed.append(self._row(known))
         for row in changed:
             if row.state is BackendState.GONE and row.id not in self.by_number:
-                self.ids.pop(self.names.pop(row.id, ""), None)
+                self.number_by_id.pop(self.id_by_number.pop(row.id, ""), None)
         return BackendList(ListKind.DELTA, tuple(changed))
 
     def evacuate(self, zones: frozenset[str], now: int) -> BackendList | None:
@@ -124,9 +124,9 @@
         near = 1.0 if known.record.zone == self.zone else FAR_ZONE
         far = near if known.region == self.region else FAR_REGION
         zone = self.zone_number(known.record.zone)
-        return Backend(known.number, zone, state=state, line=known.service, far=far)
+        return Backend(known.number, zone, state=state, service=known.service, distance_factor=far)
 
-    # For `ServerSide`.
+    # For `UpstreamClient`.
 
     def address(self, backend: int) -> Address | None:
         """Where a worker listens; None for one to which nothing may be sent now."""
@@ -137,13 +137,13 @@
             return None
         return known.address
 
-    def listed(self, backend: int) -> bool:
+    def is_listed(self, backend: int) -> bool:
         """Is it in the roster?"""
         return backend in self.by_number
 
     # For the gate.
 
-    def cold(self, known: KnownWorker, now: int) -> bool:
+    def is_warming_up(self, known: KnownWorker, now: int) -> bool:
         """Is it cold, or may it be?"""
         worker = known.record
         return worker.maybe_cold or worker.warming_until > now or self.reopened.get(worker.zone, 0) > now
--- a/pepperrun/membership/resume.py
+++ b/pepperrun/membership/resume.py
@@ -1,6 +1,7 @@
-"""A member's state as one process hands it to the next of the same gatekeeper. Does no I/O.
+"""A member's state, handed over from one process of a gatekeeper to the next. Does no I/O.
 
-To the others it stays the same member: its life goes on, with sequence numbers that the process before left.
+The other members see no restart: the next process continues the generation, with sequence numbers that are
+beyond those of the previous process.
 """
 
 from __future__ import annotations
@@ -9,63 +10,80 @@
 
 from pepperrun.membership.member import Member
 from pepperrun.membership.records import Record
-from pepperrun.membership.states import Me
+from pepperrun.membership.states import OwnState
 from pepperrun.membership.views import View, digest_of
-from pepperrun.membership.wire import INCARNATIONS, LIVES, State
+from pepperrun.membership.wire import GENERATION_LIMIT, INCARNATION_LIMIT, State
 
-JUMP = 500_000  # sequence numbers that a process leaves to the one before or after it
+SEQUENCE_GAP = 500_000  # sequence numbers that are left to the other process during a handover
 
 
-def state_of(member: Member) -> dict[str, Any]:
-    """What the next process needs, for JSON."""
+def export_state(member: Member) -> dict[str, Any]:
+    """Everything that the next process needs, as JSON values."""
     view = member.views.view
     return {
-        "count": member.count,
+        "count": member.member_count,
         "state": member.own.state.value,
-        "life": member.own.life,
+        "life": member.own.generation,
         "incarnation": member.own.incarnation,
         "sequence": member.outbox.sequence,
-        "names": sorted(member.names.held.items()),
+        "names": sorted(member.name_registry.name_hashes.items()),
         "records": [
-            [one.member, one.life, one.incarnation, int(one.state), one.by]
-            for one in member.book.records.values()
+            [record.member, record.generation, record.incarnation, int(record.state), record.reporter]
+            for record in member.table.records.values()
         ],
         "view": [view.number, sorted(view.members)],
     }
 
 
-def _whole(value: Any, most: int) -> int:
-    if not isinstance(value, int) or isinstance(value, bool) or not 0 <= value < most:
+def _checked_int(value: Any, limit: int) -> int:
+    if not isinstance(value, int) or isinstance(value, bool) or not 0 <= value < limit:
         raise ValueError(f"{value!r} is out of range")
     return value
 
 
-def resume(member: Member, table: Any, now: int) -> None:
-    """Goes on from it; ValueError where it is no good, and the member is as it was."""
-    if not isinstance(table, dict) or table.get("count") != member.count:
-        raise ValueError("of another group")
-    state = Me(table["state"])
-    if state is not Me.MEMBER:
+def restore_state(member: Member, saved: Any, now: int) -> None:
+    """Continues from exported state.
+
+    Raises ValueError, KeyError or TypeError for invalid state and leaves the member unchanged then. State of
+    a process that was not a MEMBER is ignored.
+    """
+    if not isinstance(saved, dict) or saved.get("count") != member.member_count:
+        raise ValueError("the state is from a group of another size")
+    state = OwnState(saved["state"])
+    if state is not OwnState.MEMBER:
         return
-    life, incarnation = _whole(table["life"], LIVES), _whole(table["incarnation"], INCARNATIONS)
-    sequence = _whole(table["sequence"], LIVES)
+    generation, incarnation = (
+        _checked_int(saved["life"], GENERATION_LIMIT),
+        _checked_int(saved["incarnation"], INCARNATION_LIMIT),
+    )
+    sequence = _checked_int(saved["sequence"], GENERATION_LIMIT)
     records = {}
-    for number, its_life, its_incarnation, word, by in table["records"]:
-        one = Record(
-            _whole(number, member.count),
-            _whole(its_life, LIVES),
-            _whole(its_incarnation, INCARNATIONS),
-            State(word),
+    for number, its_generation, its_incarnation, state_number, reporter in saved["records"]:
+        record = Record(
+            _checked_int(number, member.member_count),
+            _checked_int(its_generation, GENERATION_LIMIT),
+            _checked_int(its_incarnation, INCARNATION_LIMIT),
+            State(state_number),
             now,
-            _whole(by, 2**16),
+            _checked_int(reporter, 2**16),
         )
-        records[one.member] = one
-    names = {_whole(number, member.count): _whole(name, 2**32) for number, name in table["names"]}
-    number, members = table["view"]
-    held = frozenset((_whole(one, member.count), _whole(its_life, LIVES)) for one, its_life in members)
-    view = View(_whole(number, LIVES), held, digest_of(held), now)
-    member.own.life, member.own.incarnation, member.outbox.sequence = life, incarnation, sequence + JUMP
-    member.own.state, member.names.held = state, names
-    member.book.records = records
-    member.book.changes += 1
-    member.views.view, member.views.candidate, member.views.most = view, held, view.number
+        records[record.member] = record
+    names = {
+        _checked_int(number, member.member_count): _checked_int(name, 2**32)
+        for number, name in saved["names"]
+    }
+    number, members = saved["view"]
+    member_set = frozenset(
+        (_checked_int(its_number, member.member_count), _checked_int(its_generation, GENERATION_LIMIT))
+        for its_number, its_generation in members
+    )
+    view = View(_checked_int(number, GENERATION_LIMIT), member_set, digest_of(member_set), now)
+    member.own.generation, member.own.incarnation, member.outbox.sequence = (
+        generation,
+        incarnation,
+        sequence + SEQUENCE_GAP,
+    )
+    member.own.state, member.name_registry.name_hashes = state, names
+    member.table.records = records
+    member.table.version += 1
+    member.views.view, member.views.candidate, member.views.highest_number = view, member_set, view.number
--- a/pepperrun/membership/roster.py
+++ b/pepperrun/membership/roster.py
@@ -1,7 +1,8 @@
-"""Who may be a member: a group that is listed once and for all, or one that is learnt and grows. Does no I/O.
+"""The roster of possible members: a static list, or one that is learned and changes. Does no I/O.
 
-Members are known by number here. In a listed group all use the same numbers; in a learnt one each gives its
-own, and `ids` has what all know a member by. All order the ring alike, by `places`.
+Members are identified by number here. In a static group all members use the same numbers. In a learned group
+each process assigns its own numbers, and `wire_ids` has the common identifiers. All members order the ring
+the same way, by `ring_positions`.
 """
 
 from __future__ import annotations
@@ -10,50 +11,50 @@
 from typing import Any
 
 
-def place(member: int) -> int:
-    """A listed member's place on the ring, the same to all: each is watched by those before it."""
+def ring_position(member: int) -> int:
+    """Position of a static member on the ring, the same for all. Its predecessors there watch it."""
     return int.from_bytes(hashlib.blake2b(member.to_bytes(4, "little"), digest_size=8).digest(), "little")
 
 
 class Roster:
-    """The numbers, and where each stands. `far`: those that are asked less often: the way there is dear."""
+    """Member numbers and ring positions. `remote` members are probed less often: their traffic is costly."""
 
     def __init__(self, me: int) -> None:
         self.me = me
-        self.ids: dict[int, int] = {}
-        self.places: dict[int, Any] = {}
-        self.far: set[int] = set()
-        self._sort()
-
-    def _sort(self) -> None:
-        self.ring = sorted(self.ids, key=lambda member: self.places[member])
-        self.at = {member: at for at, member in enumerate(self.ring)}
-        self.every = frozenset(self.ids)
-        self.others = tuple(sorted(self.every - {self.me}))
-        self.bits = sum(1 << member for member in self.ids)
+        self.wire_ids: dict[int, int] = {}
+        self.ring_positions: dict[int, Any] = {}
+        self.remote: set[int] = set()
+        self._rebuild()
+
+    def _rebuild(self) -> None:
+        self.ring = sorted(self.wire_ids, key=lambda member: self.ring_positions[member])
+        self.ring_index = {member: index for index, member in enumerate(self.ring)}
+        self.members = frozenset(self.wire_ids)
+        self.others = tuple(sorted(self.members - {self.me}))
+        self.bitmap = sum(1 << member for member in self.wire_ids)
 
     def __len__(self) -> int:
-        return len(self.ids)
+        return len(self.wire_ids)
 
-    def add(self, member: int, id: int, place: Any, far: bool = False) -> None:
-        """Another one; `place` is its place on the ring, of one type for all."""
-        if self.ids.get(member) != id or self.places[member] != place:
-            self.ids[member], self.places[member] = id, place
-            self._sort()
-        (self.far.add if far else self.far.discard)(member)
+    def add(self, member: int, wire_id: int, position: Any, remote: bool = False) -> None:
+        """Adds or moves a member. `position` is its position on the ring, of one type for all members."""
+        if self.wire_ids.get(member) != wire_id or self.ring_positions[member] != position:
+            self.wire_ids[member], self.ring_positions[member] = wire_id, position
+            self._rebuild()
+        (self.remote.add if remote else self.remote.discard)(member)
 
     def remove(self, member: int) -> None:
-        """One that is not to come back, as far as is known."""
-        if self.ids.pop(member, None) is not None:
-            del self.places[member]
-            self.far.discard(member)
-            self._sort()
+        """Removes a member that is not expected to return."""
+        if self.wire_ids.pop(member, None) is not None:
+            del self.ring_positions[member]
+            self.remote.discard(member)
+            self._rebuild()
 
 
-def listed(me: int, count: int) -> Roster:
-    """Members 0 to `count` - 1."""
+def static_roster(me: int, count: int) -> Roster:
+    """The roster of a static group: members 0 to `count` - 1."""
     roster = Roster(me)
-    roster.ids = {member: member for member in range(count)}
-    roster.places = {member: place(member) for member in range(count)}
-    roster._sort()
+    roster.wire_ids = {member: member for member in range(count)}
+    roster.ring_positions = {member: ring_position(member) for member in range(count)}
+    roster._rebuild()
     return roster
--- a/pepperrun/membership/states.py
+++ b/pepperrun/membership/states.py
@@ -1,13 +1,13 @@
-"""A member's own states and what moves it, and the few values around it. Does no I/O.
+"""The state machine of a member's own state, its configuration, and the replay window. Does no I/O.
 
-This table is what the code goes by:
+`TRANSITIONS` holds this table:
 
 | state | event | next |
 | --- | --- | --- |
-| JOINING | WELCOMED | MEMBER |
-| JOINING | UNANSWERED (nobody is there, for JOIN_ALONE_NS) | MEMBER |
-| JOINING, MEMBER | TAKEN (another live process has the name or number) | REFUSED |
-| REFUSED | AGAIN (after TRY_AGAIN_NS) | JOINING |
+| JOINING | WELCOMED (a SYNC_REPLY) | MEMBER |
+| JOINING | UNANSWERED (no reply for JOIN_TIMEOUT_NS) | MEMBER |
+| JOINING, MEMBER | NAME_CONFLICT (another live process has the name or number) | REJECTED |
+| REJECTED | RETRY (after REJECTED_RETRY_NS) | JOINING |
 | any | LEAVE | LEFT |
 """
 
@@ -17,74 +17,77 @@
 from dataclasses import dataclass
 
 from pepperrun.core.clock import SECOND
-from pepperrun.membership.keys import Keys
+from pepperrun.membership.keys import KeyRing
 from pepperrun.membership.roster import Roster
-from pepperrun.membership.wire import Format
+from pepperrun.membership.wire import Codec
 
-WINDOW = 64  # datagrams may overtake each other by so many
+REPLAY_WINDOW = 64  # a datagram may arrive after at most this many later ones
 
 
-class Me(enum.Enum):
-    """This member's own state."""
+class OwnState(enum.Enum):
+    """State of this member; the values are printed by the admin calls."""
 
     JOINING = "joining"
     MEMBER = "member"
-    REFUSED = "refused"
+    REJECTED = "refused"
     LEFT = "left"
 
 
-class On(enum.Enum):
-    """What moves it."""
+class OwnEvent(enum.Enum):
+    """Event that changes a member's own state."""
 
     WELCOMED = "welcomed"
     UNANSWERED = "unanswered"
-    TAKEN = "taken"
-    AGAIN = "again"
+    NAME_CONFLICT = "taken"
+    RETRY = "again"
     LEAVE = "leave"
 
 
-MOVES = {
-    (Me.JOINING, On.WELCOMED): Me.MEMBER,
-    (Me.JOINING, On.UNANSWERED): Me.MEMBER,
-    (Me.JOINING, On.TAKEN): Me.REFUSED,
-    (Me.MEMBER, On.TAKEN): Me.REFUSED,
-    (Me.REFUSED, On.AGAIN): Me.JOINING,
-    **{(state, On.LEAVE): Me.LEFT for state in Me},
+TRANSITIONS = {
+    (OwnState.JOINING, OwnEvent.WELCOMED): OwnState.MEMBER,
+    (OwnState.JOINING, OwnEvent.UNANSWERED): OwnState.MEMBER,
+    (OwnState.JOINING, OwnEvent.NAME_CONFLICT): OwnState.REJECTED,
+    (OwnState.MEMBER, OwnEvent.NAME_CONFLICT): OwnState.REJECTED,
+    (OwnState.REJECTED, OwnEvent.RETRY): OwnState.JOINING,
+    **{(state, OwnEvent.LEAVE): OwnState.LEFT for state in OwnState},
 }
 
 
 @dataclass(slots=True, frozen=True)
-class Config:
-    """What a member is told: its number among so many, its name, the keys and the pace.
+class MemberConfig:
+    """Configuration of a member: its number `me` of `count`, its name, the keys and the intervals.
 
-    `period_ns`: between two probes of its own; `suspect_ns`: how long a suspicion stands at least. Where the
-    group is learnt, `roster` has it, and `wire` writes its datagrams.
+    `probe_period_ns`: between two probes; `min_suspicion_ns`: how long a suspicion stands at least. For a
+    learned group, `roster` holds its members and `codec` encodes its datagrams.
     """
 
     me: int
     count: int
     name: str
-    keys: Keys
-    period_ns: int = SECOND // 5
-    suspect_ns: int = SECOND // 4
+    keys: KeyRing
+    probe_period_ns: int = SECOND // 5
+    min_suspicion_ns: int = SECOND // 4
     roster: Roster | None = None
-    wire: Format | None = None
+    codec: Codec | None = None
 
 
 @dataclass(slots=True)
-class Own:
-    """What a member says of itself with each datagram, `name` as a hash, and its state."""
+class OwnRecord:
+    """Identity of this member, sent in the header of each datagram, and its state."""
 
     member: int
-    name: int
-    life: int
+    name_hash: int
+    generation: int
     incarnation: int = 0
-    state: Me = Me.JOINING
+    state: OwnState = OwnState.JOINING
 
 
 @dataclass(slots=True, frozen=True)
-class Happened:
-    """Something for people and rigs to see."""
+class MembershipEvent:
+    """An event for operators and the lab; the admin call `members since` prints all fields.
+
+    `at`: ns of the monotonic clock; `what`: kind of event; `member`: whom it is about; `by`: who reported it.
+    """
 
     at: int
     what: str
@@ -93,20 +96,22 @@
     detail: str = ""
 
 
-class Window:
-    """The sequence numbers that were seen of one life of a member."""
+class ReplayWindow:
+    """The sequence numbers received from one generation of a member."""
 
     def __init__(self) -> None:
-        self.last, self.bits = 0, 0
-
-    def new(self, sequence: int) -> bool:
-        """Was this one not seen, and is it not too old to tell? Then it counts as seen."""
-        if sequence > self.last:
-            self.bits = (self.bits << min(WINDOW, sequence - self.last) | 1) & ((1 << WINDOW) - 1)
-            self.last = sequence
+        self.highest, self.seen_bits = 0, 0
+
+    def accept(self, sequence: int) -> bool:
+        """Marks a sequence number as received; returns False if it was already, or is too old to know."""
+        if sequence > self.highest:
+            self.seen_bits = (self.seen_bits << min(REPLAY_WINDOW, sequence - self.highest) | 1) & (
+                (1 << REPLAY_WINDOW) - 1
+            )
+            self.highest = sequence
             return True
-        back = self.last - sequence
-        if back >= WINDOW or self.bits >> back & 1:
+        back = self.highest - sequence
+        if back >= REPLAY_WINDOW or self.seen_bits >> back & 1:
             return False
-        self.bits |= 1 << back
+        self.seen_bits |= 1 << back
         return True
--- a/pepperrun/net/buffered.py
+++ b/pepperrun/net/buffered.py
@@ -1,4 +1,4 @@
-"""A connection whose bytes come into one buffer: what all small protocols on one share."""
+"""A connection whose input goes into one buffer: the base of all small protocols."""
 
 from __future__ import annotations
 
@@ -8,33 +8,33 @@
 
 
 class BufferedConnection(asyncio.BufferedProtocol):
-    """Keeps the transport while it is up and fills the buffer; `came` and `ended` are the protocol's."""
+    """Holds the transport while it is open and fills the buffer. Subclasses override the `on_` methods."""
 
-    def __init__(self, most: int) -> None:
-        self.buffer = Buffer(most)
+    def __init__(self, max_size: int) -> None:
+        self.buffer = Buffer(max_size)
         self.transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
-        self.opened()
+        self.on_open()
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.transport = None
-        self.ended()
+        self.on_close()
 
     def get_buffer(self, sizehint: int) -> memoryview:
-        return self.buffer.room()
+        return self.buffer.free_space()
 
     def buffer_updated(self, nbytes: int) -> None:
-        self.buffer.filled(nbytes, 0)
-        self.came()
+        self.buffer.commit(nbytes, 0)
+        self.on_data()
 
-    def opened(self) -> None:
-        """It is up."""
+    def on_open(self) -> None:
+        """Called once the connection is open."""
 
-    def came(self) -> None:
-        """There are more bytes in the buffer."""
+    def on_data(self) -> None:
+        """Called when bytes have been added to the buffer."""
 
-    def ended(self) -> None:
-        """It is over."""
+    def on_close(self) -> None:
+        """Called once the connection has ended; the transport is already None."""
--- a/pepperrun/net/stream.py
+++ b/pepperrun/net/stream.py
@@ -1,126 +1,146 @@
-"""One body on its way from one connection to another, in bounded pieces, and the memory of all of them."""
+"""A message body that is streamed between two connections, and the memory limit of all such bodies."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from typing import Protocol
 
-LEAST = 4 * 1024  # bytes that a body may have under way, however many there are
-MOST = 64 * 1024
-PLACES = 3  # that hold a part of a body: read, being passed on, and not yet taken by the other side
-BASE_MB = 24  # of the limit on memory: the program itself with its other connections
-PART = 2  # this part of the rest is for bodies
-LEAST_TOTAL = 2 * 1024 * 1024
+MIN_BUFFER_BYTES = 4 * 1024  # for each buffer of a body, however many bodies there are
+MAX_BUFFER_BYTES = 64 * 1024
+BUFFERS_PER_BODY = 3  # bytes that were read, bytes being forwarded, and bytes the receiver has not yet taken
+BASE_MB = 24  # of the memory limit: the program itself with its other connections
+BODY_MEMORY_DIVISOR = 2  # this fraction of the rest is for bodies
+MIN_TOTAL_BYTES = 2 * 1024 * 1024
 
 
-class Budget:
-    """What all bodies that pass through may hold together, in bytes."""
+class MemoryBudget:
+    """The bytes that all streamed bodies together may buffer."""
 
     def __init__(self, total: int) -> None:
         self.total, self.bodies = total, 0
 
     @classmethod
-    def of_memory(cls, limit_mb: float) -> Budget:
-        """From the limit on the process's memory."""
-        return cls(max(LEAST_TOTAL, int((limit_mb - BASE_MB) / PART * 1024 * 1024)))
+    def from_memory_limit(cls, limit_mb: float) -> MemoryBudget:
+        """Returns the budget that fits the limit on the process's memory."""
+        return cls(max(MIN_TOTAL_BYTES, int((limit_mb - BASE_MB) / BODY_MEMORY_DIVISOR * 1024 * 1024)))
 
-    def share(self) -> int:
-        """How much of one body may wait in each place now."""
-        return max(LEAST, min(MOST, self.total // (PLACES * max(1, self.bodies))))
+    def buffer_limit(self) -> int:
+        """Returns the bytes that each buffer of one body may hold now."""
+        return max(
+            MIN_BUFFER_BYTES, min(MAX_BUFFER_BYTES, self.total // (BUFFERS_PER_BODY * max(1, self.bodies)))
+        )
 
 
-class Taker(Protocol):
-    """Who writes the body on."""
+class BodySink(Protocol):
+    """The connection that writes a streamed body to its peer."""
 
-    def more(self, data: bytes) -> None: ...
+    def write_body(self, data: bytes) -> None:
+        """Writes the next bytes of the body."""
+        ...
 
-    def whole(self) -> None: ...
+    def finish_body(self) -> None:
+        """Ends the body: all of it has been written."""
+        ...
 
-    def broken(self) -> None: ...
+    def abort_body(self) -> None:
+        """Ends a body whose rest will not arrive; the peer must see that it is incomplete."""
+        ...
 
 
-class Stream:
-    """Whoever reads feeds it; whoever writes opens it, holds it while it can't write, or drops it.
+class BodyStream:
+    """Connects the reader of a body, which feeds the stream, with its sink.
 
-    `pause` is given True when no more is to be read and False when reading may go on; `abandon` is called
-    when nobody takes the rest.
+    The sink attaches itself, pauses the stream while it can't write, or abandons it. `on_pause` is called
+    with True when the reader must stop reading and with False when reading may go on; `on_abandoned` is
+    called when no sink takes the rest.
     """
 
-    __slots__ = ("_abandon", "_ahead", "_pause", "budget", "closed", "ended", "opened", "taker")
-
-    def __init__(self, budget: Budget, pause: Callable[[bool], None], abandon: Callable[[], None]) -> None:
-        self.budget, self._pause, self._abandon = budget, pause, abandon
-        self._ahead: list[bytes] = []  # fed before it was opened
-        self.taker: Taker | None = None
-        self.opened = False
-        self.ended: bool | None = None  # True: whole; False: broken
-        self.closed = False  # nothing more passes
+    __slots__ = (
+        "_buffered",
+        "_on_abandoned",
+        "_on_pause",
+        "attached",
+        "budget",
+        "closed",
+        "ended_complete",
+        "sink",
+    )
+
+    def __init__(
+        self, budget: MemoryBudget, on_pause: Callable[[bool], None], on_abandoned: Callable[[], None]
+    ) -> None:
+        self.budget, self._on_pause, self._on_abandoned = budget, on_pause, on_abandoned
+        self._buffered: list[bytes] = []  # fed before a sink was attached
+        self.sink: BodySink | None = None
+        self.attached = False
+        self.ended_complete: bool | None = None  # True: the body is complete; False: the reader failed
+        self.closed = False  # no more bytes pass
         budget.bodies += 1
 
     def _close(self) -> None:
         if not self.closed:
             self.closed = True
             self.budget.bodies -= 1
-            self._ahead.clear()
-            self.taker = None
+            self._buffered.clear()
+            self.sink = None
 
-    # For whoever reads.
+    # For the reader.
 
     def feed(self, data: bytes) -> None:
-        """More of the body."""
+        """Passes bytes to the sink; before one is attached, buffers them and pauses the reader."""
         if self.closed or not data:
             return
-        if self.taker is None:
-            self._ahead.append(data)
-            self._pause(True)
+        if self.sink is None:
+            self._buffered.append(data)
+            self._on_pause(True)
         else:
-            self.taker.more(data)
+            self.sink.write_body(data)
 
     def finish(self) -> None:
-        """That was all of it."""
+        """Ends the body: all of it has been fed."""
         self._end(True)
 
     def fail(self) -> None:
-        """The rest will never come."""
+        """Ends the body: the rest will not arrive."""
         self._end(False)
 
-    def _end(self, whole: bool) -> None:
-        if self.closed or self.ended is not None:
+    def _end(self, complete: bool) -> None:
+        if self.closed or self.ended_complete is not None:
             return
-        self.ended = whole
-        taker = self.taker
-        if taker is not None:
+        self.ended_complete = complete
+        sink = self.sink
+        if sink is not None:
             self._close()
-            (taker.whole if whole else taker.broken)()
+            (sink.finish_body if complete else sink.abort_body)()
 
-    # For whoever writes.
+    # For the sink.
 
-    def open(self, taker: Taker) -> None:
-        """Writes it on from here; only the first one that opens it can."""
-        if self.opened or self.closed:
-            taker.broken()
+    def attach(self, sink: BodySink) -> None:
+        """Writes the body to `sink` from here on. Aborts any sink but the first."""
+        if self.attached or self.closed:
+            sink.abort_body()
             return
-        self.opened, self.taker = True, taker
-        ahead, self._ahead = self._ahead, []
-        for data in ahead:
-            if self.taker is not None:
-                self.taker.more(data)
+        self.attached, self.sink = True, sink
+        buffered, self._buffered = self._buffered, []
+        for data in buffered:
+            if self.sink is not None:
+                self.sink.write_body(data)
         if self.closed:
             return
-        if self.ended is not None:
-            whole, self.ended = self.ended, None
-            self._end(whole)
-        elif ahead:
-            self._pause(False)
-
-    def hold(self, on: bool) -> None:
-        """No more can be taken now, or again."""
-        if not self.closed and self.ended is None:
-            self._pause(on)
-
-    def drop(self) -> None:
-        """Nobody takes the rest."""
+        if self.ended_complete is not None:
+            complete, self.ended_complete = self.ended_complete, None
+            self._end(complete)
+        elif buffered:
+            self._on_pause(False)
+
+    def pause(self, on: bool) -> None:
+        """Stops the reader (`on`) or lets it go on: back-pressure of the sink."""
+        if not self.closed and self.ended_complete is None:
+            self._on_pause(on)
+
+    def abandon(self) -> None:
+        """Closes the stream: no sink takes the rest."""
         if not self.closed:
             self._close()
-            if self.ended is None:
-                self._abandon()
+            if self.ended_complete is None:
+                self._on_abandoned()
--- a/pepperrun/serve.py
+++ b/pepperrun/serve.py
@@ -41,7 +41,7 @@
 if TYPE_CHECKING:
     from pepperrun.capture.recorder import Recorder
     from pepperrun.handover.predecessor import Predecessor
-    from pepperrun.membership.config import MembersConfig
+    from pepperrun.membership.config import MembershipConfig
     from pepperrun.metrics import MetricsConfig, Reporter, Sample
     from pepperrun.parking.config import ClientsConfig
     from pepperrun.parking.lot import Lot
@@ -101,7 +101,7 @@
         config = replace(config, discovery=new.discovery)
         core = parts["platform"][0]
         # All gatekeepers are moved at once: with a list in hand none needs to be the first there.
-        watch.move(new.discovery, core.told, calls_of(config), moved=bool(core.directory.lines))
+        watch.move(new.discovery, core.told, calls_of(config), moved=bool(core.directory.endpoints))
     if auth_config is not None and new_auth is not None:
         later += [f"forward-auth {key}" for key in changed(auth_config, new_auth, "servers")]
         if new_auth.servers != auth_config.servers:
@@ -207,7 +207,7 @@
             await asyncio.gather(*(listener.drain() for listener in listeners))
             for listener in listeners:
                 while listener.clients:  # each closes once its request has its answer
-                    await listener.changed()
+                    await listener.wait_for_change()
     except TimeoutError:
         say("stop", "connections were still open at the end")
     watch.stop()
@@ -242,7 +242,7 @@
     directory = core.directory
 
     def place(backend: int) -> tuple[str, str]:
-        line = directory.lines.get(backend)
+        line = directory.endpoints.get(backend)
         return directory.names.get(backend, str(backend)), line.zone if line is not None else ""
 
     path = Path(folder)
@@ -317,21 +317,24 @@
             raise ValueError("listen: missing, and NODE_CONFIG is not set")
         return config, auth, figures, clients
 
-    def membership(self, config: Config) -> MembersConfig | None:
+    def membership(self, config: Config) -> MembershipConfig | None:
         """What switches membership on; None where it is off. ValueError where it can't be."""
         if self.members is None and config.members is None:
             return None
-        from pepperrun.membership.config import members_of, read_members  # only where asked for
+        from pepperrun.membership.config import (  # only where asked for
+            membership_from_json,
+            membership_from_table,
+        )
 
         if self.members is not None:
             path = Path(self.members)
             try:
-                found = read_members(path.read_text(encoding="utf-8"), path.parent)
+                found = membership_from_json(path.read_text(encoding="utf-8"), path.parent)
             except ValueError as error:
                 raise ValueError(f"{path}: {error}") from None
         else:
-            found = members_of(config.members or {}, Path(self.config or "").parent)
-        found.keys()
+            found = membership_from_table(config.members or {}, Path(self.config or "").parent)
+        found.load_keys()
         if config.peer_listen is None or not config.settings.peer_messages:
             raise ValueError("members: peer_listen is missing, or the settings allow no messages")
         return found
--- a/pepperrun/simulation/actors.py
+++ b/pepperrun/simulation/actors.py
@@ -372,7 +372,7 @@
     """Brings a request to a worker and its end back, as far as links allow; the number it has there."""
     world, worker, loop = day.world, day.workers[address], gate.machine.loop
     assert loop is not None
-    name = exchange.asked.names[b"attempt-id"].decode()
+    name = exchange.asked.headers[b"attempt-id"].decode()
     day.tokens += 1
     do = loop.do
     token = day.tokens
@@ -389,7 +389,7 @@
             back(Outcome.CONNECT_FAILED)
         elif not worker.serve(name, id, back, token):
             day.say(f"misdirected {name} {id}")
-            number = gate.plane.workers.ids.get(id)
+            number = gate.plane.workers.number_by_id.get(id)
             if number is not None:
                 do(gate.plane._on_misdirected, number)
             back(Outcome.MOOT)
--- a/pepperrun/storage/formats.py
+++ b/pepperrun/storage/formats.py
@@ -1,9 +1,9 @@
-"""Formats of the disk: one migration from each older format to the next, so that any version's disk is read.
+"""Formats of the disk: one migration from each format to the next, so that every older disk can be read.
 
-A new format gets its number in `FORMAT` and one migration in `MIGRATIONS`, from the format before it. Records
-come and go by name, unsealed (as JSON data): `life` (its first item is the format), `promised`, `accepted`,
-`chosen`, and `body:DIGEST`. A migration changes what its format changed and sets the format; it touches no
-disk id, count of starts or ballot: what was promised stays promised.
+A new format gets its number in `CURRENT_FORMAT` and one migration in `MIGRATIONS`, from the format before it.
+A migration takes and returns the decoded records (JSON data) by name: `life` (its first item is the format),
+`promised`, `accepted`, `chosen`, and `body:DIGEST`. It changes what its format changed and sets the format.
+It changes no disk id, count of starts or ballot: a promise stays valid.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 from pepperrun.foundation.errors import CorruptStateError, NewerFormatError
 
-FORMAT = 1
+CURRENT_FORMAT = 1
 IDENTITY = "life"  # the record with format, disk id, starts and owner
 
 Records = dict[str, Any]
@@ -23,40 +23,42 @@
 
 
 def check_format(found: Any) -> int:
-    """Return a format that this version may read.
+    """Return the format number `found` if this version can read that format.
 
     Raises
     ------
     CorruptStateError
-        It is no number.
+        `found` is not an integer.
     NewerFormatError
-        It is of a later version.
+        `found` is the format of a later version.
     """
     if type(found) is not int:
-        raise CorruptStateError("reading", f"format {found!r} is no number")
-    if found > FORMAT:
-        raise NewerFormatError("reading", f"it is of format {found}, {FORMAT} is known here")
+        raise CorruptStateError("reading", f"format {found!r} is not an integer")
+    if found > CURRENT_FORMAT:
+        raise NewerFormatError(
+            "reading", f"the disk has format {found}, but {CURRENT_FORMAT} is the newest known format"
+        )
     return found
 
 
 def migrate(records: Records, found: Any, migrations: Mapping[int, Migration] | None = None) -> Records:
-    """Return records of the format `found` in the present one.
+    """Return the records, which have the format `found`, migrated to the current format.
 
     Raises
     ------
     CorruptStateError
-        No migrations lead from `found` to the present format, or one left another format behind.
+        A migration between `found` and the current format is missing, or one did not set its format.
     NewerFormatError
-        It is of a later version.
+        `found` is the format of a later version.
     """
     migrations = MIGRATIONS if migrations is None else migrations
     current = check_format(found)
-    while current < FORMAT:
+    while current < CURRENT_FORMAT:
         migration = migrations.get(current)
         if migration is None:
             raise CorruptStateError("reading", f"no migration leads on from format {current}")
         records = migration(records)
         current += 1
         if records[IDENTITY][0] != current:
-            raise CorruptStateError("reading", f"the migration to format {current} left another one behind")
+            raise CorruptStateError("reading", f"the migration to format {current} did not set that format")
     return records
--- a/pepperrun/tool/application.py
+++ b/pepperrun/tool/application.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from pepperrun.config import get, parse_address, read_config
-from pepperrun.membership.config import members_of
+from pepperrun.membership.config import membership_from_table
 
 _TIME = re.compile(r"([0-9]+(?:\.[0-9]+)?)(ms|s|us)\Z")
 _UNITS = {"s": 1_000_000_000, "ms": 1_000_000, "us": 1_000}
@@ -212,7 +212,7 @@
             "suspect_ms": time_ns(part, "suspect", "250ms") / 1e6,
             "names": names,
         }
-        members_of(found, Path())
+        membership_from_table(found, Path())
     except ValueError as error:
         text = str(error)
         raise ValueError(text if text.startswith("members.") else f"members.{text}") from None
@@ -247,6 +247,6 @@
         if 0 < plan.ceiling_rate < plan.rate:
             out.append(f"settings.Tariffs.{plan.name}: the ceiling's rate is below the quota's")
     for kind in settings.classes:
-        if kind.aim_ns > kind.deadline_ns:
+        if kind.target_ns > kind.deadline_ns:
             out.append(f"settings.Classes.{kind.name}: wanted later than its deadline")
     return out
