--- a/benchmarks/capacity_control.py
+++ b/benchmarks/capacity_control.py
@@ -45,7 +45,7 @@
 from pepperrun.distribution import repair
 from pepperrun.distribution.publisher import Publisher, state_checksum
 from pepperrun.distribution.replicated_state import ReplicatedState
-from pepperrun.foundation.netstring import Decoder, encode, length
+from pepperrun.foundation.netstring import Decoder, encode, wire_length
 from pepperrun.foundation.settings import Bounds
 from pepperrun.storage.store import DiskStore
 
@@ -88,16 +88,16 @@
     source.update_state(1, state(10, 10))
     source.confirmed_at = 1
     publisher = Publisher(source, lambda due: None)
-    publisher.joined(port, {"room": 0}, 1)
+    publisher.opened(port, {"room": 0}, 1)
     first_tick = {"k": "tick", "t": 1, "n": 1, "g": gateway_rows(1)[0]}
-    publisher.heard(port, first_tick, 1)
+    publisher.received(port, first_tick, 1)
     frame, decoder = encode({"k": "tick", "t": time.monotonic_ns(), "n": 1}), Decoder()
     port.sent = 0
-    publisher.heard(port, decoder.feed(frame)[0], SECOND)
+    publisher.received(port, decoder.feed(frame)[0], SECOND)
     bytes_tock = port.sent
     asked = repair.request(source)
     return {
-        "core_tick_us": each_us(lambda: publisher.heard(port, decoder.feed(frame)[0], SECOND)),
+        "core_tick_us": each_us(lambda: publisher.received(port, decoder.feed(frame)[0], SECOND)),
         "tick_bytes": len(frame),
         "tock_bytes": bytes_tock,
         "ask_bytes": len(encode(asked)),
@@ -193,7 +193,9 @@
         "plans_ms": best_ms(numbering.settings),
         "change_bytes": len(frame),
         "body_bytes": body,
-        "body_deflated": length(encode({"k": "agreed", "n": 2, "state": new})) if body < 7_000_000 else 0,
+        "body_deflated": wire_length(encode({"k": "agreed", "n": 2, "state": new}))
+        if body < 7_000_000
+        else 0,
     }
 
 
--- a/benchmarks/control_cost.py
+++ b/benchmarks/control_cost.py
@@ -28,7 +28,7 @@
 from pepperrun.control.table_codec import encode_table
 from pepperrun.dataplane.numbering import Numbering
 from pepperrun.dataplane.routes import RoutingTable
-from pepperrun.foundation.netstring import Decoder, encode, packed
+from pepperrun.foundation.netstring import Decoder, compress, encode
 from pepperrun.foundation.settings import Bounds
 from pepperrun.simulation import virtual_time
 from pepperrun.simulation.measures import Measures
@@ -75,9 +75,9 @@
     print(f"digest, one item of them new ms={took / 2:.1f}")
     took, frame = best(lambda: encode({"k": "change", "base": 1, "n": 2, "op": op, "seal": ""}))
     print(f"written for links ms={took:.1f} bytes={len(frame)}")
-    packed.cache_clear()
+    compress.cache_clear()
     began = time.process_time()
-    short = packed(frame)
+    short = compress(frame)
     print(f"deflated once for all links ms={(time.process_time() - began) * 1000:.1f} bytes={len(short)}")
     took, _ = best(lambda: Decoder().feed(short))
     print(f"read off a link ms={took:.1f}")
--- a/benchmarks/many_changes.py
+++ b/benchmarks/many_changes.py
@@ -37,7 +37,7 @@
 from pepperrun.distribution.digests import RangeDigests
 from pepperrun.distribution.publisher import Publisher
 from pepperrun.distribution.replicated_state import AppliedChange, ReplicatedState
-from pepperrun.foundation.netstring import Decoder, encode, length
+from pepperrun.foundation.netstring import Decoder, encode, wire_length
 from pepperrun.simulation.narrow_links import route
 from pepperrun.storage.store import DATA_FILE, DiskStore
 
@@ -96,8 +96,8 @@
         self.items = [route(self.rng, at) for at in range(routes)]
         self.replicated, self.port = ReplicatedState(), Port()
         self.publisher = Publisher(self, lambda due: None)
-        self.publisher.joined(self.port, {}, 0)
-        self.publisher.heard(self.port, {"k": "tick", "t": 1, "n": 0, "root": True}, 1)
+        self.publisher.opened(self.port, {}, 0)
+        self.publisher.received(self.port, {"k": "tick", "t": 1, "n": 0, "root": True}, 1)
 
     # Source of the publisher.
 
@@ -140,7 +140,7 @@
                 sent, one.outbox = one.outbox, []
                 for to, message in sent:
                     frame = encode({"k": "queen", "m": codec.encode(message)})
-                    self.sizes.append(length(frame))
+                    self.sizes.append(wire_length(frame))
                     moved = True
                     self.voters[to].receive(ip, codec.decode(Decoder().feed(frame)[0]["m"]), self.now)
 
@@ -186,7 +186,7 @@
             other.changes.clear()
         take(self.replicated, self.port)
         said = {"k": "tick", "t": self.now, "n": self.replicated.version, "root": True}
-        self.publisher.heard(self.port, said, self.now)
+        self.publisher.received(self.port, said, self.now)
         self.port.frames.clear()
 
     # Who comes back.
@@ -205,7 +205,7 @@
         one.receive(CONTACTS[0], codec.decode(Decoder().feed(frame)[0]["m"]), self.now)
         one.flush(include_deferred=True)
         assert one.state.chosen == self.first.state.chosen
-        return length(frame), (time.perf_counter() - began) * 1000
+        return wire_length(frame), (time.perf_counter() - began) * 1000
 
     def returns(self, older: Path, spare: Path) -> dict[str, tuple[int, float]]:
         """Machines that come back now."""
@@ -223,12 +223,12 @@
             out[name] = size, started + ms
             disk.close()
         began, port, book = time.perf_counter(), Port(), ReplicatedState()
-        self.publisher.joined(port, {}, self.now)
-        self.publisher.heard(port, {"k": "want", "n": 0}, self.now)
+        self.publisher.opened(port, {}, self.now)
+        self.publisher.received(port, {"k": "want", "n": 0}, self.now)
         take(book, port)
-        out["gatekeeper"] = sum(map(length, port.frames)), (time.perf_counter() - began) * 1000
+        out["gatekeeper"] = sum(map(wire_length, port.frames)), (time.perf_counter() - began) * 1000
         assert book.version == self.version == self.replicated.version
-        self.publisher.left(port, self.now)
+        self.publisher.closed(port, self.now)
         return out
 
 
--- a/features/playing.py
+++ b/features/playing.py
@@ -48,7 +48,7 @@
 from pepperrun.distribution.follower import Follower
 from pepperrun.distribution.publisher import Publisher
 from pepperrun.distribution.replicated_state import ReplicatedState
-from pepperrun.distribution.service import DownlinkUser
+from pepperrun.distribution.service import DownlinkHandler
 from pepperrun.foundation.link import Link
 from pepperrun.foundation.netstring import Decoder, encode
 from pepperrun.foundation.settings import Bounds, parse
@@ -164,7 +164,14 @@
 def follower():
     contacts = [(CORES[0], SIDING)]
     return Follower(
-        "g1", "a", SIDING, ZONES, contacts, row=lambda: gateway_record("g1"), apply=changes.apply, now=START
+        "g1",
+        "a",
+        SIDING,
+        ZONES,
+        contacts,
+        own_record=lambda: gateway_record("g1"),
+        apply=changes.apply,
+        now=START,
     )
 
 
@@ -175,7 +182,7 @@
         self.core, self.follower, self.over = Core(), follower(), over
         self.up, self.down, self.log = Ear("core"), Ear("g1"), []
         hello = {"station": "g1", "ip": "10.1.0.1", "zone": "a", "class": "counter", "life": 7}
-        self.core.publisher.joined(self.down, hello, START)
+        self.core.publisher.opened(self.down, hello, START)
         hello = {"station": "s1", "ip": CORES[0], "zone": "a", "class": "sorting", "life": 1}
         self.follower.opened((CORES[0], SIDING), self.up, hello, START)
         self.run()
@@ -193,9 +200,9 @@
                 return
             self.log += [["up", one] for one in ups] + [["down", one] for one in downs]
             for one in ups:
-                self.core.publisher.heard(self.down, self.over(one), START)
+                self.core.publisher.received(self.down, self.over(one), START)
             for one in downs:
-                self.follower.heard(self.up, self.over(one), START + 30 * MS)
+                self.follower.received(self.up, self.over(one), START + 30 * MS)
         raise AssertionError("they talk without end")
 
 
@@ -388,7 +395,7 @@
         ears = Ear("operator"), Ear("operator")
         for ear, does in zip(
             ears,
-            (hub.heard, DownlinkUser(program.distribution, program.distribution.publisher).heard),
+            (hub.received, DownlinkHandler(program.distribution, program.distribution.publisher).received),
             strict=True,
         ):
             does(ear, {"k": "show"})
@@ -446,7 +453,7 @@
     def opened(self, link, hello):
         self.hellos.append(hello)
 
-    def heard(self, link, message):
+    def received(self, link, message):
         self.messages.append(message)
 
     def closed(self, link):
--- a/features/steps/versions.py
+++ b/features/steps/versions.py
@@ -45,7 +45,7 @@
 @then("both are told as greeted")
 def greeted(context):
     assert [one and one["station"] for one in context.user.hellos] == ["s1", "s9"]
-    assert all(one.greeted and one.transport.up for one in context.links)
+    assert all(one.hello_received and one.transport.up for one in context.links)
 
 
 @then("this version's hello has every field that the other reads")
@@ -61,8 +61,8 @@
 def unknown_kinds(context):
     news, (cells, _), trio = playing.News(), playing.cells_talk(), playing.Trio()
     odd = {"k": "smoke", "of": "pine"}
-    news.follower.heard(news.up, odd, START)
-    news.core.publisher.heard(news.down, odd, START)
+    news.follower.received(news.up, odd, START)
+    news.core.publisher.received(news.down, odd, START)
     held = cells[CORES[0]]
     held.take_messages(START)
     held.receive(CORES[1], odd, START)
@@ -84,11 +84,11 @@
 @when("its ticks, questions and rows come to a core machine")
 def old_follower(context):
     core, ear = playing.Core(), playing.Ear("g1")
-    core.publisher.joined(ear, {"station": "g1", "class": "counter"}, START)
+    core.publisher.opened(ear, {"station": "g1", "class": "counter"}, START)
     context.answers = []
     for way, message in context.said["news"]:
         if way == "up":
-            assert core.publisher.heard(ear, message, START)
+            assert core.publisher.received(ear, message, START)
             context.answers += ear.take()
         elif message["k"] == "change":
             core.amend()
@@ -122,7 +122,7 @@
         if way == "down":
             if message["k"] == "tock" and message["t"] > START:
                 context.follower.tick(message["t"])
-            context.follower.heard(ear, message, context.now)
+            context.follower.received(ear, message, context.now)
     assert not ear.closed
 
 
--- a/pepperrun/consensus/acceptor.py
+++ b/pepperrun/consensus/acceptor.py
@@ -22,7 +22,7 @@
 )
 from pepperrun.consensus.state import Ballot, Proposal
 from pepperrun.foundation.errors import StorageError
-from pepperrun.foundation.logs import event, trouble
+from pepperrun.foundation.logs import event, log_error
 
 
 class Acceptor(Learner):
@@ -157,7 +157,7 @@
 
     def _on_disk_failure(self, error: StorageError) -> None:
         if not self.disk_failed:
-            trouble(error)
+            log_error(error)
         self.disk_failed = True
         self.loopback = []
         self.outbox = [
--- a/pepperrun/control/node.py
+++ b/pepperrun/control/node.py
@@ -27,7 +27,7 @@
 from pepperrun.control.verdict import Verdict
 from pepperrun.distribution.digests import RangeDigests
 from pepperrun.distribution.publisher import Publisher
-from pepperrun.foundation.link import OPERATOR, Link
+from pepperrun.foundation.link import OPERATOR_CLASS, Link
 from pepperrun.foundation.logs import event
 from pepperrun.foundation.netstring import Message, encode
 from pepperrun.foundation.settings import Settings
@@ -39,7 +39,7 @@
 
 
 class ControlNode:
-    """`NodeInterface` for the control calls, `Source` for the publisher, `User` of all links.
+    """`NodeInterface` for the control calls, `Source` for the publisher, `LinkHandler` of all links.
 
     Parameters
     ----------
@@ -118,25 +118,25 @@
             "cores": self.control_nodes,
         }
 
-    # Links (`foundation.link.User`).
+    # Links (`foundation.link.LinkHandler`).
 
     def opened(self, link: Link, hello: Message) -> None:
         """Handle a new link by who is at its other end."""
         now = self.now()
         if hello["class"] == CONTROL_CLASS:
             self.peer_links.opened(link, hello, now)
-        elif hello["class"] != OPERATOR:
-            self.publisher.joined(link, hello, now)
+        elif hello["class"] != OPERATOR_CLASS:
+            self.publisher.opened(link, hello, now)
         self.process_pending()
 
-    def heard(self, link: Link, message: Message) -> None:
+    def received(self, link: Link, message: Message) -> None:
         """Handle a message of a control node, a gatekeeper or an operator's tool."""
         now = self.now()
         ip = self.peer_links.ip_of(link)
         if message["k"] == "show":
             link.send(inspect_node(self, now))
         elif ip is None:
-            self.publisher.heard(link, message, now)
+            self.publisher.received(link, message, now)
         else:
             self._on_peer_message(ip, message, now)
         self.process_pending()
@@ -159,7 +159,7 @@
         if self.peer_links.ip_of(link) is not None:
             self.peer_links.closed(link, now)
         else:
-            self.publisher.left(link, now)
+            self.publisher.closed(link, now)
         self.process_pending()
 
     def peer_up(self, ip: str, zone: str) -> None:
@@ -288,7 +288,7 @@
 
     def control_address(self, ip: str) -> str:
         """Return the control address of a control node: all machines use the same ports."""
-        own = self.settings.postbox("control_port")
+        own = self.settings.listen_address("control_port")
         return f"{ip}:{own[1]}" if own is not None else ip
 
     # What follows from events.
--- a/pepperrun/control/peer_links.py
+++ b/pepperrun/control/peer_links.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable, Iterable
 from typing import Any, Protocol
 
-from pepperrun.foundation.link import Dialer, Link, User
+from pepperrun.foundation.link import Dialer, Link, LinkHandler
 from pepperrun.foundation.netstring import Message, encode
 from pepperrun.foundation.settings import Address
 
@@ -37,7 +37,7 @@
     ----------
     port : int
         Internal port, the same on all machines.
-    user : User
+    user : LinkHandler
         Gets the messages of the links.
     listener : PeerListener
         Gets the nodes that come and go.
@@ -52,10 +52,10 @@
         self,
         own_ip: str,
         port: int,
-        user: User,
+        user: LinkHandler,
         listener: PeerListener,
         hello: Callable[[], Message],
-        dial: Callable[[Address, User, Callable[[], Message]], Any] = Dialer,
+        dial: Callable[[Address, LinkHandler, Callable[[], Message]], Any] = Dialer,
     ) -> None:
         self.own_ip = own_ip
         self.port = port
--- a/pepperrun/control/server.py
+++ b/pepperrun/control/server.py
@@ -11,7 +11,7 @@
 
 from pepperrun.control.matchers import Answer, Call, Matcher, dispatch, parse_target
 from pepperrun.foundation.errors import PepperrunError
-from pepperrun.foundation.logs import trouble
+from pepperrun.foundation.logs import log_error
 from pepperrun.foundation.settings import Address
 from pepperrun.net.buffer import Buffer
 from pepperrun.net.http1 import HttpError, Request, RequestParser, encode_response
@@ -106,7 +106,7 @@
             call = Call(request.method.decode("latin-1"), path, query, headers, request.body)
             answer = dispatch(self.server.tree, call)
         except PepperrunError as error:
-            trouble(error)
+            log_error(error)
             answer = Answer(503, headers=(("Retry-After", "0.5"),))
         if isinstance(answer, Answer):
             self.respond(answer, request.closes_connection())
@@ -123,7 +123,7 @@
         error = done.exception()
         if error is not None:
             step = "answering a call"
-            trouble(
+            log_error(
                 error if isinstance(error, PepperrunError) else PepperrunError("fault", step, repr(error))
             )
         assert self.request is not None
--- a/pepperrun/control_node.py
+++ b/pepperrun/control_node.py
@@ -55,9 +55,9 @@
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, self.stop.set)
         loop.add_signal_handler(signal.SIGHUP, self.reload_settings)
-        listener = await link.listen(self.settings.internal_port, self.node, self.node.hello)
+        listener = await link.listen(self.settings.internal_address, self.node, self.node.hello)
         for name, server in self.servers.items():
-            where = self.settings.postbox(name)
+            where = self.settings.listen_address(name)
             if where is not None:
                 await server.open(where)
         self.node.start()
@@ -91,7 +91,7 @@
         try:
             self.settings = load(self.path)
         except PepperrunError as error:
-            logs.trouble(error)
+            logs.log_error(error)
             return
         self.node.reload(self.settings)
 
@@ -121,13 +121,13 @@
     try:
         settings = load(options.settings)
         for name in ("control_port", "directory_port"):
-            settings.postbox(name)
+            settings.listen_address(name)
         if options.check:
             print("settings are good")
             return 0
         asyncio.run(_run(settings, options.settings))
     except PepperrunError as error:
-        logs.trouble(error)
+        logs.log_error(error)
         return 2
     return 0
 
--- a/pepperrun/dataplane/inspection.py
+++ b/pepperrun/dataplane/inspection.py
@@ -24,7 +24,7 @@
 ) -> Message:
     """The answer to `show`: ages in ms, levels in requests. Keys are not in it."""
     book, follower, keeper, table = news.replicated, news.follower, plane.gatekeeper, plane.table
-    core, parent = follower.core, follower.parent
+    core, parent = follower.control_node, follower.parent
     return {
         **{"k": "shown", "class": "counter", "station": row.name, "zone": row.zone, "region": row.region},
         **{
@@ -35,7 +35,7 @@
         },
         **{"ready": plane.ready(), "number": book.version, "edition": table.edition if table else 0},
         **{"age_ms": _age(book.confirmed_at, now), "cells_age_ms": _age(book.records_confirmed_at, now)},
-        "core": {"ip": core.address[0], "linked": core.port is not None},
+        "core": {"ip": core.address[0], "linked": core.connection is not None},
         "parent": {"station": parent.parent_name, "number": parent.version} if parent else None,
         **{"root": follower.is_root, "depth": depth(row.name, row.zone, book.gateways.values())},
         "children": [
--- a/pepperrun/dataplane/peer_messages.py
+++ b/pepperrun/dataplane/peer_messages.py
@@ -15,8 +15,8 @@
 from pepperrun.control.records import GatewayRecord, GatewayState
 from pepperrun.dataplane.numbering import name_hash
 from pepperrun.foundation.errors import PepperrunError
-from pepperrun.foundation.logs import trouble
-from pepperrun.foundation.settings import Address, address
+from pepperrun.foundation.logs import log_error
+from pepperrun.foundation.settings import Address, parse_address
 
 TAG = 0xB2
 HEADER = struct.Struct("<BIQ")
@@ -56,9 +56,9 @@
 
     def _meet(self, gateway: GatewayRecord) -> None:
         try:
-            where = address(gateway.internal_address)
+            where = parse_address(gateway.internal_address)
         except PepperrunError as error:
-            trouble(error, station=gateway.name)
+            log_error(error, station=gateway.name)
             return
         key = name_hash(gateway.name), gateway.incarnation
         number = self.number_at.get(key)
--- a/pepperrun/dataplane/routes.py
+++ b/pepperrun/dataplane/routes.py
@@ -14,7 +14,7 @@
 from pepperrun.dataplane.numbering import MS, Numbering, name_hash
 from pepperrun.foundation.errors import PepperrunError
 from pepperrun.foundation.hosts import host_of
-from pepperrun.foundation.logs import trouble
+from pepperrun.foundation.logs import log_error
 
 Item = dict[str, Any]
 Converted = TypeVar("Converted")
@@ -33,7 +33,7 @@
     try:
         return make(item)
     except (PepperrunError, ValueError, TypeError, AttributeError) as error:
-        trouble(PepperrunError("bad-item", "configuration", f"{item!r}: {error}"))
+        log_error(PepperrunError("bad-item", "configuration", f"{item!r}: {error}"))
         return None
 
 
--- a/pepperrun/dataplane/workers.py
+++ b/pepperrun/dataplane/workers.py
@@ -8,8 +8,8 @@
 from pepperrun.core.interface import Backend, BackendList, BackendState, ListKind
 from pepperrun.dataplane.numbering import Numbering, name_hash
 from pepperrun.foundation.errors import PepperrunError
-from pepperrun.foundation.logs import trouble
-from pepperrun.foundation.settings import Address, address
+from pepperrun.foundation.logs import log_error
+from pepperrun.foundation.settings import Address, parse_address
 
 SECOND = 1_000_000_000
 # After an evacuation a zone's workers count as cold until their heartbeats must have come.
@@ -63,9 +63,9 @@
                 )
                 continue
             try:
-                where = address(worker.address)
+                where = parse_address(worker.address)
             except PepperrunError as error:
-                trouble(error, worker=worker.id)
+                log_error(error, worker=worker.id)
                 continue
             service = self.numbering.service_number(worker.service)
             known = KnownWorker(worker, number, service, self.zones.get(worker.zone), where)
--- a/pepperrun/distribution/control_node_selection.py
+++ b/pepperrun/distribution/control_node_selection.py
@@ -95,7 +95,7 @@
         length_ns = min(MAX_AVOID_NS, 2 * last_ns)
         self._avoided[address] = _Avoidance(now + length_ns, length_ns)
 
-    def forgive(self, address: Address) -> None:
+    def clear_failures(self, address: Address) -> None:
         """Forget the failures of a control node that answers well."""
         self._avoided.pop(address, None)
 
--- a/pepperrun/distribution/follower.py
+++ b/pepperrun/distribution/follower.py
@@ -26,11 +26,11 @@
     StateChange,
 )
 from pepperrun.distribution.parent_selection import ParentSelection
-from pepperrun.distribution.publisher import Port, state_checksum
+from pepperrun.distribution.publisher import Connection, state_checksum
 from pepperrun.distribution.replicated_state import AppliedChange, ReplicatedState
 from pepperrun.distribution.uplink import MS, REPAIR_DELAY_NS, SILENT_NS, Uplink
 from pepperrun.foundation.errors import RemoteProtocolError
-from pepperrun.foundation.logs import event, trouble
+from pepperrun.foundation.logs import event, log_error
 from pepperrun.foundation.netstring import Message, encode
 from pepperrun.foundation.settings import Address
 
@@ -50,7 +50,7 @@
 class Follower:
     """One gatekeeper's links upwards.
 
-    Links that should be up are in `wanted`; whoever keeps them calls `opened`, `heard`, `closed`, and `tick`
+    Links that should be up are in `wanted`; the caller calls `opened`, `received`, `closed`, and `tick`
     when `next_tick_at` says, and looks at `wanted` after each.
 
     Parameters
@@ -63,7 +63,7 @@
         Region of each zone.
     contacts : list of Address
         Control nodes of the settings.
-    row : callable
+    own_record : callable
         Returns the own record as it is.
     apply : callable
         Evaluates an operation on the state.
@@ -77,7 +77,7 @@
         regions: Mapping[str, str],
         contacts: list[Address],
         *,
-        row: Callable[[], GatewayRecord],
+        own_record: Callable[[], GatewayRecord],
         apply: Apply,
         now: int,
     ) -> None:
@@ -86,10 +86,10 @@
         self.apply = apply
         self.replicated = ReplicatedState()
         self.replicated.on_state.append(lambda version, state, change: self._apply_all_evidence())
-        self.local_record = LocalRecord(name, row)
-        self.control_nodes = ControlNodeSelection(name, zone, internal_port, regions, contacts)
-        self.parents = ParentSelection(name, zone)
-        self.core = Uplink(self._best_control_node(now), "", now)
+        self.local_record = LocalRecord(name, own_record)
+        self.control_node_selection = ControlNodeSelection(name, zone, internal_port, regions, contacts)
+        self.parent_selection = ParentSelection(name, zone)
+        self.control_node = Uplink(self._best_control_node(now), "", now)
         self.candidate: Uplink | None = None  # a control node that is tried while the present one is kept
         self.parent: Uplink | None = None
         self._next_heartbeat_at = now
@@ -99,63 +99,65 @@
     # Whom to follow.
 
     def _links(self) -> list[Uplink]:
-        return [link for link in (self.core, self.candidate, self.parent) if link is not None]
+        return [link for link in (self.control_node, self.candidate, self.parent) if link is not None]
 
     def wanted(self) -> set[Address]:
         """Return the addresses to which links are to be kept."""
         return {link.address for link in self._links()}
 
     def _best_control_node(self, now: int, *, other_than: Address | None = None) -> Address:
-        return self.control_nodes.best(self.replicated.control_nodes, now, other_than=other_than)
+        return self.control_node_selection.best(self.replicated.control_nodes, now, other_than=other_than)
 
     def _leave_control_node(self, now: int, reason: str) -> None:
-        core = self.core
+        core = self.control_node
         silent_ms = (now - core.waiting_since()) // MS
         event("core-left", peer=core.address[0], why=reason, silent_ms=silent_ms)
-        self.control_nodes.avoid(core.address, now)
+        self.control_node_selection.avoid(core.address, now)
         core.close()
         if self.candidate is not None:
-            self.core = self.candidate
+            self.control_node = self.candidate
             self.candidate = None
         else:
-            self.core = Uplink(self._best_control_node(now), "", now)
+            self.control_node = Uplink(self._best_control_node(now), "", now)
 
     def _drop_candidate(self, now: int) -> None:
         if self.candidate is not None:
-            self.control_nodes.avoid(self.candidate.address, now)
+            self.control_node_selection.avoid(self.candidate.address, now)
             self.candidate.close()
             self.candidate = None
 
     def _quiet_at(self) -> int:
         """Return when the control node has been waited for long enough to try another one beside it."""
-        core = self.core
-        return core.chosen_at + CONNECT_NS if core.port is None else core.received_at + QUIET_NS
+        core = self.control_node
+        return core.chosen_at + CONNECT_NS if core.connection is None else core.received_at + QUIET_NS
 
     def _try_candidate(self, now: int) -> None:
         """Try a nearer one, or one that may answer sooner; the present one is left once that one answers."""
-        nearness = self.control_nodes.nearness(self.core.address)
+        nearness = self.control_node_selection.nearness(self.control_node.address)
         is_quiet = now >= self._quiet_at()
         if self.candidate is not None or not (nearness or is_quiet):
             return
-        best = self._best_control_node(now, other_than=self.core.address)
-        is_nearer = self.control_nodes.nearness(best) < nearness and self.control_nodes.is_usable(best, now)
-        if best != self.core.address and (is_nearer or is_quiet):
+        best = self._best_control_node(now, other_than=self.control_node.address)
+        is_nearer = self.control_node_selection.nearness(
+            best
+        ) < nearness and self.control_node_selection.is_usable(best, now)
+        if best != self.control_node.address and (is_nearer or is_quiet):
             self.candidate = Uplink(best, "", now)
 
     def _switch_to_candidate(self, now: int) -> None:
         """Follow the control node that was tried: it has answered well."""
         candidate = self.candidate
-        core = self.core
+        core = self.control_node
         if candidate is None:
             return
         self.candidate = None
-        nearness = self.control_nodes.nearness
+        nearness = self.control_node_selection.nearness
         is_as_near = nearness(core.address) <= nearness(candidate.address)
         if is_as_near and now < self._quiet_at():
             candidate.close()  # the present one has answered meanwhile
             return
         event("core-moved", peer=candidate.address[0], before=core.address[0])
-        self.core = candidate
+        self.control_node = candidate
         core.close()
         self._request_if_empty(candidate, now)
         self._send_heartbeat(candidate, now)
@@ -165,13 +167,13 @@
         parent = self.parent
         if parent is not None:
             event("parent-left", peer=parent.parent_name, why=reason)
-            self.parents.avoid(parent.parent_name, now)
+            self.parent_selection.avoid(parent.parent_name, now)
             parent.close()
             self.parent = None
         self._choose_parent(now)
 
     def _choose_parent(self, now: int) -> None:
-        best = self.parents.best(self.replicated.gateways.values(), now)
+        best = self.parent_selection.best(self.replicated.gateways.values(), now)
         parent = self.parent
         if parent is not None:
             if best is not None and best == (parent.parent_name, parent.address):
@@ -186,19 +188,19 @@
 
     # What happens on links.
 
-    def opened(self, address: Address, port: Port, hello: Message, now: int) -> None:
+    def opened(self, address: Address, connection: Connection, hello: Message, now: int) -> None:
         """Handle a link to a wanted address that is up."""
         for link in self._links():
             if link.address != address:
                 continue
-            new = Uplink(address, link.parent_name, now, port, received_at=now)
+            new = Uplink(address, link.parent_name, now, connection, received_at=now)
             if link is self.parent:
                 self.parent = new
             elif link is self.candidate:
                 self.candidate = new
             else:
-                self.core = new
-                self.control_nodes.zones.setdefault(address[0], str(hello.get("zone", "")))
+                self.control_node = new
+                self.control_node_selection.zones.setdefault(address[0], str(hello.get("zone", "")))
                 self._request_if_empty(new, now)
             self._send_heartbeat(new, now)
 
@@ -209,27 +211,27 @@
         if not self.replicated.digests.sums:
             link.request_records(self.replicated, now)
 
-    def closed(self, address: Address, port: Port, now: int) -> None:
+    def closed(self, address: Address, connection: Connection, now: int) -> None:
         """Handle the end of a link."""
-        if self.core.port is port:
-            self.core.port = None
+        if self.control_node.connection is connection:
+            self.control_node.connection = None
             self._leave_control_node(now, "closed")
-        elif self.candidate is not None and self.candidate.port is port:
+        elif self.candidate is not None and self.candidate.connection is connection:
             self._drop_candidate(now)
-        elif self.parent is not None and self.parent.port is port:
-            self.parent.port = None
+        elif self.parent is not None and self.parent.connection is connection:
+            self.parent.connection = None
             self._leave_parent(now, "closed")
 
-    def _link(self, port: Port) -> Uplink | None:
-        return next((link for link in self._links() if link.port is port), None)
+    def _link(self, connection: Connection) -> Uplink | None:
+        return next((link for link in self._links() if link.connection is connection), None)
 
-    def partial_message(self, port: Port, now: int) -> None:
+    def partial_message(self, connection: Connection, now: int) -> None:
         """Note that part of a long message came, with the answers behind it: its sender is not silent."""
-        link = self._link(port)
+        link = self._link(connection)
         if link is not None:
             link.received_at = now
 
-    def heard(self, port: Port, message: Message, now: int) -> None:
+    def received(self, connection: Connection, message: Message, now: int) -> None:
         """Handle a message on one of the uplinks; kinds of a later version are passed over.
 
         Raises
@@ -237,13 +239,13 @@
         KeyError, TypeError, ValueError
             The message is not allowed.
         """
-        link = self._link(port)
+        link = self._link(connection)
         if link is None:
             return
         link.received_at = now
         if repair.is_repair_message(message):
             for reply in repair.handle(self.replicated, self.merge, message, now):
-                port.write(encode(reply))
+                connection.write(encode(reply))
             self._check_digests()
         elif message["k"] == HEARTBEAT_ACK:
             self._on_ack(link, HeartbeatAck.from_wire(message), now)
@@ -265,14 +267,14 @@
         if not link.accepts_ack(ack.heartbeat_sent_at):
             return
         link.version = ack.version
-        if ack.control_nodes is not None and link is self.core:
+        if ack.control_nodes is not None and link is self.control_node:
             self.replicated.control_nodes = ack.control_nodes
-            self.control_nodes.learn(ack.control_nodes)
+            self.control_node_selection.learn(ack.control_nodes)
         if ack.age_ms is None or ack.age_ms > STALE_MS:
             link.stale_since = link.stale_since or now
         else:
             link.stale_since = 0
-            self.control_nodes.forgive(link.address)
+            self.control_node_selection.clear_failures(link.address)
             if link is self.candidate:
                 self._switch_to_candidate(now)
         record_evidence(link, ack)
@@ -280,7 +282,7 @@
             link.behind_since = link.behind_since or now
         apply_evidence(self.replicated, link)
         self._check_parent_lag(now)
-        if link is self.core or not self._control_node_is_well(now):
+        if link is self.control_node or not self._control_node_is_well(now):
             record_digest(self.replicated, link, ack, now)
             self._check_digests()
 
@@ -288,7 +290,7 @@
         parent = self.parent
         if parent is None:
             return
-        if not parent.version or parent.version >= self.core.version:
+        if not parent.version or parent.version >= self.control_node.version:
             parent.lagging_since = 0
         elif not parent.lagging_since:
             parent.lagging_since = now
@@ -300,7 +302,7 @@
             apply_evidence(self.replicated, link)
 
     def _check_digests(self) -> None:
-        check_digests(self.replicated, self._links(), self.core)
+        check_digests(self.replicated, self._links(), self.control_node)
 
     def _on_change(self, link: Uplink, change: StateChange, now: int) -> None:
         if change.version <= self.replicated.version:
@@ -321,12 +323,12 @@
     def _report_mismatch(self, link: Uplink, change: StateChange) -> None:
         peer = link.parent_name or "core"
         detail = f"number {change.version}"
-        trouble(RemoteProtocolError("change-unlike", "taking a change", detail, peer))
+        log_error(RemoteProtocolError("change-unlike", "taking a change", detail, peer))
 
     # What is due.
 
     def _send_heartbeat(self, link: Uplink, now: int) -> None:
-        if link.port is None:
+        if link.connection is None:
             return
         if link is self.parent:
             link.send_heartbeat(Heartbeat(now, self.replicated.version, attaches=True))
@@ -334,7 +336,7 @@
         record = self.local_record.current(self.replicated)
         changed = record if record != link.sent_record else None
         link.sent_record = record
-        attaches = self.is_root and link is self.core
+        attaches = self.is_root and link is self.control_node
         link.send_heartbeat(Heartbeat(now, self.replicated.version, attaches, changed))
 
     def membership_changed(self, now: int) -> None:
@@ -343,17 +345,17 @@
 
     def send_own_record(self, now: int) -> None:
         """Send the own record, which has changed, to the control node now."""
-        self._send_heartbeat(self.core, now)
+        self._send_heartbeat(self.control_node, now)
 
     def _control_node_is_well(self, now: int) -> bool:
-        core = self.core
-        return core.port is not None and now - core.received_at <= SILENT_NS and not core.stale_since
+        core = self.control_node
+        return core.connection is not None and now - core.received_at <= SILENT_NS and not core.stale_since
 
     def tick(self, now: int) -> None:
         """Do what is due."""
         if now - self._ticked_at > SUSPENDED_NS:
             for link in self._links():
-                link.excuse(now)
+                link.resumed(now)
         self._ticked_at = now
         self._leave_silent(now)
         for link in self._repairing(now):
@@ -364,8 +366,8 @@
 
     def _leave_silent(self, now: int) -> None:
         """Leave whoever does not come up or answer."""
-        core = self.core
-        if core.port is None:
+        core = self.control_node
+        if core.connection is None:
             if now - core.chosen_at > SILENT_NS:
                 self._leave_control_node(now, "not up")
         elif now - core.received_at > SILENT_NS:
@@ -374,8 +376,8 @@
             self._leave_control_node(now, "stale")
         if self.candidate is not None and now - self.candidate.chosen_at > SILENT_NS:
             self._drop_candidate(now)
-        if self.parent is not None and self.parent.is_silent(now):
-            self._leave_parent(now, "silent" if self.parent.port else "not up")
+        if self.parent is not None and self.parent.is_timed_out(now):
+            self._leave_parent(now, "silent" if self.parent.connection else "not up")
 
     def _send_all_heartbeats(self, now: int) -> None:
         is_confirmed = bool(self.replicated.confirmed_at)
@@ -390,7 +392,9 @@
     def _repairing(self, now: int) -> list[Uplink]:
         """Return where to ask for what is missing: the control node, else the parent."""
         parent = None if self._control_node_is_well(now) else self.parent
-        return [link for link in (self.core, parent) if link is not None and link.port is not None]
+        return [
+            link for link in (self.control_node, parent) if link is not None and link.connection is not None
+        ]
 
     def next_tick_at(self, now: int) -> int:
         """Return when `tick` has something to do."""
--- a/pepperrun/distribution/local_record.py
+++ b/pepperrun/distribution/local_record.py
@@ -14,13 +14,13 @@
 
     Parameters
     ----------
-    row : callable
+    own_record : callable
         Returns the record as it is, with the incarnation and serial of this process.
     """
 
-    def __init__(self, name: str, row: Callable[[], GatewayRecord]) -> None:
+    def __init__(self, name: str, own_record: Callable[[], GatewayRecord]) -> None:
         self.name = name
-        self.row = row
+        self.own_record = own_record
         # Incarnation and added serial that supersede what others hold under this name.
         self._ahead = (0, 0)
 
@@ -30,7 +30,7 @@
         Others may have concluded that it is lost, and the time of day from which an incarnation is numbered
         may have jumped back since an earlier one.
         """
-        row = self.row()
+        row = self.own_record()
         held = replicated.gateways.get(self.name)
         incarnation, added_serial = max(self._ahead, (row.incarnation, 0))
         own = replace(row, incarnation=incarnation, serial=row.serial + added_serial)
--- a/pepperrun/distribution/publisher.py
+++ b/pepperrun/distribution/publisher.py
@@ -25,7 +25,7 @@
     HeartbeatAck,
     StateChange,
 )
-from pepperrun.foundation.netstring import Message, encode, length
+from pepperrun.foundation.netstring import Message, encode, wire_length
 
 MS = 1_000_000  # ns
 SECOND = 1000 * MS
@@ -44,7 +44,7 @@
 UNKNOWN_VERSION = -1
 
 
-class Port(Protocol):
+class Connection(Protocol):
     """One link; `foundation.link.Link` is one."""
 
     name: str
@@ -173,7 +173,7 @@
         self.source = source
         self.schedule = schedule
         self.relay_budget_bytes = relay_budget_bytes
-        self.peers: dict[Port, Peer] = {}
+        self.peers: dict[Connection, Peer] = {}
         self._state_changed_at = 0
         self._batch: dict[str, Record] = {}
         self._batch_at = 0  # when the batch goes; 0 for no batch
@@ -181,15 +181,15 @@
         self._full = _FullFrame(0, b"")
         self._swept_at = 0
 
-    def joined(self, port: Port, hello: Message, now: int) -> None:
+    def opened(self, connection: Connection, hello: Message, now: int) -> None:
         """Handle a new link to a gatekeeper."""
-        self.peers[port] = Peer(now, relay_budget_bytes=int(hello.get("room") or 0))
+        self.peers[connection] = Peer(now, relay_budget_bytes=int(hello.get("room") or 0))
 
-    def left(self, port: Port, now: int) -> None:
+    def closed(self, connection: Connection, now: int) -> None:
         """Handle the end of a link."""
-        self.peers.pop(port, None)
+        self.peers.pop(connection, None)
 
-    def heard(self, port: Port, message: Message, now: int) -> bool:
+    def received(self, connection: Connection, message: Message, now: int) -> bool:
         """Handle a message of a gatekeeper; return False for kinds that are not known.
 
         Raises
@@ -197,22 +197,24 @@
         KeyError, TypeError, ValueError
             The message is not allowed: the link then ends.
         """
-        peer = self.peers.get(port)
+        peer = self.peers.get(connection)
         if peer is None:
             return False
         peer.received_at = now
         if repair.is_repair_message(message):
             for reply in repair.handle(self.source, self.source.merge, message, now):
-                port.write(encode(reply))
+                connection.write(encode(reply))
         elif message["k"] == HEARTBEAT:
-            self._on_heartbeat(port, peer, Heartbeat.from_wire(message), now)
+            self._on_heartbeat(connection, peer, Heartbeat.from_wire(message), now)
         elif message["k"] == CATCH_UP_REQUEST:
-            self._on_catch_up_request(port, peer, CatchUpRequest.from_wire(message), now)
+            self._on_catch_up_request(connection, peer, CatchUpRequest.from_wire(message), now)
         else:
             return False
         return True
 
-    def _on_catch_up_request(self, port: Port, peer: Peer, request: CatchUpRequest, now: int) -> None:
+    def _on_catch_up_request(
+        self, connection: Connection, peer: Peer, request: CatchUpRequest, now: int
+    ) -> None:
         """Send what came after the version that a peer holds.
 
         A link carries all that is written to it, in order. So what was sent is on its way, however long that
@@ -220,7 +222,7 @@
         """
         peer.acknowledge(request.version, now)
         is_overdue = now - peer.in_flight_since > IN_FLIGHT_NS
-        if is_overdue and port.unsent():
+        if is_overdue and connection.unsent():
             is_overdue = False
             peer.in_flight_since = now
         if request.full or is_overdue:
@@ -228,19 +230,19 @@
             peer.long_version = UNKNOWN_VERSION
             peer.in_flight_since = now
         peer.version = max(peer.version, request.version)
-        self._catch_up(port, peer, now, full=request.full, requested=True)
+        self._catch_up(connection, peer, now, full=request.full, requested=True)
 
-    def _on_heartbeat(self, port: Port, peer: Peer, heartbeat: Heartbeat, now: int) -> None:
+    def _on_heartbeat(self, connection: Connection, peer: Peer, heartbeat: Heartbeat, now: int) -> None:
         if heartbeat.gateway is not None:
             peer.gateway = heartbeat.gateway
         if peer.gateway is not None:
             self.source.gateway_heartbeat(peer.gateway, now)
-        port.write(encode(self._ack(peer, heartbeat, now).to_wire()))
+        connection.write(encode(self._ack(peer, heartbeat, now).to_wire()))
         peer.version = max(peer.version, heartbeat.version)  # not less where more is on its way
         peer.acknowledge(heartbeat.version, now)
         peer.is_attached = heartbeat.attaches
         if heartbeat.attaches and peer.version < self.source.version:
-            self._catch_up(port, peer, now)
+            self._catch_up(connection, peer, now)
         if now - self._swept_at > SWEEP_NS:
             self._sweep(now)
 
@@ -260,10 +262,10 @@
     def _sweep(self, now: int) -> None:
         """End links whose other side has been silent for too long."""
         self._swept_at = now
-        silent = [port for port, peer in self.peers.items() if now - peer.received_at > SILENT_NS]
-        for port in silent:
-            del self.peers[port]
-            port.close()
+        silent = [connection for connection, peer in self.peers.items() if now - peer.received_at > SILENT_NS]
+        for connection in silent:
+            del self.peers[connection]
+            connection.close()
 
     # The state.
 
@@ -271,9 +273,9 @@
         """Push the newer state of the source, by `change` (base version, operation) where it was one."""
         self._state_changed_at = now
         self._record_change(change)
-        for port, peer in list(self.peers.items()):
+        for connection, peer in list(self.peers.items()):
             if peer.is_attached or (peer.relay_budget_bytes and peer.gateway is not None):
-                self._catch_up(port, peer, now)
+                self._catch_up(connection, peer, now)
 
     def _record_change(self, change: tuple[int, dict[str, Any]] | None) -> None:
         state = self.source.state
@@ -293,14 +295,14 @@
         return sum(len(change.frame) for change in self._history)
 
     def _catch_up(
-        self, port: Port, peer: Peer, now: int, *, full: bool = False, requested: bool = False
+        self, connection: Connection, peer: Peer, now: int, *, full: bool = False, requested: bool = False
     ) -> None:
         """Send what a peer lacks: the changes on top of what it holds, else the full state."""
         state = self.source.state
         if state is None or peer.version >= self.source.version:
             return
         frames = self._missing_frames(peer, state, full=full)
-        size = sum(length(frame) for frame in frames)
+        size = sum(wire_length(frame) for frame in frames)
         if not requested and not self._should_push(peer, size, now):
             return
         if size > LONG_BYTES:
@@ -313,7 +315,7 @@
             peer.in_flight_since = now
         peer.version = self.source.version
         for frame in frames:
-            port.write(frame)
+            connection.write(frame)
 
     def _missing_frames(self, peer: Peer, state: dict[str, Any], *, full: bool) -> list[bytes]:
         frames: list[bytes] = []
@@ -358,7 +360,7 @@
         self._batch_at = 0
         frame = encode(repair.encode_records(self._batch.values(), now))
         self._batch.clear()
-        for port, peer in list(self.peers.items()):
+        for connection, peer in list(self.peers.items()):
             if peer.is_attached:
-                port.write(frame)
+                connection.write(frame)
         self._sweep(now)
--- a/pepperrun/distribution/service.py
+++ b/pepperrun/distribution/service.py
@@ -12,19 +12,21 @@
 from pepperrun.distribution.publisher import Publisher
 from pepperrun.distribution.relay import relay
 from pepperrun.distribution.tree import FAN_OUT
-from pepperrun.foundation.link import OPERATOR, Dialer, Link, listen
+from pepperrun.foundation.link import OPERATOR_CLASS, Dialer, Link, listen
 from pepperrun.foundation.netstring import Message
 from pepperrun.foundation.settings import Address, Settings
 from pepperrun.foundation.timer import Timer
 
 BYTES_PER_MBIT = 125_000
-RELAY_S = 0.1  # of the own link's time for relaying a change: answers wait behind it, with aims from 0.3 s on
+# Share of time of the own link for relaying one change. Answers wait behind the change; latency targets start
+# at 0.3 s.
+RELAY_BUDGET_S = 0.1
 CONNECT_TIMEOUT_S = 0.4  # the first try at a machine that is just coming back is lost
 MAX_RETRY_S = 0.2  # between two tries: who is tried was chosen, and is given up within a second
 
 
-class UplinkUser:
-    """Passes on what happens on one link upwards (`foundation.link.User`)."""
+class UplinkHandler:
+    """Passes on what happens on one link upwards (`foundation.link.LinkHandler`)."""
 
     def __init__(self, service: DistributionService, address: Address) -> None:
         self.service = service
@@ -33,13 +35,13 @@
     def opened(self, link: Link, hello: Message) -> None:
         """Handle a link that is up."""
         service = self.service
-        link.on_part = lambda: service.follower.partial_message(link, service.clock())
+        link.on_partial_message = lambda: service.follower.partial_message(link, service.clock())
         service.follower.opened(self.address, link, hello, service.clock())
         service.update_links()
 
-    def heard(self, link: Link, message: Message) -> None:
+    def received(self, link: Link, message: Message) -> None:
         """Handle a message."""
-        self.service.follower.heard(link, message, self.service.clock())
+        self.service.follower.received(link, message, self.service.clock())
         self.service.update_links()
 
     def closed(self, link: Link) -> None:
@@ -48,8 +50,8 @@
         self.service.update_links()
 
 
-class DownlinkUser:
-    """Passes on what happens on links that others opened to this gatekeeper (`foundation.link.User`)."""
+class DownlinkHandler:
+    """Passes on what happens on links that gatekeepers open to this one (`foundation.link.LinkHandler`)."""
 
     def __init__(self, service: DistributionService, publisher: Publisher) -> None:
         self.service = service
@@ -57,19 +59,19 @@
 
     def opened(self, link: Link, hello: Message) -> None:
         """Handle a link that is up."""
-        if hello.get("class") != OPERATOR:
-            self.publisher.joined(link, hello, self.service.clock())
+        if hello.get("class") != OPERATOR_CLASS:
+            self.publisher.opened(link, hello, self.service.clock())
 
-    def heard(self, link: Link, message: Message) -> None:
+    def received(self, link: Link, message: Message) -> None:
         """Handle a message of a gatekeeper below or of an operator's tool."""
         if message["k"] == "show":
-            link.send(self.service.shown(self.service.clock()))
+            link.send(self.service.inspect(self.service.clock()))
             return
-        self.publisher.heard(link, message, self.service.clock())
+        self.publisher.received(link, message, self.service.clock())
 
     def closed(self, link: Link) -> None:
         """Handle the end of the link."""
-        self.publisher.left(link, self.service.clock())
+        self.publisher.closed(link, self.service.clock())
 
 
 class DistributionService:
@@ -79,12 +81,12 @@
     ----------
     incarnation : int
         Of this process.
-    row : callable
+    own_record : callable
         Returns this gatekeeper's own record; its `serial` grows with each change of state.
 
     Attributes
     ----------
-    shown : callable
+    inspect : callable
         Returns what an operator is told who asks what is held.
     """
 
@@ -92,13 +94,13 @@
         self,
         settings: Settings,
         incarnation: int,
-        row: Callable[[], GatewayRecord],
+        own_record: Callable[[], GatewayRecord],
         clock: Callable[[], int] = time.monotonic_ns,
     ) -> None:
         me = settings.me
         self.clock = clock
-        self.internal_port = settings.internal_port
-        relay_budget_bytes = int(me.limits.link_mbps * BYTES_PER_MBIT * RELAY_S / FAN_OUT)
+        self.internal_address = settings.internal_address
+        relay_budget_bytes = int(me.limits.link_mbps * BYTES_PER_MBIT * RELAY_BUDGET_S / FAN_OUT)
         self._hello_message: Message = {
             "station": me.station,
             "ip": me.ip,
@@ -110,15 +112,15 @@
         self.follower = Follower(
             me.station,
             me.zone,
-            settings.internal_port[1],
+            settings.internal_address[1],
             settings.network.zones,
             settings.contacts(),
-            row=row,
+            own_record=own_record,
             apply=changes.apply_at_gateway,
             now=clock(),
         )
         self.replicated = self.follower.replicated
-        self.shown: Callable[[int], Message] = lambda now: {"k": "shown", "number": self.replicated.version}
+        self.inspect: Callable[[int], Message] = lambda now: {"k": "shown", "number": self.replicated.version}
         self._follow_timer = Timer(self._follow, clock)
         self._publish_timer = Timer(self._publish, clock)
         self.publisher = relay(self.follower, self._publish_timer.set, clock, relay_budget_bytes)
@@ -137,8 +139,8 @@
         OSError
             The internal port is taken.
         """
-        user = DownlinkUser(self, self.publisher)
-        self._server = await listen(self.internal_port, user, self._hello)
+        handler = DownlinkHandler(self, self.publisher)
+        self._server = await listen(self.internal_address, handler, self._hello)
         self.update_links()
 
     def update_links(self) -> None:
@@ -150,8 +152,8 @@
             for address in [address for address in self._dialers if address not in wanted]:
                 self._dialers.pop(address).close()
             for address in wanted - self._dialers.keys():
-                user = UplinkUser(self, address)
-                self._dialers[address] = Dialer(address, user, self._hello, CONNECT_TIMEOUT_S, MAX_RETRY_S)
+                handler = UplinkHandler(self, address)
+                self._dialers[address] = Dialer(address, handler, self._hello, CONNECT_TIMEOUT_S, MAX_RETRY_S)
         self._follow_timer.set(self.follower.next_tick_at(self.clock()))
 
     def _follow(self) -> None:
@@ -162,13 +164,13 @@
         self.publisher.tick(self.clock())
 
     def membership_changed(self) -> None:
-        """Choose the parent anew: see `follower.parents.is_present`."""
+        """Choose the parent anew: see `follower.parent_selection.is_present`."""
         self.follower.membership_changed(self.clock())
         self.update_links()
 
     def set_contacts(self, contacts: list[Address]) -> None:
         """Take over the control nodes of changed settings."""
-        self.follower.control_nodes.contacts = contacts
+        self.follower.control_node_selection.contacts = contacts
 
     def send_own_record(self) -> None:
         """Send the own record, which has changed (ready, draining), now and not with the next heartbeat."""
@@ -181,7 +183,7 @@
         self._publish_timer.stop()
         for dialer in self._dialers.values():
             dialer.close()
-        for port in list(self.publisher.peers):
-            port.close()
+        for connection in list(self.publisher.peers):
+            connection.close()
         if self._server is not None:
             self._server.close()
--- a/pepperrun/distribution/uplink.py
+++ b/pepperrun/distribution/uplink.py
@@ -1,4 +1,4 @@
-"""A link to whom a gatekeeper follows: a control node or its parent in the relay tree. No I/O but `Port`."""
+"""A link to the control node or the parent in the relay tree that a gatekeeper follows. No I/O but `Connection`."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from pepperrun.control.records import GatewayRecord
 from pepperrun.distribution import repair
 from pepperrun.distribution.messages import CatchUpRequest, Heartbeat
-from pepperrun.distribution.publisher import Port
+from pepperrun.distribution.publisher import Connection
 from pepperrun.distribution.replicated_state import ReplicatedState
 from pepperrun.foundation.netstring import Message, encode
 from pepperrun.foundation.settings import Address
@@ -68,7 +68,7 @@
     address: Address
     parent_name: str
     chosen_at: int
-    port: Port | None = None
+    connection: Connection | None = None
     received_at: int = 0
     version: int = 0
     stale_since: int = 0
@@ -86,11 +86,11 @@
         """Return since when the other side has been waited for."""
         return self.received_at or self.chosen_at
 
-    def is_silent(self, now: int) -> bool:
+    def is_timed_out(self, now: int) -> bool:
         """Return whether nothing has come for too long, be the link up or not."""
         return now - self.waiting_since() > SILENT_NS
 
-    def excuse(self, now: int) -> None:
+    def resumed(self, now: int) -> None:
         """Forgive a time in which this process was suspended: what came meanwhile waits to be read."""
         if self.received_at:
             self.received_at = now
@@ -99,8 +99,8 @@
 
     def close(self) -> None:
         """End the link."""
-        if self.port is not None:
-            self.port.close()
+        if self.connection is not None:
+            self.connection.close()
 
     def send_heartbeat(self, heartbeat: Heartbeat) -> None:
         """Send a heartbeat; its answer may come back on this link, once."""
@@ -117,13 +117,13 @@
 
     def request_state(self, replicated: ReplicatedState, now: int, *, full: bool = False) -> None:
         """Ask for the changes after what is held, or for the full state."""
-        if self.port is not None:
+        if self.connection is not None:
             self.state_requested_at = now
             self._send(CatchUpRequest(replicated.version, full).to_wire())
 
     def request_records(self, replicated: ReplicatedState, now: int) -> None:
         """Ask for records that differ."""
-        if self.port is not None:
+        if self.connection is not None:
             self.records_requested_at = now
             self._send(repair.request(replicated))
 
@@ -147,5 +147,5 @@
         return times
 
     def _send(self, message: Message) -> None:
-        if self.port is not None:
-            self.port.write(encode(message))
+        if self.connection is not None:
+            self.connection.write(encode(message))
--- a/pepperrun/foundation/link.py
+++ b/pepperrun/foundation/link.py
@@ -13,24 +13,24 @@
 from typing import Protocol
 
 from pepperrun.foundation.errors import PepperrunError
-from pepperrun.foundation.logs import trouble
-from pepperrun.foundation.netstring import LONG, PACKS, Decoder, Message, encode, packed
+from pepperrun.foundation.logs import log_error
+from pepperrun.foundation.netstring import COMPRESS_ABOVE_BYTES, DEFLATE, Decoder, Message, compress, encode
 from pepperrun.foundation.settings import Address
 
-VERSION = 1
-OPERATOR = "operator"  # the class, in a hello, of one who only looks: it is shown what is held
-SILENT_MS = 2000  # unacknowledged bytes for so long: the other machine is gone or behind a cut
-UP_S = 1.0  # a connection takes no longer to come up, or will not
-AGAIN_S = (0.05, 1.0)  # between two tries: at first, and at most
-MOST_UNSENT = 16 * 1024 * 1024  # bytes: a link whose other side takes nothing ends
+PROTOCOL_VERSION = 1
+OPERATOR_CLASS = "operator"  # the class, in a hello, of one who only looks: it is shown what is held
+TCP_TIMEOUT_MS = 2000  # unacknowledged bytes for so long: the other machine is gone or behind a cut
+CONNECT_TIMEOUT_S = 1.0  # a connection takes no longer to come up, or will not
+RETRY_DELAY_S = (0.05, 1.0)  # between two tries: at first, and at most
+MAX_UNSENT_BYTES = 16 * 1024 * 1024  # bytes: a link whose other side takes nothing ends
 
 
-class User(Protocol):
+class LinkHandler(Protocol):
     """Whom a link tells of what happens on it."""
 
     def opened(self, link: Link, hello: Message) -> None: ...
 
-    def heard(self, link: Link, message: Message) -> None: ...
+    def received(self, link: Link, message: Message) -> None: ...
 
     def closed(self, link: Link) -> None: ...
 
@@ -38,13 +38,13 @@
 class Link(asyncio.Protocol):
     """One connection. `name` is the other side's station once it has said hello."""
 
-    def __init__(self, user: User, hello: Callable[[], Message]) -> None:
-        self.user, self.hello = user, hello
+    def __init__(self, handler: LinkHandler, hello: Callable[[], Message]) -> None:
+        self.handler, self.hello = handler, hello
         self.transport: asyncio.Transport | None = None
         self.decoder = Decoder()
-        self.name, self.greeted, self.packs = "", False, False
+        self.name, self.hello_received, self.accepts_deflate = "", False, False
         self.done: asyncio.Future[None] | None = None
-        self.on_part: Callable[[], None] | None = None  # bytes came, and the message that they begin has not
+        self.on_partial_message: Callable[[], None] | None = None  # part of a message came
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
@@ -52,37 +52,37 @@
         sock = transport.get_extra_info("socket")
         if sock is not None:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, SILENT_MS)
-        self.send({"k": "hello", "v": VERSION, "packs": [PACKS]} | self.hello())
+            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, TCP_TIMEOUT_MS)
+        self.send({"k": "hello", "v": PROTOCOL_VERSION, "packs": [DEFLATE]} | self.hello())
 
     def data_received(self, data: bytes) -> None:
         try:
             messages = self.decoder.feed(data)
-            if not messages and self.greeted and self.on_part is not None:
-                self.on_part()
+            if not messages and self.hello_received and self.on_partial_message is not None:
+                self.on_partial_message()
             for message in messages:
                 if self.transport is None:
                     return
-                if self.greeted:
-                    self.user.heard(self, message)
+                if self.hello_received:
+                    self.handler.received(self, message)
                 elif message["k"] == "hello" and isinstance(message.get("station"), str):
-                    self.greeted, self.name = True, message["station"]
-                    self.packs = PACKS in (message.get("packs") or ())
-                    self.user.opened(self, message)
+                    self.hello_received, self.name = True, message["station"]
+                    self.accepts_deflate = DEFLATE in (message.get("packs") or ())
+                    self.handler.opened(self, message)
                 else:
                     raise PepperrunError("bad-hello", "greeting", "no hello at first")
         except PepperrunError as error:
             error.peer = error.peer or self.name
-            trouble(error)
+            log_error(error)
             self.close()
         except (KeyError, TypeError, ValueError, IndexError, AttributeError) as error:
-            trouble(PepperrunError("bad-message", "reading", f"{type(error).__name__}: {error}", self.name))
+            log_error(PepperrunError("bad-message", "reading", f"{type(error).__name__}: {error}", self.name))
             self.close()
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.transport = None
-        if self.greeted:
-            self.user.closed(self)
+        if self.hello_received:
+            self.handler.closed(self)
         if self.done is not None and not self.done.done():
             self.done.set_result(None)
 
@@ -95,11 +95,13 @@
         transport = self.transport
         if transport is None or transport.is_closing():
             return
-        if transport.get_write_buffer_size() > MOST_UNSENT:
-            trouble(PepperrunError("link-stuck", "sending", "the other side takes nothing", self.name))
+        if transport.get_write_buffer_size() > MAX_UNSENT_BYTES:
+            log_error(PepperrunError("link-stuck", "sending", "the other side takes nothing", self.name))
             transport.abort()
             return
-        transport.write(packed(frame) if self.packs and len(frame) > LONG else frame)
+        transport.write(
+            compress(frame) if self.accepts_deflate and len(frame) > COMPRESS_ABOVE_BYTES else frame
+        )
 
     def unsent(self) -> int:
         """Bytes written and not yet gone out, as far as is known here."""
@@ -111,43 +113,52 @@
             self.transport.abort()
 
 
-async def listen(where: Address, user: User, hello: Callable[[], Message]) -> asyncio.Server:
+async def listen(address: Address, handler: LinkHandler, hello: Callable[[], Message]) -> asyncio.Server:
     """Takes links at an address."""
     loop = asyncio.get_running_loop()
-    return await loop.create_server(lambda: Link(user, hello), *where, reuse_address=True)
+    return await loop.create_server(lambda: Link(handler, hello), *address, reuse_address=True)
 
 
 class Dialer:
     """Keeps one link up to an address until it is closed.
 
-    `up_s`: for a try at most. `again_s`: between two tries at most; they begin with AGAIN_S[0].
+    `connect_timeout_s` bounds one attempt. The delay between two attempts starts at RETRY_DELAY_S[0] and grows
+    up to `max_retry_s`.
     """
 
     def __init__(
         self,
-        where: Address,
-        user: User,
+        address: Address,
+        handler: LinkHandler,
         hello: Callable[[], Message],
-        up_s: float = UP_S,
-        again_s: float = AGAIN_S[1],
+        connect_timeout_s: float = CONNECT_TIMEOUT_S,
+        max_retry_s: float = RETRY_DELAY_S[1],
     ) -> None:
-        self.where, self.user, self.hello, self.up_s, self.again_s = where, user, hello, up_s, again_s
+        self.address, self.handler, self.hello, self.connect_timeout_s, self.max_retry_s = (
+            address,
+            handler,
+            hello,
+            connect_timeout_s,
+            max_retry_s,
+        )
         self.link: Link | None = None
         self.task = asyncio.get_running_loop().create_task(self._run())
 
     async def _run(self) -> None:
-        loop, wait = asyncio.get_running_loop(), AGAIN_S[0]
+        loop, wait = asyncio.get_running_loop(), RETRY_DELAY_S[0]
         while True:
             try:
-                async with asyncio.timeout(self.up_s):
-                    _, link = await loop.create_connection(lambda: Link(self.user, self.hello), *self.where)
+                async with asyncio.timeout(self.connect_timeout_s):
+                    _, link = await loop.create_connection(
+                        lambda: Link(self.handler, self.hello), *self.address
+                    )
             except OSError:
-                wait = min(self.again_s, 2 * wait)
+                wait = min(self.max_retry_s, 2 * wait)
             else:
                 self.link, link.done = link, loop.create_future()
                 if link.transport is not None:
                     await link.done
-                wait = AGAIN_S[0] if link.greeted else min(self.again_s, 2 * wait)
+                wait = RETRY_DELAY_S[0] if link.hello_received else min(self.max_retry_s, 2 * wait)
                 self.link = None
             await asyncio.sleep(wait * random.uniform(0.5, 1.0))
 
--- a/pepperrun/foundation/logs.py
+++ b/pepperrun/foundation/logs.py
@@ -37,7 +37,7 @@
     logging.info("%s", line(name, pairs))
 
 
-def trouble(error: PepperrunError, **pairs: Any) -> None:
+def log_error(error: PepperrunError, **pairs: Any) -> None:
     """An error has been met and dealt with."""
     what = {"code": error.code, "step": error.step, "peer": error.peer or "-", "detail": error.detail or "-"}
     logging.warning("%s", line("error", what | pairs))
--- a/pepperrun/foundation/netstring.py
+++ b/pepperrun/foundation/netstring.py
@@ -15,11 +15,13 @@
 
 from pepperrun.foundation.errors import PepperrunError
 
-MOST = 8 * 1024 * 1024  # bytes of one frame: a configuration of thousands of routes is under 2 MB
-DIGITS = len(str(MOST))
-PACKS = "deflate"  # how a hello says that deflated frames are read
-LONG = 1400  # bytes: what goes in one packet anyway gains little
-LEVEL = 1  # a configuration of 1,600 routes: 373 KB to 44 KB in 2.7 ms; level 6 takes three times that for 42
+MAX_FRAME_BYTES = 8 * 1024 * 1024  # bytes of one frame: a configuration of thousands of routes is under 2 MB
+MAX_LENGTH_DIGITS = len(str(MAX_FRAME_BYTES))
+DEFLATE = "deflate"  # how a hello says that deflated frames are read
+COMPRESS_ABOVE_BYTES = 1400  # bytes: what goes in one packet anyway gains little
+# A configuration of 1,600 routes shrinks from 373 KB to 44 KB in 2.7 ms; level 6 takes three times as long
+# for 42 KB.
+COMPRESSION_LEVEL = 1
 
 Message = dict[str, Any]
 
@@ -29,27 +31,27 @@
 def encode(message: Message) -> bytes:
     """One frame."""
     body = _dump(message).encode()
-    if len(body) > MOST:
-        raise PepperrunError("frame-too-long", "encode", f"{len(body)} bytes, {MOST} at most")
+    if len(body) > MAX_FRAME_BYTES:
+        raise PepperrunError("frame-too-long", "encode", f"{len(body)} bytes, {MAX_FRAME_BYTES} at most")
     return b"%d:%b," % (len(body), body)
 
 
 @lru_cache(maxsize=8)
-def packed(frame: bytes) -> bytes:
+def compress(frame: bytes) -> bytes:
     """A frame deflated, once for all links it goes to; itself where that makes it no shorter."""
-    body = zlib.compress(frame[frame.index(b":") + 1 : -1], LEVEL)
+    body = zlib.compress(frame[frame.index(b":") + 1 : -1], COMPRESSION_LEVEL)
     return b"%d:%b," % (len(body), body) if len(body) < len(frame) else frame
 
 
-def length(frame: bytes) -> int:
+def wire_length(frame: bytes) -> int:
     """Bytes of a frame on a link."""
-    return len(packed(frame)) if len(frame) > LONG else len(frame)
+    return len(compress(frame)) if len(frame) > COMPRESS_ABOVE_BYTES else len(frame)
 
 
-def _unpacked(body: bytes, most: int) -> bytes:
-    """What is in a deflated frame; it may grow to `most` bytes."""
+def _decompress(body: bytes, max_bytes: int) -> bytes:
+    """What is in a deflated frame; it may grow to `max_bytes` bytes."""
     inflate = zlib.decompressobj()
-    out = inflate.decompress(body, most)
+    out = inflate.decompress(body, max_bytes)
     if not inflate.eof or inflate.unused_data:
         raise ValueError("not whole, or too long")
     return out
@@ -58,8 +60,8 @@
 class Decoder:
     """Takes bytes as they come and gives whole messages; PepperrunError where they are no frames."""
 
-    def __init__(self, most: int = MOST) -> None:
-        self.buffer, self.most = bytearray(), most
+    def __init__(self, max_bytes: int = MAX_FRAME_BYTES) -> None:
+        self.buffer, self.max_bytes = bytearray(), max_bytes
 
     def feed(self, data: bytes) -> list[Message]:
         """The messages that are whole now."""
@@ -67,13 +69,13 @@
         out: list[Message] = []
         at = 0
         while True:
-            colon = self.buffer.find(b":", at, at + DIGITS + 1)
+            colon = self.buffer.find(b":", at, at + MAX_LENGTH_DIGITS + 1)
             if colon < 0:
-                if len(self.buffer) - at > DIGITS:
+                if len(self.buffer) - at > MAX_LENGTH_DIGITS:
                     raise PepperrunError("bad-frame", "decode", "no length")
                 break
             digits = bytes(self.buffer[at:colon])
-            if not digits.isdigit() or int(digits) > self.most:
+            if not digits.isdigit() or int(digits) > self.max_bytes:
                 raise PepperrunError("bad-frame", "decode", "bad length")
             end = colon + 1 + int(digits)
             if len(self.buffer) <= end:
@@ -83,7 +85,7 @@
             try:
                 body: bytes | bytearray = self.buffer[colon + 1 : end]
                 if body[:1] != b"{":
-                    body = _unpacked(bytes(body), self.most)
+                    body = _decompress(bytes(body), self.max_bytes)
                 message = json.loads(body)
             except (ValueError, zlib.error):
                 raise PepperrunError("bad-frame", "decode", "no JSON") from None
--- a/pepperrun/foundation/settings.py
+++ b/pepperrun/foundation/settings.py
@@ -114,22 +114,22 @@
     carrier: Carrier = field(default_factory=Carrier)
     tariffs: Tariffs = field(default_factory=Tariffs)
 
-    def postbox(self, name: str) -> Address | None:
+    def listen_address(self, name: str) -> Address | None:
         """Where this process serves that, or None where it does not."""
         text = self.network.postboxes.get(name)
-        return address(text) if text is not None else None
+        return parse_address(text) if text is not None else None
 
     @property
-    def internal_port(self) -> Address:
+    def internal_address(self) -> Address:
         """Where own processes reach this one, by TCP and by UDP."""
         return self.me.ip, self.network.sidings[0]
 
     def contacts(self) -> list[Address]:
         """Own addresses of the core machines named first; all machines use the same ports."""
-        return [(address(text)[0], self.network.sidings[0]) for text in self.network.first_contacts]
+        return [(parse_address(text)[0], self.network.sidings[0]) for text in self.network.first_contacts]
 
 
-def address(text: str) -> Address:
+def parse_address(text: str) -> Address:
     """`host:port` as a pair; PepperrunError where it is none."""
     host, _, port = text.rpartition(":")
     if not host or not port.isdigit() or not 0 < int(port) < 65536:
@@ -150,7 +150,7 @@
     if len(settings.network.sidings) != 2:
         raise PepperrunError("bad-settings", "settings", "network.sidings: a first and a last port")
     for text in [*settings.network.first_contacts, *settings.network.postboxes.values()]:
-        address(text)
+        parse_address(text)
     return settings
 
 
--- a/pepperrun/gateway_node.py
+++ b/pepperrun/gateway_node.py
@@ -53,8 +53,8 @@
             settings, self.life, secrets.randbits(32), self.plane.peer_messages.send_datagram, self.on_probes
         )
         self.plane.peer_messages.handlers[MAGIC] = self.probes.on_datagram
-        self.distribution.follower.parents.is_present = self.probes.is_present
-        self.distribution.shown = lambda now: inspection.shown(
+        self.distribution.follower.parent_selection.is_present = self.probes.is_present
+        self.distribution.inspect = lambda now: inspection.shown(
             self.row(), self.distribution, self.plane, self.probes, now
         )
         self.asked = ready_listener(time.monotonic_ns, self.plane.ready)
@@ -63,7 +63,7 @@
     def row(self) -> GatewayRecord:
         """This gatekeeper's own record."""
         me, counter = self.settings.me, self.settings.network.postboxes.get("counter", "")
-        internal_port = f"{me.ip}:{self.settings.internal_port[1]}"
+        internal_port = f"{me.ip}:{self.settings.internal_address[1]}"
         return GatewayRecord(
             me.station, me.zone, me.region, counter, internal_port, self.life, self.serial, self.state
         )
@@ -108,7 +108,7 @@
         try:
             self.settings = load(self.path)
         except PepperrunError as error:
-            logs.trouble(error)
+            logs.log_error(error)
             return
         self.plane.reload_settings(self.settings)
         self.distribution.set_contacts(self.settings.contacts())
@@ -120,11 +120,13 @@
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, self.stop.set)
         loop.add_signal_handler(signal.SIGHUP, self.reread)
-        counter, ready = self.settings.postbox("counter"), self.settings.postbox("ready_port")
+        counter, ready = self.settings.listen_address("counter"), self.settings.listen_address("ready_port")
         plane = self.plane
         await self._patiently(
             "peer-messages",
-            lambda: loop.create_datagram_endpoint(lambda: plane.peer_messages, self.settings.internal_port),
+            lambda: loop.create_datagram_endpoint(
+                lambda: plane.peer_messages, self.settings.internal_address
+            ),
         )
         await self._patiently("news", self.distribution.start)
         if counter is not None:
@@ -158,7 +160,7 @@
                 await start()
                 return
             except OSError as error:
-                logs.trouble(PepperrunError("no-address", step, str(error)))
+                logs.log_error(PepperrunError("no-address", step, str(error)))
                 await asyncio.sleep(AGAIN_S)
 
 
@@ -178,7 +180,7 @@
     logs.setup(options.verbose)
     try:
         settings = load(options.settings)
-        if settings.postbox("counter") is None:
+        if settings.listen_address("counter") is None:
             raise PepperrunError("bad-settings", "settings", "network.postboxes.counter: missing")
     except PepperrunError as error:
         print(f"pepperrun.gateway_node: {error}", file=sys.stderr)
--- a/pepperrun/membership/gateway_prober.py
+++ b/pepperrun/membership/gateway_prober.py
@@ -12,8 +12,8 @@
 
 from pepperrun.control.records import GatewayRecord, GatewayState
 from pepperrun.foundation.errors import PepperrunError
-from pepperrun.foundation.logs import event, trouble
-from pepperrun.foundation.settings import Address, address
+from pepperrun.foundation.logs import event, log_error
+from pepperrun.foundation.settings import Address, parse_address
 from pepperrun.membership.gateway_probe_wire import GatewayProbeCodec, wire_id
 from pepperrun.membership.keys import KeyRing
 from pepperrun.membership.member import Member
@@ -76,9 +76,9 @@
             number = self.number_by_name[gateway.name] = len(self.number_by_name)
             self.name_by_number[number] = gateway.name
         try:
-            peer_address = address(gateway.internal_address)
+            peer_address = parse_address(gateway.internal_address)
         except PepperrunError as error:
-            trouble(error, station=gateway.name)
+            log_error(error, station=gateway.name)
             return
         if self.address_by_number.get(number) != peer_address:
             self.number_by_address.pop(self.address_by_number.get(number, peer_address), None)
--- a/pepperrun/operator/calls.py
+++ b/pepperrun/operator/calls.py
@@ -9,7 +9,7 @@
 from urllib.parse import urlsplit
 
 from pepperrun.foundation.errors import PepperrunError
-from pepperrun.foundation.settings import Address, address
+from pepperrun.foundation.settings import Address, parse_address
 
 ANSWER_S = 1.5  # a machine that says nothing for so long is passed over
 PER_KB_S = 0.004  # and for each KB of a body
@@ -28,7 +28,7 @@
 
 def addresses(text: str) -> list[Address]:
     """`HOST:PORT[,HOST:PORT...]`; PepperrunError where one is none."""
-    return [address(one.strip()) for one in text.split(",") if one.strip()]
+    return [parse_address(one.strip()) for one in text.split(",") if one.strip()]
 
 
 class Caller:
--- a/pepperrun/operator/inspection.py
+++ b/pepperrun/operator/inspection.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from pepperrun.foundation.errors import PepperrunError
-from pepperrun.foundation.link import OPERATOR, Link
+from pepperrun.foundation.link import OPERATOR_CLASS, Link
 from pepperrun.foundation.netstring import Message
 from pepperrun.foundation.settings import Address
 
@@ -25,7 +25,7 @@
     def opened(self, link: Link, hello: Message) -> None:
         link.send({"k": "show"})
 
-    def heard(self, link: Link, message: Message) -> None:
+    def received(self, link: Link, message: Message) -> None:
         if message["k"] == "shown" and not self.answer.done():
             self.answer.set_result(message)
 
@@ -42,7 +42,7 @@
         "station": f"operator-{secrets.token_hex(4)}",
         "ip": "",
         "zone": "",
-        "class": OPERATOR,
+        "class": OPERATOR_CLASS,
         "life": 0,
     }
     try:
--- a/pepperrun/operator/problems.py
+++ b/pepperrun/operator/problems.py
@@ -16,7 +16,7 @@
 from pepperrun.control.table_codec import decode_table
 from pepperrun.control.validation import check_items, check_keys_distinct, check_services_known
 from pepperrun.foundation.errors import PepperrunError
-from pepperrun.foundation.settings import Settings, address, parse
+from pepperrun.foundation.settings import Settings, parse, parse_address
 
 
 def of_timetable(body: bytes) -> list[str]:
@@ -135,7 +135,7 @@
         found.append("network.postboxes is empty: the process would serve nobody.")
     ports: dict[int, str] = {}
     for name, text in network.postboxes.items():
-        host, port = address(text)
+        host, port = parse_address(text)
         if host != settings.me.ip:
             found.append(f"network.postboxes.{name} is at {host}, not at self.ip {settings.me.ip}.")
         if port in ports:
--- a/pepperrun/operator/toy_workers.py
+++ b/pepperrun/operator/toy_workers.py
@@ -21,7 +21,7 @@
 from typing import TextIO
 
 from pepperrun.foundation.errors import PepperrunError
-from pepperrun.foundation.settings import Address, address
+from pepperrun.foundation.settings import Address, parse_address
 from pepperrun.operator.calls import Caller, addresses
 
 BEAT_PATIENCE_S = 1.5  # for one beat, over all addresses
@@ -64,7 +64,7 @@
                 continue
             if 200 <= told.status < 300:
                 forward = json.loads(told.body or b"{}").get("forward_to")
-                self.nearest = [address(forward)] if forward else self.nearest
+                self.nearest = [parse_address(forward)] if forward else self.nearest
                 return True
         return False
 
@@ -218,7 +218,7 @@
     parser.add_argument("--drain", type=float, default=500, metavar="MS", help="served on when leaving (500)")
     options = parser.parse_args(arguments)
     try:
-        where, control = address(options.listen), addresses(options.control)
+        where, control = parse_address(options.listen), addresses(options.control)
     except PepperrunError as error:
         print(error, file=sys.stderr)
         return 2
--- a/pepperrun/operatorctl.py
+++ b/pepperrun/operatorctl.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 
 from pepperrun.foundation.errors import PepperrunError
-from pepperrun.foundation.settings import address
+from pepperrun.foundation.settings import parse_address
 from pepperrun.operator import files, inspection, local_cluster, log_commands, problems, state
 from pepperrun.operator.calls import PATIENCE_S, Caller, Told, addresses
 from pepperrun.soak import command as soak
@@ -87,7 +87,7 @@
 
 def show(options: argparse.Namespace) -> int:
     """What one process holds."""
-    shown = asyncio.run(inspection.ask(address(options.where), options.patience))
+    shown = asyncio.run(inspection.ask(parse_address(options.where), options.patience))
     print(json.dumps(shown, indent=1) if options.json else inspection.text(shown))
     return GOOD
 
--- a/pepperrun/simulation/bugs.py
+++ b/pepperrun/simulation/bugs.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from pepperrun.dataplane.plane import DataPlane
-from pepperrun.distribution.publisher import Port
+from pepperrun.distribution.publisher import Connection
 from pepperrun.distribution.service import DistributionService
 from pepperrun.foundation.netstring import Message
 
@@ -25,14 +25,14 @@
         assert backends is not None
         plane.outcome_sharing.on_suspected = backends.cancel
     elif bug == BACKWARDS:
-        follower, heard, states = news.follower, news.follower.heard, dict[int, Any]()
+        follower, received, states = news.follower, news.follower.received, dict[int, Any]()
         news.replicated.on_state.append(lambda number, state, change: states.setdefault(number, state))
 
-        def backwards(port: Port, message: Message, now: int) -> None:
-            heard(port, message, now)
+        def backwards(connection: Connection, message: Message, now: int) -> None:
+            received(connection, message, now)
             old = states.get(message.get("n", 0)) if message["k"] in ("change", "agreed", "tock") else None
             if old is not None and plane.table is not None and message["n"] < plane.table.version:
                 plane.table = None
                 plane.on_agreed_state(message["n"], old)
 
-        follower.heard = backwards  # type: ignore[method-assign]
+        follower.received = backwards  # type: ignore[method-assign]
--- a/pepperrun/simulation/cutoff_days.py
+++ b/pepperrun/simulation/cutoff_days.py
@@ -194,7 +194,7 @@
         """The keeper, the node that acknowledged last, the one that a gateway reads from, or any."""
         replicas = [core.node.replica for core in self.cores.values() if core.node is not None]
         keeper = max(replicas, key=lambda one: one.version).coordinator
-        reader = self.gateways[0].news.follower.core.address[0] if self.gateways else ""
+        reader = self.gateways[0].news.follower.control_node.address[0] if self.gateways else ""
         choices = [ip for ip in (keeper, self.last_acknowledged, reader) if ip in self.cores]
         return self.rng.choice([*choices, self.rng.choice(list(self.cores))])
 
@@ -353,7 +353,7 @@
         if len(calm) < len(self.cores) - 1 or self.busy_until[victim] < now:
             return
         for one in self.gateways:
-            if one.news.follower.core.address[0] == victim:
+            if one.news.follower.control_node.address[0] == victim:
                 self._wrong(
                     FOLLOW, f"{one.machine.name} still reads from {victim}, cut off for {LEFT // MS} ms"
                 )
--- a/pepperrun/simulation/distribution_days.py
+++ b/pepperrun/simulation/distribution_days.py
@@ -97,7 +97,7 @@
             cells = (gate.clock() - gate.replicated.records_confirmed_at) / 1e6
             if max(gate.age_ms(), cells) > FRESH_MS:
                 return f"{gate.station} knows its news to be {gate.age_ms():.0f} and {cells:.0f} ms old"
-            said = gate.follower.core.sent_record
+            said = gate.follower.control_node.sent_record
             known = [control_node.replicated.gateways[gate.station] for control_node in world.control_nodes]
             if any(record != said for record in known):
                 return f"{gate.station} is not known as it is"
--- a/pepperrun/simulation/distribution_world.py
+++ b/pepperrun/simulation/distribution_world.py
@@ -76,13 +76,13 @@
         self.world.at(due - self.skew, self, lambda: self.publisher.tick(self.clock()))
 
     def joined(self, port: Port) -> None:
-        self.publisher.joined(port, {"k": "hello", "room": port.other.room}, self.clock())
+        self.publisher.opened(port, {"k": "hello", "room": port.other.room}, self.clock())
 
     def left(self, port: Port) -> None:
-        self.publisher.left(port, self.clock())
+        self.publisher.closed(port, self.clock())
 
     def take(self, port: Port, message: Message) -> None:
-        self.publisher.heard(port, message, self.clock())
+        self.publisher.received(port, message, self.clock())
 
 
 class ControlNode(Node, ReplicatedSource):
@@ -115,7 +115,7 @@
         )
         contacts = [(core, PORT) for core, _ in world.cores[:3]]
         self.follower = Follower(
-            station, zone, PORT, world.zones, contacts, row=lambda: row, apply=apply, now=self.clock()
+            station, zone, PORT, world.zones, contacts, own_record=lambda: row, apply=apply, now=self.clock()
         )
         self.publisher = relay(self.follower, self.flush_at, self.clock)
         self.replicated = self.follower.replicated
@@ -174,7 +174,7 @@
         if port.address is None:
             super().take(port, message)
         else:
-            self.follower.heard(port, message, self.clock())
+            self.follower.received(port, message, self.clock())
             self.settle()
 
     def age_ms(self) -> float:
--- a/pepperrun/simulation/narrow_links.py
+++ b/pepperrun/simulation/narrow_links.py
@@ -8,9 +8,9 @@
 from typing import Any
 
 from pepperrun.distribution.replicated_state import AppliedChange
-from pepperrun.distribution.service import RELAY_S
+from pepperrun.distribution.service import RELAY_BUDGET_S
 from pepperrun.distribution.tree import FAN_OUT
-from pepperrun.foundation.netstring import Decoder, length
+from pepperrun.foundation.netstring import Decoder, wire_length
 from pepperrun.simulation.distribution_world import MS, Gate, Node, Port, World
 
 ZONES = {f"{region}{zone}": region for zone in range(3) for region in "abc"}
@@ -34,7 +34,9 @@
         """Another gatekeeper starts, with a narrow link."""
         gate = super().gate(index, zone)
         if self.straight:
-            gate.room = gate.publisher.relay_budget_bytes = int(self.mbps * 125_000 * RELAY_S / FAN_OUT)
+            gate.room = gate.publisher.relay_budget_bytes = int(
+                self.mbps * 125_000 * RELAY_BUDGET_S / FAN_OUT
+            )
         return gate
 
     def _over(self, busy: dict[str, int], node: Node, size: int, at: int) -> int:
@@ -52,7 +54,7 @@
         """As the model's, on links that are narrow."""
         if not port.up:
             return
-        size = length(frame) if self.packs else len(frame)
+        size = wire_length(frame) if self.packs else len(frame)
         gone = self._over(self.out, port.mine, size, self.now) + self._delay(port.mine, port.other)
         port.last = max(port.last, self._over(self.into, port.other, size, gone))
         for node in (port.mine, port.other):
--- a/pepperrun/simulation/nodes.py
+++ b/pepperrun/simulation/nodes.py
@@ -99,7 +99,7 @@
         self.node = ControlNode(self.settings, memory, self.disk, memory.starts, loop.clock)
         control_bugs.put_in(self.bug, self.node)
         self.tree = ControlApi(self.node).control_tree()
-        spawn(loop, link.listen(self.settings.internal_port, self.node, self.node.hello))
+        spawn(loop, link.listen(self.settings.internal_address, self.node, self.node.hello))
         self.node.start()
 
     def stop(self, power: bool = False, wipe: bool = False) -> None:
@@ -177,7 +177,7 @@
             clock=loop.clock,
         )
         peer_messages.handlers[MAGIC] = self.probes.on_datagram
-        self.news.follower.parents.is_present = self.probes.is_present
+        self.news.follower.parent_selection.is_present = self.probes.is_present
         loop.datagrams(PORT, peer_messages)
         spawn(loop, self.news.start())
         self._look()
--- a/pepperrun/storage/store.py
+++ b/pepperrun/storage/store.py
@@ -28,7 +28,7 @@
     NewerFormatError,
     StorageError,
 )
-from pepperrun.foundation.logs import event, trouble
+from pepperrun.foundation.logs import event, log_error
 from pepperrun.storage.formats import IDENTITY
 from pepperrun.storage.records import (
     BODY_PREFIX,
@@ -121,7 +121,7 @@
             self.close()
             raise
         except StorageError as error:
-            trouble(error)
+            log_error(error)
             self._discard()
             return None, True
 
--- a/tests/test_catch_up.py
+++ b/tests/test_catch_up.py
@@ -17,7 +17,7 @@
 from pepperrun.consensus.state import Ballot, Proposal, digest_of
 from pepperrun.consensus.timeouts import MS
 from pepperrun.foundation.errors import PepperrunError
-from pepperrun.foundation.netstring import Decoder, encode, packed
+from pepperrun.foundation.netstring import Decoder, compress, encode
 from pepperrun.simulation.catch_up_days import EARLY_READS, HALF_BODY, Day, HoardingStore
 from pepperrun.simulation.order_plans import mark
 from pepperrun.storage import formats, records
@@ -41,7 +41,7 @@
     rng = random.Random(1)
     body = {"routes": {f"r{at}": {"name": f"r{at}", "x": rng.random()} for at in range(60)}}
     message = {"k": "queen", "m": {"t": "chosen", "b": [1, "x"], "w": body}}
-    frame = packed(encode(message)) if compressed else encode(message)
+    frame = compress(encode(message)) if compressed else encode(message)
     for cut in range(len(frame)):
         assert Decoder().feed(frame[:cut]) == []  # a new link starts with a new decoder
     assert Decoder().feed(frame) == [message]
--- a/tests/test_cutoff.py
+++ b/tests/test_cutoff.py
@@ -105,7 +105,7 @@
 def test_a_gateway_still_knows_those_that_a_cut_off_node_lists_no_more() -> None:
     contact, other = ("10.0.0.1", 7600), ("10.0.0.4", 7600)
     row = GatewayRecord("g", "z0", "r0", "g:80", "g:7600", 1)
-    follower = Follower("g", "z0", 7600, {"z0": "r0"}, [contact], row=lambda: row, apply=apply, now=0)
+    follower = Follower("g", "z0", 7600, {"z0": "r0"}, [contact], own_record=lambda: row, apply=apply, now=0)
     port = Plug()
     follower.opened(contact, port, {"zone": "z0"}, 0)
     for at, cores, age in ((0, [contact, other], 10), (1, [contact], 20)):
@@ -114,10 +114,10 @@
             follower.send_own_record(stamp)
         listed = [[ip, "z0"] for ip, _ in cores]
         tock = {"k": "tock", "t": stamp, "age": age, "n": 0, "d": "", "cores": listed}
-        follower.heard(port, tock, stamp)
+        follower.received(port, tock, stamp)
     assert follower.replicated.control_nodes == [[contact[0], "z0"]]
     follower.closed(contact, port, 200 * MS)  # its only first contact is gone, the others go on
-    assert follower.core.address == other
+    assert follower.control_node.address == other
 
 
 def test_who_is_heard_is_reached_only_once_it_has_answered() -> None:
@@ -200,7 +200,7 @@
         assert all(one == [(503, 0)] for one in told.values()), (after_ms, told)
         for gateway in day.gateways if after_ms >= 5000 else ():
             follower = gateway.news.follower
-            assert follower.core.address[0] != victim
+            assert follower.control_node.address[0] != victim
             assert gateway.news.replicated.age_ms(follower._ticked_at) < 2000  # type: ignore[operator]
     day.world.run(began + 24 * SECOND)
     told = asked(day, victim)
--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -19,7 +19,7 @@
 from pepperrun.distribution.replicated_state import ReplicatedState
 from pepperrun.distribution.tree import FAN_OUT, order_key
 from pepperrun.foundation.link import Link
-from pepperrun.foundation.netstring import MOST, Decoder, encode
+from pepperrun.foundation.netstring import MAX_FRAME_BYTES, Decoder, encode
 from pepperrun.simulation.distribution_days import CORES, ZONES, Day
 from pepperrun.simulation.distribution_world import MS, World
 from pepperrun.simulation.narrow_links import ZONES as NARROW
@@ -61,7 +61,9 @@
         place = ranks.index(gate)
         if place:
             assert gate.follower.parent.parent_name == ranks[(place - 1) // FAN_OUT].station
-        assert gate.follower.core.address[0] in {ip for ip, zone in world.cores if zone[0] == gate.zone[0]}
+        assert gate.follower.control_node.address[0] in {
+            ip for ip, zone in world.cores if zone[0] == gate.zone[0]
+        }
     world.run(100)
     world.sent.clear(), world.frames.clear()
     began = world.now
@@ -97,7 +99,7 @@
     assert not world.lags(number)
     assert all("w1" in gate.replicated.workers for gate in world.gates if gate.alive)
     lost = [
-        replace(one.follower.local_record.row(), state=GatewayState.LOST)
+        replace(one.follower.local_record.own_record(), state=GatewayState.LOST)
         for one in world.gates
         if not one.alive
     ]
@@ -120,8 +122,8 @@
     stale = Worker("w1", "line", "10.9.0.1:80", "a1", "v1", 2, 1)
     for kid in kids:  # the old relay's word, as late as can be
         port = next(iter(kid.up.values()))
-        kid.follower.heard(port, {"k": "agreed", "n": numbers[0], "state": {"edition": 0}}, kid.clock())
-        kid.follower.heard(port, repair.encode_records([stale], 1), kid.clock())
+        kid.follower.received(port, {"k": "agreed", "n": numbers[0], "state": {"edition": 0}}, kid.clock())
+        kid.follower.received(port, repair.encode_records([stale], 1), kid.clock())
         assert kid.replicated.version == numbers[-1] and kid.replicated.workers["w1"].serial == 5
     world.cuts.clear()
     world.run(2500)
@@ -133,18 +135,18 @@
     world = fleet(5, {"a1": 3, "b2": 3})
     lone = world.control_nodes[0]
     world.cut_off(lone, world.control_nodes)
-    followed = [gate for gate in world.gates if gate.follower.core.address[0] == lone.ip]
+    followed = [gate for gate in world.gates if gate.follower.control_node.address[0] == lone.ip]
     assert len(followed) == 3
     for _ in range(8):
         number = world.change()
         world.run(500)
-    assert all(gate.follower.core.address[0] != lone.ip for gate in world.gates)
+    assert all(gate.follower.control_node.address[0] != lone.ip for gate in world.gates)
     assert not world.lags(number - 1)
     for gate in world.gates:
         assert gate.age_ms() < 1000
     world.cuts.clear()
     world.run(20000)
-    assert all(gate.follower.core.address[0] == lone.ip for gate in followed)
+    assert all(gate.follower.control_node.address[0] == lone.ip for gate in followed)
     world.check()
 
 
@@ -175,7 +177,7 @@
     world.run(700)
     assert all(gate.age_ms() < 700 for gate in world.gates)
     world.run(3000)
-    followed = world.gates[0].follower.core.address[0]
+    followed = world.gates[0].follower.control_node.address[0]
     world.stop(world.nodes[followed])
     oldest = 0.0
     for _ in range(40):
@@ -209,28 +211,28 @@
 def test_who_stood_still_takes_nobody_else_for_silent():
     world = fleet(8, {"a1": 4})
     gate = next(one for one in world.gates if not one.follower.is_root)
-    followed = gate.follower.core.port, gate.follower.parent.port
+    followed = gate.follower.control_node.connection, gate.follower.parent.connection
     gate.alive = False
     world.run(1700)
     world.wake(gate)
     assert gate.age_ms() > 1500  # what it held may be old by now, and it says so
     world.run(1000)
-    assert (gate.follower.core.port, gate.follower.parent.port) == followed
+    assert (gate.follower.control_node.connection, gate.follower.parent.connection) == followed
     assert gate.age_ms() < 1000
 
 
 def test_only_an_echo_of_what_was_asked_here_counts_and_a_change_misread_is_asked_for_whole():
     world = fleet(11, {"a1": 1})
     (gate,) = world.gates
-    port, held = gate.follower.core.port, gate.replicated.confirmed_at
+    port, held = gate.follower.control_node.connection, gate.replicated.confirmed_at
     word = {"k": "tock", "age": 0, "n": gate.replicated.version, "d": gate.replicated.digests.total_digest()}
     for t in (gate.clock() + 10**12, held + 1):  # of an earlier start of the machine, of an earlier link
-        gate.follower.heard(port, word | {"t": t}, gate.clock())
+        gate.follower.received(port, word | {"t": t}, gate.clock())
     assert gate.replicated.confirmed_at == held
     number = gate.replicated.version
     change = {"k": "change", "base": number, "n": number + 1, "op": {"edition": 9}, "seal": "of another"}
     world.sent.clear()
-    gate.follower.heard(port, change, gate.clock())
+    gate.follower.received(port, change, gate.clock())
     assert gate.replicated.version == number and world.sent["want"] == 1
 
 
@@ -241,9 +243,9 @@
     port = next(one for one in control_node.publisher.peers if one.other is gate)
     world.sent.clear()
     for ms in (1, 300, 600):  # it has not been read yet
-        control_node.publisher.heard(port, {"k": "want", "n": number - 1}, control_node.clock() + ms * MS)
+        control_node.publisher.received(port, {"k": "want", "n": number - 1}, control_node.clock() + ms * MS)
     assert not world.sent["agreed"] + world.sent["change"]
-    control_node.publisher.heard(port, {"k": "want", "n": number - 1, "whole": True}, control_node.clock())
+    control_node.publisher.received(port, {"k": "want", "n": number - 1, "whole": True}, control_node.clock())
     assert world.sent["agreed"] == 1
 
 
@@ -290,12 +292,14 @@
     port = SimpleNamespace(name="s", write=written.append, close=lambda: None)
     row = GatewayRecord("g", "z", "r", "1.1.1.1:1", "1.1.1.1:7600", 1)
     core = ("1.1.1.2", 7600)
-    follower = Follower("g", "z", 7600, {"z": "r"}, [core], row=lambda: row, apply=changes.apply, now=0)
+    follower = Follower(
+        "g", "z", 7600, {"z": "r"}, [core], own_record=lambda: row, apply=changes.apply, now=0
+    )
     follower.opened(core, port, {"k": "hello", "station": "s", "class": "sorting", "cores": []}, 1)
     op = changes.evacuation_operation("z", True)
     state, _ = changes.apply(None, op)
     told = len(written)
-    follower.heard(port, {"k": "change", "base": 0, "n": 1, "op": op, "seal": state_checksum(state)}, 2)
+    follower.received(port, {"k": "change", "base": 0, "n": 1, "op": op, "seal": state_checksum(state)}, 2)
     assert (
         follower.replicated.version == 1
         and follower.replicated.state["evacuated"] == ["z"]
@@ -327,8 +331,10 @@
 
 
 def test_long_frames_are_deflated_for_those_who_read_that_and_a_bomb_ends_the_link():
-    heard = []
-    user = SimpleNamespace(opened=lambda link, hello: None, heard=lambda link, message: heard.append(message))
+    received = []
+    user = SimpleNamespace(
+        opened=lambda link, hello: None, received=lambda link, message: received.append(message)
+    )
     user.closed = lambda link: None
     rows = [[f"r{at}", f"host-{at % 7}.example", f"/p{at}/", "safe", 1500] for at in range(1400)]
     frame = encode({"k": "agreed", "n": 3, "state": rows})
@@ -341,11 +347,11 @@
         link.write(frame), link.write(encode({"k": "tick"}))
         sent[what] = link.transport.data
         link.data_received(sent[what])
-    assert heard[0] == heard[2] and [one["k"] for one in heard] == ["agreed", "tick"] * 2
+    assert received[0] == received[2] and [one["k"] for one in received] == ["agreed", "tick"] * 2
     assert sent["old"].startswith(frame) and len(sent["new"]) < len(frame) / 4
-    bomb = zlib.compress(b'{"k":"x","y":"' + b" " * (MOST + 1))
+    bomb = zlib.compress(b'{"k":"x","y":"' + b" " * (MAX_FRAME_BYTES + 1))
     link.data_received(b"%d:%b," % (len(bomb), bomb))
-    assert len(heard) == 4 and link.transport.data is None
+    assert len(received) == 4 and link.transport.data is None
 
 
 def test_a_joiner_gets_each_change_that_it_lacks_as_a_frame_of_its_own():
@@ -355,13 +361,13 @@
     )
     publisher = Publisher(source, lambda due: None)
     port.write = frames.append
-    publisher.joined(port, {}, 0)
-    publisher.heard(port, {"k": "tick", "t": 1, "n": 1, "root": False}, 0)
+    publisher.opened(port, {}, 0)
+    publisher.received(port, {"k": "tick", "t": 1, "n": 1, "root": False}, 0)
     for number in range(1, 4):
         source.version, source.state = number, {"edition": number}
         publisher.state_changed((number - 1, {"edition": number}), 0)
     frames.clear()
-    publisher.heard(port, {"k": "want", "n": 1}, 0)
+    publisher.received(port, {"k": "want", "n": 1}, 0)
     assert [[one["k"] for one in Decoder().feed(frame)] for frame in frames] == [["change"], ["change"]]
 
 
--- a/tests/test_narrow_catch_up.py
+++ b/tests/test_narrow_catch_up.py
@@ -45,7 +45,7 @@
             version=0, state=None, digests=RangeDigests(), control_nodes=[], age_ms=lambda now: 1.0
         )
         self.publisher, self.port = Publisher(self.source, lambda due: None), RecordingPort()
-        self.publisher.joined(self.port, {}, 0)
+        self.publisher.opened(self.port, {}, 0)
 
     def change(self, now: int, long: bool = False) -> None:
         """Publish one more version; `long` changes every row."""
@@ -58,7 +58,7 @@
 
     def tick(self, version: int, now: int) -> None:
         """Receive the gatekeeper's tick, which reports the version that it has."""
-        self.publisher.heard(self.port, {"k": "tick", "t": now, "n": version, "root": True}, now)
+        self.publisher.received(self.port, {"k": "tick", "t": now, "n": version, "root": True}, now)
 
 
 def test_only_one_long_change_is_in_flight_to_a_gatekeeper_followed_by_the_newest() -> None:
@@ -81,14 +81,14 @@
 def test_a_request_while_the_full_state_is_in_flight_gets_only_the_later_changes() -> None:
     setup = PublisherWithGatekeeper(5000)
     setup.change(1)
-    setup.publisher.heard(setup.port, {"k": "want", "n": 0}, 2)
+    setup.publisher.received(setup.port, {"k": "want", "n": 0}, 2)
     assert setup.port.numbers() == [("agreed", 1)]
     for at in range(4):
         setup.change(3 + at)
-        setup.publisher.heard(setup.port, {"k": "want", "n": 0}, 300 * MS * (at + 1))
+        setup.publisher.received(setup.port, {"k": "want", "n": 0}, 300 * MS * (at + 1))
     assert setup.port.numbers() == [("change", number) for number in range(2, 6)]
     # The gatekeeper has still received nothing.
-    setup.publisher.heard(setup.port, {"k": "want", "n": 0}, 4000 * MS)
+    setup.publisher.received(setup.port, {"k": "want", "n": 0}, 4000 * MS)
     assert setup.port.numbers() == [("agreed", 5)]
 
 
