--- a/pepperrun/distribution/uplink.py
+++ b/pepperrun/distribution/uplink.py
@@ -1,4 +1,4 @@
-"""A link to the control node or the parent in the relay tree that a gatekeeper follows. No I/O but `Connection`."""
+"""A link from a gateway to its control node or its parent in the relay tree. No I/O except `Connection`."""
 
 from __future__ import annotations
 
--- a/pepperrun/foundation/link.py
+++ b/pepperrun/foundation/link.py
@@ -122,7 +122,7 @@
 class Dialer:
     """Keeps one link up to an address until it is closed.
 
-    `connect_timeout_s` bounds one attempt. The delay between two attempts starts at RETRY_DELAY_S[0] and grows
+    `connect_timeout_s` bounds one attempt. The delay between attempts starts at RETRY_DELAY_S[0] and grows
     up to `max_retry_s`.
     """
 
