--- a/pepperrun/admin/server.py
+++ b/pepperrun/admin/server.py
@@ -10,7 +10,7 @@
 
 from pepperrun.admin.calls import MOST_LINE, Calls, line_of
 from pepperrun.config import Address, UnusableError
-from pepperrun.log import say
+from pepperrun.log import log_message
 from pepperrun.net.buffer import Buffer
 
 MOST = 16  # connections at a time; the oldest one that waits gives way
@@ -99,7 +99,7 @@
         except OSError as error:
             raise UnusableError(f"admin: {address[0]}:{address[1]}: {error.strerror}") from None
         self.address = self.listener.sockets[0].getsockname()[:2]
-        say("admin", f"operators may call at {self.address[0]}:{self.address[1]}")
+        log_message("admin", f"operators may call at {self.address[0]}:{self.address[1]}")
 
     def add(self, caller: Caller) -> None:
         """A connection is up; at the limit the oldest one gives way."""
@@ -114,7 +114,7 @@
         try:
             return self.calls.answer(line)
         except Exception as error:
-            say("admin", f"a call was not answered: {type(error).__name__}: {error}")
+            log_message("admin", f"a call was not answered: {type(error).__name__}: {error}")
             return b"error it could not be answered\n"
 
     def close(self) -> None:
--- a/pepperrun/assembly.py
+++ b/pepperrun/assembly.py
@@ -16,7 +16,7 @@
 from pepperrun.admin.calls import Calls, Figure
 from pepperrun.admin.figures import figures
 from pepperrun.admin.server import Server as AdminServer
-from pepperrun.config import Address, AuthConfig, Config, Listing, UnusableError
+from pepperrun.config import Address, AuthConfig, Config, EndpointList, UnusableError
 from pepperrun.core.clock import SECOND
 from pepperrun.core.interface import ListKind, Settings
 from pepperrun.fronts.forward_auth import AuthService, ForwardAuth, auth_judge
@@ -25,7 +25,7 @@
 from pepperrun.handover.channel import path_of
 from pepperrun.handover.predecessor import Predecessor
 from pepperrun.handover.successor import Successor
-from pepperrun.log import say
+from pepperrun.log import log_message
 from pepperrun.net.backoff import Backoff, LocalAgentBackoff
 from pepperrun.net.connection import ResponseClassifier
 from pepperrun.net.directory import Directory
@@ -81,7 +81,7 @@
         def name(match: re.Match[str]) -> str:
             return f"backend {names.get(int(match[1]), match[1])}"
 
-        say("gateway", re.sub(r"backend (\d+)", name, text))
+        log_message("gateway", re.sub(r"backend (\d+)", name, text))
 
     def _tell(self, peer: int, data: bytes) -> None:
         if self.peers is not None:
@@ -107,7 +107,7 @@
         except OSError as error:
             if not patient:
                 raise
-            say("peers", f"peers can't be heard yet: {error}")
+            log_message("peers", f"peers can't be heard yet: {error}")
             again = asyncio.get_running_loop().create_task(self._meet_later(listen, peers))
             self.tasks.add(again)
             again.add_done_callback(self.tasks.discard)
@@ -118,11 +118,11 @@
             try:
                 self.peers = await open_peers(listen, peers, self.settings.me, self.gatekeeper.heard)
             except OSError as error:
-                say("peers", f"peers can't be heard yet: {error}")
+                log_message("peers", f"peers can't be heard yet: {error}")
         if self.members is not None:
             self.peers.on_membership = self.members.on_datagram
 
-    def told(self, listing: Listing, kind: ListKind | None = None) -> None:
+    def told(self, listing: EndpointList, kind: ListKind | None = None) -> None:
         """Takes in a list of backends."""
         kind = kind or (ListKind.FULL if listing.full else ListKind.DELTA)
         self.gatekeeper.listed(self.directory.apply(listing, kind))
@@ -203,14 +203,14 @@
     core.told(config.known, ListKind.CACHED)
     if before is not None:
         listing = before.listing()
-        if listing is not None and listing.lines:
+        if listing is not None and listing.endpoints:
             core.told(listing, ListKind.FULL)
         before.take_in(core.gatekeeper)
     fd = before.peers_fd if before is not None else None
     await core.meet(config.peer_listen, config.peers, fd, patient=inherited is not None)
     if watch is not None:
         # What the agent holds counts as told from the start on: nothing is sent before it is asked.
-        known = config.known.version if config.known.lines else None
+        known = config.known.version if config.known.endpoints else None
         if before is not None and before.table is not None:
             known = before.version()
         watch.move(config.discovery, core.told, calls_of(config), known)
@@ -238,7 +238,7 @@
 
         listener = ParkingListener(asyncio.get_running_loop(), clock, lot, make)
     listener.open(address, inherited)
-    say(name, f"{name} listens at {listener.address[0]}:{listener.address[1]}")
+    log_message(name, f"{name} listens at {listener.address[0]}:{listener.address[1]}")
     return listener
 
 
@@ -293,7 +293,7 @@
     def move(
         self,
         address: Address | None,
-        told: Callable[[Listing], None],
+        told: Callable[[EndpointList], None],
         backoff: Backoff,
         known: int | None = None,
         moved: bool = False,
@@ -352,12 +352,12 @@
     """Where this gatekeeper's processes meet; None, with a line, where there is no such place."""
     folder = env.get("TMPDIR")
     if not folder:
-        say("hand-over", "no hand-over: TMPDIR is not set")
+        log_message("hand-over", "no hand-over: TMPDIR is not set")
         return None
     try:
         return path_of(folder, name)
     except ValueError as error:
-        say("hand-over", f"no hand-over: {error}")
+        log_message("hand-over", f"no hand-over: {error}")
         return None
 
 
--- a/pepperrun/capture/recorder.py
+++ b/pepperrun/capture/recorder.py
@@ -16,7 +16,7 @@
 from pepperrun.capture.format import Attempt, Block, Class, Entry, Footer, Header, Plan, Worker
 from pepperrun.core.interface import Settings
 from pepperrun.exchange import Exchange
-from pepperrun.log import say
+from pepperrun.log import log_message
 
 BATCH = 128  # packed at a time: the writer holds the interpreter for half a millisecond
 EVERY_S = 1.0  # a part of a batch waits no longer than this
@@ -143,7 +143,7 @@
             self._queue.put_nowait(batch)
         except queue.Full:
             self.dropped += len(batch)
-            say("capture", f"capture: the disk is behind, {self.dropped} requests dropped so far")
+            log_message("capture", f"capture: the disk is behind, {self.dropped} requests dropped so far")
 
     def close(self) -> None:
         """Writes what is waiting, for a moment; what is not written by then counts as dropped."""
@@ -166,14 +166,14 @@
                 open_on = self._write_file(file, start)
             except OSError as error:  # the disk is full or gone: later batches may fit again
                 self.lost += len(self._current)
-                say("capture", f"capture: {error}")
+                log_message("capture", f"capture: {error}")
                 open_on = self._next()
             finally:
                 if file is not None:
                     try:
                         file.close()
                     except OSError as error:
-                        say("capture", f"capture: {error}")
+                        log_message("capture", f"capture: {error}")
 
     def _next(self) -> bool:
         """Waits for the next batch; False at the end."""
--- a/pepperrun/config.py
+++ b/pepperrun/config.py
@@ -17,7 +17,7 @@
     """What the platform or a file names can't be had; the text names the key."""
 
 
-_REPEATS = {
+_REPEAT_MODES = {
     "read_like": io.Repeat.SAFE,
     "idempotency_key": io.Repeat.KEYED,
     "non_idempotent": io.Repeat.UNSAFE,
@@ -73,7 +73,7 @@
             name=get(item, "Name", str, ""),
             target_ns=get(item, "OnTimeNs", int, required=True),
             deadline_ns=get(item, "DeadlineNs", int, required=True),
-            repeat=_choice(item, "Semantics", _REPEATS),
+            repeat=_choice(item, "Semantics", _REPEAT_MODES),
             group=_choice(item, "Group", groups, "all"),
             window_ns=get(item, "WindowNs", int, 0),
             value=get(item, "Worth", float, 1.0),
@@ -126,7 +126,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Line:
+class Endpoint:
     """A line of the list of workers, with its names."""
 
     name: str
@@ -138,12 +138,12 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Listing:
+class EndpointList:
     """What discovery tells: the whole list or what has changed."""
 
     version: int
     full: bool
-    lines: tuple[Line, ...]
+    endpoints: tuple[Endpoint, ...]
 
 
 _STATES = {
@@ -154,16 +154,16 @@
 STATE_NAMES = {state: name for name, state in _STATES.items()}
 
 
-def read_listing(table: Mapping[str, Any]) -> Listing:
+def read_endpoint_list(table: Mapping[str, Any]) -> EndpointList:
     """A list in discovery's form; ValueError names what is wrong with it."""
-    lines = []
+    endpoints = []
     for item in get(table, "servers", list, required=True):
         if not isinstance(item, dict):
             raise ValueError("servers: not a list of objects")
         state = _choice(item, "state", _STATES)
         gone = state is io.BackendState.GONE
-        lines.append(
-            Line(
+        endpoints.append(
+            Endpoint(
                 name=get(item, "id", str, required=True),
                 addr=None if gone and not item.get("addr") else address(item, "addr"),
                 zone=get(item, "zone", str, ""),
@@ -172,7 +172,9 @@
                 started_ms=max(0, get(item, "started_ms", int, 0)),
             )
         )
-    return Listing(get(table, "version", int, required=True), get(table, "full", bool, True), tuple(lines))
+    return EndpointList(
+        get(table, "version", int, required=True), get(table, "full", bool, True), tuple(endpoints)
+    )
 
 
 def address(table: Mapping[str, Any], key: str, default: str | None = None) -> Address:
@@ -199,7 +201,7 @@
     sockets: int
     peer_listen: Address | None
     peers: tuple[Address, ...]
-    known: Listing
+    known: EndpointList
     settings: io.Settings
     zones: tuple[str, ...]
     keepalive_ns: int
@@ -227,7 +229,10 @@
     if sockets < 64:
         raise ValueError("limits.sockets: must be 64 or more")
     try:
-        settings, listing = _within("settings", settings_of, params), _within("known", read_listing, known)
+        settings, endpoint_list = (
+            _within("settings", settings_of, params),
+            _within("known", read_endpoint_list, known),
+        )
     except RecursionError:
         raise ValueError("NODE_CONFIG: nested too deeply") from None
     return Config(
@@ -238,7 +243,7 @@
         sockets=sockets,
         peer_listen=address(table, "peer_listen") if table.get("peer_listen") else None,
         peers=tuple(parse_address(peer, "peers") for peer in peers),
-        known=listing,
+        known=endpoint_list,
         settings=settings,
         zones=tuple(str(zone) for zone in get(params, "Dcs", list, [])),
         keepalive_ns=_above_0(limits, "KeepaliveNs", 15_000_000_000),
@@ -275,7 +280,7 @@
     """Forward authentication: where it listens, whom it asks and on what terms."""
 
     listen: Address | None
-    servers: Listing
+    servers: EndpointList
     path: str
     host: str
     identity: tuple[str, ...]
@@ -335,8 +340,8 @@
     if len(defaults) != 1:
         raise ValueError("plans: exactly one, the default, must be without customers")
     hosts = [get(item, "address", str, required=True) for item in servers]
-    lines = tuple(
-        Line(
+    endpoints = tuple(
+        Endpoint(
             get(item, "name", str, host),
             parse_address(host, "servers.address"),
             "",
@@ -351,7 +356,7 @@
         raise ValueError(f"path: {path!r} is not a path")
     return AuthConfig(
         listen=address(table, "listen") if table.get("listen") else None,
-        servers=Listing(0, True, lines),
+        servers=EndpointList(0, True, endpoints),
         path=path,
         host=get(table, "host", str, hosts[0]),
         identity=tuple(
--- a/pepperrun/foundation/logs.py
+++ b/pepperrun/foundation/logs.py
@@ -16,7 +16,7 @@
     flags.FLAGS.mark_as_parsed()  # absl's own flags stay as they are: argparse reads the command line
     logging.use_absl_handler()
     logging.set_verbosity(logging.DEBUG if verbose else logging.INFO)
-    log.send_to(lambda kind, text, more: event("said", kind=kind, text=text, more=more))
+    log.set_sink(lambda kind, text, more: event("said", kind=kind, text=text, more=more))
 
 
 def _value(value: Any) -> str:
--- a/pepperrun/gatekeeper.py
+++ b/pepperrun/gatekeeper.py
@@ -40,7 +40,7 @@
     Watch,
 )
 from pepperrun.exchange import End, Exchange, Final
-from pepperrun.log import say
+from pepperrun.log import log_message
 
 AnyExchange = Exchange[Any, Any]
 
@@ -98,7 +98,7 @@
         loop: asyncio.AbstractEventLoop,
         tell: Callable[[int, bytes], None] = lambda peer, data: None,
         watch: Callable[[bool], None] = lambda on: None,
-        log: Callable[[str], None] = lambda text: say("gateway", text),
+        log: Callable[[str], None] = lambda text: log_message("gateway", text),
         gate: Gate | None = None,
     ) -> None:
         self.settings, self.clock, self.loop = settings, clock, loop
@@ -256,7 +256,7 @@
         try:
             actions = self.gateway.handle(now, events)
         except Exception as error:  # one bad turn must not leave everybody without an answer
-            say("turn", f"the gateway failed: {type(error).__name__}: {error}")
+            log_message("turn", f"the gateway failed: {type(error).__name__}: {error}")
             for event in events:
                 if isinstance(event, Request):
                     self._give_up(event.id, Final(End.FAILED))
@@ -266,7 +266,9 @@
             try:
                 self._carry_out(action, now)
             except Exception as error:  # nor must one action take those behind it along
-                say(type(action).__name__, f"{type(action).__name__} failed: {type(error).__name__}: {error}")
+                log_message(
+                    type(action).__name__, f"{type(action).__name__} failed: {type(error).__name__}: {error}"
+                )
         # Not before: in the turn that told of the end the gateway may still have sent an attempt, of whose
         # end it must hear, or it takes it for one that is out for good.
         for exchange in over:
@@ -341,12 +343,12 @@
             case FetchList():
                 self.watch(True)
             case _:
-                say("action", f"an action that the settings forbid: {action}")
+                log_message("action", f"an action that the settings forbid: {action}")
 
     def _send(self, action: Send, now: int) -> None:
         exchange = self.exchanges.get(action.request)
         if exchange is None:
-            say("action", "an attempt of a request that is over was not sent")
+            log_message("action", "an attempt of a request that is over was not sent")
             return
         attempt = exchange.begin(now)
         if self.observer is not None:
--- a/pepperrun/handover/predecessor.py
+++ b/pepperrun/handover/predecessor.py
@@ -16,7 +16,7 @@
 from pepperrun.handover import state, wire
 from pepperrun.handover.channel import Channel, door, same_user
 from pepperrun.handover.wire import Kind
-from pepperrun.log import say
+from pepperrun.log import log_message
 
 if TYPE_CHECKING:
     from pepperrun.gatekeeper import Gatekeeper
@@ -66,7 +66,7 @@
         try:
             self.door = door(self.path)
         except OSError as error:
-            say("hand-over", f"no hand-over: {self.path}: {error.strerror or error}")
+            log_message("hand-over", f"no hand-over: {self.path}: {error.strerror or error}")
             return
         self.loop.add_reader(self.door, self._knock)
 
@@ -87,7 +87,7 @@
         try:
             kind, body = wire.read(data)
         except ValueError as error:
-            say("hand-over", f"a successor that can't be understood: {error}")
+            log_message("hand-over", f"a successor that can't be understood: {error}")
             self._end_channel()
             return
         if kind is Kind.TAKE and self.phase is Phase.SERVING:
@@ -115,13 +115,13 @@
             self.channel.send(message)
         if peers is not None and (fd := peers.hand_over_socket()) is not None:
             self.channel.send(wire.plain(Kind.PEERS), fd)  # one that it has already is closed there
-        say("hand-over: given", f"gave the state to a successor: {len(self.kept)} customers")
+        log_message("hand-over: given", f"gave the state to a successor: {len(self.kept)} customers")
         self._timer = self.loop.call_later(YES_S, self._no_yes)
 
     def _no_yes(self) -> None:
         self._timer = None
         if self.phase is Phase.GIVING:
-            say("hand-over", "the successor has not said yes yet: serving on until it does")
+            log_message("hand-over", "the successor has not said yes yet: serving on until it does")
             self._serve_on()
 
     def _given(self) -> None:
@@ -129,7 +129,9 @@
         if self._timer is not None:
             self._timer.cancel()
         self._shut_door()  # the successor has its own at the same path
-        say("hand-over: yes", f"the successor serves; {len(self.listener.clients)} connections are passed on")
+        log_message(
+            "hand-over: yes", f"the successor serves; {len(self.listener.clients)} connections are passed on"
+        )
         self.servers.retire(True)
         self._pass()
 
@@ -166,7 +168,7 @@
             self.phase = Phase.SERVING
             self.listener.notify_change()  # `finish` need not wait for it any longer
             return
-        say("hand-over: gone", "the successor is gone: serving on")
+        log_message("hand-over: gone", "the successor is gone: serving on")
         self._serve_on()
         self._shut_door()  # at its path there may be the successor's
         self.open()
@@ -199,7 +201,7 @@
                 while self.listener.clients and self.channel is not None:
                     await self.listener.wait_for_change()
         except TimeoutError:
-            say("hand-over", "connections could not be passed on in time")
+            log_message("hand-over", "connections could not be passed on in time")
         if self.channel is None:
             return not self.listener.clients
         rows = state.left(self.kept, self.gatekeeper.clock())
@@ -210,7 +212,7 @@
                 await self.channel.flushed()
         except TimeoutError:
             pass
-        say("hand-over: passed on", f"passed on {self.passed} connections")
+        log_message("hand-over: passed on", f"passed on {self.passed} connections")
         self._end_channel()
         return True
 
--- a/pepperrun/handover/successor.py
+++ b/pepperrun/handover/successor.py
@@ -8,11 +8,11 @@
 from pathlib import Path
 from typing import TYPE_CHECKING, Any
 
-from pepperrun.config import Listing, read_listing
+from pepperrun.config import EndpointList, read_endpoint_list
 from pepperrun.handover import state, wire
 from pepperrun.handover.channel import Channel, knock
 from pepperrun.handover.wire import Kind
-from pepperrun.log import say
+from pepperrun.log import log_message
 
 if TYPE_CHECKING:
     from pepperrun.gatekeeper import Gatekeeper
@@ -47,7 +47,7 @@
             async with asyncio.timeout(STATE_S):
                 await self.whole.wait()
         except TimeoutError:
-            say("hand-over", f"the process that serves gave no state within {STATE_S:.0f} s")
+            log_message("hand-over", f"the process that serves gave no state within {STATE_S:.0f} s")
         # The peers' socket follows the state at once.
         for _ in range(20):
             if self.table is None or self.peers_fd is not None or not self.table.get("peers"):
@@ -77,20 +77,20 @@
                 now = self.gatekeeper.clock()
                 state.take_left(self.gatekeeper.gateway, wire.unpacked(body), now)
         except (ValueError, TypeError) as error:
-            say("hand-over", f"a message of the hand-over is no good: {error}")
+            log_message("hand-over", f"a message of the hand-over is no good: {error}")
             self.whole.set()
         finally:
             if fd is not None:
                 os.close(fd)
 
-    def listing(self) -> Listing | None:
+    def listing(self) -> EndpointList | None:
         """The list of workers that the predecessor had; None where there is no good one."""
         if self.table is None:
             return None
         try:
-            return read_listing(self.table["list"])
+            return read_endpoint_list(self.table["list"])
         except (KeyError, TypeError, ValueError) as error:
-            say("hand-over", f"the list is no good: {error}")
+            log_message("hand-over", f"the list is no good: {error}")
             return None
 
     def version(self) -> int | None:
@@ -108,9 +108,9 @@
         try:
             state.take_in(gatekeeper.gateway, self.table.get("gateway"), gatekeeper.clock())
         except ValueError as error:
-            say("hand-over", f"the state is no good, starting without it: {error}")
+            log_message("hand-over", f"the state is no good, starting without it: {error}")
             return False
-        say("hand-over", f"took over {len(gatekeeper.gateway.quotas.accounts)} customers")
+        log_message("hand-over", f"took over {len(gatekeeper.gateway.quotas.accounts)} customers")
         return True
 
     def yes(self, listener: Listener, peers: Peers | None) -> None:
@@ -120,7 +120,7 @@
             return
         if self.channel.sock is None:
             if self.table is not None and self.gatekeeper is not None:
-                say("hand-over", "the process that served decides again: going on without its state")
+                log_message("hand-over", "the process that served decides again: going on without its state")
                 state.forget(self.gatekeeper.gateway, self.gatekeeper.clock())
             return
         self.channel.send(wire.plain(Kind.YES))
--- a/pepperrun/log.py
+++ b/pepperrun/log.py
@@ -8,21 +8,21 @@
 
 from pepperrun.core.clock import SECOND, Throttle
 
-EACH = SECOND
+PRINT_INTERVAL_NS = SECOND
 
-_seldom = Throttle(EACH)
+_throttle = Throttle(PRINT_INTERVAL_NS)
 Sink = Callable[[str, str, int], None]  # the line's kind, its text, and how many more of its kind there were
 _sink: Sink | None = None
-_dropped: dict[str, int] = {}
+_suppressed: dict[str, int] = {}
 
 
-def send_to(sink: Sink | None) -> None:
+def set_sink(sink: Sink | None) -> None:
     """Lines go there from now on; None: to standard error as text."""
     global _sink
     _sink = sink
 
 
-def json_lines() -> None:
+def enable_json() -> None:
     """One JSON object a line on standard error, by structlog; ValueError where that is not installed."""
     try:
         import structlog
@@ -44,15 +44,15 @@
         else:
             log.info(text, kind=kind)
 
-    send_to(sink)
+    set_sink(sink)
 
 
-def say(kind: str, text: str, clock: Callable[[], int] = time.monotonic_ns) -> None:
+def log_message(kind: str, text: str, clock: Callable[[], int] = time.monotonic_ns) -> None:
     """Prints the line, or counts it where one of its kind was printed within the last second."""
-    if not _seldom.allows(kind, clock()):
-        _dropped[kind] = _dropped.get(kind, 0) + 1
+    if not _throttle.allows(kind, clock()):
+        _suppressed[kind] = _suppressed.get(kind, 0) + 1
         return
-    more = _dropped.pop(kind, 0)
+    more = _suppressed.pop(kind, 0)
     if _sink is not None:
         _sink(kind, text, more)
         return
--- a/pepperrun/membership/service.py
+++ b/pepperrun/membership/service.py
@@ -15,7 +15,7 @@
 from pepperrun.core.clock import SECOND
 from pepperrun.core.gossip import INCARNATION_TICK_NS
 from pepperrun.gatekeeper import Gatekeeper
-from pepperrun.log import say
+from pepperrun.log import log_message
 from pepperrun.membership.config import MembershipConfig
 from pepperrun.membership.member import Member
 from pepperrun.membership.report import events_since, figures, json_line, membership_report
@@ -72,7 +72,7 @@
         try:
             restore_state(self.member, saved_state, now)
         except (KeyError, TypeError, ValueError) as error:
-            say(
+            log_message(
                 "members",
                 f"membership starts without the state of the previous process: invalid state: {error}",
             )
@@ -136,7 +136,9 @@
         self.status_inputs, self.next_step_change_at = state, next_step_change(member, now)
         status, step = membership_status_of(self.member, now), step_of(self.member, now)
         if step is not self.step:
-            say(f"members step {step.value}", f"members: step {step.value}, side {self.member.side().value}")
+            log_message(
+                f"members step {step.value}", f"members: step {step.value}, side {self.member.side().value}"
+            )
             self.member.record_step(step.value, now)
             self.step = step
         if status != quotas.membership_status:
@@ -149,7 +151,9 @@
             if happened.member < len(self.member_names)
             else str(happened.member)
         )
-        say(f"members {happened.what}", f"members: {name}: {happened.what} {happened.detail}".rstrip())
+        log_message(
+            f"members {happened.what}", f"members: {name}: {happened.what} {happened.detail}".rstrip()
+        )
 
     # Calls of the gatekeeper.
 
--- a/pepperrun/metrics/__init__.py
+++ b/pepperrun/metrics/__init__.py
@@ -10,7 +10,7 @@
 
 from pepperrun.config import Address, address, get, json_object, known_keys
 from pepperrun.gatekeeper import Gatekeeper
-from pepperrun.log import say
+from pepperrun.log import log_message
 from pepperrun.net.buffered import BufferedConnection
 from pepperrun.net.listener import Listener
 from pepperrun.net.upstream import UpstreamClient
@@ -125,7 +125,7 @@
     def heard(self, line: str) -> None:
         """An answer line; Graphite gives none, collectd a status below 0 for what it did not take."""
         if line.startswith("-"):
-            say(self.name, f"{self.name}: {line}")
+            log_message(self.name, f"{self.name}: {line}")
 
     async def run(self) -> None:
         """Reports until cancelled."""
@@ -140,11 +140,11 @@
                 async with asyncio.timeout(CONNECT_S):
                     _, self.link = await self.connect(lambda: Link(self.heard))
             except OSError as error:
-                say(self.name, f"{self.name}: {error or 'no connection in time'}")
+                log_message(self.name, f"{self.name}: {error or 'no connection in time'}")
                 return
         transport = self.link.transport if self.link is not None else None
         if transport is None or transport.get_write_buffer_size() > MOST_UNSENT:
-            say(self.name, f"{self.name}: does not take its lines")
+            log_message(self.name, f"{self.name}: does not take its lines")
             return
         text = "".join(line + "\n" for line in self.lines(self.figures(), self.now_s()))
         transport.write(text.encode())
--- a/pepperrun/net/connection.py
+++ b/pepperrun/net/connection.py
@@ -17,7 +17,7 @@
 from pepperrun.core.clock import SECOND
 from pepperrun.core.interface import Outcome
 from pepperrun.exchange import Exchange
-from pepperrun.log import say
+from pepperrun.log import log_message
 from pepperrun.net.buffer import Buffer, has_unread_input
 from pepperrun.net.http1 import (
     LAST_CHUNK,
@@ -361,7 +361,7 @@
 
         Where the next response would begin is not known, so the connection closes.
         """
-        say("backend", f"invalid response from a backend: {why}")
+        log_message("backend", f"invalid response from a backend: {why}")
         self.attempt = None
         self.close()
         self.owner.finish_attempt(attempt, Outcome.ERROR)
@@ -445,7 +445,7 @@
             while data := self.parser.read_body():
                 stream.feed(data)
         except HttpError as error:
-            say("backend", f"invalid response from a backend: {error}")
+            log_message("backend", f"invalid response from a backend: {error}")
             self.close()
             return
         if self.parser.body_complete() and self.download is stream:
--- a/pepperrun/net/directory.py
+++ b/pepperrun/net/directory.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from pepperrun.config import STATE_NAMES, Address, Line, Listing
+from pepperrun.config import STATE_NAMES, Address, Endpoint, EndpointList
 from pepperrun.core.interface import Backend, BackendList, BackendState, ListKind
 
 
@@ -18,7 +18,7 @@
         self.from_unix_ms = from_unix_ms
         self.ids: dict[str, int] = {}
         self.names: dict[int, str] = {}
-        self.endpoints: dict[int, Line] = {}
+        self.endpoints: dict[int, Endpoint] = {}
 
     def id_of(self, name: str) -> int:
         """Returns the worker's integer.
@@ -36,22 +36,22 @@
             self.ids[name], self.names[number] = number, name
         return self.ids[name]
 
-    def apply(self, listing: Listing, kind: ListKind) -> BackendList:
+    def apply(self, endpoint_list: EndpointList, kind: ListKind) -> BackendList:
         """Applies a complete list or a delta and returns its translation."""
         backends = []
         unlisted = set(self.endpoints) if kind is not ListKind.DELTA else set()
         gone = set()
-        for line in listing.lines:
-            number = self.id_of(line.name)
-            if line.state is BackendState.GONE:
+        for endpoint in endpoint_list.endpoints:
+            number = self.id_of(endpoint.name)
+            if endpoint.state is BackendState.GONE:
                 gone.add(number)
             else:
-                self.endpoints[number] = line
+                self.endpoints[number] = endpoint
                 gone.discard(number)
                 unlisted.discard(number)
-            started_ns = self.from_unix_ms(line.started_ms) if line.started_ms > 0 else 0
-            zone = self.zones.get(line.zone, len(self.zones))
-            backends.append(Backend(number, zone, line.cell, line.state, started_ns))
+            started_ns = self.from_unix_ms(endpoint.started_ms) if endpoint.started_ms > 0 else 0
+            zone = self.zones.get(endpoint.zone, len(self.zones))
+            backends.append(Backend(number, zone, endpoint.cell, endpoint.state, started_ns))
         for number in unlisted | gone:
             self._remove(number)
         return BackendList(kind, tuple(backends))
@@ -66,20 +66,20 @@
         """Returns the list in the format of discovery's JSON."""
         return [
             {
-                "id": line.name,
-                "addr": f"{line.addr[0]}:{line.addr[1]}" if line.addr is not None else "",
-                "zone": line.zone,
-                "cell": line.cell,
-                "state": STATE_NAMES[line.state],
-                "started_ms": line.started_ms,
+                "id": endpoint.name,
+                "addr": f"{endpoint.addr[0]}:{endpoint.addr[1]}" if endpoint.addr is not None else "",
+                "zone": endpoint.zone,
+                "cell": endpoint.cell,
+                "state": STATE_NAMES[endpoint.state],
+                "started_ms": endpoint.started_ms,
             }
-            for line in self.endpoints.values()
+            for endpoint in self.endpoints.values()
         ]
 
     def address(self, backend: int) -> Address | None:
         """Returns the address of a ready worker; None for one that is draining, gone or unknown."""
-        line = self.endpoints.get(backend)
-        return line.addr if line is not None and line.state is BackendState.READY else None
+        endpoint = self.endpoints.get(backend)
+        return endpoint.addr if endpoint is not None and endpoint.state is BackendState.READY else None
 
     def is_listed(self, backend: int) -> bool:
         """Whether the worker is in the list, in any state."""
--- a/pepperrun/net/discovery.py
+++ b/pepperrun/net/discovery.py
@@ -12,8 +12,8 @@
 import random
 from collections.abc import AsyncIterator, Callable
 
-from pepperrun.config import Address, Listing, read_listing
-from pepperrun.log import say
+from pepperrun.config import Address, EndpointList, read_endpoint_list
+from pepperrun.log import log_message
 from pepperrun.net.backoff import Backoff
 from pepperrun.net.buffer import Buffer
 from pepperrun.net.http1 import MAX_HEAD, HttpError, Response, ResponseParser
@@ -122,7 +122,7 @@
     def __init__(
         self,
         address: Address,
-        on_list: Callable[[Listing], None],
+        on_list: Callable[[EndpointList], None],
         backoff: Backoff | None = None,
         known_version: int | None = None,
         moved: bool = False,
@@ -143,11 +143,11 @@
                     self.first_call_done.set()
                     self.backoff.reset()
             except (OSError, HttpError, ValueError, RecursionError) as error:
-                say("discovery", f"discovery: {error or type(error).__name__}; keeping the last list")
+                log_message("discovery", f"discovery: {error or type(error).__name__}; keeping the last list")
             self.first_call_done.set()
             await asyncio.sleep(self.backoff.delay_after_failure())
 
-    async def _watch(self) -> AsyncIterator[Listing]:
+    async def _watch(self) -> AsyncIterator[EndpointList]:
         """Polls on one connection, for the complete list first where there is none; yields each list."""
         connection, held_version, response = await (
             self._begin(LONG_POLL_MS) if self.backoff.retry_interval_s is None else self._begin_hedged()
@@ -156,12 +156,12 @@
             while True:
                 if response.status != 200:
                     raise ValueError(f"unexpected status {response.status}")
-                listing = self._read(response.body, held_version)
-                if listing.full or listing.lines:
-                    self.on_list(listing)
+                endpoint_list = self._read(response.body, held_version)
+                if endpoint_list.full or endpoint_list.endpoints:
+                    self.on_list(endpoint_list)
                 else:
                     await asyncio.sleep(MIN_CALL_INTERVAL_S)
-                yield listing
+                yield endpoint_list
                 held_version = self.version
                 response = await self._call(connection, held_version, LONG_POLL_MS)
         finally:
@@ -207,7 +207,7 @@
             while True:
                 if len(calls) == MAX_PARALLEL_CALLS:
                     _abandon_call(calls.pop(0))
-                    say("discovery", "discovery: the agent does not answer; keeping the last list")
+                    log_message("discovery", "discovery: the agent does not answer; keeping the last list")
                 calls.append(asyncio.get_running_loop().create_task(self._begin(MIN_LONG_POLL_MS)))
                 done, _ = await asyncio.wait(calls, timeout=interval_s, return_when=asyncio.FIRST_COMPLETED)
                 for call in done:
@@ -217,7 +217,7 @@
             for call in calls:
                 _abandon_call(call)
 
-    def _read(self, body: bytes, held_version: int | None) -> Listing:
+    def _read(self, body: bytes, held_version: int | None) -> EndpointList:
         """Returns the list in a response body.
 
         Raises ValueError where the list can't follow `held_version`; the current list then stays.
@@ -226,11 +226,11 @@
         table = json.loads(body)
         if not isinstance(table, dict):
             raise ValueError("the response is not a JSON object")
-        listing = read_listing(table)
-        if not listing.full and (held_version is None or listing.version < held_version):
+        endpoint_list = read_endpoint_list(table)
+        if not endpoint_list.full and (held_version is None or endpoint_list.version < held_version):
             raise ValueError("changes to a list that is not known")
-        if listing.full and not listing.lines and self.has_list:
+        if endpoint_list.full and not endpoint_list.endpoints and self.has_list:
             # An agent that has just started sends such a list; a fleet does not disappear like that.
             raise ValueError("a complete list without workers")
-        self.version, self.has_list = listing.version, self.has_list or bool(listing.lines)
-        return listing
+        self.version, self.has_list = endpoint_list.version, self.has_list or bool(endpoint_list.endpoints)
+        return endpoint_list
--- a/pepperrun/net/listener.py
+++ b/pepperrun/net/listener.py
@@ -10,7 +10,7 @@
 
 from pepperrun.config import Address
 from pepperrun.core.clock import SECOND
-from pepperrun.log import say
+from pepperrun.log import log_message
 from pepperrun.net.hangup import HangupWatch
 
 SWEEP_S = 0.25
@@ -202,7 +202,7 @@
             except (BlockingIOError, InterruptedError, ConnectionAbortedError):
                 return
             except OSError as error:  # no descriptor or memory for it now
-                say("accept", f"accept: {error}")
+                log_message("accept", f"accept: {error}")
                 self._stop_accepting()
                 self.loop.call_later(ACCEPT_RETRY_S, self._start_accepting)
                 return
@@ -239,7 +239,7 @@
             self.evicting.add(client)
             client.close()
         if not ranked:
-            say("limit", f"all {self.max_connections} client connections are in use; accepting later")
+            log_message("limit", f"all {self.max_connections} client connections are in use; accepting later")
         return False
 
     def add(self, client: Client) -> None:
--- a/pepperrun/net/peers.py
+++ b/pepperrun/net/peers.py
@@ -9,7 +9,7 @@
 from typing import cast
 
 from pepperrun.config import Address
-from pepperrun.log import say
+from pepperrun.log import log_message
 
 MAX_DATAGRAM_BYTES = 256
 MEMBERSHIP_TAG = b"\xb1"  # first byte of a membership datagram (`pepperrun/membership/wire.py`)
@@ -41,7 +41,7 @@
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
         number = self.numbers_by_address.get(addr[:2])
         if number is None or len(data) > MAX_DATAGRAM_BYTES:
-            say("peers", f"dropped a datagram of {len(data)} bytes from {addr[0]}:{addr[1]}")
+            log_message("peers", f"dropped a datagram of {len(data)} bytes from {addr[0]}:{addr[1]}")
             return
         if data[:1] == MEMBERSHIP_TAG:
             if self.on_membership is not None:
@@ -84,7 +84,7 @@
             or not 0 <= peer < len(self.peers)
             or len(data) > MAX_DATAGRAM_BYTES
         ):
-            say("peers", f"can't send {len(data)} bytes to gatekeeper {peer}")
+            log_message("peers", f"can't send {len(data)} bytes to gatekeeper {peer}")
             return
         self.transport.sendto(data, self.peers[peer])
 
--- a/pepperrun/net/upstream.py
+++ b/pepperrun/net/upstream.py
@@ -15,7 +15,7 @@
 from pepperrun.core.clock import SECOND
 from pepperrun.core.interface import Outcome
 from pepperrun.exchange import End, Exchange
-from pepperrun.log import say
+from pepperrun.log import log_message
 from pepperrun.net.buffer import has_unread_input
 from pepperrun.net.connection import AbandonReason, Attempt, Connection, Pool, ResponseClassifier, Wire
 from pepperrun.net.http1 import Response
@@ -292,7 +292,7 @@
                 len(self.connections) + len(self.connecting) >= self.max_connections
                 and not self._evict_idle()
             ):
-                say("limit", f"all {self.max_connections} connections to backends are in use")
+                log_message("limit", f"all {self.max_connections} connections to backends are in use")
                 self.loop.call_later(
                     self.connect_timeout_s, self._on_connection_limit, pool, pool.waiting[-1]
                 )
@@ -349,7 +349,7 @@
         now = self.clock()
         self.stale_rates.decay()
         for connection in [one for one in self.connections if one.is_stalled(now)]:
-            say("stands still", "a streamed body stalled; closing its connection")
+            log_message("stands still", "a streamed body stalled; closing its connection")
             connection.close()
         for pool in self.pools.values():
             for connection in [c for c in pool.idle if not self._is_reusable(c, now)]:
--- a/pepperrun/parking/holders.py
+++ b/pepperrun/parking/holders.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 
 import pepperrun
-from pepperrun.log import say
+from pepperrun.log import log_message
 from pepperrun.parking import wire
 from pepperrun.parking.ledger import Record
 from pepperrun.parking.wire import Kind
@@ -93,13 +93,15 @@
             except ValueError as error:  # nothing from another process raises out of a callback
                 for fd in fds:
                     os.close(fd)
-                say("holder", f"holder {self.number}: a message that can't be read: {error}")
+                log_message("holder", f"holder {self.number}: a message that can't be read: {error}")
                 continue
             if kind is Kind.BACK and isinstance(what, list):
                 self.back += len(what)
                 if len(fds) < len(what):  # out of descriptors here: the system delivers the first ones only
                     self.lost += len(what) - len(fds)
-                    say("holder", f"{len(what) - len(fds)} connections were lost for want of descriptors")
+                    log_message(
+                        "holder", f"{len(what) - len(fds)} connections were lost for want of descriptors"
+                    )
                 for fd, record in zip(fds, what, strict=False):
                     self.owner.returned(fd, record)
             elif kind is Kind.REPORT and isinstance(what, wire.Report):
@@ -142,7 +144,7 @@
         try:
             self.holders.append(Holder(self.loop, self, number, self.offset_ns, self.times))
         except OSError as error:
-            say("holder", f"holder {number} can't be started: {error}")
+            log_message("holder", f"holder {number} can't be started: {error}")
             self.loop.call_later(AGAIN_S, self._start, number)
 
     def held(self) -> int:
@@ -214,7 +216,7 @@
         if not holder.done:
             lost = holder.held()
             self.lost += lost
-            say("holder", f"holder {holder.number} has ended with {lost} connections")
+            log_message("holder", f"holder {holder.number} has ended with {lost} connections")
         self._reap(holder)
         self.loop.call_later(AGAIN_S, self._start, holder.number)
         self.reported()
--- a/pepperrun/parking/listener.py
+++ b/pepperrun/parking/listener.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 
 from pepperrun.config import Address
-from pepperrun.log import say
+from pepperrun.log import log_message
 from pepperrun.net.listener import (
     DRAIN_ACCEPT_S,
     DRAIN_LINGER_S,
@@ -88,7 +88,7 @@
         except (BlockingIOError, InterruptedError, ConnectionAbortedError):
             return False
         except OSError as error:  # no descriptor or memory for it now
-            say("accept", f"accept: {error}")
+            log_message("accept", f"accept: {error}")
             self.lot.short()
             self._wait()
             return False
--- a/pepperrun/parking/lot.py
+++ b/pepperrun/parking/lot.py
@@ -17,7 +17,7 @@
 from typing import Any, Protocol
 
 from pepperrun.core.clock import SECOND
-from pepperrun.log import say
+from pepperrun.log import log_message
 from pepperrun.net.listener import ConnectionSnapshot
 from pepperrun.parking import wire
 from pepperrun.parking.config import ClientsConfig
@@ -150,7 +150,7 @@
                 return False
         if here and self.shelf.give_way(here):
             return True
-        say("limit", f"all {self.total()} client connections are in use; accepting later")
+        log_message("limit", f"all {self.total()} client connections are in use; accepting later")
         return False
 
     def short(self) -> None:
--- a/pepperrun/serve.py
+++ b/pepperrun/serve.py
@@ -35,7 +35,7 @@
 from pepperrun.core.clock import SECOND
 from pepperrun.core.interface import ListKind, RequestClass
 from pepperrun.gatekeeper import Clock
-from pepperrun.log import json_lines, say
+from pepperrun.log import enable_json, log_message
 from pepperrun.net.listener import Listener
 
 if TYPE_CHECKING:
@@ -93,7 +93,7 @@
     try:
         new, new_auth, _, clients = files.read(metrics=False)
     except (OSError, ValueError) as error:
-        say("bad reload", f"the new configuration is no good, the old one stays in force: {error}")
+        log_message("bad reload", f"the new configuration is no good, the old one stays in force: {error}")
         return config, auth_config
     later: list[str] = []
     if config is not None and new is not None:
@@ -114,7 +114,7 @@
     if lot is not None and clients is not None:
         later += [f"clients {key}" for key in lot.follow(clients)]
     rest = f"; at the next start: {', '.join(later)}" if later else ""
-    say("reload", f"took in the new configuration{rest}")
+    log_message("reload", f"took in the new configuration{rest}")
     return config, auth_config
 
 
@@ -195,7 +195,7 @@
 
     await stop.wait()
     listeners = [listener for _, listener in parts.values() if listener is not None]
-    say("stop", f"drains {drained_count(listeners, lot)} connections")
+    log_message("stop", f"drains {drained_count(listeners, lot)} connections")
     longest_s = max(kind.deadline_ns for kind in classes) / SECOND
     if after is not None and await after.finish(longest_s + OVERTIME_S):
         listeners.remove(listener)
@@ -209,7 +209,7 @@
                 while listener.clients:  # each closes once its request has its answer
                     await listener.wait_for_change()
     except TimeoutError:
-        say("stop", "connections were still open at the end")
+        log_message("stop", "connections were still open at the end")
     watch.stop()
     for core, _ in parts.values():
         if core.members is not None:
@@ -282,7 +282,7 @@
         if log_format not in (None, "text", "json"):
             raise ValueError(f"--log-format: {log_format!r} is neither text nor json")
         if log_format == "json":
-            json_lines()
+            enable_json()
         self.first = self.read()
         if self.capture is not None:
             check_capture(self.capture)
--- a/pepperrun/simulation/cutoff_days.py
+++ b/pepperrun/simulation/cutoff_days.py
@@ -364,11 +364,11 @@
         """What it showed."""
         random.seed(self.rng.random())
         logging.set_verbosity(logging.FATAL)
-        log.send_to(lambda kind, text, more: None)
+        log.set_sink(lambda kind, text, more: None)
         try:
             return self._play(troubles)
         finally:
-            log.send_to(None)
+            log.set_sink(None)
 
     def _play(self, troubles: int) -> Found:
         world, rng = self.world, self.rng
--- a/pepperrun/simulation/days.py
+++ b/pepperrun/simulation/days.py
@@ -186,7 +186,7 @@
         world, shape = self.world, self.shape
         random.seed(self.plan.seed)
         logging.set_verbosity(logging.FATAL)
-        log.send_to(self._heard)
+        log.set_sink(self._heard)
         try:
             for core in self.cores:
                 core.start(first=True)
--- a/pepperrun/tool/application.py
+++ b/pepperrun/tool/application.py
@@ -235,7 +235,7 @@
     settings, out = config.settings, []
     if config.admin is not None and config.admin == config.listen:
         raise ValueError("admin: the same address as listen")
-    if config.discovery is None and not config.known.lines:
+    if config.discovery is None and not config.known.endpoints:
         out.append("known.servers: empty, and without discovery no worker will ever be known")
     if settings.gateways > 1 and not (settings.peer_messages and config.peer_listen):
         out.append("peer_listen: without messages each of several gatekeepers holds its part of a quota only")
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -15,4 +15,4 @@
 def plain_lines() -> Iterator[None]:
     """A program's `main` sends lines to its logs, for the whole process."""
     yield
-    log.send_to(None)
+    log.set_sink(None)
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -7,7 +7,7 @@
 from collections.abc import Awaitable, Callable
 from typing import Any
 
-from pepperrun.config import read_listing
+from pepperrun.config import read_endpoint_list
 from pepperrun.core.interface import Group, ListKind, Outcome, Plan, Repeat, RequestClass, Settings
 from pepperrun.exchange import Exchange
 from pepperrun.fronts.forward_auth import AuthService
@@ -143,7 +143,9 @@
 
 
 def listing(*lines: dict[str, Any], version: int = 1, full: bool = True) -> Any:
-    return read_listing(json.loads(json.dumps({"version": version, "full": full, "servers": list(lines)})))
+    return read_endpoint_list(
+        json.loads(json.dumps({"version": version, "full": full, "servers": list(lines)}))
+    )
 
 
 class Backends:
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -94,7 +94,10 @@
         env=os.environ | {"NODE_CONFIG": str(config)},
     )
     assert done.returncode == 1  # that address is not this machine's
-    program = "from pepperrun.log import json_lines, say; json_lines(); [say('k', 'x') for _ in range(3)]"
+    program = (
+        "from pepperrun.log import enable_json, log_message; enable_json();"
+        " [log_message('k', 'x') for _ in range(3)]"
+    )
     lines = subprocess.run([sys.executable, "-c", program], capture_output=True, text=True, cwd=ROOT).stderr
     (line,) = [json.loads(line) for line in lines.splitlines()]  # one of a kind in a second, as ever
     assert (line["event"], line["kind"], line["level"]) == ("x", "k", "info")
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -29,7 +29,7 @@
 )
 
 from pepperrun.assembly import calls_of
-from pepperrun.config import parse_address, read_listing
+from pepperrun.config import parse_address, read_endpoint_list
 from pepperrun.core.interface import BackendState, ListKind
 from pepperrun.net import discovery
 from pepperrun.net.backoff import MAX_MEAN_DELAY_S, Backoff
@@ -73,7 +73,7 @@
         watching = Watching(agent)
         first, second = await watching.lists.get(), await watching.lists.get()
         assert (first.full, second.full) == (True, False)
-        assert second.lines[0].state is BackendState.DRAINING
+        assert second.endpoints[0].state is BackendState.DRAINING
         targets = [await watching.target() for _ in range(3)]
         wait = discovery.LONG_POLL_MS
         assert targets == [
@@ -203,7 +203,7 @@
 @given(st.dictionaries(st.sampled_from(["version", "full", "servers"]), JSON))
 def test_garbage_list_raises_only_value_errors(table):
     try:
-        Directory(("a",), int).apply(read_listing(table), ListKind.FULL)
+        Directory(("a",), int).apply(read_endpoint_list(table), ListKind.FULL)
     except ValueError as error:
         assert str(error)
 
--- a/tests/test_tool.py
+++ b/tests/test_tool.py
@@ -30,7 +30,7 @@
     assert (confirm.repeat, confirm.group, confirm.window_ns) == (Repeat.KEYED, Group.CELL, 10**10)
     large = one.settings.plans[1]
     assert (large.rate, large.burst, large.ceiling_rate, large.ceiling_slack) == (15, 33, 30, 7)
-    assert [line.name for line in one.known.lines] == ["w0", "w1"]
+    assert [line.name for line in one.known.endpoints] == ["w0", "w1"]
     assert main(["check", *map(str, tmp_path.iterdir()), *map(str, EXAMPLES.glob("*.json"))]) == 0
     assert capsys.readouterr().out.count(", ok") == 4
 
