--- a/pepperrun/admin/client.py
+++ b/pepperrun/admin/client.py
@@ -6,27 +6,27 @@
 import socket
 from typing import Any
 
-MOST_BYTES = 8_000_000
-PATIENCE_S = 3.0
+MAX_RESPONSE_BYTES = 8_000_000
+TIMEOUT_S = 3.0
 
 
-def call(address: tuple[str, int], words: str, patience_s: float = PATIENCE_S) -> bytes:
+def send_command(address: tuple[str, int], command: str, timeout_s: float = TIMEOUT_S) -> bytes:
     """One call of a second address; OSError where it does not answer."""
-    with socket.create_connection(address, patience_s) as sock:
-        sock.settimeout(patience_s)
-        sock.sendall(words.encode() + b"\n")
-        held = bytearray()
-        while len(held) < MOST_BYTES and (piece := sock.recv(65536)):
-            held += piece
-    return bytes(held)
+    with socket.create_connection(address, timeout_s) as sock:
+        sock.settimeout(timeout_s)
+        sock.sendall(command.encode() + b"\n")
+        received = bytearray()
+        while len(received) < MAX_RESPONSE_BYTES and (chunk := sock.recv(65536)):
+            received += chunk
+    return bytes(received)
 
 
-def ask(address: tuple[str, int], words: str = "members") -> dict[str, Any]:
-    """The answer as a table; ValueError where it is an error."""
-    answer = call(address, words)
-    if answer.startswith(b"error"):
-        raise ValueError(answer.decode(errors="replace").strip())
-    table = json.loads(answer)
+def query_json(address: tuple[str, int], command: str = "members") -> dict[str, Any]:
+    """The response as a table; ValueError where it is an error."""
+    response = send_command(address, command)
+    if response.startswith(b"error"):
+        raise ValueError(response.decode(errors="replace").strip())
+    table = json.loads(response)
     if not isinstance(table, dict):
         raise ValueError("not an answer of a gatekeeper")
     return table
--- /dev/null
+++ b/pepperrun/admin/core_metrics.py
@@ -0,0 +1,32 @@
+"""What the second address tells of a core: counted where the figures for Graphite and collectd are."""
+
+from __future__ import annotations
+
+from collections.abc import Iterator
+
+from pepperrun.admin.commands import Metric
+from pepperrun.exchange import End
+from pepperrun.gatekeeper import Gatekeeper
+from pepperrun.net.directory import Directory
+from pepperrun.net.upstream import UpstreamClient
+
+ENDS_BY_NAME = {
+    "fulfilled": (End.SERVED,),
+    "throttled": (End.REFUSED,),
+    "faulted": (End.FAILED, End.OUT_OF_TIME),
+}
+
+
+def core_metrics(gatekeeper: Gatekeeper, upstream: UpstreamClient, directory: Directory) -> Iterator[Metric]:
+    """The figures now."""
+    for name, ends in ENDS_BY_NAME.items():
+        for request_class, counts in zip(gatekeeper.settings.classes, gatekeeper.by_class, strict=True):
+            yield Metric(f"{name}.{request_class.name}", sum(counts[end] for end in ends), True)
+    yield Metric("relayed", upstream.requests_written, True)
+    yield Metric("open_requests", gatekeeper.waiting(), False)
+    yield Metric("registry_entries", len(directory.endpoints), False)
+    ejected = gatekeeper.gateway.ejected()
+    unavailable = sum(
+        directory.address(number) is None or number in ejected for number in directory.endpoints
+    )
+    yield Metric("out_of_rotation", unavailable, False)
--- a/pepperrun/admin/server.py
+++ b/pepperrun/admin/server.py
@@ -8,66 +8,67 @@
 import asyncio
 import socket
 
-from pepperrun.admin.calls import MOST_LINE, Calls, line_of
+from pepperrun.admin.commands import MAX_LINE_BYTES, CommandHandler, parse_command
 from pepperrun.config import Address, UnusableError
 from pepperrun.log import log_message
 from pepperrun.net.buffer import Buffer
 
-MOST = 16  # connections at a time; the oldest one that waits gives way
-SILENT_S = 5.0  # for a whole call, and for taking the answer
-DESCRIPTORS = MOST + 4  # that this address may hold: its connections, those on their way out, the listener
+MAX_CONNECTIONS = 16  # connections at a time; the oldest one that waits gives way
+TIMEOUT_S = 5.0  # for a whole call, and for taking the answer
+# What the admin address may hold: its connections, those that are closing, and the listener.
+MAX_DESCRIPTORS = MAX_CONNECTIONS + 4
 
 
-class Caller(asyncio.BufferedProtocol):
+class AdminConnection(asyncio.BufferedProtocol):
     """A connection that brings one call."""
 
-    def __init__(self, server: Server) -> None:
+    def __init__(self, server: AdminServer) -> None:
         self.server = server
         self.transport: asyncio.Transport | None = None
-        self.buffer = Buffer(MOST_LINE + 2)
-        self.answered = False
+        self.buffer = Buffer(MAX_LINE_BYTES + 2)
+        self.responded = False
         self.timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
-        self.timer = self.server.loop.call_later(SILENT_S, self.end)
+        self.timer = self.server.loop.call_later(TIMEOUT_S, self.abort)
         self.server.add(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.transport = None
         if self.timer is not None:
             self.timer.cancel()
-        self.server.callers.pop(self, None)
+        self.server.connections.pop(self, None)
 
     def get_buffer(self, sizehint: int) -> memoryview:
-        if self.answered or self.buffer.is_full():
+        if self.responded or self.buffer.is_full():
             self.buffer.release()  # what comes behind the call is not read
-            self.buffer = Buffer(MOST_LINE + 2)
+            self.buffer = Buffer(MAX_LINE_BYTES + 2)
         return self.buffer.free_space()
 
     def buffer_updated(self, nbytes: int) -> None:
         self.buffer.commit(nbytes, 0)
-        if self.answered:
+        if self.responded:
             return
         try:
-            line = line_of(self.buffer.peek(len(self.buffer)))
+            line = parse_command(self.buffer.peek(len(self.buffer)))
         except ValueError as error:
-            self.say(f"error {error}\n".encode())
+            self.respond(f"error {error}\n".encode())
             return
         if line is None and self.buffer.is_full():
-            self.say(b"error the line is too long\n")
+            self.respond(b"error the line is too long\n")
         elif line is not None:
-            self.say(self.server.answer(line))
+            self.respond(self.server.respond_to(line))
 
     def eof_received(self) -> bool:
-        if not self.answered:  # a call whose line did not end is none
-            self.say(b"error half a call\n")
+        if not self.responded:  # a call whose line did not end is none
+            self.respond(b"error half a call\n")
         return False
 
-    def say(self, answer: bytes) -> None:
+    def respond(self, answer: bytes) -> None:
         """The one answer; the connection ends once it is taken."""
-        self.answered = True
+        self.responded = True
         if self.transport is not None:
             self.transport.write(answer)
             if self.buffer.is_full():  # closing on unread bytes resets it: the answer might be lost
@@ -75,18 +76,18 @@
             else:
                 self.transport.close()
 
-    def end(self) -> None:
+    def abort(self) -> None:
         """Ends it, whatever is unsaid."""
         if self.transport is not None:
             self.transport.abort()
 
 
-class Server:
+class AdminServer:
     """Listens at the second address."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, calls: Calls) -> None:
-        self.loop, self.calls = loop, calls
-        self.callers: dict[Caller, None] = {}  # the oldest first
+    def __init__(self, loop: asyncio.AbstractEventLoop, commands: CommandHandler) -> None:
+        self.loop, self.commands = loop, commands
+        self.connections: dict[AdminConnection, None] = {}  # the oldest first
         self.listener: asyncio.Server | None = None
         self.address: Address = ("", 0)
 
@@ -94,25 +95,29 @@
         """Listens there; UnusableError names the key where that can't be."""
         try:
             self.listener = await self.loop.create_server(
-                lambda: Caller(self), *address, family=_family(address), reuse_address=True, backlog=MOST * 4
+                lambda: AdminConnection(self),
+                *address,
+                family=_family(address),
+                reuse_address=True,
+                backlog=MAX_CONNECTIONS * 4,
             )
         except OSError as error:
             raise UnusableError(f"admin: {address[0]}:{address[1]}: {error.strerror}") from None
         self.address = self.listener.sockets[0].getsockname()[:2]
         log_message("admin", f"operators may call at {self.address[0]}:{self.address[1]}")
 
-    def add(self, caller: Caller) -> None:
+    def add(self, connection: AdminConnection) -> None:
         """A connection is up; at the limit the oldest one gives way."""
-        self.callers[caller] = None
-        if len(self.callers) > MOST:
-            oldest = next(iter(self.callers))
-            del self.callers[oldest]
-            oldest.end()
+        self.connections[connection] = None
+        if len(self.connections) > MAX_CONNECTIONS:
+            oldest = next(iter(self.connections))
+            del self.connections[oldest]
+            oldest.abort()
 
-    def answer(self, line: bytes) -> bytes:
+    def respond_to(self, line: bytes) -> bytes:
         """The answer to a call; a fault in a figure is the caller's to see and nobody else's."""
         try:
-            return self.calls.answer(line)
+            return self.commands.answer(line)
         except Exception as error:
             log_message("admin", f"a call was not answered: {type(error).__name__}: {error}")
             return b"error it could not be answered\n"
@@ -121,8 +126,8 @@
         """Listens no more and ends what is open."""
         if self.listener is not None:
             self.listener.close()
-        for caller in list(self.callers):
-            caller.end()
+        for connection in list(self.connections):
+            connection.abort()
 
 
 def _family(address: Address) -> socket.AddressFamily:
--- a/pepperrun/assembly.py
+++ b/pepperrun/assembly.py
@@ -13,9 +13,9 @@
 from pathlib import Path
 from typing import TYPE_CHECKING, Any
 
-from pepperrun.admin.calls import Calls, Figure
-from pepperrun.admin.figures import figures
-from pepperrun.admin.server import Server as AdminServer
+from pepperrun.admin.commands import CommandHandler, Metric
+from pepperrun.admin.core_metrics import core_metrics
+from pepperrun.admin.server import AdminServer
 from pepperrun.config import Address, AuthConfig, Config, EndpointList, UnusableError
 from pepperrun.core.clock import SECOND
 from pepperrun.core.interface import ListKind, Settings
@@ -259,18 +259,18 @@
 async def open_admin(address: Address, core: Core, listener: Listener) -> AdminServer:
     """The second address: it says yes while clients are taken."""
 
-    def all_figures() -> Iterator[Figure]:
-        yield from figures(core.gatekeeper, core.servers, core.directory)
+    def all_metrics() -> Iterator[Metric]:
+        yield from core_metrics(core.gatekeeper, core.servers, core.directory)
         if core.members is not None:
             yield from core.members.figures()
 
-    def more(call: bytes) -> bytes | None:
+    def extra(command: bytes) -> bytes | None:
         if core.members is not None:
-            return core.members.answer_call(call)
-        return b"error membership is off\n" if call.split()[:1] == [b"members"] else None
+            return core.members.answer_call(command)
+        return b"error membership is off\n" if command.split()[:1] == [b"members"] else None
 
-    calls = Calls(listener.accepts_clients, all_figures, more)
-    server = AdminServer(asyncio.get_running_loop(), calls)
+    handler = CommandHandler(listener.accepts_clients, all_metrics, extra)
+    server = AdminServer(asyncio.get_running_loop(), handler)
     await server.open(address)
     return server
 
--- a/pepperrun/cli/members.py
+++ b/pepperrun/cli/members.py
@@ -8,7 +8,7 @@
 
 import click
 
-from pepperrun.admin.client import ask
+from pepperrun.admin.client import query_json
 from pepperrun.config import parse_address
 
 
@@ -58,7 +58,7 @@
     left = times if watch else 1
     while True:
         try:
-            table = ask(where)
+            table = query_json(where)
         except (OSError, ValueError) as error:
             raise click.ClickException(f"{address}: {error}") from None
         click.echo(json.dumps(table) if as_json else worded(table))
--- a/pepperrun/lab/processes.py
+++ b/pepperrun/lab/processes.py
@@ -18,7 +18,7 @@
 from types import TracebackType
 from typing import Any
 
-from pepperrun.admin.client import call
+from pepperrun.admin.client import send_command
 from pepperrun.bench.rig import HOST, ROOT, Child, RigError
 from pepperrun.lab.load import CLASSES, application
 from pepperrun.lab.ports import free_ports, ports
@@ -110,7 +110,7 @@
         limit = time.monotonic() + within_s
         while time.monotonic() < limit and self.up():
             with contextlib.suppress(OSError):
-                if call((HOST, self.admin), "readyz", 1.0) == b"done\n":
+                if send_command((HOST, self.admin), "readyz", 1.0) == b"done\n":
                     self.served = True
                     return True
             time.sleep(0.01)
@@ -175,7 +175,7 @@
         if not self.up() or self.paused:
             return None
         try:
-            answer = call((HOST, self.admin), words, 2.0)
+            answer = send_command((HOST, self.admin), words, 2.0)
             table = json.loads(answer)
         except (OSError, ValueError):
             return None
--- a/pepperrun/membership/report.py
+++ b/pepperrun/membership/report.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterator, Sequence
 from typing import Any
 
-from pepperrun.admin.calls import Figure
+from pepperrun.admin.commands import Metric
 from pepperrun.membership.member import Member
 from pepperrun.membership.states import MembershipEvent
 from pepperrun.membership.steps import step_of
@@ -80,13 +80,13 @@
     return json.dumps(table, separators=(",", ":")).encode() + b"\n"
 
 
-def figures(member: Member) -> Iterator[Figure]:
+def figures(member: Member) -> Iterator[Metric]:
     """The membership metrics of the admin call `telemetry`."""
     present = member.views.view.member_numbers()
-    yield Figure("members.there", len(present), False)
-    yield Figure("members.view", member.views.view.number, False)
-    yield Figure("members.suspected_now", len(member.table.others_in(State.SUSPECT)), False)
-    yield Figure("members.other_views", len(member.views.differing(sorted(present))), False)
-    yield Figure("members.views_passed", member.views.installed_count, True)
+    yield Metric("members.there", len(present), False)
+    yield Metric("members.view", member.views.view.number, False)
+    yield Metric("members.suspected_now", len(member.table.others_in(State.SUSPECT)), False)
+    yield Metric("members.other_views", len(member.views.differing(sorted(present))), False)
+    yield Metric("members.views_passed", member.views.installed_count, True)
     for name, value in member.counters.items():
-        yield Figure(f"members.{name}", value, True)
+        yield Metric(f"members.{name}", value, True)
--- a/pepperrun/membership/service.py
+++ b/pepperrun/membership/service.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable, Iterable, Sequence
 from typing import Any
 
-from pepperrun.admin.calls import Figure
+from pepperrun.admin.commands import Metric
 from pepperrun.core.clock import SECOND
 from pepperrun.core.gossip import INCARNATION_TICK_NS
 from pepperrun.gatekeeper import Gatekeeper
@@ -179,7 +179,7 @@
             return json_line({"now": now, "events": events_since(self.member, int(words[2]))})
         return b"error members, or members since NANOSECONDS\n"
 
-    def figures(self) -> Iterable[Figure]:
+    def figures(self) -> Iterable[Metric]:
         """The membership metrics of the admin call `telemetry`."""
         return figures(self.member)
 
--- a/pepperrun/serve.py
+++ b/pepperrun/serve.py
@@ -14,8 +14,7 @@
 from pathlib import Path
 from typing import TYPE_CHECKING
 
-from pepperrun.admin.server import DESCRIPTORS
-from pepperrun.admin.server import Server as AdminServer
+from pepperrun.admin.server import MAX_DESCRIPTORS, AdminServer
 from pepperrun.assembly import (
     Core,
     Part,
@@ -155,7 +154,7 @@
         classes += auth_config.settings.classes
     if config is not None:
         sockets = config.sockets - (auth_config.sockets if auth_config is not None else 0)
-        sockets -= DESCRIPTORS if config.admin is not None else 0
+        sockets -= MAX_DESCRIPTORS if config.admin is not None else 0
         shared = inherited_socket(os.environ)
         place = meeting_place(config.name, os.environ) if shared is not None else None
         before = await ask_before(place)
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -1,4 +1,4 @@
-"""The second address: calls, figures and callers that say nothing."""
+"""The second address: calls, figures and connections that say nothing."""
 
 from __future__ import annotations
 
@@ -14,21 +14,21 @@
 from standins import HOST, Client, StandIn, going, line, ok
 from test_main import ROOT, built, config, start
 
-from pepperrun.admin.calls import MOST_LINE, Calls, Figure, line_of
-from pepperrun.admin.server import MOST, Server
+from pepperrun.admin.commands import MAX_LINE_BYTES, CommandHandler, Metric, parse_command
+from pepperrun.admin.server import MAX_CONNECTIONS, AdminServer
 from pepperrun.config import read_config
 
 __all__ = ["built"]  # the fixture that runs the deploy file's build
 
-FIGURES = [Figure("fulfilled.search", 812, True), Figure("open_requests", 14, False)]
+FIGURES = [Metric("fulfilled.search", 812, True), Metric("open_requests", 14, False)]
 
 
-def calls(ready: bool = True) -> Calls:
-    return Calls(lambda: ready, lambda: FIGURES)
+def calls(ready: bool = True) -> CommandHandler:
+    return CommandHandler(lambda: ready, lambda: FIGURES)
 
 
-async def opened(calls: Calls) -> Server:
-    server = Server(asyncio.get_running_loop(), calls)
+async def opened(calls: CommandHandler) -> AdminServer:
+    server = AdminServer(asyncio.get_running_loop(), calls)
     await server.open((HOST, 0))
     return server
 
@@ -66,12 +66,12 @@
     assert calls(ready=False).answer(b"readyz").startswith(b"error")
 
 
-@given(st.binary(max_size=3 * MOST_LINE))
+@given(st.binary(max_size=3 * MAX_LINE_BYTES))
 def test_a_line_is_given_once_it_has_ended_and_a_long_one_never(data):
     try:
-        line = line_of(data)
+        line = parse_command(data)
     except ValueError:
-        assert len(data.split(b"\n")[0]) > MOST_LINE
+        assert len(data.split(b"\n")[0]) > MAX_LINE_BYTES
     else:
         assert (line is None) == (b"\n" not in data)
         assert line is None or data.startswith(line + b"\n")
@@ -105,9 +105,9 @@
     async def test():
         server = await opened(calls())
         port = server.address[1]
-        silent = [await asyncio.open_connection(HOST, port) for _ in range(3 * MOST)]
+        silent = [await asyncio.open_connection(HOST, port) for _ in range(3 * MAX_CONNECTIONS)]
         assert await call(port, b"readyz\n") == b"done\n"
-        assert len(server.callers) <= MOST
+        assert len(server.connections) <= MAX_CONNECTIONS
         assert await silent[0][0].read() == b""  # the oldest has given way
         server.close()
         for _, writer in silent:
@@ -118,7 +118,7 @@
 
 def test_a_figure_that_fails_is_the_callers_trouble_alone():
     async def test():
-        server = await opened(Calls(lambda: True, lambda: [][0]))
+        server = await opened(CommandHandler(lambda: True, lambda: [][0]))
         assert (await call(server.address[1], b"telemetry\n")).startswith(b"error")
         assert await call(server.address[1], b"readyz\n") == b"done\n"
         server.close()
@@ -168,7 +168,7 @@
         while "operators may call at" not in (text := (await process.stderr.readline()).decode()):
             pass
         admin, stop, seen = int(text.rsplit(":", 1)[1]), asyncio.Event(), {200: 0, 429: 0, 502: 0, 504: 0}
-        silent = [await asyncio.open_connection(HOST, admin) for _ in range(MOST)]
+        silent = [await asyncio.open_connection(HOST, admin) for _ in range(MAX_CONNECTIONS)]
         for _, writer in silent[::2]:
             writer.write(b"tele")  # half a call
 
--- a/tests/test_running_members.py
+++ b/tests/test_running_members.py
@@ -17,7 +17,7 @@
 import pytest
 
 from pepperrun.__main__ import main
-from pepperrun.admin.client import ask
+from pepperrun.admin.client import query_json
 from pepperrun.bench.rig import ROOT
 from pepperrun.cli.members import worded
 from pepperrun.lab.ports import free_ports
@@ -151,7 +151,7 @@
         found = []
         for address in admins:
             with contextlib.suppress(OSError, ValueError):
-                found.append(ask(address))
+                found.append(query_json(address))
         return found
 
     def all_present() -> bool:
@@ -183,12 +183,12 @@
         running[2].kill()
         wait_until(lambda: [t["step"] for t in tables()] == ["without"] * 2)
         assert main(["members", f"{HOST}:{numbers[1]}"]) == 1
-        assert "n2" in capfd.readouterr().out and "dead" in worded(ask(admins[0]))
+        assert "n2" in capfd.readouterr().out and "dead" in worded(query_json(admins[0]))
         # After a graceful leave nobody is suspected, and the remaining member counts the other as left.
-        suspected = ask(admins[0])["counts"]["suspected"]
+        suspected = query_json(admins[0])["counts"]["suspected"]
         running[1].send_signal(signal.SIGTERM)
         assert running[1].wait(20) == 0
-        wait_until(lambda: ask(admins[0])["members"][1]["state"] == "left")
-        assert ask(admins[0])["counts"]["suspected"] == suspected
-        events = ask(admins[0], "members since 0")["events"]
+        wait_until(lambda: query_json(admins[0])["members"][1]["state"] == "left")
+        assert query_json(admins[0])["counts"]["suspected"] == suspected
+        events = query_json(admins[0], "members since 0")["events"]
         assert {"dead", "left", "view", "step"} <= {event["what"] for event in events}
