--- a/pepperrun/assembly.py
+++ b/pepperrun/assembly.py
@@ -22,7 +22,7 @@
 from pepperrun.fronts.forward_auth import AuthService, ForwardAuth, auth_judge
 from pepperrun.fronts.platform import Platform
 from pepperrun.gatekeeper import Clock, Gatekeeper
-from pepperrun.handover.channel import path_of
+from pepperrun.handover.channel import socket_path
 from pepperrun.handover.predecessor import Predecessor
 from pepperrun.handover.successor import Successor
 from pepperrun.log import log_message
@@ -41,9 +41,11 @@
     from pepperrun.parking.config import ClientsConfig
     from pepperrun.parking.lot import Lot
 
-AGAIN_S = 0.5  # between tries for an address that another process still has
-Part = tuple["Core", "Listener | None"]
-RESERVED = 24  # descriptors that are not connections of clients or to backends: files, listeners, the loop's
+PEER_RETRY_INTERVAL_S = 0.5  # between tries for an address that another process still has
+CoreAndListener = tuple["Core", "Listener | None"]
+RESERVED_DESCRIPTORS = (
+    24  # descriptors that are not connections of clients or to backends: files, listeners, the loop's
+)
 
 
 class Core:
@@ -55,24 +57,32 @@
         settings: Settings,
         seed: int,
         zones: tuple[str, ...],
-        judge: ResponseClassifier,
-        most: int,
+        classifier: ResponseClassifier,
+        max_backend_connections: int,
         keepalive_ns: int,
         connect_timeout_ns: int,
         budget: MemoryBudget | None = None,
     ) -> None:
         loop = asyncio.get_running_loop()
         self.peers: Peers | None = None
-        self.members: MembershipService | None = None
-        self.tasks: set[asyncio.Task[None]] = set()
+        self.membership: MembershipService | None = None
+        self.retry_tasks: set[asyncio.Task[None]] = set()
         self.settings = settings
-        self.gatekeeper = Gatekeeper(settings, seed, clock, loop, self._tell, log=self._log)
+        self.gatekeeper = Gatekeeper(settings, seed, clock, loop, self._send_to_peer, log=self._log)
         self.directory = Directory(zones, clock.of_unix_ms)
-        ended = self.gatekeeper.ended
-        self.servers = UpstreamClient(
-            loop, clock, self.directory, ended, judge, most, keepalive_ns, connect_timeout_ns, budget
+        on_ended = self.gatekeeper.ended
+        self.upstream = UpstreamClient(
+            loop,
+            clock,
+            self.directory,
+            on_ended,
+            classifier,
+            max_backend_connections,
+            keepalive_ns,
+            connect_timeout_ns,
+            budget,
         )
-        self.gatekeeper.backends = self.servers
+        self.gatekeeper.backends = self.upstream
 
     def _log(self, text: str) -> None:
         """A line of the gateway, with the backend's name in place of its number."""
@@ -83,20 +93,20 @@
 
         log_message("gateway", re.sub(r"backend (\d+)", name, text))
 
-    def _tell(self, peer: int, data: bytes) -> None:
+    def _send_to_peer(self, peer: int, data: bytes) -> None:
         if self.peers is not None:
             self.peers.send(peer, data)
 
-    async def meet(
+    async def open_peers(
         self,
         listen: Address | None,
         peers: tuple[Address, ...],
         fd: int | None = None,
-        patient: bool = False,
+        retry: bool = False,
     ) -> None:
         """Listens for messages of the other gatekeepers, by `fd` where another process gave its socket.
 
-        `patient`: another process may have the address still; tries again until it is free.
+        `retry`: another process may have the address still; tries again until it is free.
         """
         if listen is None or not self.settings.peer_messages:
             if fd is not None:
@@ -105,28 +115,28 @@
         try:
             self.peers = await open_peers(listen, peers, self.settings.me, self.gatekeeper.heard, fd)
         except OSError as error:
-            if not patient:
+            if not retry:
                 raise
             log_message("peers", f"peers can't be heard yet: {error}")
-            again = asyncio.get_running_loop().create_task(self._meet_later(listen, peers))
-            self.tasks.add(again)
-            again.add_done_callback(self.tasks.discard)
+            task = asyncio.get_running_loop().create_task(self._retry_open_peers(listen, peers))
+            self.retry_tasks.add(task)
+            task.add_done_callback(self.retry_tasks.discard)
 
-    async def _meet_later(self, listen: Address, peers: tuple[Address, ...]) -> None:
+    async def _retry_open_peers(self, listen: Address, peers: tuple[Address, ...]) -> None:
         while self.peers is None:
-            await asyncio.sleep(AGAIN_S)
+            await asyncio.sleep(PEER_RETRY_INTERVAL_S)
             try:
                 self.peers = await open_peers(listen, peers, self.settings.me, self.gatekeeper.heard)
             except OSError as error:
                 log_message("peers", f"peers can't be heard yet: {error}")
-        if self.members is not None:
-            self.peers.on_membership = self.members.on_datagram
+        if self.membership is not None:
+            self.peers.on_membership = self.membership.on_datagram
 
-    def told(self, listing: EndpointList, kind: ListKind | None = None) -> None:
+    def apply_endpoint_list(self, endpoint_list: EndpointList, kind: ListKind | None = None) -> None:
         """Takes in a list of backends."""
-        kind = kind or (ListKind.FULL if listing.full else ListKind.DELTA)
-        self.gatekeeper.listed(self.directory.apply(listing, kind))
-        self.servers.on_endpoints_changed()
+        kind = kind or (ListKind.FULL if endpoint_list.full else ListKind.DELTA)
+        self.gatekeeper.listed(self.directory.apply(endpoint_list, kind))
+        self.upstream.on_endpoints_changed()
 
 
 def split_sockets(limit: int) -> tuple[int, int]:
@@ -137,7 +147,7 @@
     soft = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
     if soft != resource.RLIM_INFINITY:
         limit = min(limit, soft)
-    return (limit - RESERVED) // 2, (limit - RESERVED) // 2
+    return (limit - RESERVED_DESCRIPTORS) // 2, (limit - RESERVED_DESCRIPTORS) // 2
 
 
 def make_lot(config: ClientsConfig, clock: Clock, sockets: int, auth_sockets: int) -> tuple[Lot, int]:
@@ -152,7 +162,7 @@
         resource.setrlimit(resource.RLIMIT_NOFILE, (hard, hard))
     limit = min(sockets, hard) if hard != resource.RLIM_INFINITY else sockets
     backends = max(16, limit // 6)
-    here = max(16, limit - RESERVED - backends - auth_sockets // 2 - config.holders)
+    here = max(16, limit - RESERVED_DESCRIPTORS - backends - auth_sockets // 2 - config.holders)
     if config.most_here:
         here = min(here, config.most_here)
     return Lot(asyncio.get_running_loop(), clock, config, here), backends
@@ -162,17 +172,28 @@
     config: AuthConfig, clock: Clock, seed: int, lot: Lot | None = None
 ) -> tuple[Core, AuthService, Listener | None]:
     """The core before the authentication servers and, where configured, its front."""
-    most_clients, most = config.sockets // 2, config.sockets // 2
+    max_clients, max_backends = config.sockets // 2, config.sockets // 2
     core = Core(
-        clock, config.settings, seed, (), auth_judge, most, config.keepalive_ns, config.connect_timeout_ns
+        clock,
+        config.settings,
+        seed,
+        (),
+        auth_judge,
+        max_backends,
+        config.keepalive_ns,
+        config.connect_timeout_ns,
     )
-    core.told(config.servers, ListKind.CACHED)
-    await core.meet(config.peer_listen, config.peers)
+    core.apply_endpoint_list(config.servers, ListKind.CACHED)
+    await core.open_peers(config.peer_listen, config.peers)
     service = AuthService(config, core.gatekeeper, clock)
     if config.listen is None:
         return core, service, None
     make = ForwardAuth(service).make
-    return core, service, listen("forward authentication", config.listen, clock, most_clients, make, lot)
+    return (
+        core,
+        service,
+        open_listener("forward authentication", config.listen, clock, max_clients, make, lot),
+    )
 
 
 async def start_platform(
@@ -183,11 +204,11 @@
     lot: Lot | None = None,
     backends: int = 0,
     inherited: socket.socket | None = None,
-    before: Successor | None = None,
-    watch: Watch | None = None,
+    successor: Successor | None = None,
+    watch: DiscoveryWatch | None = None,
 ) -> tuple[Core, Listener]:
     """The core before the workers and the platform's front."""
-    most_clients, most = split_sockets(sockets) if lot is None else (0, backends)
+    max_clients, max_backends = split_sockets(sockets) if lot is None else (0, backends)
     budget = MemoryBudget.from_memory_limit(config.memory_mb)
     core = Core(
         clock,
@@ -195,44 +216,44 @@
         config.seed,
         config.zones,
         platform_classifier(config.settings.max_units),
-        most,
+        max_backends,
         config.keepalive_ns,
         config.connect_timeout_ns,
         budget,
     )
-    core.told(config.known, ListKind.CACHED)
-    if before is not None:
-        listing = before.listing()
-        if listing is not None and listing.endpoints:
-            core.told(listing, ListKind.FULL)
-        before.take_in(core.gatekeeper)
-    fd = before.peers_fd if before is not None else None
-    await core.meet(config.peer_listen, config.peers, fd, patient=inherited is not None)
+    core.apply_endpoint_list(config.known, ListKind.CACHED)
+    if successor is not None:
+        endpoint_list = successor.endpoint_list()
+        if endpoint_list is not None and endpoint_list.endpoints:
+            core.apply_endpoint_list(endpoint_list, ListKind.FULL)
+        successor.restore(core.gatekeeper)
+    fd = successor.peer_socket_fd if successor is not None else None
+    await core.open_peers(config.peer_listen, config.peers, fd, retry=inherited is not None)
     if watch is not None:
         # What the agent holds counts as told from the start on: nothing is sent before it is asked.
         known = config.known.version if config.known.endpoints else None
-        if before is not None and before.table is not None:
-            known = before.version()
-        watch.move(config.discovery, core.told, calls_of(config), known)
-        if before is None or before.table is None:
+        if successor is not None and successor.process_state is not None:
+            known = successor.list_version()
+        watch.move(config.discovery, core.apply_endpoint_list, discovery_backoff(config), known)
+        if successor is None or successor.process_state is None:
             # A drain is to be kept so long after it was told: waiting longer gains nothing and serves nobody.
-            await watch.first(config.settings.drain_grace_ns / SECOND)
+            await watch.wait_for_first_list(config.settings.drain_grace_ns / SECOND)
     front = Platform(config.settings, core.gatekeeper, clock, auth, budget)
-    return core, listen(config.name, config.listen, clock, most_clients, front.make, lot, inherited)
+    return core, open_listener(config.name, config.listen, clock, max_clients, front.make, lot, inherited)
 
 
-def listen(
+def open_listener(
     name: str,
     address: Address,
     clock: Clock,
-    most: int,
+    max_clients: int,
     make: Callable[[Listener], asyncio.BufferedProtocol],
     lot: Lot | None = None,
     inherited: socket.socket | None = None,
 ) -> Listener:
     """A front at its address."""
     if lot is None:
-        listener = Listener(asyncio.get_running_loop(), clock, most, make)
+        listener = Listener(asyncio.get_running_loop(), clock, max_clients, make)
     else:
         from pepperrun.parking.listener import ParkingListener
 
@@ -242,15 +263,17 @@
     return listener
 
 
-def start_members(
-    config: Config, members: MembershipConfig, core: Core, before: Any = None
+def start_membership(
+    config: Config, members: MembershipConfig, core: Core, inherited_state: Any = None
 ) -> MembershipService:
     """Membership, over the socket of the ordinary messages; `before`: what a process before this one knew."""
     from pepperrun.membership.service import MembershipService
 
     names = members.names or [f"gatekeeper {number}" for number in range(config.settings.gateways)]
-    service = MembershipService(members, config.name, names, core.gatekeeper, core._tell, config.seed, before)
-    core.members = service
+    service = MembershipService(
+        members, config.name, names, core.gatekeeper, core._send_to_peer, config.seed, inherited_state
+    )
+    core.membership = service
     if core.peers is not None:
         core.peers.on_membership = service.on_datagram
     return service
@@ -260,13 +283,13 @@
     """The second address: it says yes while clients are taken."""
 
     def all_metrics() -> Iterator[Metric]:
-        yield from core_metrics(core.gatekeeper, core.servers, core.directory)
-        if core.members is not None:
-            yield from core.members.figures()
+        yield from core_metrics(core.gatekeeper, core.upstream, core.directory)
+        if core.membership is not None:
+            yield from core.membership.figures()
 
     def extra(command: bytes) -> bytes | None:
-        if core.members is not None:
-            return core.members.answer_call(command)
+        if core.membership is not None:
+            return core.membership.answer_call(command)
         return b"error membership is off\n" if command.split()[:1] == [b"members"] else None
 
     handler = CommandHandler(listener.accepts_clients, all_metrics, extra)
@@ -275,14 +298,14 @@
     return server
 
 
-def calls_of(config: Config) -> Backoff:
+def discovery_backoff(config: Config) -> Backoff:
     """When to call discovery: others call it too, but where lists are pushed it is an agent of one's own."""
     if not config.settings.must_ask_for_list:
         return LocalAgentBackoff(config.settings.drain_grace_ns / SECOND)
     return Backoff(config.settings.gateways, random.Random(config.seed))
 
 
-class Watch:
+class DiscoveryWatch:
     """The watch on discovery, which a new configuration may move to another address."""
 
     def __init__(self) -> None:
@@ -293,28 +316,28 @@
     def move(
         self,
         address: Address | None,
-        told: Callable[[EndpointList], None],
+        on_list: Callable[[EndpointList], None],
         backoff: Backoff,
-        known: int | None = None,
+        known_version: int | None = None,
         moved: bool = False,
     ) -> None:
-        """Watches there from now on, `known` and `moved` as `Discovery` has them.
+        """Watches there from now on, `known_version` and `moved` as `Discovery` has them.
 
-        The last list stands until the new place has told one.
+        The last list stands until the new address has sent one.
         """
         if address == self.address:
             return
         self.stop()
         self.address = address
         if address is not None:
-            self.discovery = Discovery(address, told, backoff, known, moved)
+            self.discovery = Discovery(address, on_list, backoff, known_version, moved)
             self.task = asyncio.get_running_loop().create_task(self.discovery.run())
 
-    async def first(self, most_s: float) -> None:
+    async def wait_for_first_list(self, timeout_s: float) -> None:
         """Until the first call is answered or has failed, for so long at most."""
         if self.discovery is not None:
             try:
-                async with asyncio.timeout(most_s):
+                async with asyncio.timeout(timeout_s):
                     await self.discovery.first_call_done.wait()
             except TimeoutError:
                 pass
@@ -348,35 +371,37 @@
     return sock
 
 
-def meeting_place(name: str, env: Mapping[str, str]) -> Path | None:
+def handover_path(name: str, env: Mapping[str, str]) -> Path | None:
     """Where this gatekeeper's processes meet; None, with a line, where there is no such place."""
     folder = env.get("TMPDIR")
     if not folder:
         log_message("hand-over", "no hand-over: TMPDIR is not set")
         return None
     try:
-        return path_of(folder, name)
+        return socket_path(folder, name)
     except ValueError as error:
         log_message("hand-over", f"no hand-over: {error}")
         return None
 
 
-async def ask_before(place: Path | None) -> Successor | None:
+async def request_handover(path: Path | None) -> Successor | None:
     """The process that serves until now, asked for what it knows."""
-    if place is None:
+    if path is None:
         return None
-    before = Successor()
-    await before.ask(place)
-    return before
+    successor = Successor()
+    await successor.request_state(path)
+    return successor
 
 
-def wait_for_next(place: Path, core: Core, listener: Listener, watch: Watch) -> Predecessor:
+def await_successor(path: Path, core: Core, listener: Listener, watch: DiscoveryWatch) -> Predecessor:
     """Waits for the process that is to take this one's place."""
 
-    def table() -> dict[str, Any]:
+    def export_process_state() -> dict[str, Any]:
         version = watch.discovery.version if watch.discovery is not None else None
-        listing = {"version": version or 0, "full": True, "servers": core.directory.discovery_rows()}
-        known = {"list": listing, "known": version is not None, "peers": core.peers is not None}
-        return known | ({"members": core.members.export_state()} if core.members is not None else {})
+        endpoint_list = {"version": version or 0, "full": True, "servers": core.directory.discovery_rows()}
+        known = {"list": endpoint_list, "known": version is not None, "peers": core.peers is not None}
+        return known | ({"members": core.membership.export_state()} if core.membership is not None else {})
 
-    return Predecessor(place, core.gatekeeper, core.servers, listener, lambda: core.peers, table)
+    return Predecessor(
+        path, core.gatekeeper, core.upstream, listener, lambda: core.peers, export_process_state
+    )
--- a/pepperrun/handover/channel.py
+++ b/pepperrun/handover/channel.py
@@ -10,22 +10,26 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from pepperrun.handover.wire import MOST_MESSAGE
+from pepperrun.handover.wire import MAX_MESSAGE_BYTES
 
-BATCH = 64  # messages read before others have a turn
-LONGEST_PATH = 100  # of a Unix socket; the system's bound is 107
+MAX_READS_PER_WAKEUP = 64  # messages read before others have a turn
+MAX_PATH_BYTES = 100  # of a Unix socket; the system's bound is 107
 _CREDENTIALS = struct.Struct("3i")
 
-Heard = Callable[[bytes, int | None], None]
+MessageCallback = Callable[[bytes, int | None], None]
 
 
 class Channel:
-    """Messages both ways. `heard` is given each and owns its descriptor; `lost` is called once at the end."""
+    """Messages both ways. `on_message` is given each and owns its descriptor; `on_closed` is called once at the end."""
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, sock: socket.socket, heard: Heard, lost: Callable[[], None]
+        self,
+        loop: asyncio.AbstractEventLoop,
+        sock: socket.socket,
+        on_message: MessageCallback,
+        on_closed: Callable[[], None],
     ) -> None:
-        self.loop, self.heard, self.lost = loop, heard, lost
+        self.loop, self.on_message, self.on_closed = loop, on_message, on_closed
         self.sock: socket.socket | None = sock
         self.queue: deque[tuple[bytes, int | None]] = deque()  # not yet sent, with descriptors owned here
         sock.setblocking(False)
@@ -62,11 +66,11 @@
             self.loop.remove_writer(self.sock)
 
     def _read(self) -> None:
-        for _ in range(BATCH):
+        for _ in range(MAX_READS_PER_WAKEUP):
             if self.sock is None:
                 return
             try:
-                data, fds, _, _ = socket.recv_fds(self.sock, MOST_MESSAGE, 4)
+                data, fds, _, _ = socket.recv_fds(self.sock, MAX_MESSAGE_BYTES, 4)
             except (BlockingIOError, InterruptedError):
                 return
             except OSError:
@@ -76,7 +80,7 @@
                 return
             for extra in fds[1:]:
                 os.close(extra)
-            self.heard(data, fds[0] if fds else None)
+            self.on_message(data, fds[0] if fds else None)
 
     def close(self) -> None:
         """Ends it; what was not sent is dropped."""
@@ -90,56 +94,56 @@
             if fd is not None:
                 os.close(fd)
         self.queue.clear()
-        self.lost()
+        self.on_closed()
 
-    async def flushed(self) -> None:
+    async def wait_until_sent(self) -> None:
         """Until all is sent, or can't be."""
         while self.sock is not None and self.queue:
             await asyncio.sleep(0.005)
 
 
-def path_of(folder: str, name: str) -> Path:
+def socket_path(folder: str, name: str) -> Path:
     """Where a gatekeeper's processes meet; ValueError where the system takes no such path."""
-    safe = "".join(char if char.isalnum() and char.isascii() or char in "._-" else "_" for char in name)
-    path = Path(folder) / f"pepperrun-{safe}.sock"
-    if len(os.fsencode(path)) + 12 > LONGEST_PATH:
+    safe_name = "".join(char if char.isalnum() and char.isascii() or char in "._-" else "_" for char in name)
+    path = Path(folder) / f"pepperrun-{safe_name}.sock"
+    if len(os.fsencode(path)) + 12 > MAX_PATH_BYTES:
         raise ValueError(f"{path}: too long for a Unix socket")
     return path
 
 
-def door(path: Path) -> socket.socket:
+def bind_socket(path: Path) -> socket.socket:
     """Listens at a path; another process's socket there is replaced, so that one can always be reached."""
-    own = path.with_name(f"{path.name}.{os.getpid()}")
-    own.unlink(missing_ok=True)  # of a process long gone that had this id
+    temporary_path = path.with_name(f"{path.name}.{os.getpid()}")
+    temporary_path.unlink(missing_ok=True)  # of a process long gone that had this id
     sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     try:
-        before = os.umask(0o177)
+        old_umask = os.umask(0o177)
         try:
-            sock.bind(str(own))
+            sock.bind(str(temporary_path))
         finally:
-            os.umask(before)
+            os.umask(old_umask)
         sock.listen(4)
         sock.setblocking(False)
-        os.rename(own, path)
+        os.rename(temporary_path, path)
     except OSError:
         sock.close()
         raise
     return sock
 
 
-def same_user(sock: socket.socket) -> bool:
+def is_same_user(sock: socket.socket) -> bool:
     """Is the other end a process of this user?"""
     raw = sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, _CREDENTIALS.size)
     return int(_CREDENTIALS.unpack(raw)[1]) == os.geteuid()
 
 
-def knock(path: Path) -> socket.socket | None:
+def connect(path: Path) -> socket.socket | None:
     """A connection to the process that listens there; None where there is none."""
     sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     try:
         sock.settimeout(0.5)
         sock.connect(str(path))
-        if same_user(sock):
+        if is_same_user(sock):
             return sock
     except OSError:
         pass
--- a/pepperrun/handover/state.py
+++ b/pepperrun/handover/state.py
@@ -17,15 +17,15 @@
 from pepperrun.core.gateway import Gateway
 from pepperrun.core.quotas import Account
 
-FORM = 1
-FRESH_NS = 3 * SECOND  # an older state is another time's
-MOST_BACKENDS = 100_000
-MOST_ACCOUNTS = 1_000_000
-_STORES = ("global_bucket", "local_bucket", "hard_limit")
+FORMAT_VERSION = 1
+MAX_AGE_NS = 3 * SECOND  # an older state is another time's
+MAX_BACKENDS = 100_000
+MAX_ACCOUNTS = 1_000_000
+_BUCKETS = ("global_bucket", "local_bucket", "hard_limit")
 
 
 @dataclass(slots=True)
-class Kept:
+class RetainedAccount:
     """What a predecessor still has of an account."""
 
     account: Account
@@ -33,48 +33,50 @@
     rates: tuple[float, ...] = field(default=())
 
 
-def _need(gateway: Gateway) -> dict[int, float]:
+def _pending_units(gateway: Gateway) -> dict[int, float]:
     """Units by customer that requests taken and not sent on will use."""
     need: dict[int, float] = {}
-    for held in gateway.pending.values():
-        if (held.waiting or held.asking) and not held.attempts:
-            need[held.account.customer] = need.get(held.account.customer, 0.0) + held.units
+    for request in gateway.pending.values():
+        if (request.waiting or request.asking) and not request.attempts:
+            need[request.account.customer] = need.get(request.account.customer, 0.0) + request.units
     return need
 
 
-def _told(account: Account) -> list[list[Any]]:
+def _peer_reports(account: Account) -> list[list[Any]]:
     return [
         [
             peer,
-            told.incarnation,
-            told.received_at,
-            told.recent_use.value,
-            told.recent_use.at,
-            told.entry.total_units,
-            told.entry.local_used_units,
+            report.incarnation,
+            report.received_at,
+            report.recent_use.value,
+            report.recent_use.at,
+            report.entry.total_units,
+            report.entry.local_used_units,
         ]
         + [
-            None if told.entry.hard_limit_level == gossip.NOT_LOW else told.entry.hard_limit_level,
-            told.entry.attempts_in_flight,
+            None if report.entry.hard_limit_level == gossip.NOT_LOW else report.entry.hard_limit_level,
+            report.entry.attempts_in_flight,
         ]
-        for peer, told in account.peer_reports.by_peer.items()
+        for peer, report in account.peer_reports.by_peer.items()
     ]
 
 
-def _account(account: Account, need: float, spare: float, now: int) -> tuple[dict[str, Any], Kept]:
+def _split_account(
+    account: Account, need: float, spare: float, now: int
+) -> tuple[dict[str, Any], RetainedAccount]:
     """An account's part of the state; what is kept here is taken out of it."""
-    stores = [getattr(account, name) for name in _STORES]
-    given = []
-    for store in stores:
-        level = store.fill(now)
+    buckets = [getattr(account, name) for name in _BUCKETS]
+    exported = []
+    for bucket in buckets:
+        level = bucket.fill(now)
         keep = max(0.0, min(level, need + spare))
-        given.append(level - keep)
+        exported.append(level - keep)
     table = {
         "customer": account.customer,
         "plan": account.plan_number,
         "first": account.first,
         "spread": account.spread,
-        "stores": given,
+        "stores": exported,
         "owed": account.owed,
         "near": account.low_balance_reported,
         "closed_until": account.rejected_until,
@@ -86,28 +88,28 @@
         "used": account.recent_use.read(now),
         "asked": account.recent_requests.read(now),
         "granted": [[*key, at] for key, at in account.granted_at.items()],
-        "told": _told(account),
+        "told": _peer_reports(account),
     }
-    kept = Kept(account, account.total_units, tuple(store.rate for store in stores))
-    for store, gone in zip(stores, given, strict=True):
-        store.level -= gone
-        store.rate = 0.0
+    kept = RetainedAccount(account, account.total_units, tuple(bucket.rate for bucket in buckets))
+    for bucket, removed in zip(buckets, exported, strict=True):
+        bucket.level -= removed
+        bucket.rate = 0.0
     account.owed = 0.0
     return table, kept
 
 
-def export(gateway: Gateway, now: int) -> tuple[dict[str, Any], list[Kept]]:
+def export(gateway: Gateway, now: int) -> tuple[dict[str, Any], list[RetainedAccount]]:
     """The state, and what is kept back: from now on this gateway fills no store and tells no peer."""
     quotas, fleet, bound = gateway.quotas, gateway.fleet, gateway.limiter
-    need, spare = _need(gateway), gateway.settings.max_units
+    need, spare = _pending_units(gateway), gateway.settings.max_units
     accounts, kept = [], []
     for account in quotas.accounts.values():
-        table, rest = _account(account, need.get(account.customer, 0.0), spare, now)
+        table, retained = _split_account(account, need.get(account.customer, 0.0), spare, now)
         accounts.append(table)
-        kept.append(rest)
+        kept.append(retained)
     quotas.handed_over = True
     return {
-        "form": FORM,
+        "form": FORMAT_VERSION,
         "at": now,
         "start": quotas.started_at,
         "counted": quotas.max_dropped_total,
@@ -129,13 +131,13 @@
     }, kept
 
 
-def take_back(gateway: Gateway, kept: list[Kept], now: int) -> None:
-    """The successor is gone: stores fill again from what was kept; what it was given may be spent."""
-    for one in kept:
-        for name, rate in zip(_STORES, one.rates, strict=True):
-            store = getattr(one.account, name)
-            store.fill(now)
-            store.rate = rate
+def resume(gateway: Gateway, kept: list[RetainedAccount], now: int) -> None:
+    """The successor is gone: stores fill again from what was kept; what it was exported may be spent."""
+    for retained in kept:
+        for name, rate in zip(_BUCKETS, retained.rates, strict=True):
+            bucket = getattr(retained.account, name)
+            bucket.fill(now)
+            bucket.rate = rate
     quotas = gateway.quotas
     quotas.handed_over = False
     # Peers have heard the successor under this incarnation: a new one, or they would take this for old.
@@ -144,130 +146,145 @@
     )
 
 
-def left(kept: list[Kept], now: int) -> list[list[float]]:
+def export_remainder(kept: list[RetainedAccount], now: int) -> list[list[float]]:
     """What the predecessor did not use, and what it counted since: customer, stores, units, owed."""
     return [
-        [one.account.customer, *(getattr(one.account, name).fill(now) for name in _STORES)]
-        + [one.account.total_units - one.total, one.account.owed]
-        for one in kept
+        [retained.account.customer, *(getattr(retained.account, name).fill(now) for name in _BUCKETS)]
+        + [retained.account.total_units - retained.total, retained.account.owed]
+        for retained in kept
     ]
 
 
-class _Reader:
-    """Checks figures as they are read."""
+class _Validator:
+    """Checks figures as they are check."""
 
     def __init__(self, now: int) -> None:
         self.now = now
 
-    def number(self, value: Any, least: float = -1e15, most: float = 1e15) -> float:
+    def finite(self, value: Any, minimum: float = -1e15, maximum: float = 1e15) -> float:
         if isinstance(value, bool) or not isinstance(value, int | float) or not math.isfinite(value):
             raise ValueError(f"{value!r} is no number")
-        if not least <= value <= most:
+        if not minimum <= value <= maximum:
             raise ValueError(f"{value!r} is out of range")
         return float(value)
 
-    def whole(self, value: Any, least: int = 0, most: int = 2**63) -> int:
-        if not isinstance(value, int) or isinstance(value, bool) or not least <= value <= most:
+    def integer(self, value: Any, minimum: int = 0, maximum: int = 2**63) -> int:
+        if not isinstance(value, int) or isinstance(value, bool) or not minimum <= value <= maximum:
             raise ValueError(f"{value!r} is no such whole number")
         return int(value)
 
-    def moment(self, value: Any) -> int:
+    def timestamp(self, value: Any) -> int:
         """A time that is past, or not far ahead: clocks of two processes differ by less than this."""
-        return self.whole(value, -(2**62), self.now + 60 * SECOND)
+        return self.integer(value, -(2**62), self.now + 60 * SECOND)
 
-    def rows(self, value: Any, most: int, width: int) -> list[list[Any]]:
-        if not isinstance(value, list) or len(value) > most:
+    def rows(self, value: Any, maximum: int, width: int) -> list[list[Any]]:
+        if not isinstance(value, list) or len(value) > maximum:
             raise ValueError("a list is missing or too long")
         if not all(isinstance(row, list) and len(row) == width for row in value):
             raise ValueError("a row is garbled")
         return value
 
 
-def _read_account(row: Any, gateway: Gateway, read: _Reader) -> Account:
-    settings, now = gateway.settings, read.now
-    plan = read.whole(row["plan"], 0, len(settings.plans) - 1)
-    spread = read.whole(row["spread"], 1, settings.gateways)
-    first = read.whole(row["first"], 0, settings.gateways - 1)
-    customer = read.whole(row["customer"], 0, 2**33 - 1)
+def _restore_account(row: Any, gateway: Gateway, check: _Validator) -> Account:
+    settings, now = gateway.settings, check.now
+    plan = check.integer(row["plan"], 0, len(settings.plans) - 1)
+    spread = check.integer(row["spread"], 1, settings.gateways)
+    first = check.integer(row["first"], 0, settings.gateways - 1)
+    customer = check.integer(row["customer"], 0, 2**33 - 1)
     account = Account(gossip.UnitRequest(customer, 0, 0.0, 0.0, plan, first, spread), now, gateway.quotas)
     levels = row["stores"]
-    if not isinstance(levels, list) or len(levels) != len(_STORES):
+    if not isinstance(levels, list) or len(levels) != len(_BUCKETS):
         raise ValueError("stores are missing")
-    for name, level in zip(_STORES, levels, strict=True):
-        store = getattr(account, name)
-        store.level, store.at = min(store.depth, read.number(level)), now
-    account.owed = read.number(row["owed"])
+    for name, level in zip(_BUCKETS, levels, strict=True):
+        bucket = getattr(account, name)
+        bucket.level, bucket.at = min(bucket.depth, check.finite(level)), now
+    account.owed = check.finite(row["owed"])
     account.low_balance_reported = row["near"] is True
     # A figure out of all range must not shut a customer out for long.
-    account.rejected_until = min(read.moment(row["closed_until"]), now + 5 * SECOND)
-    account.total_units, account.unreported_units = read.number(row["total"], 0), read.number(row["untold"])
-    account.reported_at, account.reporting_since = read.moment(row["told_at"]), read.moment(row["asked_at"])
-    account.last_seen_at = read.moment(row["seen"])
-    account.recent_use.value, account.recent_use.at = read.number(row["used"], 0), now
-    account.recent_requests.value, account.recent_requests.at = read.number(row["asked"], 0), now
-    for peer, request, at in read.rows(row["granted"], MOST_ACCOUNTS, 3):
-        account.granted_at[read.whole(peer), read.whole(request)] = read.moment(at)
-    for peer, incarnation, at, used, used_at, total, debt, ceiling, out in read.rows(
+    account.rejected_until = min(check.timestamp(row["closed_until"]), now + 5 * SECOND)
+    account.total_units, account.unreported_units = check.finite(row["total"], 0), check.finite(row["untold"])
+    account.reported_at, account.reporting_since = (
+        check.timestamp(row["told_at"]),
+        check.timestamp(row["asked_at"]),
+    )
+    account.last_seen_at = check.timestamp(row["seen"])
+    account.recent_use.value, account.recent_use.at = check.finite(row["used"], 0), now
+    account.recent_requests.value, account.recent_requests.at = check.finite(row["asked"], 0), now
+    for peer, request, at in check.rows(row["granted"], MAX_ACCOUNTS, 3):
+        account.granted_at[check.integer(peer), check.integer(request)] = check.timestamp(at)
+    for peer, incarnation, at, used, used_at, total, debt, ceiling, out in check.rows(
         row["told"], settings.gateways, 9
     ):
-        lately = DecayingSum(gossip.USE_HALF_LIFE_NS, read.moment(used_at))
-        lately.value = read.number(used, 0)
-        far = gossip.NOT_LOW if ceiling is None else read.number(ceiling)
+        lately = DecayingSum(gossip.USE_HALF_LIFE_NS, check.timestamp(used_at))
+        lately.value = check.finite(used, 0)
+        far = gossip.NOT_LOW if ceiling is None else check.finite(ceiling)
         entry = gossip.UsageEntry(
-            customer, read.number(total, 0), read.number(debt), far, 0.0, read.whole(out)
+            customer, check.finite(total, 0), check.finite(debt), far, 0.0, check.integer(out)
         )
-        account.peer_reports.by_peer[read.whole(peer, 0, settings.gateways - 1)] = gossip.PeerReport(
-            read.whole(incarnation), entry, read.moment(at), lately
+        account.peer_reports.by_peer[check.integer(peer, 0, settings.gateways - 1)] = gossip.PeerReport(
+            check.integer(incarnation), entry, check.timestamp(at), lately
         )
     return account
 
 
-def take_in(gateway: Gateway, table: Any, now: int) -> None:
+def restore(gateway: Gateway, table: Any, now: int) -> None:
     """Goes on from a state; ValueError, and nothing changed, where it is no good. The list comes before."""
     try:
-        apply = _checked(gateway, table, now)
+        apply = _validated(gateway, table, now)
     except (KeyError, TypeError, AttributeError) as error:
         raise ValueError(f"a part is missing or garbled: {error}") from None
     apply()
 
 
-def _checked(gateway: Gateway, table: Any, now: int) -> Callable[[], None]:
+def _validated(gateway: Gateway, table: Any, now: int) -> Callable[[], None]:
     settings, quotas, fleet = gateway.settings, gateway.quotas, gateway.fleet
-    read = _Reader(now)
-    if table["form"] != FORM:
-        raise ValueError(f"form {table['form']!r}, {FORM} is known")
-    age = now - read.whole(table["at"])
-    if abs(age) > FRESH_NS:
+    check = _Validator(now)
+    if table["form"] != FORMAT_VERSION:
+        raise ValueError(f"form {table['form']!r}, {FORMAT_VERSION} is known")
+    age = now - check.integer(table["at"])
+    if abs(age) > MAX_AGE_NS:
         raise ValueError(f"it is {age / SECOND:.1f} s old")
-    start = min(read.moment(table["start"]), now)
-    counted, classes = read.number(table["counted"], 0), len(settings.classes)
-    incarnation = read.whole(table["incarnation"], 1, 2**32)
-    sequence = read.whole(table["sequence"], 0, 2**32)
+    start = min(check.timestamp(table["start"]), now)
+    counted, classes = check.finite(table["counted"], 0), len(settings.classes)
+    incarnation = check.integer(table["incarnation"], 1, 2**32)
+    sequence = check.integer(table["sequence"], 0, 2**32)
     peers = {
-        read.whole(peer, 0, settings.gateways - 1): (read.whole(one), read.whole(two), read.moment(at))
-        for peer, one, two, at in read.rows(table["peers"], settings.gateways, 4)
+        check.integer(peer, 0, settings.gateways - 1): (
+            check.integer(one),
+            check.integer(two),
+            check.timestamp(at),
+        )
+        for peer, one, two, at in check.rows(table["peers"], settings.gateways, 4)
     }
-    depth, latency = read.number(table["depth"], 0.01, 1e6), read.number(table["latency"], 0, 2)
-    typical = [read.number(value, 1, 1e12) for value in table["typical"]]
-    seen = [read.whole(value) for value in table["seen"]]
-    most_left = [read.whole(value) for value in table["most_left"]]
+    depth, latency = check.finite(table["depth"], 0.01, 1e6), check.finite(table["latency"], 0, 2)
+    typical = [check.finite(value, 1, 1e12) for value in table["typical"]]
+    seen = [check.integer(value) for value in table["seen"]]
+    most_left = [check.integer(value) for value in table["most_left"]]
     if not len(typical) == len(seen) == len(most_left) == classes:
         raise ValueError("other classes")
-    tail, further = read.number(table["tail"], 1.0, 1e6), read.number(table["further"], -1e6)
+    tail, further = check.finite(table["tail"], 1.0, 1e6), check.finite(table["further"], -1e6)
     backends = {
-        read.whole(number): (read.number(slow, 0, 1e6), [read.moment(at) for at in (sampled, born, down)])
-        for number, slow, sampled, born, down in read.rows(table["backends"], MOST_BACKENDS, 5)
+        check.integer(number): (
+            check.finite(slow, 0, 1e6),
+            [check.timestamp(at) for at in (sampled, born, down)],
+        )
+        for number, slow, sampled, born, down in check.rows(table["backends"], MAX_BACKENDS, 5)
     }
     news = [
-        (read.whole(number), read.whole(cls, 0, classes - 1), read.number(bad, 0, 1), read.moment(at))
-        for number, cls, bad, at in read.rows(table["news"], MOST_BACKENDS * classes, 4)
+        (
+            check.integer(number),
+            check.integer(cls, 0, classes - 1),
+            check.finite(bad, 0, 1),
+            check.timestamp(at),
+        )
+        for number, cls, bad, at in check.rows(table["news"], MAX_BACKENDS * classes, 4)
     ]
-    if not isinstance(table["accounts"], list) or len(table["accounts"]) > MOST_ACCOUNTS:
+    if not isinstance(table["accounts"], list) or len(table["accounts"]) > MAX_ACCOUNTS:
         raise ValueError("accounts are missing")
     before = quotas.started_at
     quotas.started_at = start  # an account's ceiling fills from there
     try:
-        accounts = [_read_account(row, gateway, read) for row in table["accounts"]]
+        accounts = [_restore_account(row, gateway, check) for row in table["accounts"]]
     finally:
         quotas.started_at = before
 
@@ -291,24 +308,24 @@
     return apply
 
 
-def forget(gateway: Gateway, now: int) -> None:
+def reset(gateway: Gateway, now: int) -> None:
     """As after a start from nothing: whoever gave the state decides again."""
     gateway.quotas.accounts.clear()
     gateway.quotas.started_at = now
     gateway.quotas.outbox.incarnation = now // gossip.INCARNATION_TICK_NS % (2**32 - 1) + 1
 
 
-def take_left(gateway: Gateway, rows: Any, now: int) -> None:
+def add_remainder(gateway: Gateway, rows: Any, now: int) -> None:
     """What the predecessor gives back at its end; ValueError where that is no good."""
-    read, accounts = _Reader(now), gateway.quotas.accounts
-    for row in read.rows(rows, MOST_ACCOUNTS, 3 + len(_STORES)):
-        customer, used, owed = read.whole(row[0]), read.number(row[4]), read.number(row[5])
-        levels = [read.number(level) for level in row[1:4]]
+    check, accounts = _Validator(now), gateway.quotas.accounts
+    for row in check.rows(rows, MAX_ACCOUNTS, 3 + len(_BUCKETS)):
+        customer, used, owed = check.integer(row[0]), check.finite(row[4]), check.finite(row[5])
+        levels = [check.finite(level) for level in row[1:4]]
         if (account := accounts.get(customer)) is None:
             continue
-        for name, level in zip(_STORES, levels, strict=True):
-            store = getattr(account, name)
-            store.level = min(store.depth, store.fill(now) + level)
+        for name, level in zip(_BUCKETS, levels, strict=True):
+            bucket = getattr(account, name)
+            bucket.level = min(bucket.depth, bucket.fill(now) + level)
         account.total_units += max(0.0, used)
         account.unreported_units += max(0.0, used)
         account.owed += owed
--- a/pepperrun/handover/wire.py
+++ b/pepperrun/handover/wire.py
@@ -15,71 +15,78 @@
 from typing import Any
 
 VERSION = 1  # of these messages and of what the state holds
-CHUNK = 32 * 1024
-MOST_STATE = 32 * 1024 * 1024  # of the state in JSON
-MOST_HELD = 32 * 1024  # bytes of a request that has begun, which travel with its connection
-MOST_MESSAGE = MOST_HELD + 256
+CHUNK_BYTES = 32 * 1024
+MAX_STATE_BYTES = 32 * 1024 * 1024  # of the state in JSON
+MAX_PARTIAL_BYTES = 32 * 1024  # bytes of a request that has begun, which travel with its connection
+MAX_MESSAGE_BYTES = MAX_PARTIAL_BYTES + 256
 _CLIENT = struct.Struct("<qqqqI")
 # Answers, exchanges, last use, a part of a request and when it began, as listeners have it.
 ClientState = tuple[int, int, int, bytes, int]
 
 
-class Kind(IntEnum):
+class MessageKind(IntEnum):
     """What a message says."""
 
-    TAKE = 1  # to the predecessor: decide no more, give what you know
-    STATE = 2  # from it: a part of the state, packed
-    WHOLE = 3  # from it: the state is whole, and its checksum
-    PEERS = 4  # from it: the peers' socket
-    YES = 5  # to it: the successor takes clients
-    CLIENT = 6  # from it: a connection that owes nothing
-    HEARD = 7  # to it: what a peer said
-    LEFT = 8  # from it: what is left of what it held back, as packed JSON
-    NO = 9  # from it: not now
+    REQUEST_STATE = 1  # to the predecessor: decide no more, give what you know
+    STATE_CHUNK = 2  # from it: a part of the state, packed
+    STATE_END = 3  # from it: the state is whole, and its checksum
+    PEER_SOCKET = 4  # from it: the peers' socket
+    READY = 5  # to it: the successor takes clients
+    CLIENT_CONNECTION = 6  # from it: a connection that owes nothing
+    PEER_MESSAGE = 7  # to it: what a peer said
+    REMAINDER = 8  # from it: what is left of what it held back, as packed JSON
+    REJECTED = 9  # from it: not now
 
 
-def plain(kind: Kind, body: bytes = b"") -> bytes:
+def encode(kind: MessageKind, body: bytes = b"") -> bytes:
     """A message of a kind and its bytes."""
     return bytes((kind, VERSION)) + body
 
 
-def client(state: ClientState) -> bytes:
+def encode_client(state: ClientState) -> bytes:
     """A connection's message."""
-    answers, asked, since, held, held_at = state
-    return plain(Kind.CLIENT, _CLIENT.pack(answers, asked, since, held_at, len(held)) + held)
+    response_count, request_count, last_used_at, partial, partial_started_at = state
+    return encode(
+        MessageKind.CLIENT_CONNECTION,
+        _CLIENT.pack(response_count, request_count, last_used_at, partial_started_at, len(partial)) + partial,
+    )
 
 
-def read(data: bytes) -> tuple[Kind, bytes]:
+def decode(data: bytes) -> tuple[MessageKind, bytes]:
     """A message's kind and bytes; ValueError where it can't be one, or is of another version."""
     if len(data) < 2:
         raise ValueError("half a message")
     if data[1] != VERSION:
         raise ValueError(f"version {data[1]}, {VERSION} is known")
-    return Kind(data[0]), data[2:]
+    return MessageKind(data[0]), data[2:]
 
 
-def read_client(body: bytes) -> ClientState:
+def decode_client(body: bytes) -> ClientState:
     """A connection's state; ValueError where it can't be one."""
     try:
-        answers, asked, since, held_at, length = _CLIENT.unpack_from(body)
+        response_count, request_count, last_used_at, partial_started_at, length = _CLIENT.unpack_from(body)
     except struct.error as error:
         raise ValueError(str(error)) from None
-    held = body[_CLIENT.size :]
-    if len(held) != length or length > MOST_HELD or min(answers, asked, since, held_at) < 0:
+    partial = body[_CLIENT.size :]
+    if (
+        len(partial) != length
+        or length > MAX_PARTIAL_BYTES
+        or min(response_count, request_count, last_used_at, partial_started_at) < 0
+    ):
         raise ValueError("a connection's state is garbled")
-    return answers, asked, since, held, held_at
+    return response_count, request_count, last_used_at, partial, partial_started_at
 
 
-def packed(table: Any) -> bytes:
+def pack(table: Any) -> bytes:
     """JSON, compressed."""
     return zlib.compress(json.dumps(table, separators=(",", ":")).encode(), 1)
 
 
-def unpacked(data: bytes) -> Any:
-    """What `packed` made; ValueError where it can't be that, or would take too much memory."""
+def unpack(data: bytes) -> Any:
+    """What `pack` made; ValueError where it can't be that, or would take too much memory."""
     inflater = zlib.decompressobj()
     try:
-        text = inflater.decompress(data, MOST_STATE)
+        text = inflater.decompress(data, MAX_STATE_BYTES)
     except zlib.error as error:
         raise ValueError(str(error)) from None
     if not inflater.eof or inflater.unused_data:
@@ -90,31 +97,31 @@
         raise ValueError("nested too deeply") from None
 
 
-def state(table: Any) -> Iterator[bytes]:
+def state_messages(table: Any) -> Iterator[bytes]:
     """The messages that carry a state."""
-    data = packed(table)
-    for at in range(0, len(data), CHUNK):
-        yield plain(Kind.STATE, data[at : at + CHUNK])
-    yield plain(Kind.WHOLE, hashlib.sha256(data).digest())
+    data = pack(table)
+    for at in range(0, len(data), CHUNK_BYTES):
+        yield encode(MessageKind.STATE_CHUNK, data[at : at + CHUNK_BYTES])
+    yield encode(MessageKind.STATE_END, hashlib.sha256(data).digest())
 
 
-class Assembly:
+class StateAssembler:
     """Puts a state together again."""
 
     def __init__(self) -> None:
-        self.parts: list[bytes] = []
+        self.chunks: list[bytes] = []
         self.size = 0
 
     def add(self, body: bytes) -> None:
         """A part; ValueError past all bounds."""
         self.size += len(body)
-        if self.size > MOST_STATE:
+        if self.size > MAX_STATE_BYTES:
             raise ValueError("the state is too large")
-        self.parts.append(body)
+        self.chunks.append(body)
 
-    def whole(self, digest: bytes) -> Any:
+    def finish(self, digest: bytes) -> Any:
         """The state; ValueError where the checksum or the form is wrong."""
-        data, self.parts = b"".join(self.parts), []
+        data, self.chunks = b"".join(self.chunks), []
         if hashlib.sha256(data).digest() != digest:
             raise ValueError("the checksum is wrong")
-        return unpacked(data)
+        return unpack(data)
--- a/pepperrun/serve.py
+++ b/pepperrun/serve.py
@@ -17,18 +17,18 @@
 from pepperrun.admin.server import MAX_DESCRIPTORS, AdminServer
 from pepperrun.assembly import (
     Core,
-    Part,
-    Watch,
-    ask_before,
-    calls_of,
+    CoreAndListener,
+    DiscoveryWatch,
+    await_successor,
+    discovery_backoff,
+    handover_path,
     inherited_socket,
     make_lot,
-    meeting_place,
     open_admin,
+    request_handover,
     start_auth,
-    start_members,
+    start_membership,
     start_platform,
-    wait_for_next,
 )
 from pepperrun.config import AuthConfig, Config, UnusableError, read_auth, read_config
 from pepperrun.core.clock import SECOND
@@ -53,35 +53,39 @@
     "usage: pepperrun [--forward-auth FILE] [--metrics FILE] [--clients FILE] [--capture DIR]"
     " [--members FILE] [--log-format text|json], or pepperrun --help"
 )
-MOST_CAPTURES = 100  # files of a gatekeeper that are kept
-OVERTIME_S = 1.0  # after the longest deadline: the last requests come a while after SIGTERM
+MAX_CAPTURE_FILES = 100  # files of a gatekeeper that are kept
+DRAIN_MARGIN_S = 1.0  # after the longest deadline: the last requests come a while after SIGTERM
 
 
-def reporters(config: MetricsConfig, instance: str, parts: dict[str, Part]) -> list[Reporter]:
+def create_reporters(
+    config: MetricsConfig, instance: str, parts: dict[str, CoreAndListener]
+) -> list[Reporter]:
     """Where the figures go."""
     from pepperrun.metrics import collectd, graphite, process_samples, samples
 
-    def figures() -> list[Sample]:
-        some = process_samples()
+    def collect_samples() -> list[Sample]:
+        all_samples = process_samples()
         for name, (core, listener) in parts.items():
-            some += samples(name, core.gatekeeper, core.servers, listener)
-        return some
+            all_samples += samples(name, core.gatekeeper, core.upstream, listener)
+        return all_samples
 
-    out = []
+    reporters = []
     if config.graphite is not None:
         prefix = f"{config.prefix}.{instance}"
-        out.append(graphite.reporter(config.graphite, prefix, config.interval_s, figures))
+        reporters.append(graphite.reporter(config.graphite, prefix, config.interval_s, collect_samples))
     if config.collectd is not None:
-        out.append(collectd.reporter(config.collectd, config.host, config.prefix, config.interval_s, figures))
-    return out
+        reporters.append(
+            collectd.reporter(config.collectd, config.host, config.prefix, config.interval_s, collect_samples)
+        )
+    return reporters
 
 
-def reloaded(
-    files: Files,
+def reload_config(
+    files: ConfigFiles,
     config: Config | None,
     auth_config: AuthConfig | None,
-    parts: dict[str, Part],
-    watch: Watch,
+    parts: dict[str, CoreAndListener],
+    watch: DiscoveryWatch,
     lot: Lot | None = None,
 ) -> tuple[Config | None, AuthConfig | None]:
     """Reads the files anew and gives what is in force: where discovery is and whom to ask change at once.
@@ -94,99 +98,108 @@
     except (OSError, ValueError) as error:
         log_message("bad reload", f"the new configuration is no good, the old one stays in force: {error}")
         return config, auth_config
-    later: list[str] = []
+    deferred: list[str] = []
     if config is not None and new is not None:
-        later += changed(config, new, "seed", "known", "discovery")
+        deferred += changed_keys(config, new, "seed", "known", "discovery")
         config = replace(config, discovery=new.discovery)
         core = parts["platform"][0]
         # All gatekeepers are moved at once: with a list in hand none needs to be the first there.
-        watch.move(new.discovery, core.told, calls_of(config), moved=bool(core.directory.endpoints))
+        watch.move(
+            new.discovery,
+            core.apply_endpoint_list,
+            discovery_backoff(config),
+            moved=bool(core.directory.endpoints),
+        )
     if auth_config is not None and new_auth is not None:
-        later += [f"forward-auth {key}" for key in changed(auth_config, new_auth, "servers")]
+        deferred += [f"forward-auth {key}" for key in changed_keys(auth_config, new_auth, "servers")]
         if new_auth.servers != auth_config.servers:
-            parts["auth"][0].told(new_auth.servers, ListKind.FULL)
+            parts["auth"][0].apply_endpoint_list(new_auth.servers, ListKind.FULL)
         auth_config = replace(auth_config, servers=new_auth.servers)
-    if config is not None and (service := parts["platform"][0].members) is not None:
+    if config is not None and (service := parts["platform"][0].membership) is not None:
         membership = files.membership(config)
         if membership is not None:
             service.reload(membership)
     if lot is not None and clients is not None:
-        later += [f"clients {key}" for key in lot.follow(clients)]
-    rest = f"; at the next start: {', '.join(later)}" if later else ""
-    log_message("reload", f"took in the new configuration{rest}")
+        deferred += [f"clients {key}" for key in lot.follow(clients)]
+    deferred_note = f"; at the next start: {', '.join(deferred)}" if deferred else ""
+    log_message("reload", f"took in the new configuration{deferred_note}")
     return config, auth_config
 
 
-def drained_count(listeners: list[Listener], lot: Lot | None) -> int:
+def count_connections(listeners: list[Listener], lot: Lot | None) -> int:
     """Connections that are up; fronts that park theirs share one count."""
     return lot.total() if lot is not None else sum(listener.count() for listener in listeners)
 
 
-def changed(old: Config | AuthConfig, new: Config | AuthConfig, *but: str) -> list[str]:
+def changed_keys(old: Config | AuthConfig, new: Config | AuthConfig, *ignored: str) -> list[str]:
     """The keys in which two configurations differ."""
-    names = [field.name for field in fields(old) if field.name not in but]
+    names = [field.name for field in fields(old) if field.name not in ignored]
     return [name for name in names if getattr(old, name) != getattr(new, name)]
 
 
-async def run(files: Files) -> None:
+async def run(files: ConfigFiles) -> None:
     """Serves until SIGTERM or SIGINT, then drains."""
-    config, auth_config, metrics, clients = files.first
+    config, auth_config, metrics, clients = files.initial
     loop = asyncio.get_running_loop()
     clock, stop = files.clock, asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop.set)
-    parts: dict[str, Part] = {}
+    parts: dict[str, CoreAndListener] = {}
     tasks: list[asyncio.Task[None]] = []
     auth = None
     classes: list[RequestClass] = []
-    watch = Watch()
+    watch = DiscoveryWatch()
     admin: AdminServer | None = None
-    after: Predecessor | None = None
+    predecessor: Predecessor | None = None
     lot, backends = None, 0
     if clients is not None:
-        held = auth_config.sockets if auth_config is not None else 0
+        auth_sockets = auth_config.sockets if auth_config is not None else 0
         # Forward authentication alone has no key for the process's limit: the system's is what there is.
         sockets = config.sockets if config is not None else resource.getrlimit(resource.RLIMIT_NOFILE)[1]
-        lot, backends = make_lot(clients, clock, sockets, held)
+        lot, backends = make_lot(clients, clock, sockets, auth_sockets)
     if auth_config is not None:
-        core, auth, answering = await start_auth(auth_config, clock, secrets.randbits(64), lot)
-        parts["auth"] = core, answering
+        core, auth, auth_listener = await start_auth(auth_config, clock, secrets.randbits(64), lot)
+        parts["auth"] = core, auth_listener
         classes += auth_config.settings.classes
     if config is not None:
         sockets = config.sockets - (auth_config.sockets if auth_config is not None else 0)
         sockets -= MAX_DESCRIPTORS if config.admin is not None else 0
-        shared = inherited_socket(os.environ)
-        place = meeting_place(config.name, os.environ) if shared is not None else None
-        before = await ask_before(place)
+        inherited = inherited_socket(os.environ)
+        path = handover_path(config.name, os.environ) if inherited is not None else None
+        successor = await request_handover(path)
         core, listener = await start_platform(
-            config, clock, sockets, auth, lot, backends, shared, before, watch
+            config, clock, sockets, auth, lot, backends, inherited, successor, watch
         )
         parts["platform"] = core, listener
         classes += config.settings.classes
         if (membership := files.membership(config)) is not None:
-            known = before.table.get("members") if before is not None and before.table is not None else None
-            start_members(config, membership, core, known)
-        if place is not None:
-            after = wait_for_next(place, core, listener, watch)
-        if before is not None:
-            before.yes(listener, core.peers)
+            member_state = (
+                successor.process_state.get("members")
+                if successor is not None and successor.process_state is not None
+                else None
+            )
+            start_membership(config, membership, core, member_state)
+        if path is not None:
+            predecessor = await_successor(path, core, listener, watch)
+        if successor is not None:
+            successor.announce_ready(listener, core.peers)
         if config.admin is not None:
             admin = await open_admin(config.admin, core, listener)
     if metrics is not None:
         instance = config.name if config is not None else "auth"
-        tasks += [loop.create_task(reporter.run()) for reporter in reporters(metrics, instance, parts)]
+        tasks += [loop.create_task(reporter.run()) for reporter in create_reporters(metrics, instance, parts)]
 
     def reload() -> None:
         nonlocal config, auth_config
         if not stop.is_set():  # a drain goes on with what it has
-            config, auth_config = reloaded(files, config, auth_config, parts, watch, lot)
+            config, auth_config = reload_config(files, config, auth_config, parts, watch, lot)
 
     recorders = []
     if files.capture is not None:
         name = config.name if config is not None else "auth"
         for part, (core, _) in parts.items():
             label = name if part == "platform" else f"{name}-auth"
-            recorders.append(recorder_of(files.capture, label, core, clock))
+            recorders.append(create_recorder(files.capture, label, core, clock))
 
     loop.add_signal_handler(signal.SIGHUP, reload)
     gc.collect()
@@ -194,15 +207,15 @@
 
     await stop.wait()
     listeners = [listener for _, listener in parts.values() if listener is not None]
-    log_message("stop", f"drains {drained_count(listeners, lot)} connections")
+    log_message("stop", f"drains {count_connections(listeners, lot)} connections")
     longest_s = max(kind.deadline_ns for kind in classes) / SECOND
-    if after is not None and await after.finish(longest_s + OVERTIME_S):
+    if predecessor is not None and await predecessor.finish(longest_s + DRAIN_MARGIN_S):
         listeners.remove(listener)
     for core, _ in parts.values():
-        if core.members is not None:
-            core.members.leave()
+        if core.membership is not None:
+            core.membership.leave()
     try:
-        async with asyncio.timeout(longest_s + OVERTIME_S):
+        async with asyncio.timeout(longest_s + DRAIN_MARGIN_S):
             await asyncio.gather(*(listener.drain() for listener in listeners))
             for listener in listeners:
                 while listener.clients:  # each closes once its request has its answer
@@ -211,8 +224,8 @@
         log_message("stop", "connections were still open at the end")
     watch.stop()
     for core, _ in parts.values():
-        if core.members is not None:
-            core.members.close()
+        if core.membership is not None:
+            core.membership.close()
     if admin is not None:
         admin.close()
     for task in tasks:
@@ -234,27 +247,29 @@
     key_of(Path(folder))
 
 
-def recorder_of(folder: str, name: str, core: Core, clock: Clock) -> Recorder:
+def create_recorder(folder: str, name: str, core: Core, clock: Clock) -> Recorder:
     """Writes what a core takes into the folder; what is known of a worker is its name and zone."""
     from pepperrun.capture.recorder import Recorder, files_in, key_of
 
     directory = core.directory
 
-    def place(backend: int) -> tuple[str, str]:
-        line = directory.endpoints.get(backend)
-        return directory.names.get(backend, str(backend)), line.zone if line is not None else ""
+    def name_and_zone(backend: int) -> tuple[str, str]:
+        endpoint = directory.endpoints.get(backend)
+        return directory.names.get(backend, str(backend)), endpoint.zone if endpoint is not None else ""
 
     path = Path(folder)
-    recorder = Recorder(core.settings, name, key_of(path), place, files_in(path, name, MOST_CAPTURES), clock)
+    recorder = Recorder(
+        core.settings, name, key_of(path), name_and_zone, files_in(path, name, MAX_CAPTURE_FILES), clock
+    )
     core.gatekeeper.observer = recorder.take
     return recorder
 
 
 # Of the platform, forward authentication, figures and clients' connections: what was given.
-Read = tuple["Config | None", "AuthConfig | None", "MetricsConfig | None", "ClientsConfig | None"]
+ReadConfigs = tuple["Config | None", "AuthConfig | None", "MetricsConfig | None", "ClientsConfig | None"]
 
 
-def clock_of(text: str | None) -> Clock:
+def clock_with_offset(text: str | None) -> Clock:
     """The clock, for the lab one that is off; ValueError on what is no offset."""
     clock = Clock()
     if text is not None:
@@ -266,7 +281,7 @@
     return clock
 
 
-class Files:
+class ConfigFiles:
     """Where the configuration is, and what it said at the start; ValueError on bad arguments or files."""
 
     def __init__(self, arguments: list[str], env: Mapping[str, str]) -> None:
@@ -277,16 +292,16 @@
         self.auth, self.metrics, self.clients, log_format, self.capture, self.members = map(
             options.get, OPTIONS
         )
-        self.clock = clock_of(options.get("--clock-offset"))
+        self.clock = clock_with_offset(options.get("--clock-offset"))
         if log_format not in (None, "text", "json"):
             raise ValueError(f"--log-format: {log_format!r} is neither text nor json")
         if log_format == "json":
             enable_json()
-        self.first = self.read()
+        self.initial = self.read()
         if self.capture is not None:
             check_capture(self.capture)
 
-    def read(self, metrics: bool = True) -> Read:
+    def read(self, metrics: bool = True) -> ReadConfigs:
         """The files as they are now."""
 
         def text(path: str) -> str:
@@ -343,7 +358,7 @@
     """Reads the configuration and runs a gatekeeper; the exit code."""
     signal.signal(signal.SIGHUP, signal.SIG_IGN)  # one that comes too early must not end the program
     try:
-        files = Files(arguments, os.environ)
+        files = ConfigFiles(arguments, os.environ)
     except (OSError, ValueError) as error:
         print(f"pepperrun: {error}", file=sys.stderr)
         return 2
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -28,7 +28,7 @@
     wait_then,
 )
 
-from pepperrun.assembly import calls_of
+from pepperrun.assembly import discovery_backoff
 from pepperrun.config import parse_address, read_endpoint_list
 from pepperrun.core.interface import BackendState, ListKind
 from pepperrun.net import discovery
@@ -348,7 +348,7 @@
 def backoff_of_220(must_ask: bool) -> Backoff:
     """The backoff that the program creates in a large fleet."""
     settings = replace(SETTINGS, gateways=220, drain_grace_ns=250 * MS, must_ask_for_list=must_ask)
-    return calls_of(SimpleNamespace(settings=settings, seed=1))  # type: ignore[arg-type]
+    return discovery_backoff(SimpleNamespace(settings=settings, seed=1))  # type: ignore[arg-type]
 
 
 def test_only_callers_of_a_shared_service_use_long_delays():
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -22,7 +22,7 @@
 
 from pepperrun.core.interface import Outcome, Refuse, Send
 from pepperrun.handover import state, wire
-from pepperrun.handover.channel import Channel, door, knock, path_of
+from pepperrun.handover.channel import Channel, bind_socket, connect, socket_path
 
 __all__ = ["built"]  # the fixture that runs the deploy file's build
 
@@ -33,11 +33,11 @@
     return Driver(**changes), Driver(seed=2, **changes)
 
 
-def passed(old: Driver, new: Driver) -> list[state.Kept]:
+def passed(old: Driver, new: Driver) -> list[state.RetainedAccount]:
     """What travels does so as JSON."""
     new.now = old.now
     table, kept = state.export(old.gateway, old.now)
-    state.take_in(new.gateway, wire.unpacked(wire.packed(table)), new.now)
+    state.restore(new.gateway, wire.unpack(wire.pack(table)), new.now)
     return kept
 
 
@@ -83,7 +83,7 @@
     old.ask(plan=RATE)
     kept = passed(old, new)
     before = new.gateway.quotas.accounts[1].global_bucket.fill(new.now)
-    state.take_left(new.gateway, json.loads(json.dumps(state.left(kept, old.now))), new.now)
+    state.add_remainder(new.gateway, json.loads(json.dumps(state.export_remainder(kept, old.now))), new.now)
     account = new.gateway.quotas.accounts[1]
     assert account.global_bucket.level == pytest.approx(old.settings.plans[RATE].burst - 1)
     assert account.global_bucket.level > before
@@ -116,7 +116,7 @@
     kept = passed(old, new)
     old.run(2 * SECOND)
     assert sent(old, 5, plan=RATE) == 0  # nothing fills while another decides
-    state.take_back(old.gateway, kept, old.now)
+    state.resume(old.gateway, kept, old.now)
     old.run(SECOND)
     assert 1 <= sent(old, 40, plan=RATE) <= 11
     assert old.gateway.quotas.outbox.incarnation > new.gateway.quotas.outbox.incarnation
@@ -175,9 +175,9 @@
     table, _ = state.export(old.gateway, old.now)
     before = (new.gateway.quotas.started_at, new.gateway.limiter.depth, new.gateway.quotas.outbox.incarnation)
     with pytest.raises(ValueError):
-        state.take_in(new.gateway, table | {key: value}, new.now)
+        state.restore(new.gateway, table | {key: value}, new.now)
     with pytest.raises(ValueError):
-        state.take_in(new.gateway, {name: part for name, part in table.items() if name != key}, new.now)
+        state.restore(new.gateway, {name: part for name, part in table.items() if name != key}, new.now)
     after = (new.gateway.quotas.started_at, new.gateway.limiter.depth, new.gateway.quotas.outbox.incarnation)
     assert before == after and not new.gateway.quotas.accounts
 
@@ -188,7 +188,7 @@
     table, _ = state.export(old.gateway, old.now)
     table["accounts"][0]["stores"] = [1e9, 1e9, 1e9]
     new.now = old.now
-    state.take_in(new.gateway, table, new.now)
+    state.restore(new.gateway, table, new.now)
     assert sent(new, 60, plan=CEILED) <= old.settings.plans[CEILED].ceiling_depth
 
 
@@ -197,34 +197,34 @@
 
 @given(st.binary(max_size=200))
 def test_garbage_is_refused_by_each_reader(data):
-    for reader in (wire.read, wire.read_client, wire.unpacked):
+    for reader in (wire.decode, wire.decode_client, wire.unpack):
         try:
             reader(data)
         except ValueError:
             continue
-        assert reader is not wire.unpacked
+        assert reader is not wire.unpack
 
 
 @given(st.integers(0, 2**40), st.binary(max_size=500))
 def test_a_connections_state_survives_the_way(since, held):
-    kind, body = wire.read(wire.client((3, 2, since, held, since if held else 0)))
-    assert kind is wire.Kind.CLIENT
-    assert wire.read_client(body) == (3, 2, since, held, since if held else 0)
+    kind, body = wire.decode(wire.encode_client((3, 2, since, held, since if held else 0)))
+    assert kind is wire.MessageKind.CLIENT_CONNECTION
+    assert wire.decode_client(body) == (3, 2, since, held, since if held else 0)
 
 
 @given(st.integers(0, 200_000), st.integers(0, 2**32))
 def test_a_state_is_put_together_whole_or_not_at_all(size, seed):
     table = {"text": random.Random(seed).randbytes(size).hex()}
-    messages = [wire.read(message) for message in wire.state(table)]
-    assembly = wire.Assembly()
+    messages = [wire.decode(message) for message in wire.state_messages(table)]
+    assembly = wire.StateAssembler()
     for _, body in messages[:-1]:
         assembly.add(body)
-    assert assembly.whole(messages[-1][1]) == table
-    torn = wire.Assembly()
+    assert assembly.finish(messages[-1][1]) == table
+    torn = wire.StateAssembler()
     for _, body in messages[:-2]:
         torn.add(body)
     with pytest.raises(ValueError):
-        torn.whole(messages[-1][1])
+        torn.finish(messages[-1][1])
 
 
 def test_a_channel_carries_descriptors_and_closes_what_it_can_not_send(tmp_path):
@@ -256,17 +256,17 @@
 
 
 def test_a_door_left_by_a_process_that_was_killed_is_replaced(tmp_path):
-    path = path_of(str(tmp_path), "n/../0")
+    path = socket_path(str(tmp_path), "n/../0")
     assert path.parent == tmp_path
-    door(path).close()  # the file stays, as after SIGKILL
-    assert knock(path) is None
-    sock = door(path)
-    link = knock(path)
+    bind_socket(path).close()  # the file stays, as after SIGKILL
+    assert connect(path) is None
+    sock = bind_socket(path)
+    link = connect(path)
     assert link is not None and (path.stat().st_mode & 0o777) == 0o600
     link.close()
     sock.close()
     with pytest.raises(ValueError, match="too long"):
-        path_of("/" + "x" * 100, "n0")
+        socket_path("/" + "x" * 100, "n0")
 
 
 # The real program.
@@ -470,9 +470,9 @@
     async def test():
         _, node = await before_a_worker(tmp_path, ok(b"answer"))
         old, admin = await node.start()
-        link = knock(path_of(str(tmp_path), "n0"))
+        link = connect(socket_path(str(tmp_path), "n0"))
         assert link is not None
-        link.send(wire.plain(wire.Kind.TAKE))
+        link.send(wire.encode(wire.MessageKind.REQUEST_STATE))
         await node.until(old, "gave the state")
         assert (await readyz(admin)).startswith(b"error")
         client = await Client.to(node.port)  # waits in the socket that is shared
@@ -491,7 +491,7 @@
         node = Node(tmp_path)
         old, admin = await node.start()
         for message in (b"\x01", b"\x01\x63", b"\xff\x01", b"\x05\x01", b"\x07\x01abcdefgh"):
-            link = knock(path_of(str(tmp_path), "n0"))
+            link = connect(socket_path(str(tmp_path), "n0"))
             assert link is not None
             link.send(message)
             link.close()
@@ -505,8 +505,8 @@
 @pytest.mark.parametrize("answer", [None, b"\x03\x01" + bytes(32), b"\x02\x01garbage", b"\x02\x63x"])
 def test_a_predecessor_that_hangs_or_lies_does_not_keep_the_new_one_from_starting(tmp_path, answer):
     async def test():
-        path = path_of(str(tmp_path), "n0")
-        sock = door(path)
+        path = socket_path(str(tmp_path), "n0")
+        sock = bind_socket(path)
         node = Node(tmp_path)
         loop = asyncio.get_running_loop()
         other = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)  # it has the peers' address still
@@ -547,34 +547,34 @@
         idle.ask()
         assert (await idle.answer())[0] == 200
         loop = asyncio.get_running_loop()
-        link = knock(path_of(str(tmp_path), "n0"))
+        link = connect(socket_path(str(tmp_path), "n0"))
         assert link is not None
         heard: asyncio.Queue[tuple[bytes, int | None]] = asyncio.Queue()
         lost = asyncio.Event()
         late = Channel(loop, link, lambda data, fd: heard.put_nowait((data, fd)), lost.set)
 
         async def state_of() -> list[float]:
-            assembly = wire.Assembly()
+            assembly = wire.StateAssembler()
             while True:
                 data, fd = await heard.get()
                 if fd is not None:
                     os.close(fd)
-                kind, body = wire.read(data)
-                if kind is wire.Kind.STATE:
+                kind, body = wire.decode(data)
+                if kind is wire.MessageKind.STATE_CHUNK:
                     assembly.add(body)
-                elif kind is wire.Kind.WHOLE:
-                    return assembly.whole(body)["gateway"]["accounts"][0]["stores"]
+                elif kind is wire.MessageKind.STATE_END:
+                    return assembly.finish(body)["gateway"]["accounts"][0]["stores"]
 
-        late.send(wire.plain(wire.Kind.TAKE))
+        late.send(wire.encode(wire.MessageKind.REQUEST_STATE))
         first = await state_of()
         await node.until(old, "serving on until it does")
         assert await readyz(admin) == b"done\n"
         idle.ask()  # on the connection that was held
         assert (await idle.answer())[0] == 200
-        late.send(wire.plain(wire.Kind.YES))
+        late.send(wire.encode(wire.MessageKind.READY))
         second = await state_of()
         assert sum(first) > 0 and second[0] < first[0]
-        while wire.read((got := await heard.get())[0])[0] is not wire.Kind.CLIENT:
+        while wire.decode((got := await heard.get())[0])[0] is not wire.MessageKind.CLIENT_CONNECTION:
             if got[1] is not None:
                 os.close(got[1])
         assert got[1] is not None
--- a/tests/test_recorded.py
+++ b/tests/test_recorded.py
@@ -115,8 +115,8 @@
 def test_a_handed_over_state_is_taken_over_with_what_was_spent() -> None:
     driver = Driver(seed=9)
     driver.now = int((RECORDED / "handover-now.txt").read_text())
-    table = handover_wire.unpacked((RECORDED / "handover-state.bin").read_bytes())
-    handover_state.take_in(driver.gateway, table, driver.now)
+    table = handover_wire.unpack((RECORDED / "handover-state.bin").read_bytes())
+    handover_state.restore(driver.gateway, table, driver.now)
     fresh = Driver(seed=9, start=driver.now)
 
     def sent(one: Driver) -> int:
