--- a/pepperrun/handover/channel.py
+++ b/pepperrun/handover/channel.py
@@ -20,7 +20,11 @@
 
 
 class Channel:
-    """Messages both ways. `on_message` is given each and owns its descriptor; `on_closed` is called once at the end."""
+    """Sends and receives messages; each may carry a descriptor.
+
+    `on_message` gets each received message and owns its descriptor. `on_closed` is called once, when the
+    connection has ended.
+    """
 
     def __init__(
         self,
--- a/pepperrun/handover/successor.py
+++ b/pepperrun/handover/successor.py
@@ -136,7 +136,7 @@
         if self.channel is not None and self.channel.sock is not None:
             self.channel.send(wire.encode(MessageKind.PEER_MESSAGE, peer.to_bytes(4, "little") + data))
 
-    def _adopt_client(self, client_state: wire.ClientState, fd: int) -> None:
+    def _adopt_client(self, snapshot: wire.ConnectionSnapshot, fd: int) -> None:
         try:
             sock = socket.socket(fileno=fd)
         except OSError:
@@ -147,7 +147,7 @@
             return
         sock.setblocking(False)
         self.adopted_count += 1
-        task = asyncio.get_running_loop().create_task(self.listener.adopt(sock, client_state))
+        task = asyncio.get_running_loop().create_task(self.listener.adopt(sock, snapshot))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
--- a/pepperrun/handover/wire.py
+++ b/pepperrun/handover/wire.py
@@ -21,7 +21,7 @@
 MAX_MESSAGE_BYTES = MAX_PARTIAL_BYTES + 256
 _CLIENT = struct.Struct("<qqqqI")
 # Answers, exchanges, last use, a part of a request and when it began, as listeners have it.
-ClientState = tuple[int, int, int, bytes, int]
+ConnectionSnapshot = tuple[int, int, int, bytes, int]
 
 
 class MessageKind(IntEnum):
@@ -43,9 +43,9 @@
     return bytes((kind, VERSION)) + body
 
 
-def encode_client(state: ClientState) -> bytes:
+def encode_client(snapshot: ConnectionSnapshot) -> bytes:
     """A connection's message."""
-    response_count, request_count, last_used_at, partial, partial_started_at = state
+    response_count, request_count, last_used_at, partial, partial_started_at = snapshot
     return encode(
         MessageKind.CLIENT_CONNECTION,
         _CLIENT.pack(response_count, request_count, last_used_at, partial_started_at, len(partial)) + partial,
@@ -61,7 +61,7 @@
     return MessageKind(data[0]), data[2:]
 
 
-def decode_client(body: bytes) -> ClientState:
+def decode_client(body: bytes) -> ConnectionSnapshot:
     """A connection's state; ValueError where it can't be one."""
     try:
         response_count, request_count, last_used_at, partial_started_at, length = _CLIENT.unpack_from(body)
