--- a/benchmarks/capacity_push.py
+++ b/benchmarks/capacity_push.py
@@ -109,8 +109,8 @@
     book.update_state(1, state(size, 0, size))
 
     def turn() -> None:
-        plane.gatekeeper.heard(1, b"-")
-        plane.gatekeeper.catch_up()
+        plane.gatekeeper.peer_message_received(1, b"-")
+        plane.gatekeeper.flush_events()
 
     return each_us(turn, 50) / 1000
 
--- a/pepperrun/admin/core_metrics.py
+++ b/pepperrun/admin/core_metrics.py
@@ -13,7 +13,7 @@
 ENDS_BY_NAME = {
     "fulfilled": (End.SERVED,),
     "throttled": (End.REFUSED,),
-    "faulted": (End.FAILED, End.OUT_OF_TIME),
+    "faulted": (End.FAILED, End.TIMED_OUT),
 }
 
 
@@ -23,7 +23,7 @@
         for request_class, counts in zip(gatekeeper.settings.classes, gatekeeper.by_class, strict=True):
             yield Metric(f"{name}.{request_class.name}", sum(counts[end] for end in ends), True)
     yield Metric("relayed", upstream.requests_written, True)
-    yield Metric("open_requests", gatekeeper.waiting(), False)
+    yield Metric("open_requests", gatekeeper.pending_count(), False)
     yield Metric("registry_entries", len(directory.endpoints), False)
     ejected = gatekeeper.gateway.ejected()
     unavailable = sum(
--- a/pepperrun/assembly.py
+++ b/pepperrun/assembly.py
@@ -69,8 +69,8 @@
         self.retry_tasks: set[asyncio.Task[None]] = set()
         self.settings = settings
         self.gatekeeper = Gatekeeper(settings, seed, clock, loop, self._send_to_peer, log=self._log)
-        self.directory = Directory(zones, clock.of_unix_ms)
-        on_ended = self.gatekeeper.ended
+        self.directory = Directory(zones, clock.from_unix_ms)
+        on_ended = self.gatekeeper.attempt_ended
         self.upstream = UpstreamClient(
             loop,
             clock,
@@ -113,7 +113,9 @@
                 os.close(fd)
             return
         try:
-            self.peers = await open_peers(listen, peers, self.settings.me, self.gatekeeper.heard, fd)
+            self.peers = await open_peers(
+                listen, peers, self.settings.me, self.gatekeeper.peer_message_received, fd
+            )
         except OSError as error:
             if not retry:
                 raise
@@ -126,7 +128,9 @@
         while self.peers is None:
             await asyncio.sleep(PEER_RETRY_INTERVAL_S)
             try:
-                self.peers = await open_peers(listen, peers, self.settings.me, self.gatekeeper.heard)
+                self.peers = await open_peers(
+                    listen, peers, self.settings.me, self.gatekeeper.peer_message_received
+                )
             except OSError as error:
                 log_message("peers", f"peers can't be heard yet: {error}")
         if self.membership is not None:
@@ -135,7 +139,7 @@
     def apply_endpoint_list(self, endpoint_list: EndpointList, kind: ListKind | None = None) -> None:
         """Takes in a list of backends."""
         kind = kind or (ListKind.FULL if endpoint_list.full else ListKind.DELTA)
-        self.gatekeeper.listed(self.directory.apply(endpoint_list, kind))
+        self.gatekeeper.backend_list_received(self.directory.apply(endpoint_list, kind))
         self.upstream.on_endpoints_changed()
 
 
--- a/pepperrun/capture/recorder.py
+++ b/pepperrun/capture/recorder.py
@@ -121,7 +121,7 @@
                 exchange.plan,
                 exchange.customer,
                 exchange.units,
-                exchange.cost,
+                exchange.true_units,
                 exchange.deadline,
                 exchange.end,
                 exchange.finished,
--- a/pepperrun/dataplane/attempt_reports.py
+++ b/pepperrun/dataplane/attempt_reports.py
@@ -67,7 +67,7 @@
 
     def answered_over(self, exchange: Exchange[Any, Any], end: End) -> None:
         """Record a final answer of this gatekeeper's own while a worker may be at work on the request."""
-        number = max(exchange.open)
+        number = max(exchange.open_attempts)
         self._write(ANSWERED_OVER, exchange, number, None, end=end.value.replace(" ", "-"))
 
     def client_left(self, attempts: list[Attempt]) -> None:
@@ -94,11 +94,11 @@
         name = self.worker_name(worker) if worker is not None else "-"
         self.log(
             event,
-            id=exchange.asked.headers.get(b"attempt-id", b"-").decode("latin-1")[:MOST_ID],
+            id=exchange.request.headers.get(b"attempt-id", b"-").decode("latin-1")[:MOST_ID],
             worker=name,
-            out_ms=(now - exchange.attempts[number]) // MS,
+            out_ms=(now - exchange.attempt_times[number]) // MS,
             left_ms=(exchange.deadline - now) // MS,
-            attempts=len(exchange.attempts),
+            attempts=len(exchange.attempt_times),
             draining=self.is_draining(),
             **more,
         )
--- a/pepperrun/dataplane/front.py
+++ b/pepperrun/dataplane/front.py
@@ -182,10 +182,10 @@
             "customer": customer,
             "started": request.arrived_at,
             "deadline": request.arrived_at + remaining_ns + more_ns,
-            "patience": max(1, remaining_ns) if more_ns else 0,
+            "wait_after_body_ns": max(1, remaining_ns) if more_ns else 0,
             "spread": self.numbering.gateways,
             "first": 0,
-            "line": context.service,
+            "service": context.service,
             "rank": context.rank,
             "gate_context": context,
             "limits": route.limits_for(remaining_ns),
@@ -195,18 +195,18 @@
     def answer(self, exchange: Exchange[Request, Response], final: Final[Response]) -> Answer:
         """How a final answer reads. 429 and 503 promise that the request has not run and never will."""
         context: GateContext = exchange.gate_context
-        risky = exchange.ran or bool(exchange.open)
-        if final.end is End.SERVED and final.given is not None:
-            return self.given(final.given)
-        if exchange.fault is not None:
-            return self.given(exchange.fault)
+        risky = exchange.may_have_run or bool(exchange.open_attempts)
+        if final.end is End.SERVED and final.response is not None:
+            return self.given(final.response)
+        if exchange.error_response is not None:
+            return self.given(exchange.error_response)
         if final.end is End.REFUSED and (context.safe or not risky):
-            if final.beyond:
+            if final.over_quota:
                 return 429, [TEXT, *retry_after(final.wait_ns)], b"beyond the quota\n"
             return self.retry_later(final.wait_ns)
         if not risky:
             return self.retry_later(final.wait_ns)
-        if final.end is End.OUT_OF_TIME:
+        if final.end is End.TIMED_OUT:
             return 504, [TEXT], b"out of time\n"
         return 502, [TEXT], b"failed\n"
 
@@ -244,7 +244,7 @@
 
     def _cut(self, status: int, text: bytes) -> None:
         # 408 would promise that the worker, which has a part of it, runs nothing.
-        spent = self.step is not None and self.step[1].spent
+        spent = self.step is not None and self.step[1].body_consumed
         super()._cut(504 if status == 408 and spent else status, text)
 
     def begin(self, request: Request) -> Step | Answer:
--- a/pepperrun/dataplane/inspection.py
+++ b/pepperrun/dataplane/inspection.py
@@ -55,7 +55,7 @@
             "absent": sorted(probes.prober.absent_gateways()),
             "doubts_itself": probes.suspects_itself,
         },
-        **{"clients": plane.listener.count(), "under_way": keeper.waiting()},
+        **{"clients": plane.listener.count(), "under_way": keeper.pending_count()},
         "answers": {end.value: count for end, count in keeper.counts.items()},
         "attempts": {outcome.name.lower(): count for outcome, count in keeper.outcomes.items()},
         "abandoned": {str(reason): count for reason, count in plane.reports.abandoned_by_reason.items()},
--- a/pepperrun/dataplane/outcome_sharing.py
+++ b/pepperrun/dataplane/outcome_sharing.py
@@ -150,16 +150,20 @@
         now, key = self.clock(), (exchange.id, attempt)
         self.reports.ended(exchange, attempt, backend, outcome)
         if outcome is Outcome.OK:
-            self.answer_times[exchange.cls].add(now - exchange.attempts[attempt])
-        elif outcome is Outcome.CANCELLED and exchange.end is End.LEFT and not exchange.patience:
-            self.answer_times[exchange.cls].add_cancelled(now - exchange.attempts[attempt])
+            self.answer_times[exchange.cls].add(now - exchange.attempt_times[attempt])
+        elif (
+            outcome is Outcome.CANCELLED
+            and exchange.end is End.CLIENT_LEFT
+            and not exchange.wait_after_body_ns
+        ):
+            self.answer_times[exchange.cls].add_cancelled(now - exchange.attempt_times[attempt])
         if key in self.late:
             self.late.discard(key)
         elif outcome is Outcome.OK or outcome in FAILED and not self._own_doing(exchange, backend, outcome):
             self._record(backend, outcome is Outcome.OK, now)
         self.passed(exchange, attempt, backend, outcome, given, units)
         if outcome is Outcome.OK and self.upstream is not None:
-            for other in sorted(exchange.open):
+            for other in sorted(exchange.open_attempts):
                 self.upstream.cancel(exchange, other, AbandonReason.SUPERSEDED)
 
     def _own_doing(self, exchange: Exchange[Any, Any], backend: int, outcome: Outcome) -> bool:
@@ -187,7 +191,9 @@
         stood_still, self.checked_at = now - self.checked_at > 3 * CHECK_S * SECOND, now
         if servers is None or stood_still:  # that they are late is this process's own doing
             return
-        waiting = [one for one in servers.attempts.values() if one.connection and not one.exchange.patience]
+        waiting = [
+            one for one in servers.attempts.values() if one.connection and not one.exchange.wait_after_body_ns
+        ]
         running_ns: Counter[int] = Counter()
         for attempt in waiting:
             running_ns[attempt.exchange.cls] += _out_ns(attempt, now)
@@ -260,7 +266,7 @@
 
 
 def _out_ns(attempt: Attempt, now: int) -> int:
-    return now - attempt.exchange.attempts[attempt.number]
+    return now - attempt.exchange.attempt_times[attempt.number]
 
 
 def _is_safe(attempt: Attempt) -> bool:
--- a/pepperrun/dataplane/plane.py
+++ b/pepperrun/dataplane/plane.py
@@ -80,18 +80,18 @@
         )
         self.gatekeeper.gateway.quotas.members = ()
         self.gatekeeper.gateway.retry_budget.level = 1.0  # the life before may have spent what was saved up
-        self.peer_messages = PeerMessages(self.peers, life, self.gatekeeper.heard)
+        self.peer_messages = PeerMessages(self.peers, life, self.gatekeeper.peer_message_received)
         self.reports = AttemptReports(
             clock, lambda worker: self.workers.id_by_number.get(worker, "?"), lambda: self.listener.draining
         )
-        self.gatekeeper.on_answered_over = self.reports.answered_over
+        self.gatekeeper.on_answered_with_open_attempts = self.reports.answered_over
         self.outcome_sharing = OutcomeSharing(
             loop,
             clock,
             self.workers,
             self.peer_messages,
-            self.gatekeeper.ended,
-            self.gatekeeper.suspected,
+            self.gatekeeper.attempt_ended,
+            self.gatekeeper.attempt_suspected,
             random.Random(seed).random,
             self.reports,
         )
@@ -119,7 +119,7 @@
         self.front = Front(self.numbering, self.gate, self.gatekeeper, clock, budget, seed, sure_ns)
         self.listener = FrontListener(loop, clock, sockets // 2, self.front.make_client)
         self.listener.limits_of = self.front.timeouts_of
-        self.gatekeeper.on_over = self.listener.notify_change
+        self.gatekeeper.on_exchange_closed = self.listener.notify_change
         self.table: RoutingTable | None = None
 
     def log_requests(self, most: float) -> None:
@@ -177,7 +177,7 @@
         )
         if others:
             members = self.peers.members
-            self.gatekeeper.catch_up()
+            self.gatekeeper.flush_events()
             self.gatekeeper.gateway.quotas.members = members
             self.numbering.set_gateways(len(members) + 1)
             self.numbering.changed = True
@@ -198,11 +198,11 @@
 
     def _settle(self) -> None:
         if self.numbering.changed:
-            self.gatekeeper.resettle(self.numbering.settings())
+            self.gatekeeper.update_settings(self.numbering.settings())
 
     def _listed(self, listing: BackendList | None) -> None:
         if listing is not None and listing.backends:
-            self.gatekeeper.listed(listing)
+            self.gatekeeper.backend_list_received(listing)
             self.upstream.on_endpoints_changed()
 
     def _bound_connections(self) -> None:
--- a/pepperrun/dataplane/trace.py
+++ b/pepperrun/dataplane/trace.py
@@ -62,7 +62,7 @@
     def answered(self, exchange: Exchange[Any, Any], status: int, final: Final[Any]) -> None:
         """A final answer. One that was served at the first try, in time, costs no more than this look."""
         late = self.front.clock() - exchange.started > exchange.gate_context.route.config.target_ms * MS
-        if late or final.end is not End.SERVED or len(exchange.attempts) > 1:
+        if late or final.end is not End.SERVED or len(exchange.attempt_times) > 1:
             self.final_answers[exchange.id] = status, final
 
     def answered_directly(self, request: Request, status: int) -> None:
@@ -90,7 +90,7 @@
         table = self.front.table
         self.tell(
             "request",
-            id=_id(exchange.asked),
+            id=_id(exchange.request),
             route=context.route.name,
             tenant=context.tenant.decode("latin-1") if context.tenant is not None else "-",
             kind="safe" if context.safe else "unsafe",
@@ -124,18 +124,18 @@
 
     def _reason(self, exchange: Exchange[Any, Any], final: Final[Any] | None, now: int) -> str:
         if exchange.end is End.SERVED:
-            return "served-later" if len(exchange.attempts) > 1 else "served-late"
-        if exchange.end is End.LEFT:
+            return "served-later" if len(exchange.attempt_times) > 1 else "served-late"
+        if exchange.end is End.CLIENT_LEFT:
             return "left"
-        if final is not None and final.beyond:
+        if final is not None and final.over_quota:
             return "quota"
-        if exchange.fault is not None:
+        if exchange.error_response is not None:
             return "worker-failed"
-        if exchange.ran:
-            return "may-have-run" if exchange.end is not End.OUT_OF_TIME else "out-of-time"
+        if exchange.may_have_run:
+            return "may-have-run" if exchange.end is not End.TIMED_OUT else "out-of-time"
         if self.front.gate.wait_ns(exchange.gate_context, now):
             return "fence"
-        if exchange.end is End.OUT_OF_TIME or (final is not None and final.late):
+        if exchange.end is End.TIMED_OUT or (final is not None and final.deadline_passed):
             return "out-of-time"
         there = self._there(exchange.gate_context)
         if not there:
@@ -143,7 +143,7 @@
         if exchange.trace and any(one[2] in (Outcome.FULL, Outcome.CONNECT_FAILED) for one in exchange.trace):
             return (
                 "budget"
-                if len(exchange.attempts) < exchange.gate_context.route.limits.max_attempts
+                if len(exchange.attempt_times) < exchange.gate_context.route.limits.max_attempts
                 else "tries"
             )
         workers = self.front.gate.workers
--- a/pepperrun/dataplane/wire.py
+++ b/pepperrun/dataplane/wire.py
@@ -61,7 +61,7 @@
         more = b"Deadline-Ms: %d\r\nExpect-Worker: %b\r\n" % (max(1, left_ns // MS), id)
         if context.tenant is not None:
             more += b"Sender: %b\r\n" % context.tenant
-        return encode_request(exchange.asked, more)
+        return encode_request(exchange.request, more)
 
     def is_idempotent(self, attempt: Attempt) -> bool:
         """Whether its route lets it run again."""
@@ -69,7 +69,7 @@
 
     def request_id(self, attempt: Attempt) -> object:
         """The client's `Attempt-Id`."""
-        return attempt.exchange.asked.headers[b"attempt-id"]
+        return attempt.exchange.request.headers[b"attempt-id"]
 
     def is_surplus(self, connection: Connection, response: Response) -> bool:
         """Whether it answers the request before, in the place of the next."""
@@ -84,7 +84,7 @@
         if given is None:
             # A refusal without an id, behind answers on the same connection, may be a surplus one.
             return not is_rejected(response) or attempt.connection is None or attempt.connection.responses > 0
-        return given != attempt.exchange.asked.headers[b"attempt-id"]
+        return given != attempt.exchange.request.headers[b"attempt-id"]
 
     def classify(self, attempt: Attempt, response: Response) -> tuple[Outcome, float]:
         """Return the outcome, by status and by what the worker says of having run; units are not told."""
@@ -100,7 +100,7 @@
         if status in (408, 429, 503):  # nothing says that it has not run, and passed on it would be a promise
             return Outcome.ERROR, 0.0
         if status >= 500:
-            attempt.exchange.fault = response if response.complete else None
+            attempt.exchange.error_response = response if response.complete else None
             return Outcome.ERROR, 0.0
         return Outcome.OK, 0.0
 
--- a/pepperrun/exchange.py
+++ b/pepperrun/exchange.py
@@ -1,7 +1,7 @@
-"""One request, its attempts and its one final answer. Client side and server side meet here only.
+"""A request with its attempts and its one final answer: the only link between client side and backend side.
 
-What a client asked and what a backend gave pass through unread: the core knows no wire. An exchange enforces
-that its client is told exactly one final answer, and that each attempt ends exactly once.
+The client's request and the backend's response pass through uninterpreted, as the core knows no protocol. An
+exchange ensures that its client gets exactly one final answer, and that each attempt ends exactly once.
 """
 
 from __future__ import annotations
@@ -13,8 +13,8 @@
 
 from pepperrun.core.interface import RequestLimits
 
-Asked = TypeVar("Asked")
-Given = TypeVar("Given")
+RequestT = TypeVar("RequestT")
+ResponseT = TypeVar("ResponseT")
 
 
 class End(enum.Enum):
@@ -23,37 +23,65 @@
     SERVED = "served"
     REFUSED = "refused"
     FAILED = "failed"
-    OUT_OF_TIME = "out of time"
-    LEFT = "client left"
+    TIMED_OUT = "out of time"
+    CLIENT_LEFT = "client left"
 
 
 @dataclass(slots=True)
-class Final(Generic[Given]):
-    """The final answer: `given` if served, `wait_ns` the advice that comes with a refusal (0: none).
+class Final(Generic[ResponseT]):
+    """The final answer of an exchange.
 
-    `late`: the time was up when the request was given up. `beyond`: the customer's quota is used up.
+    `response`: the backend's response if served. `wait_ns`: advised delay before a retry of a refused
+    request, 0 for none. `deadline_passed`: the request's time was up when it was given up. `over_quota`: the
+    quota of its customer is used up.
     """
 
     end: End
-    given: Given | None = None
+    response: ResponseT | None = None
     wait_ns: int = 0
-    late: bool = False
-    beyond: bool = False
+    deadline_passed: bool = False
+    over_quota: bool = False
 
 
-class Exchange(Generic[Asked, Given]):
-    """A request from its arrival until it has its answer and no attempt is out."""
+class Exchange(Generic[RequestT, ResponseT]):
+    """A request from its arrival until it has its final answer and no attempt is in flight.
+
+    Times are in ns. The parameters are those of `core.interface.Request`, with `started` and `deadline` in
+    place of the time left.
+    """
 
     __slots__ = (
-        *("asked", "attempts", "cls", "cost", "customer", "deadline", "end", "first", "id", "on_final"),
-        *("finished", "open", "passing", "patience", "plan", "spent", "spread", "started", "trace", "units"),
-        *("fault", "gate_context", "limits", "line", "ran", "rank"),
+        *(
+            "request",
+            "attempt_times",
+            "cls",
+            "true_units",
+            "customer",
+            "deadline",
+            "end",
+            "first",
+            "id",
+            "on_final",
+        ),
+        *(
+            "finished",
+            "open_attempts",
+            "streaming",
+            "wait_after_body_ns",
+            "plan",
+            "body_consumed",
+            "spread",
+            "started",
+            "trace",
+            "units",
+        ),
+        *("error_response", "limits", "service", "gate_context", "may_have_run", "rank"),
     )
 
     def __init__(
         self,
-        asked: Asked,
-        on_final: Callable[[Final[Given]], None],
+        request: RequestT,
+        on_final: Callable[[Final[ResponseT]], None],
         *,
         cls: int,
         plan: int,
@@ -63,53 +91,57 @@
         units: float = 1.0,
         spread: int = 1,
         first: int = 0,
-        patience: int = 0,
-        line: int = 0,
+        wait_after_body_ns: int = 0,
+        service: int = 0,
         gate_context: Any = None,
         rank: int = 0,
         limits: RequestLimits | None = None,
     ) -> None:
-        self.asked, self.on_final = asked, on_final
+        self.request, self.on_final = request, on_final
         self.cls, self.plan, self.customer = cls, plan, customer
         self.started, self.deadline = started, deadline
         self.units, self.spread, self.first = units, spread, first
-        self.limits = limits  # of its route, where they are not those of its class
-        # Its service, what the gate decides by, and its rank.
-        self.line, self.gate_context, self.rank = line, gate_context, rank
+        self.limits = limits  # of its route; None uses those of its class
+        self.service, self.gate_context, self.rank = service, gate_context, rank
         self.id = 0
         self.end: End | None = None
-        self.attempts: list[int] = []  # when each was sent
-        self.open: set[int] = set()  # the numbers of those not ended
-        self.cost = 0.0  # true units, as told with the first good answer
-        # A body that is longer than is held goes out as it comes: once. Its time counts from its last byte.
-        self.patience = patience  # how long the client waits after that; 0 for one that is held whole
-        self.spent = False  # some of it has gone out
-        self.ran = False  # an attempt that has ended may have run
-        self.fault: Given | None = None  # a backend's own word of its failure, the last one
-        self.passing = False  # the answer is on its way to the client; `Gatekeeper.passed` tells of its end
-        self.finished = 0  # when the final answer was; 0 where nobody records that
-        # For a recorder, of each attempt: backend, sent, outcome (None while it is out), ended (0 till then).
+        self.attempt_times: list[int] = []  # when each attempt was sent, to the last byte of a streamed body
+        self.open_attempts: set[int] = set()  # numbers of the attempts in flight
+        self.true_units = 0.0  # as reported with the first successful response
+        # How long the client waits after the last byte of a body that is longer than the buffer. Such a body
+        # is forwarded as it arrives, so it can be sent only once. 0 for a buffered body.
+        self.wait_after_body_ns = wait_after_body_ns
+        self.body_consumed = False  # a part of a body that is not buffered has been sent
+        self.may_have_run = False  # an attempt that has ended may have run
+        self.error_response: ResponseT | None = None  # the last error response of a backend
+        # The final answer's body was still arriving; `Gatekeeper.streaming_ended` reports how that ended.
+        self.streaming = False
+        self.finished = 0  # time of the final answer; 0 without `Gatekeeper.observer`
+        # For a recorder, of each attempt: backend, sent, outcome (None while in flight), ended (0 till then).
         self.trace: list[list[Any]] | None = None
 
-    def begin(self, now: int) -> int:
-        """A further attempt; its number."""
-        self.attempts.append(now)
-        number = len(self.attempts) - 1
-        self.open.add(number)
+    def begin_attempt(self, now: int) -> int:
+        """Add an attempt and return its number."""
+        self.attempt_times.append(now)
+        number = len(self.attempt_times) - 1
+        self.open_attempts.add(number)
         return number
 
-    def ended(self, attempt: int) -> bool:
-        """Notes that an attempt has ended; False when that was known already."""
-        if attempt not in self.open:
+    def end_attempt(self, attempt: int) -> bool:
+        """Record that an attempt has ended; False if that is recorded already."""
+        if attempt not in self.open_attempts:
             return False
-        self.open.remove(attempt)
+        self.open_attempts.remove(attempt)
         return True
 
-    def finish(self, final: Final[Given]) -> bool:
-        """The final answer, told to the client at once; False, and nothing told, where there was one."""
+    def finish(self, final: Final[ResponseT]) -> bool:
+        """Give the final answer to the client; False, without effect, if the exchange has one already.
+
+        A client that has left is not notified.
+        """
         if self.end is not None:
             return False
         self.end = final.end
-        if final.end is not End.LEFT:
+        if final.end is not End.CLIENT_LEFT:
             self.on_final(final)
         return True
--- a/pepperrun/fronts/forward_auth.py
+++ b/pepperrun/fronts/forward_auth.py
@@ -98,13 +98,13 @@
 
     def verdict(self, final: Final[Response]) -> Granted | Answer:
         """What a final answer of the core means."""
-        response = final.given
+        response = final.response
         if final.end is End.SERVED and response is not None:
             if 200 <= response.status < 300:
                 named = [pair for pair in response.fields if pair[0].lower() in self.untrusted]
                 return Granted(response.status, named)
             return response.status, definite_fields(response), response.body
-        if final.end is End.OUT_OF_TIME or final.late:
+        if final.end is End.TIMED_OUT or final.deadline_passed:
             return 504, [TEXT], b"out of time\n"
         if final.end is End.REFUSED:
             seconds = max(1, -(-final.wait_ns // SECOND))
--- a/pepperrun/fronts/http_client.py
+++ b/pepperrun/fronts/http_client.py
@@ -169,10 +169,10 @@
             self.upload = None
         if self.download is not None:
             self.download.abandon()
-            self._taken(End.LEFT)
+            self._taken(End.CLIENT_LEFT)
         step, self.step = self.step, None
         if step is not None:
-            step[0].left(step[1])
+            step[0].client_left(step[1])
 
     def _owes(self) -> bool:
         """Is an answer awaited, or on its way? The next one would stand inside it: that request waits."""
@@ -228,7 +228,7 @@
         self._pause(False)
         step = self.step
         if step is not None:
-            left_s = step[1].patience / SECOND
+            left_s = step[1].wait_after_body_ns / SECOND
             self.patience = self.listener.loop.call_later(left_s, self._out_of_time, step)
         upload.finish()
         if step is None:
@@ -274,7 +274,12 @@
         transport, step = self.transport, self.step
         if transport is None or transport.is_closing():
             return
-        if not broken and self.upload is not None and step is not None and not step[0].may_repeat(step[1]):
+        if (
+            not broken
+            and self.upload is not None
+            and step is not None
+            and not step[0].is_safe_to_repeat(step[1])
+        ):
             return
         transport.abort()
 
@@ -292,7 +297,7 @@
             return
         if upload is not None:
             upload.fail()
-        step[0].left(step[1])
+        step[0].client_left(step[1])
         if self.transport is not None and not self.transport.is_closing():
             self._reject((status, [TEXT], text))
 
@@ -368,7 +373,7 @@
         if len(what) == 2:
             self.step = what
             self.asked += 1
-            what[0].take(what[1])
+            what[0].submit(what[1])
         else:
             self._write(what)
 
@@ -439,4 +444,4 @@
         taking, self.taking, self.download = self.taking, None, None
         self.since = self.clock()
         if taking is not None:
-            taking[0].passed(taking[1], end)
+            taking[0].streaming_ended(taking[1], end)
--- a/pepperrun/fronts/platform.py
+++ b/pepperrun/fronts/platform.py
@@ -100,7 +100,7 @@
             "customer": int(customer[1], 16),
             "started": request.arrived_at,
             "deadline": request.arrived_at + left_ns + more_ns,
-            "patience": left_ns if more_ns else 0,
+            "wait_after_body_ns": left_ns if more_ns else 0,
             "units": units,
             "spread": spread,
             "first": first,
@@ -144,13 +144,13 @@
             outcome = auth.verdict(final)
             return self._book(request, outcome.identity) if isinstance(outcome, Granted) else outcome
         match final.end:
-            case End.SERVED if final.given is not None:
-                given = final.given
+            case End.SERVED if final.response is not None:
+                given = final.response
                 kind = given.headers.get(b"content-type")
                 fields = [(b"Content-Type", kind)] if kind else []
                 return (200, fields, given.body) if given.complete else (200, fields, given.body, given)
             case End.REFUSED:
                 return 429, [TEXT, *retry_after(final.wait_ns)], b"refused: trying again is harmless\n"
-            case End.OUT_OF_TIME:
+            case End.TIMED_OUT:
                 return 504, [TEXT], b"out of time\n"
         return 502, [TEXT], b"failed\n"
--- a/pepperrun/gatekeeper.py
+++ b/pepperrun/gatekeeper.py
@@ -66,13 +66,13 @@
         self.steps_by = int(seconds * SECOND)
         self.steps_at = time.monotonic_ns() + int(after_s * SECOND)
 
-    def of_unix_ms(self, unix_ms: int) -> int:
+    def from_unix_ms(self, unix_ms: int) -> int:
         """The reading at a moment given in Unix milliseconds; 0 stays 0 (long ago)."""
         return unix_ms * 1_000_000
 
 
 class Backends(Protocol):
-    """What carries out attempts: `Gatekeeper.ended` is called once for each, never from within `send`.
+    """What carries out attempts: `Gatekeeper.attempt_ended` is called once for each, never from within `send`.
 
     `ended` may in turn call `send` before it returns.
     """
@@ -96,7 +96,7 @@
         seed: int,
         clock: Callable[[], int],
         loop: asyncio.AbstractEventLoop,
-        tell: Callable[[int, bytes], None] = lambda peer, data: None,
+        send_to_peer: Callable[[int, bytes], None] = lambda peer, data: None,
         watch: Callable[[bool], None] = lambda on: None,
         log: Callable[[str], None] = lambda text: log_message("gateway", text),
         gate: Gate | None = None,
@@ -104,7 +104,7 @@
         self.settings, self.clock, self.loop = settings, clock, loop
         self.gateway = Gateway(settings, seed, gate)
         self.backends: Backends | None = None
-        self.tell, self.watch, self.log = tell, watch, log
+        self.send_to_peer, self.watch, self.log = send_to_peer, watch, log
         self.exchanges: dict[int, AnyExchange] = {}
         self._next = seed % 2**32
         self._events: list[Event | AnyExchange] = []
@@ -115,28 +115,28 @@
         self._due: int | None = None  # the gateway's timer
         self._timer: asyncio.TimerHandle | None = None
         self._margin = 4 * settings.tick_ns
-        self.under_way = 0  # answers that clients are taking
-        self.telling = True  # peers hear from this process
+        self.streaming_count = 0  # answers that clients are taking
+        self.sends_to_peers = True  # peers hear from this process
         self.observer: Callable[[AnyExchange], None] | None = None  # told of each exchange that is over
         # Told of a final answer of this side's own while an attempt is out.
-        self.on_answered_over: Callable[[AnyExchange, End], None] = lambda exchange, end: None
+        self.on_answered_with_open_attempts: Callable[[AnyExchange, End], None] = lambda exchange, end: None
         # Told of a client that has left while an attempt of its request is out.
         self.on_client_left: Callable[[AnyExchange], None] = lambda exchange: None
         # Told when a request has its end and no attempt of it is out.
-        self.on_over: Callable[[], None] = lambda: None
+        self.on_exchange_closed: Callable[[], None] = lambda: None
         self.by_class = [dict.fromkeys(End, 0) for _ in settings.classes]
         self.outcomes = {outcome: 0 for outcome in Outcome}
 
-    def resettle(self, settings: Settings) -> None:
+    def update_settings(self, settings: Settings) -> None:
         """Classes, plans and services that came to those known, another number of gateways: hold at once."""
-        self.catch_up()
+        self.flush_events()
         self.settings, self._margin = settings, 4 * settings.tick_ns
         self.by_class += [dict.fromkeys(End, 0) for _ in settings.classes[len(self.by_class) :]]
         self.gateway.update_settings(settings)
 
     # Events.
 
-    def take(self, exchange: AnyExchange) -> None:
+    def submit(self, exchange: AnyExchange) -> None:
         """A request has arrived."""
         while self._next in self.exchanges:
             self._next = (self._next + 1) % 2**32
@@ -145,65 +145,65 @@
         self.exchanges[exchange.id] = exchange
         self._event(exchange)
 
-    def left(self, exchange: AnyExchange) -> None:
+    def client_left(self, exchange: AnyExchange) -> None:
         """The client has gone away."""
-        if self._finish(exchange, Final(End.LEFT)):
+        if self._finish(exchange, Final(End.CLIENT_LEFT)):
             self._over.append(exchange)
             self._event(ClientLeft(exchange.id))
 
-    def ended(
+    def attempt_ended(
         self,
         exchange: AnyExchange,
         attempt: int,
         backend: int,
         outcome: Outcome,
-        given: object = None,
+        response: object = None,
         units: float = 0.0,
     ) -> None:
         """An attempt has ended. The first good answer goes to the client at once."""
-        if not exchange.ended(attempt):
+        if not exchange.end_attempt(attempt):
             return
         self.outcomes[outcome] += 1
-        exchange.ran = exchange.ran or not outcome.never_ran
+        exchange.may_have_run = exchange.may_have_run or not outcome.never_ran
         if exchange.trace is not None:
             exchange.trace[attempt][2:] = outcome, self.clock()
         if outcome is Outcome.OK:
-            exchange.cost = exchange.cost or units
-            self._finish(exchange, Final(End.SERVED, given))
-        elapsed = self.clock() - exchange.attempts[attempt]
+            exchange.true_units = exchange.true_units or units
+            self._finish(exchange, Final(End.SERVED, response))
+        elapsed = self.clock() - exchange.attempt_times[attempt]
         done = exchange.end is not None
         if done:
             self._over.append(exchange)
-        spent = exchange.spent
+        spent = exchange.body_consumed
         self._event(
             AttemptEnded(exchange.id, attempt, backend, outcome, elapsed, done, units, body_consumed=spent)
         )
 
-    def may_repeat(self, exchange: AnyExchange) -> bool:
+    def is_safe_to_repeat(self, exchange: AnyExchange) -> bool:
         """May its request run more than once?"""
         return self.settings.classes[exchange.cls].repeat is Repeat.SAFE
 
-    def suspected(self, exchange: AnyExchange, attempt: int) -> None:
+    def attempt_suspected(self, exchange: AnyExchange, attempt: int) -> None:
         """An attempt's backend may hang. It stays out; the decisions may send another beside it."""
-        if exchange.end is None and exchange.open == {attempt}:
+        if exchange.end is None and exchange.open_attempts == {attempt}:
             self._event(AttemptSuspected(exchange.id, attempt))
 
-    def passed(self, exchange: AnyExchange, end: End) -> None:
+    def streaming_ended(self, exchange: AnyExchange, end: End) -> None:
         """An answer that was on its way when it became the final one has arrived whole, or has not."""
-        self.under_way -= 1
+        self.streaming_count -= 1
         self.by_class[exchange.cls][end] += 1
 
     def expire(self, exchange: AnyExchange) -> None:
         """The client's time is up, which only its front knows, or this process's is."""
-        if self._finish(exchange, Final(End.OUT_OF_TIME, late=True)):
+        if self._finish(exchange, Final(End.TIMED_OUT, deadline_passed=True)):
             self._over.append(exchange)
             self._event(RequestExpired(exchange.id))
 
-    def listed(self, backends: BackendList) -> None:
+    def backend_list_received(self, backends: BackendList) -> None:
         """Discovery has told something."""
         self._event(backends)
 
-    def heard(self, peer: int, data: bytes) -> None:
+    def peer_message_received(self, peer: int, data: bytes) -> None:
         """A peer has sent a message."""
         self._event(PeerMessage(peer, data))
 
@@ -212,11 +212,11 @@
         """Final answers by their kind, over all classes."""
         return {end: sum(counts[end] for counts in self.by_class) for end in End}
 
-    def waiting(self) -> int:
+    def pending_count(self) -> int:
         """How many requests have no answer yet."""
-        return sum(exchange.end is None for exchange in self.exchanges.values()) + self.under_way
+        return sum(exchange.end is None for exchange in self.exchanges.values()) + self.streaming_count
 
-    def catch_up(self) -> None:
+    def flush_events(self) -> None:
         """Tells the gateway now what it is not told yet; not from within a turn."""
         if self._events and not self._turning:
             if self._flush is not None:
@@ -286,8 +286,8 @@
             exchange.units,
             exchange.spread,
             exchange.first,
-            exchange.patience > 0,
-            exchange.line,
+            exchange.wait_after_body_ns > 0,
+            exchange.service,
             exchange.gate_context,
             exchange.rank,
             exchange.limits,
@@ -323,15 +323,17 @@
                 self._give_up(action.request, final)
             case Fail():
                 late = self._late(action.request, now)
-                self._give_up(action.request, Final(End.OUT_OF_TIME if late else End.FAILED, late=late))
+                self._give_up(
+                    action.request, Final(End.TIMED_OUT if late else End.FAILED, deadline_passed=late)
+                )
             case SetTimer():
                 self._arm(now + action.delay_ns)
             case SendPeerMessage():
-                if self.telling:
-                    self.tell(action.peer, action.data)
+                if self.sends_to_peers:
+                    self.send_to_peer(action.peer, action.data)
             case Cancel():
                 exchange = self.exchanges.get(action.request)
-                if exchange is not None and action.attempt in exchange.open and self.backends:
+                if exchange is not None and action.attempt in exchange.open_attempts and self.backends:
                     self.backends.cancel(exchange, action.attempt)
             case CloseIdle():
                 if self.backends:
@@ -350,14 +352,14 @@
         if exchange is None:
             log_message("action", "an attempt of a request that is over was not sent")
             return
-        attempt = exchange.begin(now)
+        attempt = exchange.begin_attempt(now)
         if self.observer is not None:
             if exchange.trace is None:
                 exchange.trace = []
             exchange.trace.append([action.backend, now, None, 0])
         moot = exchange.end is not None or attempt >= self.settings.max_attempts or self.backends is None
         if moot or self.backends is None:
-            self.loop.call_soon(self.ended, exchange, attempt, action.backend, Outcome.MOOT)
+            self.loop.call_soon(self.attempt_ended, exchange, attempt, action.backend, Outcome.MOOT)
         else:
             self.backends.send(exchange, attempt, action.backend, action.timeout_ns)
 
@@ -373,10 +375,10 @@
 
     def _finish(self, exchange: AnyExchange, final: Final[Any]) -> bool:
         first = exchange.finish(final)
-        if first and exchange.open:
+        if first and exchange.open_attempts:
             self._finished_over(exchange, final.end)
-        if first and exchange.passing and final.end is End.SERVED:
-            self.under_way += 1
+        if first and exchange.streaming and final.end is End.SERVED:
+            self.streaming_count += 1
         else:
             self.by_class[exchange.cls][final.end] += first
         if first and self.observer is not None:
@@ -385,16 +387,16 @@
 
     def _finished_over(self, exchange: AnyExchange, end: End) -> None:
         """It has its end while attempts are out: those that wait for a connection would run for nobody."""
-        if end is End.LEFT:
+        if end is End.CLIENT_LEFT:
             self.on_client_left(exchange)
         elif end is not End.SERVED:
-            self.on_answered_over(exchange, end)
+            self.on_answered_with_open_attempts(exchange, end)
         if self.backends is not None:
             self.backends.withdraw(exchange)
 
     def _drop(self, exchange: AnyExchange) -> None:
-        if exchange.end is not None and not exchange.open:
+        if exchange.end is not None and not exchange.open_attempts:
             gone = self.exchanges.pop(exchange.id, None)
             if gone is not None and self.observer is not None:
                 self.observer(gone)
-            self.on_over()
+            self.on_exchange_closed()
--- a/pepperrun/handover/predecessor.py
+++ b/pepperrun/handover/predecessor.py
@@ -97,7 +97,7 @@
                 self._send_state()
             self._complete_handover()
         elif kind is MessageKind.PEER_MESSAGE and self.phase is not Phase.SERVING and len(body) > 4:
-            self.gatekeeper.heard(int.from_bytes(body[:4], "little"), body[4:])
+            self.gatekeeper.peer_message_received(int.from_bytes(body[:4], "little"), body[4:])
 
     def _send_state(self) -> None:
         """From here on the successor decides, once it can."""
@@ -107,10 +107,10 @@
         self.listener.on_client_answered = self._pass_connection
         for client in list(self.listener.clients):
             client.pause_requests(True)
-        self.gatekeeper.catch_up()  # what has been taken needs its part of the stores
+        self.gatekeeper.flush_events()  # what has been taken needs its part of the stores
         peers, now = self.peers(), self.gatekeeper.clock()
         gateway_state, self.retained_accounts = state.export(self.gatekeeper.gateway, now)
-        self.gatekeeper.telling = False
+        self.gatekeeper.sends_to_peers = False
         for message in wire.state_messages({"gateway": gateway_state} | self.export_process_state()):
             self.channel.send(message)
         if peers is not None and (fd := peers.hand_over_socket()) is not None:
@@ -186,7 +186,7 @@
         self.phase = Phase.SERVING
         state.resume(self.gatekeeper.gateway, self.retained_accounts, self.gatekeeper.clock())
         self.retained_accounts = []
-        self.gatekeeper.telling = True
+        self.gatekeeper.sends_to_peers = True
         if (peers := self.peers()) is not None:
             peers.reclaim_socket()
         self.upstream.retire(False)
--- a/pepperrun/membership/service.py
+++ b/pepperrun/membership/service.py
@@ -81,7 +81,7 @@
 
     def on_datagram(self, peer: int, data: bytes) -> None:
         """Handles a datagram from the configured address of a peer."""
-        if self.closed or self.inactive or not self.gatekeeper.telling:
+        if self.closed or self.inactive or not self.gatekeeper.sends_to_peers:
             return
         self.member.receive(peer, data, self.clock())
         self._flush()
@@ -91,7 +91,7 @@
         self.timer = None
         if self.closed:
             return
-        if not self.gatekeeper.telling:
+        if not self.gatekeeper.sends_to_peers:
             self.inactive = True
         elif self.inactive:  # the next process did not start: this process is the member again
             self.inactive = False
--- a/pepperrun/metrics/__init__.py
+++ b/pepperrun/metrics/__init__.py
@@ -42,7 +42,7 @@
         for outcome, count in gatekeeper.outcomes.items()
     ]
     now = [
-        Sample(f"{name}.requests.held", gatekeeper.waiting(), False),
+        Sample(f"{name}.requests.held", gatekeeper.pending_count(), False),
         Sample(f"{name}.connections.backends", len(servers.connections), False),
         Sample(f"{name}.connections.opened", servers.opened, True),
     ]
--- a/pepperrun/model/actors.py
+++ b/pepperrun/model/actors.py
@@ -126,7 +126,7 @@
         give_up = self.day.world.after(timeout_ns, self._timed_out, exchange, attempt, node, Outcome.TIMEOUT)
         self.timers[key] = give_up, node
         self.most_open = max(self.most_open, len(self.timers))
-        self.day.world.after(self.delay(node), node.arrive, key, self, exchange, attempt, exchange.asked)
+        self.day.world.after(self.delay(node), node.arrive, key, self, exchange, attempt, exchange.request)
 
     def cancel(self, exchange: AnyExchange, attempt: int) -> None:
         """For the gatekeeper: stops waiting."""
@@ -173,7 +173,7 @@
         self, exchange: AnyExchange, attempt: int, node: NodeInWorld, outcome: Outcome, units: float
     ) -> None:
         assert self.gatekeeper is not None
-        self.gatekeeper.ended(exchange, attempt, node.number, outcome, True, units)
+        self.gatekeeper.attempt_ended(exchange, attempt, node.number, outcome, True, units)
 
     def work(self, share: float) -> int:
         """CPU time for a part of a request's handling; when it is done."""
--- a/pepperrun/model/simulate.py
+++ b/pepperrun/model/simulate.py
@@ -54,11 +54,11 @@
                 seed * 1000 + sender.number,
                 self.world.clock,
                 cast(Any, loop),
-                tell=partial(self._tell, sender.number),
+                send_to_peer=partial(self._tell, sender.number),
                 log=lambda text: None,
             )
             sender.gatekeeper.backends = sender
-            sender.gatekeeper.listed(BackendList(ListKind.FULL, self._lines()))
+            sender.gatekeeper.backend_list_received(BackendList(ListKind.FULL, self._lines()))
         self._faults = list(faults)
 
     def jitter(self) -> float:
@@ -86,14 +86,14 @@
             assert sender.gatekeeper is not None
             lines = BackendList(ListKind.FULL, self._lines())
             late = int(self.fleet.network.list_s * SECOND * self.jitter())
-            self.world.after(late, sender.gatekeeper.listed, lines)
+            self.world.after(late, sender.gatekeeper.backend_list_received, lines)
 
     def _tell(self, me: int, peer: int, data: bytes) -> None:
         network = self.fleet.network
         if self.random.random() >= network.peer_loss and 0 <= peer < len(self.senders):
             other = self.senders[peer].gatekeeper
             assert other is not None
-            self.world.after(int(network.peer_ms * MS * self.jitter()), other.heard, me, data)
+            self.world.after(int(network.peer_ms * MS * self.jitter()), other.peer_message_received, me, data)
 
     # Load.
 
@@ -117,7 +117,7 @@
             spread=request.spread,
             first=request.first,
         )
-        sender.gatekeeper.take(exchange)
+        sender.gatekeeper.submit(exchange)
 
     def _final(self, request: Request, sender: Sender, asked: int, final: Final[Any]) -> None:
         done = sender.work(0.4)
--- a/pepperrun/net/connection.py
+++ b/pepperrun/net/connection.py
@@ -89,7 +89,7 @@
 
     def encode(self, attempt: Attempt, remaining_ns: int) -> bytes | None:
         """Returns the request with the time that this attempt may take; None: it may no longer be sent."""
-        return encode_request(attempt.exchange.asked, b"X-Budget: %du\r\n" % max(1, remaining_ns // 1000))
+        return encode_request(attempt.exchange.request, b"X-Budget: %du\r\n" % max(1, remaining_ns // 1000))
 
     def classify(self, attempt: Attempt, response: Response) -> tuple[Outcome, float]:
         """Returns the attempt's outcome and its true units; 0 units where they are not known."""
@@ -109,7 +109,7 @@
 
     def is_idempotent(self, attempt: Attempt) -> bool:
         """Whether the request may be sent again."""
-        return attempt.exchange.asked.method in SAFE_METHODS
+        return attempt.exchange.request.method in SAFE_METHODS
 
     def keep_alive_ns(self, response: Response) -> int:
         """Returns how long the backend keeps the idle connection open; 0 where it does not say."""
@@ -244,9 +244,9 @@
     def start(self, attempt: Attempt, now: int) -> bool:
         """Writes the attempt's request; returns False where it may no longer be sent."""
         assert self.transport is not None
-        request = attempt.exchange.asked
+        request = attempt.exchange.request
         data = self.owner.wire.encode(
-            attempt, attempt.deadline - now if request.complete else attempt.exchange.patience
+            attempt, attempt.deadline - now if request.complete else attempt.exchange.wait_after_body_ns
         )
         if data is None:
             return False
@@ -261,7 +261,7 @@
             self.request_unsent = True  # the write itself failed: nothing has been sent
         elif request.stream is not None and not request.complete:
             self.upload, self.chunked, self.last_progress_at = request.stream, request.length is None, now
-            attempt.exchange.spent = True
+            attempt.exchange.body_consumed = True
             request.stream.attach(self)
             if self.write_blocked and self.upload is not None:
                 self.upload.pause(True)
@@ -283,7 +283,7 @@
         self.last_progress_at = self.owner.clock()
         if self.upload is not None:
             self.upload.pause(False)
-        elif self.attempt is not None and self.attempt.exchange.asked.complete:
+        elif self.attempt is not None and self.attempt.exchange.request.complete:
             self.request_unsent = False
             self.owner.requests_written += 1
 
@@ -302,7 +302,7 @@
             return
         if self.chunked:
             transport.write(LAST_CHUNK)
-        attempt.exchange.asked.complete = True  # read by this connection only; the body is spent
+        attempt.exchange.request.complete = True  # read by this connection only; the body is spent
         if not self.write_blocked:
             self.request_unsent = False
             self.owner.requests_written += 1
@@ -413,7 +413,7 @@
         self.attempt, self.streamed_response, self.last_progress_at = None, response, self.owner.clock()
         self.deadline = attempt.deadline
         self.download = stream = BodyStream(self.owner.budget, self._pause, self.close)
-        response.stream, attempt.exchange.passing = stream, True
+        response.stream, attempt.exchange.streaming = stream, True
         self.buffer.set_read_size(self.owner.budget.buffer_limit())
         self.owner.finish_attempt(attempt, outcome, response, units)
         if not stream.attached:
--- a/pepperrun/net/upstream.py
+++ b/pepperrun/net/upstream.py
@@ -138,7 +138,7 @@
     def cancel(self, exchange: Exchange[Any, Any], number: int, reason: AbandonReason | None = None) -> None:
         """Abandons an attempt and closes its connection: HTTP/1.1 has no other way to stop its worker."""
         if reason is None:
-            reason = AbandonReason.CLIENT_LEFT if exchange.end is End.LEFT else AbandonReason.DECISION
+            reason = AbandonReason.CLIENT_LEFT if exchange.end is End.CLIENT_LEFT else AbandonReason.DECISION
         if (attempt := self.attempts.get((exchange.id, number))) is not None:
             self._abandon(attempt, Outcome.CANCELLED, reason)
 
@@ -174,7 +174,7 @@
 
     def attempts_of(self, exchange: Exchange[Any, Any]) -> list[Attempt]:
         """Returns the request's attempts in flight, in the order in which they began."""
-        found = (self.attempts.get((exchange.id, number)) for number in sorted(exchange.open))
+        found = (self.attempts.get((exchange.id, number)) for number in sorted(exchange.open_attempts))
         return [attempt for attempt in found if attempt is not None]
 
     # Attempts.
@@ -196,8 +196,8 @@
     def on_request_sent(self, attempt: Attempt) -> None:
         """Restarts the attempt's time at the last byte of a streamed request, with the client's patience."""
         now, exchange = self.clock(), attempt.exchange
-        exchange.attempts[attempt.number] = now
-        attempt.deadline = min(attempt.deadline, now + exchange.patience)
+        exchange.attempt_times[attempt.number] = now
+        attempt.deadline = min(attempt.deadline, now + exchange.wait_after_body_ns)
         if attempt.timer is not None:
             attempt.timer.cancel()
         attempt.timer = self.loop.call_later((attempt.deadline - now) / SECOND, self._on_deadline, attempt)
--- a/pepperrun/simulation/actors.py
+++ b/pepperrun/simulation/actors.py
@@ -372,7 +372,7 @@
     """Brings a request to a worker and its end back, as far as links allow; the number it has there."""
     world, worker, loop = day.world, day.workers[address], gate.machine.loop
     assert loop is not None
-    name = exchange.asked.headers[b"attempt-id"].decode()
+    name = exchange.request.headers[b"attempt-id"].decode()
     day.tokens += 1
     do = loop.do
     token = day.tokens
--- a/pepperrun/simulation/conversations/bugs.py
+++ b/pepperrun/simulation/conversations/bugs.py
@@ -43,7 +43,7 @@
 
     def foreign(self: WorkerWire, attempt: Any, response: Any) -> bool:
         given = response.headers.get(b"attempt-id")
-        return given is not None and bool(given != attempt.exchange.asked.headers[b"attempt-id"])
+        return given is not None and bool(given != attempt.exchange.request.headers[b"attempt-id"])
 
     return [
         mock.patch.object(Connection, "_release", release),
@@ -104,7 +104,7 @@
         given = response.headers.get(b"attempt-id")
         if given is None:
             return not wire.is_rejected(response)
-        return bool(given != attempt.exchange.asked.headers[b"attempt-id"])
+        return bool(given != attempt.exchange.request.headers[b"attempt-id"])
 
     return [mock.patch.object(WorkerWire, "is_foreign", foreign)]
 
@@ -124,7 +124,7 @@
     answer = Front.answer
 
     def refuse(self: Front, exchange: Any, final: Any) -> Any:
-        return self.retry_later() if final.end is End.OUT_OF_TIME else answer(self, exchange, final)
+        return self.retry_later() if final.end is End.TIMED_OUT else answer(self, exchange, final)
 
     return [mock.patch.object(Front, "answer", refuse)]
 
--- a/pepperrun/simulation/nodes.py
+++ b/pepperrun/simulation/nodes.py
@@ -243,7 +243,7 @@
             done(status)
 
         exchange = Exchange(asked, final, **what[1])
-        self.plane.gatekeeper.take(exchange)
+        self.plane.gatekeeper.submit(exchange)
 
 
 class Backends:
@@ -298,7 +298,7 @@
 
     def withdraw(self, exchange: Any) -> None:
         """What waits for a connection ends."""
-        for number in sorted(exchange.open):
+        for number in sorted(exchange.open_attempts):
             attempt = self.attempts.get((exchange.id, number))
             if attempt is not None and attempt.connection is None:
                 self._end(attempt, Outcome.MOOT)
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -153,7 +153,7 @@
 
     def __init__(self, most: int = 8, keepalive_ns: int = 15 * SECOND, connect_ns: int = SECOND) -> None:
         self.clock = Clock()
-        self.directory = Directory(("a",), self.clock.of_unix_ms)
+        self.directory = Directory(("a",), self.clock.from_unix_ms)
         self.outcomes: asyncio.Queue[tuple[int, Outcome, Any, float]] = asyncio.Queue()
         loop = asyncio.get_running_loop()
         self.side = UpstreamClient(
@@ -186,7 +186,7 @@
         exchange: Any = Exchange(asked, print, cls=0, plan=0, customer=1, started=0, deadline=0)
         self.sent += 1
         exchange.id = self.sent
-        exchange.begin(self.clock())
+        exchange.begin_attempt(self.clock())
         self.side.send(exchange, 0, self.directory.id_of(name), timeout_ns)
         return exchange
 
@@ -207,12 +207,12 @@
         loop = asyncio.get_running_loop()
         self.clock = Clock()
         self.gatekeeper = Gatekeeper(settings, 1, self.clock, loop)
-        self.directory = Directory(("a",), self.clock.of_unix_ms)
+        self.directory = Directory(("a",), self.clock.from_unix_ms)
         self.side = UpstreamClient(
             loop,
             self.clock,
             self.directory,
-            self.gatekeeper.ended,
+            self.gatekeeper.attempt_ended,
             platform_classifier(6.0),
             20,
             15 * SECOND,
@@ -225,7 +225,7 @@
         self.listener.open((HOST, 0))
 
     def list(self, *lines: dict[str, Any]) -> None:
-        self.gatekeeper.listed(self.directory.apply(listing(*lines), ListKind.FULL))
+        self.gatekeeper.backend_list_received(self.directory.apply(listing(*lines), ListKind.FULL))
         self.side.on_endpoints_changed()
 
     async def client(self) -> Client:
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -176,13 +176,13 @@
         head = await client.reader.readuntil(b"\r\n\r\n")
         assert b"Content-Length: 300000" in head
         first = await client.reader.readexactly(90_000)
-        assert front.gatekeeper.waiting() == 1 and front.gatekeeper.counts[End.SERVED] == 0
+        assert front.gatekeeper.pending_count() == 1 and front.gatekeeper.counts[End.SERVED] == 0
         worker.go.set()
         assert first + await client.reader.readexactly(210_000) == body
         client.ask()  # both connections can be reused
         assert (await client.answer())[0] == 200
         assert worker.connections == 1 and front.gatekeeper.counts[End.SERVED] >= 1
-        assert front.gatekeeper.waiting() <= 1
+        assert front.gatekeeper.pending_count() <= 1
 
     going(test)
 
@@ -252,7 +252,7 @@
             await client.reader.readexactly(400_000)
         assert b"200" in head and worker.connections == 1 and len(worker.heads) == 1
         assert front.gatekeeper.counts[End.FAILED] == 1 and front.gatekeeper.counts[End.SERVED] == 0
-        assert front.gatekeeper.waiting() == 0
+        assert front.gatekeeper.pending_count() == 0
 
     going(test)
 
@@ -289,7 +289,7 @@
         await client.reader.readexactly(200_000)
         client.writer.transport.abort()
         await worker.closed.get()
-        while front.gatekeeper.waiting():
+        while front.gatekeeper.pending_count():
             await asyncio.sleep(0.01)
         budget = front.side.budget
         assert budget is not None and budget.bodies == 0
--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -90,7 +90,7 @@
 
     def has_noticed_disconnects(self, count: int = 1) -> bool:
         """Whether the gatekeeper has noticed this number of disconnects."""
-        return self.gatekeeper.counts[End.LEFT] == count
+        return self.gatekeeper.counts[End.CLIENT_LEFT] == count
 
     def is_idle(self) -> bool:
         """Whether neither a request nor an attempt is left."""
@@ -128,7 +128,7 @@
         disconnect(client)
         await worker.closed.get()  # the connection closes long before the deadline of 12 s
         await until(cluster.is_idle)
-        assert cluster.gatekeeper.counts[End.LEFT] == 1 and len(worker.heads) == 1
+        assert cluster.gatekeeper.counts[End.CLIENT_LEFT] == 1 and len(worker.heads) == 1
         assert cluster.gatekeeper.outcomes[Outcome.CANCELLED] == 1 and cluster.blames_no_worker()
         assert not any(known.answers for known in cluster.plane.outcome_sharing.answer_times.values())
         reports = cluster.plane.reports
@@ -553,7 +553,7 @@
     asked = HttpRequest([], {b"attempt-id": b"i1"}, True)
     exchange: Any = Exchange(asked, print, cls=0, plan=0, customer=1, started=0, deadline=12000 * MS)
     for number, after_ms in ((0, 400), (1, 600)):
-        exchange.begin(now[0])
+        exchange.begin_attempt(now[0])
         reports.client_left([Attempt(exchange, number, 7, 12000 * MS)])
         now[0] += after_ms * MS
         reports.ended(exchange, number, 7, Outcome.OK)
--- a/tests/test_ejection.py
+++ b/tests/test_ejection.py
@@ -241,7 +241,7 @@
         ((key, attempt),) = cluster.plane.upstream.attempts.items()
         for _ in range(8):
             shared.answer_times[attempt.exchange.cls].add(40 * MS)
-        begun = attempt.exchange.attempts[0]
+        begun = attempt.exchange.attempt_times[0]
         # Late past two and a half times the mean, with an eighth of the time that it is out added to that.
         for out_ms, score in ((145, 0.0), (146, FAILURE_SCORE), (147, FAILURE_SCORE)):
             shared.clock = lambda out_ms=out_ms: begun + out_ms * MS
--- a/tests/test_forward_auth.py
+++ b/tests/test_forward_auth.py
@@ -276,7 +276,7 @@
         await auth.arrived.get()
         for client in clients:
             client.writer.close()
-        while service.gatekeeper.counts[End.LEFT] < len(clients):
+        while service.gatekeeper.counts[End.CLIENT_LEFT] < len(clients):
             await asyncio.sleep(0)
         auth.go.set()  # it answers after they have given up
         while service.gatekeeper.exchanges or service.gatekeeper.gateway.pending:
--- a/tests/test_gatekeeper.py
+++ b/tests/test_gatekeeper.py
@@ -106,7 +106,7 @@
         exchange: Exchange[Any, Any] = Exchange(
             None, self.finals.append, cls=0, plan=0, customer=1, started=now, deadline=now + left_ns
         )
-        self.keeper.take(exchange)
+        self.keeper.submit(exchange)
         return exchange
 
 
@@ -116,7 +116,7 @@
     for number, gap in enumerate(gaps):
         at += gap
         driven.loop.run(at)
-        driven.keeper.heard(number, b"")
+        driven.keeper.peer_message_received(number, b"")
     driven.loop.run(at + 10 * MS)
     turns = driven.decisions.turns
     assert turns[0][0] == 10 * MS + gaps[0]
@@ -132,7 +132,7 @@
     wanted = iter([[SetTimer(delay, 0) for delay in delays]])
     driven.decisions.say = lambda event: next(wanted, [])
     driven.loop.run(10 * MS)
-    driven.keeper.heard(0, b"")
+    driven.keeper.peer_message_received(0, b"")
     driven.loop.run(200 * MS)
     fired = [now for now, events in driven.decisions.turns if TimerFired(0) in events]
     assert len(fired) == 1 and min(due) <= fired[0] <= min(due) + SETTINGS.tick_ns + 2 * early_ns + 10
@@ -141,7 +141,7 @@
 def test_the_time_left_counts_on_while_a_request_waits_for_its_turn():
     driven = Driven()
     driven.loop.run(10 * MS)
-    driven.keeper.heard(0, b"")
+    driven.keeper.peer_message_received(0, b"")
     driven.loop.run(10 * MS + MS // 4)
     driven.ask(left_ns=100 * MS)
     driven.loop.run(20 * MS)
@@ -175,30 +175,34 @@
             driven.decisions.say = lambda event, word=word: (
                 [actions[word]] if isinstance(event, PeerMessage) else []
             )
-            driven.keeper.heard(0, b"")
+            driven.keeper.peer_message_received(0, b"")
         elif word == "left":
-            driven.keeper.left(exchange)
+            driven.keeper.client_left(exchange)
         else:
             outcome = Outcome.OK if word[:2] == "ok" else Outcome.ERROR
-            driven.keeper.ended(exchange, int(word[-1]), 1, outcome, word, 2.0)
-    for number in list(exchange.open):
-        driven.keeper.ended(exchange, number, 1, Outcome.RESET)
+            driven.keeper.attempt_ended(exchange, int(word[-1]), 1, outcome, word, 2.0)
+    for number in list(exchange.open_attempts):
+        driven.keeper.attempt_ended(exchange, number, 1, Outcome.RESET)
     driven.loop.run(driven.loop.now + 20 * MS)
-    assert len(driven.finals) == (exchange.end is not End.LEFT)
-    assert sum(driven.keeper.counts.values()) == 1 and not driven.keeper.exchanges and not exchange.open
+    assert len(driven.finals) == (exchange.end is not End.CLIENT_LEFT)
+    assert (
+        sum(driven.keeper.counts.values()) == 1 and not driven.keeper.exchanges and not exchange.open_attempts
+    )
     told = [
         event for _, events in driven.decisions.turns for event in events if isinstance(event, AttemptEnded)
     ]
-    assert sorted(event.attempt for event in told) == list(range(len(exchange.attempts)))
+    assert sorted(event.attempt for event in told) == list(range(len(exchange.attempt_times)))
     first_ok = next((event for event in told if event.outcome is Outcome.OK), None)
     if exchange.end is End.SERVED:
         assert (
-            first_ok is not None and first_ok.complete and driven.finals[0].given == f"ok{first_ok.attempt}"
+            first_ok is not None
+            and first_ok.complete
+            and driven.finals[0].response == f"ok{first_ok.attempt}"
         )
     lefts = [
         event for _, events in driven.decisions.turns for event in events if isinstance(event, ClientLeft)
     ]
-    assert len(lefts) == (exchange.end is End.LEFT)
+    assert len(lefts) == (exchange.end is End.CLIENT_LEFT)
 
 
 def test_an_attempt_beyond_the_most_or_of_a_request_that_is_over_is_not_sent():
@@ -208,9 +212,9 @@
     exchange = driven.ask()
     driven.loop.run(20 * MS)
     assert len(driven.backends.sent) == SETTINGS.max_attempts == 3
-    driven.keeper.ended(exchange, 0, 1, Outcome.OK, "served")
+    driven.keeper.attempt_ended(exchange, 0, 1, Outcome.OK, "served")
     driven.decisions.say = lambda event: [Send(exchange.id, 1, MS)] if isinstance(event, PeerMessage) else []
-    driven.keeper.heard(0, b"")
+    driven.keeper.peer_message_received(0, b"")
     driven.loop.run(30 * MS)
     assert len(driven.backends.sent) == 3
     told = [
@@ -220,7 +224,7 @@
 
 
 def test_a_failure_at_the_end_of_its_time_is_told_as_that():
-    for left_ns, end in ((100 * MS, End.FAILED), (2 * MS, End.OUT_OF_TIME)):
+    for left_ns, end in ((100 * MS, End.FAILED), (2 * MS, End.TIMED_OUT)):
         driven = Driven()
         driven.decisions.say = lambda event: [Fail(event.id)] if isinstance(event, Request) else []
         driven.loop.run(10 * MS)
@@ -234,7 +238,7 @@
     def broken(peer: int, data: bytes) -> None:
         raise OSError("no buffers")
 
-    driven.keeper.tell = broken
+    driven.keeper.send_to_peer = broken
     driven.decisions.say = lambda event: (
         [SendPeerMessage(0, b""), Refuse(event.id)] if isinstance(event, Request) else []
     )
@@ -248,11 +252,11 @@
     # and a place of the bound stayed taken for good.
     driven = Driven()
     driven.loop.run(10 * MS)
-    driven.keeper.heard(0, b"")  # a turn now, so that the next one brings both
+    driven.keeper.peer_message_received(0, b"")  # a turn now, so that the next one brings both
     exchange = driven.ask()
     driven.decisions.say = lambda event: [Send(exchange.id, 5, 50 * MS)] if isinstance(event, Request) else []
-    driven.keeper.left(exchange)
+    driven.keeper.client_left(exchange)
     driven.loop.run(20 * MS)
     ended = [event for _, events in driven.decisions.turns for event in events if type(event) is AttemptEnded]
     assert [(event.attempt, event.outcome, event.complete) for event in ended] == [(0, Outcome.MOOT, True)]
-    assert not driven.backends.sent and not driven.keeper.exchanges and driven.keeper.waiting() == 0
+    assert not driven.backends.sent and not driven.keeper.exchanges and driven.keeper.pending_count() == 0
--- a/tests/test_late_attempts.py
+++ b/tests/test_late_attempts.py
@@ -29,7 +29,7 @@
 def begun_at(cluster: Cluster) -> int:
     """When the attempts that are out began: the earliest of them, steady ns."""
     return min(
-        attempt.exchange.attempts[attempt.number] for attempt in cluster.plane.upstream.attempts.values()
+        attempt.exchange.attempt_times[attempt.number] for attempt in cluster.plane.upstream.attempts.values()
     )
 
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -100,7 +100,7 @@
         # A client that takes long to send has not waited yet (PROTOCOL, "Figures").
         assert first + 60 * MS <= exchange.deadline <= front.clock() + 60 * MS
         assert (await client.answer())[0] == 504
-        assert exchange.end is End.OUT_OF_TIME
+        assert exchange.end is End.TIMED_OUT
 
     going(test)
 
@@ -116,7 +116,7 @@
         client.writer.close()
         while exchange.end is None:
             await asyncio.sleep(0)
-        assert exchange.end is End.LEFT
+        assert exchange.end is End.CLIENT_LEFT
         worker.go.set()  # the late answer finds nobody
         while front.gatekeeper.exchanges:
             await asyncio.sleep(0)
