--- a/pepperrun/assembly.py
+++ b/pepperrun/assembly.py
@@ -19,7 +19,7 @@
 from pepperrun.config import Address, AuthConfig, Config, EndpointList, UnusableError
 from pepperrun.core.clock import SECOND
 from pepperrun.core.interface import ListKind, Settings
-from pepperrun.fronts.forward_auth import AuthService, ForwardAuth, auth_judge
+from pepperrun.fronts.forward_auth import AuthService, ForwardAuth, classify_auth_response
 from pepperrun.fronts.platform import Platform
 from pepperrun.gatekeeper import Clock, Gatekeeper
 from pepperrun.handover.channel import socket_path
@@ -182,7 +182,7 @@
         config.settings,
         seed,
         (),
-        auth_judge,
+        classify_auth_response,
         max_backends,
         config.keepalive_ns,
         config.connect_timeout_ns,
@@ -192,7 +192,7 @@
     service = AuthService(config, core.gatekeeper, clock)
     if config.listen is None:
         return core, service, None
-    make = ForwardAuth(service).make
+    make = ForwardAuth(service).new_connection
     return (
         core,
         service,
@@ -243,7 +243,9 @@
             # A drain is to be kept so long after it was told: waiting longer gains nothing and serves nobody.
             await watch.wait_for_first_list(config.settings.drain_grace_ns / SECOND)
     front = Platform(config.settings, core.gatekeeper, clock, auth, budget)
-    return core, open_listener(config.name, config.listen, clock, max_clients, front.make, lot, inherited)
+    return core, open_listener(
+        config.name, config.listen, clock, max_clients, front.new_connection, lot, inherited
+    )
 
 
 def open_listener(
--- a/pepperrun/dataplane/draining.py
+++ b/pepperrun/dataplane/draining.py
@@ -6,8 +6,8 @@
 from collections.abc import Callable
 
 from pepperrun.exchange import Final
-from pepperrun.fronts.http_client import TEXT, Answer, HttpClient
-from pepperrun.fronts.kept import Step
+from pepperrun.fronts.client_connection import Submission
+from pepperrun.fronts.http_connection import TEXT, Answer, HttpConnection
 from pepperrun.net.http1 import Request
 from pepperrun.net.listener import Listener
 
@@ -20,20 +20,20 @@
 EXPIRE_BEFORE_END_S = 0.4  # before the grace is over: what is still out gets the answer that there is
 
 
-class ReadyClient(HttpClient):
+class ReadyClient(HttpConnection):
     """Whoever asks whether this gatekeeper takes clients."""
 
     def __init__(self, listener: Listener, clock: Callable[[], int], ready: Callable[[], bool]) -> None:
         super().__init__(listener, clock)
         self.is_ready = ready
 
-    def begin(self, request: Request) -> Step | Answer:
+    def handle_request(self, request: Request) -> Submission | Answer:
         """Answer `/ready`, and nothing else."""
         if request.target.partition(b"?")[0] != b"/ready":
             return 404, [TEXT], b"only /ready\n"
         return (200, [TEXT], b"ready\n") if self.is_ready() else (503, [TEXT], b"not ready\n")
 
-    def follow(self, final: Final[object]) -> Step | Answer:
+    def handle_final(self, final: Final[object]) -> Submission | Answer:
         """Nothing asked here goes on to the decisions."""
         raise NotImplementedError
 
--- a/pepperrun/dataplane/front.py
+++ b/pepperrun/dataplane/front.py
@@ -12,8 +12,8 @@
 from pepperrun.dataplane.routes import GateContext, RoutingTable, Way
 from pepperrun.exchange import End, Exchange, Final
 from pepperrun.foundation.hosts import host_of
-from pepperrun.fronts.http_client import NOT_PASSED_ON, TEXT, Answer, Fields, HttpClient
-from pepperrun.fronts.kept import Step
+from pepperrun.fronts.client_connection import Submission
+from pepperrun.fronts.http_connection import NOT_FORWARDED, TEXT, Answer, Fields, HttpConnection
 from pepperrun.fronts.platform import retry_after
 from pepperrun.gatekeeper import Gatekeeper
 from pepperrun.net.http1 import MAX_HEAD, Request, Response
@@ -34,7 +34,7 @@
 _MS = re.compile(rb"[0-9]{1,12}(?:\.[0-9]{1,6})?\Z")
 # Ours to say to a worker, whatever the client sent.
 OURS = frozenset((b"deadline-ms", b"expect-worker", b"sender"))
-NOT_TO_WORKER = frozenset(NOT_PASSED_ON - {b"x-budget", b"x-plan", b"x-quota", b"x-again"}) | OURS
+NOT_TO_WORKER = frozenset(NOT_FORWARDED - {b"x-budget", b"x-plan", b"x-quota", b"x-again"}) | OURS
 NOT_TO_CLIENT = frozenset(
     b"connection keep-alive proxy-connection te trailer transfer-encoding upgrade content-length".split()
 )
@@ -222,7 +222,7 @@
         )
 
 
-class FrontClient(HttpClient):
+class FrontClient(HttpConnection):
     """A client's connection."""
 
     def __init__(self, front: Front, listener: Listener) -> None:
@@ -236,30 +236,30 @@
             self.parser.max_body = table.limits.parcel_bytes
             self.parser.max_head = min(MOST_HEAD, max(MAX_HEAD // 16, table.limits.envelope_bytes))
 
-    bad = (400,)  # what is asked at a wrong place may be asked rightly next
+    closing_statuses = (400,)  # what is asked at a wrong place may be asked rightly next
 
-    def _moving(self) -> int:
+    def _body_stalled_at(self) -> int:
         # The limits tell how long a client may be silent, and nothing of how fast it sends.
         return self.buffer.last_byte_at + self.listener.timeouts.idle_ns
 
-    def _cut(self, status: int, text: bytes) -> None:
+    def _abort_upload(self, status: int, text: bytes) -> None:
         # 408 would promise that the worker, which has a part of it, runs nothing.
-        spent = self.step is not None and self.step[1].body_consumed
-        super()._cut(504 if status == 408 and spent else status, text)
+        spent = self.pending is not None and self.pending[1].body_consumed
+        super()._abort_upload(504 if status == 408 and spent else status, text)
 
-    def begin(self, request: Request) -> Step | Answer:
+    def handle_request(self, request: Request) -> Submission | Answer:
         what = self.front.route_request(request)
         self._limit()
         if isinstance(what[0], GateContext):
             _, parts = what
-            return self.front.gatekeeper, Exchange(request, self.final, **parts)
+            return self.front.gatekeeper, Exchange(request, self.on_final, **parts)
         if self.front.trace is not None:
             self.front.trace.answered_directly(request, what[0])
         return what
 
-    def follow(self, final: Final[Any]) -> Step | Answer:
-        assert self.taking is not None
-        answer = self.front.answer(self.taking[1], final)
+    def handle_final(self, final: Final[Any]) -> Submission | Answer:
+        assert self.answering is not None
+        answer = self.front.answer(self.answering[1], final)
         if self.front.trace is not None:
-            self.front.trace.answered(self.taking[1], answer[0], final)
+            self.front.trace.answered(self.answering[1], answer[0], final)
         return answer
--- a/pepperrun/fronts/forward_auth.py
+++ b/pepperrun/fronts/forward_auth.py
@@ -16,8 +16,8 @@
 from pepperrun.core.clock import SECOND
 from pepperrun.core.interface import Outcome
 from pepperrun.exchange import End, Exchange, Final
-from pepperrun.fronts.http_client import TEXT, Answer, Fields, HttpClient, passed_on
-from pepperrun.fronts.kept import Step
+from pepperrun.fronts.client_connection import Submission
+from pepperrun.fronts.http_connection import TEXT, Answer, Fields, HttpConnection, forwarded_fields
 from pepperrun.gatekeeper import Clock, Gatekeeper
 from pepperrun.net.http1 import Message, Request, Response
 from pepperrun.net.listener import Listener
@@ -29,7 +29,7 @@
 NOT_ASKED = frozenset((b"host", b"content-type", b"content-encoding", b"range", b"forwarded", *FORWARDED))
 
 
-def auth_judge(response: Response) -> tuple[Outcome, float]:
+def classify_auth_response(response: Response) -> tuple[Outcome, float]:
     """What an authentication server's answer is to the core: a grant and a definite no are both served."""
     if 200 <= response.status < 300 or response.status in DEFINITE:
         return Outcome.OK, 0.0
@@ -56,7 +56,11 @@
 
     def question(self, request: Request, forwarded: Fields) -> Request:
         """The question about a request. Only what its sender may say of itself comes along."""
-        fields = [(b"Host", self.config.host.encode()), *forwarded, *passed_on(request, self.not_asked)]
+        fields = [
+            (b"Host", self.config.host.encode()),
+            *forwarded,
+            *forwarded_fields(request, self.not_asked),
+        ]
         names = {name.lower(): value for name, value in fields}
         return Request(fields, names, True, method=b"GET", target=self.config.path.encode())
 
@@ -75,7 +79,7 @@
         on_final: Callable[[Final[Any]], None],
         started: int,
         deadline: int | None = None,
-    ) -> Step | Answer:
+    ) -> Submission | Answer:
         """The exchange that asks, within the class's time and, if given, until the deadline."""
         cls = self.class_of(asked.headers[b"x-forwarded-uri"])
         if cls is None:
@@ -115,7 +119,7 @@
 
 def definite_fields(response: Message) -> Fields:
     """The fields of a 401, 403 or redirect that go on: whom to tell, where to go, what to remember."""
-    return passed_on(response)
+    return forwarded_fields(response)
 
 
 class ForwardAuth:
@@ -124,19 +128,19 @@
     def __init__(self, service: AuthService) -> None:
         self.service = service
 
-    def make(self, listener: Listener) -> ForwardAuthClient:
+    def new_connection(self, listener: Listener) -> ForwardAuthConnection:
         """A new connection."""
-        return ForwardAuthClient(self.service, listener)
+        return ForwardAuthConnection(self.service, listener)
 
 
-class ForwardAuthClient(HttpClient):
+class ForwardAuthConnection(HttpConnection):
     """A connection of another proxy."""
 
     def __init__(self, service: AuthService, listener: Listener) -> None:
         super().__init__(listener, service.clock)
         self.service = service
 
-    def begin(self, request: Request) -> Step | Answer:
+    def handle_request(self, request: Request) -> Submission | Answer:
         if request.target in (b"/ready", b"/health"):
             return self.health(request)
         if request.method != b"GET":
@@ -145,8 +149,8 @@
         if missing:
             return 400, [TEXT], missing[0] + b": missing\n"
         forwarded = [(name, request.headers[name]) for name in FORWARDED if name in request.headers]
-        return self.service.step(self.service.question(request, forwarded), self.final, request.arrived_at)
+        return self.service.step(self.service.question(request, forwarded), self.on_final, request.arrived_at)
 
-    def follow(self, final: Final[Any]) -> Step | Answer:
+    def handle_final(self, final: Final[Any]) -> Submission | Answer:
         verdict = self.service.verdict(final)
         return (verdict.status, verdict.identity, b"") if isinstance(verdict, Granted) else verdict
--- a/pepperrun/fronts/http_client.py
+++ b/pepperrun/fronts/http_connection.py
@@ -11,7 +11,7 @@
 
 from pepperrun.core.clock import SECOND
 from pepperrun.exchange import End, Final
-from pepperrun.fronts.kept import KeptClient, Step
+from pepperrun.fronts.client_connection import ClientConnection, Submission
 from pepperrun.net.buffer import has_unread_input
 from pepperrun.net.http1 import (
     LAST_CHUNK,
@@ -28,22 +28,26 @@
 Answer = (
     tuple[int, Fields, bytes] | tuple[int, Fields, bytes, Message]
 )  # the last one brings the rest of the body
-BAD = (400, 404, 405)  # a client that is answered so at once knows the protocol badly: the connection ends
-AHEAD = 16 * 1024  # of what is sent ahead of an answer, so much is held
+CLOSING_STATUSES = (
+    400,
+    404,
+    405,
+)  # a client that is answered so at once knows the protocol badly: the connection ends
+MAX_PIPELINED_BYTES = 16 * 1024  # of what is sent ahead of an answer, so much is held
 LINGER_BYTES = 96 * 1024 * 1024  # so much more is dropped
 SCRATCH = memoryview(bytearray(256 * 1024))  # takes what is dropped; never read
 TEXT = (b"Content-Type", b"text/plain; charset=utf-8")
 
 # Between one connection and the next, or between client and gatekeeper: not the worker's.
-NOT_PASSED_ON = frozenset(
+NOT_FORWARDED = frozenset(
     b"connection keep-alive proxy-connection proxy-authenticate proxy-authorization te trailer"
     b" transfer-encoding upgrade content-length expect x-budget x-plan x-quota x-again".split()
 )
 
 
-def passed_on(request: Message, untrusted: frozenset[bytes] = frozenset()) -> Fields:
+def forwarded_fields(request: Message, untrusted: frozenset[bytes] = frozenset()) -> Fields:
     """The fields that go on to the next hop, less those that a client has no right to set."""
-    dropped = NOT_PASSED_ON | untrusted if untrusted else NOT_PASSED_ON
+    dropped = NOT_FORWARDED | untrusted if untrusted else NOT_FORWARDED
     if b"connection" in request.headers:
         named = request.headers[b"connection"].lower().split(b",")
         dropped = dropped | {name.strip() for name in named}
@@ -55,18 +59,18 @@
     return number
 
 
-class HttpClient(KeptClient):
+class HttpConnection(ClientConnection):
     """A client's connection. Fronts derive from it."""
 
-    bad: tuple[int, ...] = BAD
+    closing_statuses: tuple[int, ...] = CLOSING_STATUSES
 
     # For fronts.
 
-    def begin(self, request: Request) -> Step | Answer:
+    def handle_request(self, request: Request) -> Submission | Answer:
         """What to do with a request: an exchange, or an answer at once."""
         raise NotImplementedError
 
-    def follow(self, final: Final[Any]) -> Step | Answer:
+    def handle_final(self, final: Final[Any]) -> Submission | Answer:
         """How a final answer reads, or the request's next exchange."""
         raise NotImplementedError
 
@@ -80,16 +84,21 @@
         ):
             return  # it has been used, and the loop is late
         if (
-            self.partial()
+            self.has_partial_request()
             and self.transport is not None
             and not self.lingering
             and has_unread_input(self.transport)
         ):
             return
         if self.upload is not None:
-            self._cut(408, b"the request did not come whole in time\n")
+            self._abort_upload(408, b"the request did not come whole in time\n")
             return
-        if self.partial() and not self.closing and not self.unwritten() and self.transport is not None:
+        if (
+            self.has_partial_request()
+            and not self.closing
+            and not self.unwritten()
+            and self.transport is not None
+        ):
             text = b"the request did not come whole in time\n"
             bodiless = self.parser.is_head_request()
             self.transport.write(encode_response(408, [TEXT], text, close=True, bodiless=bodiless))
@@ -99,14 +108,14 @@
         """Closes; what is written still goes out, unless the client does not take it."""
         self.closing = True
         if self.transport is not None:
-            if self.stuck is not None or self.lingering and self.unwritten():
+            if self.write_blocked_at is not None or self.lingering and self.unwritten():
                 self.transport.abort()
             else:
                 self.transport.close()
 
-    def go_on(self) -> None:
+    def resume(self) -> None:
         """Reads what came with it from another process."""
-        if len(self.buffer) and self.step is None:
+        if len(self.buffer) and self.pending is None:
             self._read()
 
     # For asyncio.
@@ -128,12 +137,12 @@
         self._left()
 
     def pause_writing(self) -> None:
-        self.stuck = self.clock()
+        self.write_blocked_at = self.clock()
         if self.download is not None:
             self.download.pause(True)
 
     def resume_writing(self) -> None:
-        self.stuck = None
+        self.write_blocked_at = None
         if self.download is not None:
             self.download.pause(False)
 
@@ -170,17 +179,17 @@
         if self.download is not None:
             self.download.abandon()
             self._taken(End.CLIENT_LEFT)
-        step, self.step = self.step, None
+        step, self.pending = self.pending, None
         if step is not None:
             step[0].client_left(step[1])
 
-    def _owes(self) -> bool:
+    def _has_pending_answer(self) -> bool:
         """Is an answer awaited, or on its way? The next one would stand inside it: that request waits."""
-        return self.step is not None or self.download is not None
+        return self.pending is not None or self.download is not None
 
     def _read(self) -> None:
         """Begins the next request, unless one has not been answered whole."""
-        while not self._owes() and not self.closing and self.transport is not None:
+        while not self._has_pending_answer() and not self.closing and self.transport is not None:
             try:
                 request = self.parser.next()
             except HttpError as error:
@@ -200,15 +209,15 @@
                 self.head_at = self.head_at or self.clock()
                 request.stream = self.upload = BodyStream(self.budget, self._pause, self._nobody)
                 self.buffer.set_read_size(self.budget.buffer_limit())
-            what = self.begin(request)
-            if len(what) == 3 and (what[0] in self.bad or not request.complete):
+            what = self.handle_request(request)
+            if len(what) == 3 and (what[0] in self.closing_statuses or not request.complete):
                 self._reject(what)  # the rest of its body must not be read as the next request
             else:
                 self._proceed(what)
         if self.upload is not None:
             self._pass_on(self.upload)
             return
-        ahead = self._owes() and len(self.buffer) >= AHEAD
+        ahead = self._has_pending_answer() and len(self.buffer) >= MAX_PIPELINED_BYTES
         if ahead and self.transport is not None and not self.paused:
             self._stop_reading(self.transport)  # more was sent ahead than is held for a client
 
@@ -219,14 +228,14 @@
             while self.upload is upload and (data := self.parser.read_body()):
                 upload.feed(data)
         except HttpError as error:
-            self._cut(error.status, f"{error}\n".encode())
+            self._abort_upload(error.status, f"{error}\n".encode())
             return
         if self.upload is not upload or not self.parser.body_complete():
             return
         self.upload, self.head_at = None, 0
         self.buffer.set_read_size(0)
         self._pause(False)
-        step = self.step
+        step = self.pending
         if step is not None:
             left_s = step[1].wait_after_body_ns / SECOND
             self.patience = self.listener.loop.call_later(left_s, self._out_of_time, step)
@@ -234,9 +243,9 @@
         if step is None:
             self._next()
 
-    def _out_of_time(self, step: Step) -> None:
+    def _out_of_time(self, step: Submission) -> None:
         self.patience = None
-        if self.step is step:
+        if self.pending is step:
             step[0].expire(step[1])
 
     def _pause(self, on: bool) -> None:
@@ -271,7 +280,7 @@
 
         An upload that may not be repeated goes on: all of it may have arrived.
         """
-        transport, step = self.transport, self.step
+        transport, step = self.transport, self.pending
         if transport is None or transport.is_closing():
             return
         if (
@@ -288,10 +297,10 @@
         if self.upload is not None:
             self._pause(False)
 
-    def _cut(self, status: int, text: bytes) -> None:
+    def _abort_upload(self, status: int, text: bytes) -> None:
         """The rest of a body is not to be had: the backend gets no request, and the client hears why."""
         upload, self.upload = self.upload, None
-        step, self.step = self.step, None
+        step, self.pending = self.pending, None
         if step is None:  # answered long ago
             self.close()
             return
@@ -335,13 +344,13 @@
         name = self.transport.get_extra_info("peername") if self.transport is not None else None
         return name[0].encode() if name else b""
 
-    def final(self, final: Final[Any]) -> None:
+    def on_final(self, final: Final[Any]) -> None:
         """The exchange's final answer."""
         if self.patience is not None:
             self.patience.cancel()
             self.patience = None
-        self.taking, self.step = self.step, None
-        what = self.follow(final)
+        self.answering, self.pending = self.pending, None
+        what = self.handle_final(final)
         upload = self.upload
         if upload is not None and len(what) != 2:
             # Answered before it was whole: the rest is read and dropped, as its client may read only then.
@@ -364,14 +373,14 @@
 
     def _next(self) -> None:
         """Reads on after an answer."""
-        if self.step is None and len(self.buffer) and not self.held:
+        if self.pending is None and len(self.buffer) and not self.held:
             if self.paused and self.transport is not None and not self.closing:
                 self._read_on(self.transport)
             self._read()
 
-    def _proceed(self, what: Step | Answer) -> None:
+    def _proceed(self, what: Submission | Answer) -> None:
         if len(what) == 2:
-            self.step = what
+            self.pending = what
             self.asked += 1
             what[0].submit(what[1])
         else:
@@ -418,7 +427,7 @@
         self.download = stream
         transport.write(head + (encode_chunk(body) if self.chunked else body))
         stream.attach(self)
-        if self.stuck is not None and self.download is not None:
+        if self.write_blocked_at is not None and self.download is not None:
             stream.pause(True)
 
     def write_body(self, data: bytes) -> None:
@@ -441,7 +450,7 @@
             self.transport.abort()
 
     def _taken(self, end: End) -> None:
-        taking, self.taking, self.download = self.taking, None, None
+        taking, self.answering, self.download = self.answering, None, None
         self.since = self.clock()
         if taking is not None:
             taking[0].streaming_ended(taking[1], end)
--- a/pepperrun/fronts/platform.py
+++ b/pepperrun/fronts/platform.py
@@ -8,9 +8,9 @@
 from pepperrun.core.clock import SECOND
 from pepperrun.core.interface import Repeat, Settings
 from pepperrun.exchange import End, Exchange, Final
+from pepperrun.fronts.client_connection import Submission
 from pepperrun.fronts.forward_auth import AuthService, Granted
-from pepperrun.fronts.http_client import TEXT, Answer, Fields, HttpClient, passed_on
-from pepperrun.fronts.kept import Step
+from pepperrun.fronts.http_connection import TEXT, Answer, Fields, HttpConnection, forwarded_fields
 from pepperrun.gatekeeper import Clock, Gatekeeper
 from pepperrun.net.http1 import Request
 from pepperrun.net.listener import Listener
@@ -50,9 +50,9 @@
         self.plans = {plan.name.encode(): number for number, plan in enumerate(settings.plans)}
         self.methods = [b"GET" if kind.repeat is Repeat.SAFE else b"POST" for kind in settings.classes]
 
-    def make(self, listener: Listener) -> PlatformClient:
+    def new_connection(self, listener: Listener) -> PlatformConnection:
         """A new connection."""
-        return PlatformClient(self, listener)
+        return PlatformConnection(self, listener)
 
     def read(self, request: Request) -> dict[str, Any] | str:
         """What the exchange is made of, or what is wrong with the request."""
@@ -107,7 +107,7 @@
         }
 
 
-class PlatformClient(HttpClient):
+class PlatformConnection(HttpConnection):
     """A client's connection."""
 
     def __init__(self, front: Platform, listener: Listener) -> None:
@@ -116,7 +116,7 @@
         self.parts: dict[str, Any] = {}
         self.asking = False
 
-    def begin(self, request: Request) -> Step | Answer:
+    def handle_request(self, request: Request) -> Submission | Answer:
         if request.target in (b"/ready", b"/health"):
             return self.health(request)
         parts = self.front.read(request)
@@ -129,15 +129,17 @@
             # Granted first; the same budget holds for both steps.
             asked = auth.about(request, self.peer_address())
             self.asking = True
-            return auth.step(asked, self.final, parts["started"], parts["deadline"])
+            return auth.step(asked, self.on_final, parts["started"], parts["deadline"])
         return self._book(request, [])
 
-    def _book(self, request: Request, identity: Fields) -> Step:
+    def _book(self, request: Request, identity: Fields) -> Submission:
         auth = self.front.auth
-        request.fields = passed_on(request, auth.untrusted if auth is not None else frozenset()) + identity
-        return self.front.gatekeeper, Exchange(request, self.final, **self.parts)
+        request.fields = (
+            forwarded_fields(request, auth.untrusted if auth is not None else frozenset()) + identity
+        )
+        return self.front.gatekeeper, Exchange(request, self.on_final, **self.parts)
 
-    def follow(self, final: Final[Any]) -> Step | Answer:
+    def handle_final(self, final: Final[Any]) -> Submission | Answer:
         auth, request = self.front.auth, self.request
         if auth is not None and request is not None and self.asking:
             self.asking = False
--- a/pepperrun/gatekeeper.py
+++ b/pepperrun/gatekeeper.py
@@ -72,9 +72,9 @@
 
 
 class Backends(Protocol):
-    """What carries out attempts: `Gatekeeper.attempt_ended` is called once for each, never from within `send`.
+    """Sends attempts to backends. It calls `Gatekeeper.attempt_ended` once for each, but not within `send`.
 
-    `ended` may in turn call `send` before it returns.
+    `attempt_ended` may itself call `send` before it returns.
     """
 
     def send(self, exchange: AnyExchange, attempt: int, backend: int, timeout_ns: int) -> None: ...
--- a/pepperrun/net/listener.py
+++ b/pepperrun/net/listener.py
@@ -183,11 +183,11 @@
         except OSError:
             sock.close()
             return
-        client.go_on()  # type: ignore[attr-defined]
+        client.resume()  # type: ignore[attr-defined]
 
     def _adopted(self, snapshot: ConnectionSnapshot) -> asyncio.BufferedProtocol:
         client = self.client_factory(self)
-        client.revive(snapshot, 0)  # type: ignore[attr-defined]
+        client.restore(snapshot, 0)  # type: ignore[attr-defined]
         return client
 
     def _accept(self) -> None:
--- a/pepperrun/parking/listener.py
+++ b/pepperrun/parking/listener.py
@@ -106,7 +106,7 @@
     def revive(self, snapshot: ConnectionSnapshot, woken: int) -> asyncio.BufferedProtocol:
         """The protocol of a connection that is taken up, as it was."""
         client = self.client_factory(self)
-        client.revive(snapshot, woken)  # type: ignore[attr-defined]
+        client.restore(snapshot, woken)  # type: ignore[attr-defined]
         return client
 
     def resume(self) -> None:
--- a/pepperrun/simulation/conversations/bugs.py
+++ b/pepperrun/simulation/conversations/bugs.py
@@ -13,7 +13,7 @@
 from pepperrun.dataplane.front import Front
 from pepperrun.dataplane.wire import WorkerWire
 from pepperrun.exchange import End
-from pepperrun.fronts.http_client import HttpClient
+from pepperrun.fronts.http_connection import HttpConnection
 from pepperrun.net import connection, upstream
 from pepperrun.net.connection import Connection
 from pepperrun.net.hangup import HangupWatch
@@ -88,13 +88,13 @@
     ]
 
 
-def _awaits(client: HttpClient) -> bool:
-    return client.step is not None
+def _awaits(client: HttpConnection) -> bool:
+    return client.pending is not None
 
 
 def _next_inside_answer() -> Patches:
     """The next request is read while a long answer is on its way, and answered in the middle of it."""
-    return [mock.patch.object(HttpClient, "_owes", _awaits)]
+    return [mock.patch.object(HttpConnection, "_has_pending_answer", _awaits)]
 
 
 def _any_no_is_believed() -> Patches:
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -221,7 +221,7 @@
         )
         self.gatekeeper.backends = self.side
         self.platform = Platform(settings, self.gatekeeper, self.clock, auth, budget)
-        self.listener = Listener(loop, self.clock, most, self.platform.make)
+        self.listener = Listener(loop, self.clock, most, self.platform.new_connection)
         self.listener.open((HOST, 0))
 
     def list(self, *lines: dict[str, Any]) -> None:
--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -36,8 +36,8 @@
 from pepperrun.dataplane.attempt_reports import ABANDONED, CLIENT_LEFT, OUTLIVED, AttemptReports
 from pepperrun.dataplane.draining import drain
 from pepperrun.exchange import End, Exchange
-from pepperrun.fronts.http_client import AHEAD
-from pepperrun.fronts.kept import KeptClient
+from pepperrun.fronts.client_connection import ClientConnection
+from pepperrun.fronts.http_connection import MAX_PIPELINED_BYTES
 from pepperrun.net.connection import AbandonReason, Attempt
 from pepperrun.net.hangup import HangupWatch
 from pepperrun.net.http1 import LAST_CHUNK, encode_chunk
@@ -84,9 +84,9 @@
         client: Client = await self.ask(Attempt_Id=id, Deadline_Ms="12000", **more)
         return client
 
-    def connections(self) -> list[KeptClient]:
+    def connections(self) -> list[ClientConnection]:
         """Returns the open client connections."""
-        return cast(list[KeptClient], list(self.plane.listener.clients))
+        return cast(list[ClientConnection], list(self.plane.listener.clients))
 
     def has_noticed_disconnects(self, count: int = 1) -> bool:
         """Whether the gatekeeper has noticed this number of disconnects."""
@@ -274,7 +274,7 @@
 async def pipeline_requests(cluster: DisconnectCluster, client: Client) -> None:
     """Pipelines requests behind the first until the gatekeeper pauses reading."""
     pipelined = b"GET /p/x HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: gone\r\nAuthorization: Token k1\r\n\r\n"
-    client.writer.write(pipelined * (4 * AHEAD // len(pipelined)))
+    client.writer.write(pipelined * (4 * MAX_PIPELINED_BYTES // len(pipelined)))
     await until(lambda: any(kept.paused for kept in cluster.connections()))
 
 
@@ -387,8 +387,8 @@
     unread = size = 0
     while unread < 500:
         if not unread:
-            client.writer.write(encode(b"x" * AHEAD))
-            size += AHEAD
+            client.writer.write(encode(b"x" * MAX_PIPELINED_BYTES))
+            size += MAX_PIPELINED_BYTES
             await client.writer.drain()
         unread = unread + 1 if any(kept.paused for kept in cluster.connections()) else 0
         await asyncio.sleep(0)
@@ -446,7 +446,7 @@
         cluster, worker = DisconnectCluster(), await StandIn(ok(b"x" * (64 * LONG))).start()
         cluster.work("w1", worker.port)
         client = await cluster.ask_with_long_deadline()
-        await until(lambda: any(kept.stuck is not None for kept in cluster.connections()))
+        await until(lambda: any(kept.write_blocked_at is not None for kept in cluster.connections()))
         await pipeline_requests(cluster, client)
         disconnect(client)
         await worker.closed.get()
--- a/tests/test_dataplane.py
+++ b/tests/test_dataplane.py
@@ -27,7 +27,7 @@
 from pepperrun.dataplane.slow_start import SlowStartShares, assigned_gateways, send_interval_ns
 from pepperrun.foundation.hosts import host_of
 from pepperrun.foundation.settings import Bounds, Settings, parse
-from pepperrun.fronts.kept import KeptClient
+from pepperrun.fronts.client_connection import ClientConnection
 from pepperrun.gateway_node import main
 
 ZONES = {"a": "r1", "b": "r2"}
@@ -303,7 +303,8 @@
         client = await cluster.ask(method="POST", body=b"5\r\nhello\r\n", Transfer_Encoding="chunked")
         idle = await Client.to(cluster.plane.listener.address[1])
         while not any(
-            isinstance(one, KeptClient) and one.partial() for one in cluster.plane.listener.clients
+            isinstance(one, ClientConnection) and one.has_partial_request()
+            for one in cluster.plane.listener.clients
         ):
             await asyncio.sleep(0)
         plane = cluster.plane
--- a/tests/test_parking.py
+++ b/tests/test_parking.py
@@ -17,7 +17,7 @@
 from test_main import config as main_config
 from test_main import line_with
 
-from pepperrun.fronts.http_client import HttpClient
+from pepperrun.fronts.http_connection import HttpConnection
 from pepperrun.net.listener import Listener
 from pepperrun.parking import lot as lot_module
 from pepperrun.parking.config import read_clients
@@ -39,7 +39,7 @@
         loop = asyncio.get_running_loop()
         self.lot = Lot(loop, self.now, read_clients(json.dumps(given)), here)
         self.platform.clock = self.gatekeeper.clock = self.side.clock = self.now
-        self.listener: Listener = ParkingListener(loop, self.now, self.lot, self.platform.make)
+        self.listener: Listener = ParkingListener(loop, self.now, self.lot, self.platform.new_connection)
         self.listener.open((HOST, 0))
 
     def now(self) -> int:
@@ -94,7 +94,7 @@
             while not front.listener.clients:
                 await asyncio.sleep(0)
             (taken,) = front.listener.clients
-            assert isinstance(taken, HttpClient)
+            assert isinstance(taken, HttpConnection)
             assert taken.peer_address() == HOST.encode() and not taken.never_answered()
             assert (await client.answer())[0] == 200
 
@@ -411,7 +411,7 @@
 
             def make(listener: Listener) -> asyncio.BufferedProtocol:
                 made.append(listener)
-                return front.platform.make(listener)
+                return front.platform.new_connection(listener)
 
             other = ParkingListener(loop, front.now, front.lot, make)
             other.open((HOST, 0))
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -24,15 +24,15 @@
 
 from pepperrun.core.interface import Request
 from pepperrun.exchange import End
-from pepperrun.fronts import kept
-from pepperrun.fronts.http_client import HttpClient
+from pepperrun.fronts import client_connection
+from pepperrun.fronts.http_connection import HttpConnection
 from pepperrun.net import listener as listener_module
 from pepperrun.net.http1 import REQUEST_BUFFER_SIZE
 
 
-def connections(front: Front) -> list[HttpClient]:
+def connections(front: Front) -> list[HttpConnection]:
     """Clients' connections at a front."""
-    return [client for client in front.listener.clients if isinstance(client, HttpClient)]
+    return [client for client in front.listener.clients if isinstance(client, HttpConnection)]
 
 
 def test_a_request_is_passed_on_unchanged_and_answered_with_the_workers_body():
@@ -260,7 +260,7 @@
 
 
 def test_slow_requests_and_answers_that_are_not_taken_end(monkeypatch):
-    monkeypatch.setattr(kept, "STUCK_NS", 10 * MS)
+    monkeypatch.setattr(client_connection, "WRITE_TIMEOUT_NS", 10 * MS)
     times = listener_module.ClientTimeouts(first_byte_ns=10 * MS, request_ns=10 * MS)
     monkeypatch.setattr(listener_module, "PLATFORM_TIMEOUTS", times)
     monkeypatch.setattr(listener_module, "SWEEP_S", 0.01)
@@ -285,7 +285,7 @@
 
 def test_silent_connections_do_not_keep_others_out(monkeypatch):
     # New connections never gave way: silent ones by the hundred held every place, for 75 s.
-    monkeypatch.setattr(kept, "GREEN_NS", 20 * MS)
+    monkeypatch.setattr(client_connection, "NEW_CONNECTION_GRACE_NS", 20 * MS)
 
     async def test():
         front, worker = Front(most=4), await StandIn(ok()).start()
@@ -382,7 +382,7 @@
 
 def test_a_request_that_waits_unread_in_its_socket_is_not_taken_for_silence(monkeypatch):
     # A loop that is late finds new connections old before it has read from them.
-    monkeypatch.setattr(kept, "GREEN_NS", 0)
+    monkeypatch.setattr(client_connection, "NEW_CONNECTION_GRACE_NS", 0)
 
     async def test():
         front = Front(most=1)
