--- a/pepperrun/control/__init__.py
+++ b/pepperrun/control/__init__.py
@@ -1,1 +1,1 @@
-"""Control state: records of workers and gatekeepers by zone, the configuration and its checks."""
+"""Control plane: the registry of workers and gatekeepers, the configuration, its validation and its API."""
--- a/pepperrun/control/configuration.py
+++ b/pepperrun/control/configuration.py
@@ -1,4 +1,7 @@
-"""The configuration as all planes read it: routes, services, senders (tenants) and limits of one edition."""
+"""Types of a configuration: the routes, services, tenants ("senders") and client limits of one edition.
+
+Operators send the fields under these names.
+"""
 
 from __future__ import annotations
 
@@ -9,7 +12,7 @@
 
 @dataclass(frozen=True)
 class Split:
-    """A service's part of a route."""
+    """A service (`line`) to which a route sends its requests, and its share of them."""
 
     line: str
     share: float
@@ -17,7 +20,12 @@
 
 @dataclass(frozen=True)
 class Route:
-    """Requests of a host whose path begins with a prefix. `line` or `splits` names the service(s)."""
+    """A route for the requests to a host (`depot`) whose paths begin with a prefix.
+
+    `line` names the service, or `splits` several services. `route_kind` tells whether its requests are safe
+    to repeat, `target_ms` is the latency target, `tries` the number of attempts that a request may have, and
+    `unstamped` allows requests without a key.
+    """
 
     name: str
     depot: str
@@ -35,7 +43,11 @@
 
 @dataclass(frozen=True)
 class ServiceConfig:
-    """A service."""
+    """A service: the health check path, protocol, connection limit and slow start of its workers.
+
+    `berth_cap` limits the connections of all gatekeepers to one worker (0: no limit). `cold_s` is the length
+    of the slow start in seconds, `cold_per_s` the requests per second that a cold worker can take.
+    """
 
     name: str
     health_path: str = "/health"
@@ -48,7 +60,11 @@
 
 @dataclass(frozen=True)
 class Limits:
-    """What a client may send, in bytes, and how long it may take or stay idle, in milliseconds."""
+    """Limits for clients.
+
+    Bytes of a request's head (`envelope_bytes`) and body (`parcel_bytes`), milliseconds to send a request
+    (`envelope_ms`), and milliseconds that a connection may be idle (`dwell_ms`).
+    """
 
     envelope_bytes: int = 16384
     parcel_bytes: int = 67108864
@@ -58,7 +74,11 @@
 
 @dataclass(frozen=True)
 class TenantConfig:
-    """A tenant: its keys, its quota over all gatekeepers (0: none), its homes."""
+    """A tenant: its keys (`stamps`), its quota over all gatekeepers, and its home regions.
+
+    The quota is `rate_per_s` requests per second (0: no quota) with a burst of `surge`. A `precedence` is
+    compared before that of the route.
+    """
 
     name: str
     stamps: list[str] = field(default_factory=list)
--- a/pepperrun/control/coordinator_tasks.py
+++ b/pepperrun/control/coordinator_tasks.py
@@ -1,7 +1,7 @@
-"""What the coordinating control node proposes by itself, one operation at a time.
+"""Operations that the coordinating control node proposes without an operator, one at a time.
 
-The agreed number of gatekeepers, the lists of quota owners, and the end of uncertain evacuations. Only the
-node that coordinates the voters proposes them, so that no two do it at once.
+They change the agreed number of gatekeepers and the lists of quota owners, and end uncertain evacuations.
+Only the coordinator of the voters proposes them, so that no two nodes do it at the same time.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 class CoordinatorTasks:
-    """Decides which operation is to be proposed now."""
+    """Chooses the operation that the coordinator should propose now."""
 
     def __init__(
         self, registry: EndpointRegistry, evacuations: Evacuations, next_call_id: Callable[[], str]
@@ -30,7 +30,7 @@
         self.quota_placement = QuotaPlacement()
 
     def next_operation(self, body: dict[str, Any], bounds: Bounds, now: int) -> Operation | None:
-        """Return the operation to propose, None where there is none."""
+        """Return the operation to propose now, or None."""
         return (
             self._change_gateway_count(body, now)
             or self._place_quotas(body, bounds, now)
--- a/pepperrun/control/directory.py
+++ b/pepperrun/control/directory.py
@@ -1,4 +1,4 @@
-"""The directory: which gatekeepers a client is given, those near it, shuffled anew at each call. Pure."""
+"""The directory: chooses gatekeepers near a client, in a new random order for each call. Pure."""
 
 from __future__ import annotations
 
@@ -11,20 +11,20 @@
 from pepperrun.foundation.hosts import host_of
 
 MAX_ADDRESSES = 64
-ENOUGH_NEAR = 2  # ready ones in a client's region; with fewer, farther ones are given too
+ENOUGH_NEAR = 2  # ready gatekeepers in a client's region; with fewer, the answer has others too
 
 
 @dataclass(frozen=True)
 class DirectoryAnswer:
-    """What a client is given.
+    """The gatekeepers for a client.
 
     Attributes
     ----------
     addresses : list of str
-        Of gatekeepers, the nearest first.
+        Addresses of gatekeepers, the nearest first.
     is_fallback : bool
-        Whether none is ready where the host's requests may go: these are better than none and no more, and
-        the client should ask again soon.
+        Whether no gatekeeper is ready in the regions allowed for the host: the addresses are outside of
+        these, and the client should ask again soon.
     """
 
     addresses: list[str]
@@ -32,22 +32,22 @@
 
 
 class HostHomeRegions:
-    """The regions in which requests for a host may be served, by the agreed routes."""
+    """Home regions by host: where the agreed routes allow its requests to be served. Cached per state."""
 
     def __init__(self) -> None:
         self._state: Mapping[str, Any] | None = None
-        self._homes: dict[bytes, set[str]] = {}
+        self._home_regions: dict[bytes, set[str]] = {}
 
     def of(self, state: Mapping[str, Any] | None, host: str) -> frozenset[str]:
-        """Return the homes of the host's routes together; none where no route of it has any."""
+        """Return the union of the home regions of the host's routes; empty if none of them has any."""
         if state is not self._state:
-            self._state, self._homes = state, {}
+            self._state, self._home_regions = state, {}
             for route in ((state or {}).get("routes") or {}).values():
                 if route.get("home_regions"):
-                    self._homes.setdefault(host_of(route["depot"].encode()), set()).update(
+                    self._home_regions.setdefault(host_of(route["depot"].encode()), set()).update(
                         route["home_regions"]
                     )
-        return frozenset(self._homes.get(host_of(host.encode()), ()))
+        return frozenset(self._home_regions.get(host_of(host.encode()), ()))
 
 
 def choose_gateways(
@@ -56,25 +56,27 @@
     region: str,
     regions: Mapping[str, str],
     seed: int,
-    homes: Callable[[], frozenset[str]] = frozenset,
+    home_regions: Callable[[], frozenset[str]] = frozenset,
 ) -> DirectoryAnswer:
-    """Return addresses for a client: of its region, its zone's first; farther ones too where these are few.
+    """Return addresses of a client's region, those in its zone first; if these are few, others too.
 
-    Within each ring they are shuffled by `seed`. Clients pick by chance among all they are given. Zones have
-    unlike numbers of gatekeepers for much the same load; given only those of its zone, a single one would
-    carry half of its region's load, and need more than its share of every quota. Zones of a region are near
-    each other. In a rolling restart a region of two or three is down to one ready gatekeeper by planned work
-    alone: a client of a host with homes is then not sent out of these.
+    The zone, the rest of the region and the other regions are each shuffled by `seed`. Clients pick at random
+    among all the addresses that they get. The whole region is returned because zones have different numbers
+    of gatekeepers for about the same load: if clients got only the gatekeepers of their zone, the single
+    gatekeeper of a small zone would carry half of its region's load, and need more than its share of every
+    quota. The zones of a region are near each other. During a rolling restart, a region of two or three
+    gatekeepers may have only one that is ready: a client of a host with home regions is then still not sent
+    outside of these.
 
     Parameters
     ----------
     zone, region : str
-        Of the client; empty where it does not say.
+        Zone and region of the client; empty if unknown.
     regions : mapping of str to str
         Region of each zone.
-    homes : callable
-        Returns the regions in which requests for the client's host may be served, none for all. Asked only
-        where few gatekeepers are near.
+    home_regions : callable
+        Returns the regions in which requests for the client's host may be served; empty for all regions.
+        Called only if few gatekeepers are near.
     """
     region = region or regions.get(zone, "")
     in_zone: list[str] = []
@@ -87,15 +89,17 @@
             in_region.append(gateway.client_address)
         else:
             far.append(gateway)
-    shuffler = random.Random(seed)
-    shuffler.shuffle(in_zone)
-    shuffler.shuffle(in_region)
+    rng = random.Random(seed)
+    rng.shuffle(in_zone)
+    rng.shuffle(in_region)
     near = in_zone + in_region
     if len(near) >= ENOUGH_NEAR:
         return DirectoryAnswer(near[:MAX_ADDRESSES])
-    shuffler.shuffle(far)
-    allowed = homes()
-    at_home = [one.client_address for one in far if one.region in allowed or not allowed]
-    if near or at_home:
-        return DirectoryAnswer((near + at_home)[:MAX_ADDRESSES])
-    return DirectoryAnswer([one.client_address for one in far][:MAX_ADDRESSES], is_fallback=True)
+    rng.shuffle(far)
+    allowed_regions = home_regions()
+    far_allowed = [
+        gateway.client_address for gateway in far if gateway.region in allowed_regions or not allowed_regions
+    ]
+    if near or far_allowed:
+        return DirectoryAnswer((near + far_allowed)[:MAX_ADDRESSES])
+    return DirectoryAnswer([gateway.client_address for gateway in far][:MAX_ADDRESSES], is_fallback=True)
--- a/pepperrun/control/endpoint_registry.py
+++ b/pepperrun/control/endpoint_registry.py
@@ -1,10 +1,10 @@
 """Endpoint registry: the workers and gatekeepers of each zone, replicated on every control node. No I/O.
 
-Heartbeats come in at any control node; what they change is pushed to the others, and copies are compared by
-digests over ranges each second (`distribution.repair`). That a heartbeat came and changed nothing is reported
-compactly (`control.liveness_reports`). Each control node that is linked with a quorum concludes for itself
-that a worker is lost which no node has reported for `LOST_HEARTBEATS` heartbeats and a second; a later
-heartbeat undoes it.
+Any control node accepts heartbeats. It pushes the changed records to the others, and the copies are compared
+by digests over ranges each second (`distribution.repair`). Heartbeats that change nothing are reported in a
+compact form (`control.liveness_reports`). Each control node that is linked with a quorum decides by itself
+that a worker is lost once no node has reported it for `LOST_HEARTBEATS` heartbeats and a second; a later
+heartbeat reverts that.
 """
 
 from __future__ import annotations
@@ -33,19 +33,19 @@
 
 MS = 1_000_000  # ns
 SECOND = 1000 * MS
-BATCH_NS = 50 * MS  # changes that need no haste go together
-ROUND_NS = SECOND  # between two liveness reports, and two comparisons of digests
-LOST_HEARTBEATS = 3
-REPORT_HEARTBEATS = 1.5  # without one for so long a worker is no longer reported as received here
-GATEWAY_SILENT_NS = 2 * SECOND  # a gatekeeper not seen for so long is not given to clients
-GATEWAY_GONE_NS = 60 * SECOND
-KEEP_GONE_NS = 60 * SECOND  # records of endpoints that are gone
-LOST_TO_GONE_NS = 600 * SECOND  # workers lost for so long are gone
-WARMING_TOLERANCE_NS = 250 * MS  # a warm-up that moves by less has not changed
+BATCH_NS = 50 * MS  # non-urgent changes within this time are sent together
+ROUND_NS = SECOND  # interval of liveness reports and of digest comparisons
+LOST_HEARTBEATS = 3  # missed heartbeats after which, and a second, a worker is lost
+REPORT_HEARTBEATS = 1.5  # heartbeat intervals of silence after which a worker is reported as not received
+GATEWAY_SILENT_NS = 2 * SECOND  # a gatekeeper silent for this time is not returned to clients
+GATEWAY_GONE_NS = 60 * SECOND  # a gatekeeper silent for this time is gone
+KEEP_GONE_NS = 60 * SECOND  # how long records of gone endpoints are kept
+LOST_TO_GONE_NS = 600 * SECOND  # a worker that is lost for this time is gone
+WARMING_TOLERANCE_NS = 250 * MS  # a smaller shift of the end of a warm-up is no change
 
 
 class WorkerHeartbeat(NamedTuple):
-    """What a worker says of itself; `warming_ns` is the rest of its warm-up."""
+    """State that a worker reports of itself; `warming_ns` is the remaining time of its warm-up."""
 
     id: str
     service: str
@@ -59,24 +59,24 @@
 
 
 class EndpointRegistry:
-    """One control node's copy. Times are steady ns; peers are other control nodes, by ip.
+    """One control node's copy of the records. Times are monotonic ns; peers are other control nodes, by ip.
 
-    After each call `take_messages` gives messages with the ips they go to, `take_changed` the records that
-    changed, and `waits.take_completed` the tokens of `heartbeat` and `worker_ended` that enough nodes hold by
-    now.
+    After each call, take out the messages with their destination ips (`take_messages`), the records that
+    changed (`take_changed`), and the tokens of `heartbeat` and `worker_ended` whose records are on enough
+    nodes (`waits.take_completed`).
 
     Attributes
     ----------
     peers : dict of str to str
         Zone by ip of the linked control nodes.
     quorum_since : int or None
-        Since when this node is linked with a quorum.
+        When this node got its links to a quorum; None without a quorum.
     address_owners : bidict of str to str
-        Id of the worker that has an address.
+        Id of the worker that uses an address, by address.
     last_serials : dict of str to int
         Serial of the last heartbeat received here, by worker.
     ended_at : dict of str to int
-        Since when a worker's record is lost or gone.
+        When a worker's record became lost or gone, by worker.
     """
 
     def __init__(self, own_ip: str, heartbeat_ms: float, now: int) -> None:
@@ -94,22 +94,22 @@
         self.waits = ReplicationWaits()
         self.next_round_at = now + ROUND_NS
         self.rounds = 0
-        self._urgent: dict[str, Record] = {}  # to be pushed at once
-        self._batch: dict[str, Record] = {}  # to be pushed within BATCH_NS
-        self._flush_at = 0  # when the batch goes; 0: nothing is there
+        self._urgent: dict[str, Record] = {}  # pushed at once
+        self._batch: dict[str, Record] = {}  # pushed within BATCH_NS
+        self._flush_at = 0  # when the batch is pushed; 0: it is empty
         self._changed: dict[str, Record] = {}
         self._outbox: list[tuple[str, Message]] = []
 
     # Control nodes.
 
     def connected(self, ip: str, zone: str, now: int) -> None:
-        """Handle a new link: report who is received here, and ask for what differs."""
+        """Handle a new link: report the endpoints received here, and request the records that differ."""
         self.peers[ip] = zone
         self._send_full_report(ip, now)
         self._outbox.append((ip, repair.request(self)))
 
     def link_lost(self, ip: str, now: int) -> None:
-        """Handle the loss of one of several links: a report on it may be lost, and is not repeated."""
+        """Handle the loss of one of several links: a report may be lost with it, so send a full one."""
         self._send_full_report(ip, now)
 
     def _send_full_report(self, ip: str, now: int) -> None:
@@ -122,18 +122,18 @@
         self.liveness.disconnected(ip)
 
     def stop_forwarding_to(self, ip: str) -> None:
-        """Forward no more heartbeats to a node that stops."""
+        """Forward no more heartbeats to a node that is shutting down."""
         self.peers.pop(ip, None)
 
     def quorum_changed(self, *, has_quorum: bool, now: int) -> None:
-        """Note whether this node is linked with a quorum of the voters."""
+        """Record whether this node is linked with a quorum of the voters."""
         if not has_quorum:
             self.quorum_since = None
         elif self.quorum_since is None:
             self.quorum_since = now
 
     def receive(self, ip: str, data: Message, now: int) -> bool:
-        """Handle a wire message of another node; return False where its kind is not one of the registry's."""
+        """Handle a wire message of another node; return False if its kind does not belong to the registry."""
         if repair.is_repair_message(data):
             self._on_repair_message(ip, data, now)
         elif data["k"] == peer_messages.LIVENESS_REPORT:
@@ -158,12 +158,12 @@
         Parameters
         ----------
         needed : int
-            Other nodes that have to hold the record of a draining worker before it is acknowledged.
+            Number of other nodes that must store the record of a draining worker before the acknowledgement.
 
         Returns
         -------
         int or None
-            Token of the wait, where there is one.
+            Token of the wait for these nodes, if there is one.
         """
         known = self.workers.get(heartbeat.id)
         if known is None:
@@ -176,16 +176,16 @@
         return None
 
     def _record_heartbeat(self, known: Worker | None, heartbeat: WorkerHeartbeat, now: int) -> None:
-        """Update the record, unless the heartbeat is older than one that came before."""
-        drains = heartbeat.state is WorkerState.DRAINING
+        """Update the record, unless the heartbeat is older than one received before."""
+        is_draining = heartbeat.state is WorkerState.DRAINING
         known_serial = known.serial if known is not None else -1
         last_serial = max(self.last_serials.get(heartbeat.id, -1), known_serial)
-        begins_draining = drains and (known is None or known.state is not WorkerState.DRAINING)
+        begins_draining = is_draining and (known is None or known.state is not WorkerState.DRAINING)
         if known is not None and heartbeat.serial <= last_serial and not begins_draining:
             return
         self.last_serials[heartbeat.id] = max(last_serial, heartbeat.serial)
         self._note_alive(worker_record_id(heartbeat.id), now)
-        is_urgent = drains or known is None or known.state is WorkerState.LOST
+        is_urgent = is_draining or known is None or known.state is WorkerState.LOST
         self._update(self._merged(known, heartbeat, now), now, urgent=is_urgent)
 
     def _note_alive(self, id_: str, now: int) -> None:
@@ -194,8 +194,8 @@
             self._flush_at = self._flush_at or now + BATCH_NS
 
     def _merged(self, known: Worker | None, heartbeat: WorkerHeartbeat, now: int) -> Worker:
-        """Return the record after a heartbeat; the known one, serial and all, where nothing has changed."""
-        still_drains = known is not None and known.state is WorkerState.DRAINING
+        """Return the record after a heartbeat; the known record with its serial if nothing has changed."""
+        was_draining = known is not None and known.state is WorkerState.DRAINING
         merged = Worker(
             id=heartbeat.id,
             service=heartbeat.service,
@@ -204,26 +204,26 @@
             edition=heartbeat.edition,
             slots=heartbeat.slots,
             serial=max(heartbeat.serial, known.serial if known is not None else 0),
-            state=WorkerState.DRAINING if still_drains else heartbeat.state,
+            state=WorkerState.DRAINING if was_draining else heartbeat.state,
             warming_until=now + heartbeat.warming_ns if heartbeat.warming_ns > 0 else 0,
         )
         if known is None:
             return merged
-        moved_ns = abs(max(known.warming_until, now) - max(merged.warming_until, now))
-        if moved_ns > WARMING_TOLERANCE_NS:
+        warming_shift_ns = abs(max(known.warming_until, now) - max(merged.warming_until, now))
+        if warming_shift_ns > WARMING_TOLERANCE_NS:
             return merged
         unchanged = replace(merged, serial=known.serial, warming_until=known.warming_until) == known
         return known if unchanged else merged
 
     def _take_over_address(self, heartbeat: WorkerHeartbeat, now: int) -> None:
-        """Give an address to its newest worker: the one that had it before has ended without a word."""
+        """Assign an address to its newest worker: the previous one has ended without notice."""
         other = self.workers.get(self.address_owners.get(heartbeat.address, ""))
         if other is not None and other.id != heartbeat.id and _is_live(other):
             self._update(self._ended(other), now, urgent=True)
         self.address_owners.forceput(heartbeat.address, heartbeat.id)
 
     def _ended(self, worker: Worker) -> Worker:
-        """Return the record of a worker that ended without a word: lost, or gone where it was draining."""
+        """Return the record of a worker that ended without notice: lost, or gone if it was draining."""
         state = WorkerState.LOST if worker.state is WorkerState.SERVING else WorkerState.GONE
         return replace(worker, state=state, serial=self._last_serial(worker))
 
@@ -231,7 +231,7 @@
         return max(worker.serial, self.last_serials.get(worker.id, 0))
 
     def worker_ended(self, worker_id: str, needed: int, now: int) -> int | None:
-        """Handle the end of a worker; return a token as `heartbeat` does."""
+        """Handle a worker's notice that it ends; return the token of a wait as `heartbeat` does."""
         known = self.workers.get(worker_id)
         if known is None:
             return None
@@ -241,7 +241,7 @@
         return self._replicate(worker_id, needed, now) if needed else None
 
     def _replicate(self, worker_id: str, needed: int, now: int) -> int:
-        """Push a record to all nodes with a request to confirm that they hold it; return the token."""
+        """Push a record to all nodes and request acknowledgements that they store it; return the token."""
         token = self.waits.start(needed)
         message = repair.encode_records([self.workers[worker_id]], now)
         self._broadcast(repair.with_replication_token(message, token))
@@ -249,15 +249,15 @@
         return token
 
     def mark_zone_maybe_cold(self, zone: str, now: int) -> None:
-        """Count a zone's workers as cold until their next heartbeats: they may have cooled down."""
+        """Treat a zone's serving workers as cold until their next heartbeats: they may have become cold."""
         for worker in list(self.workers.values()):
             if worker.zone != zone or worker.state is not WorkerState.SERVING or worker.maybe_cold:
                 continue
-            doubted = replace(worker, maybe_cold=True, serial=self._last_serial(worker))
-            self._update(doubted, now, urgent=True)
+            possibly_cold = replace(worker, maybe_cold=True, serial=self._last_serial(worker))
+            self._update(possibly_cold, now, urgent=True)
 
     def forward_to(self, worker_id: str, zone: str, own_zone: str, regions: Mapping[str, str]) -> str | None:
-        """Return the ip of the node that should get a worker's heartbeats, None for this one."""
+        """Return the ip of the node to which a worker should send its heartbeats; None for this node."""
         nodes = {self.own_ip: own_zone} | self.peers
         best = preferred_node(worker_id, zone, nodes, regions)
         return None if best == self.own_ip else best
@@ -265,7 +265,7 @@
     # Gatekeepers.
 
     def gateway_heartbeat(self, record: GatewayRecord, now: int) -> None:
-        """Handle a gatekeeper's own record on its own link: one that was concluded gone is there again."""
+        """Handle a gatekeeper's record from its link; a higher serial revives one that was taken for gone."""
         self._note_alive(gateway_record_id(record.name), now)
         known = self.gateways.get(record.name)
         if known is not None and known.is_gone and _same_version(known, record):
@@ -274,7 +274,7 @@
             self._update(record, now, urgent=True)
 
     def ready_gateways(self, now: int) -> list[GatewayRecord]:
-        """Return the gatekeepers that clients may be sent to."""
+        """Return the gatekeepers that the directory may return to clients."""
         return [
             gateway
             for name, gateway in self.gateways.items()
@@ -282,13 +282,13 @@
         ]
 
     def gateway_silent_ns(self, name: str, now: int) -> int:
-        """Nanoseconds since any node received something from a gatekeeper."""
+        """Nanoseconds since any node last received a message of a gatekeeper."""
         return now - self.liveness.last_seen(gateway_record_id(name), now)
 
     # Records.
 
     def merge(self, workers: Iterable[Worker], gateways: Iterable[GatewayRecord], now: int) -> None:
-        """Take over the records of another copy that are newer."""
+        """Merge the newer records of another copy."""
         for worker in workers:
             self._merge_worker(worker, now)
         for gateway in gateways:
@@ -308,7 +308,7 @@
             self.address_owners.forceput(worker.address, worker.id)
 
     def _reassert(self, worker: Worker, now: int) -> None:
-        """Contradict another node's conclusion that a worker is lost whose heartbeats come here."""
+        """Mark a worker as serving if another node took it for lost though its heartbeats arrive here."""
         serial = self.last_serials.get(worker.id, -1)
         is_received = self.liveness.receives(worker_record_id(worker.id), now)
         if worker.state is WorkerState.LOST and serial > worker.serial and is_received:
@@ -321,7 +321,7 @@
         return self.gateways.get(record.name)
 
     def _put(self, record: Record, now: int) -> None:
-        """Keep a record as this copy's, without telling the others."""
+        """Store a record in this copy without pushing it to the others."""
         if isinstance(record, Worker):
             self._put_worker(record, now)
             is_present = _is_live(record)
@@ -344,7 +344,7 @@
             del self.address_owners.inv[worker.id]
 
     def _update(self, record: Record, now: int, *, urgent: bool) -> None:
-        """Keep a change that began here, and push it to the others."""
+        """Store a change that this node made, and push it to the others."""
         id_ = record_id(record)
         if self._known(record) is record:
             return
@@ -359,11 +359,11 @@
     # Time.
 
     def next_tick_at(self) -> int:
-        """When `tick` is to be called at the latest."""
+        """When `tick` must be called at the latest (monotonic ns)."""
         return min(self.next_round_at, self._flush_at) if self._flush_at else self.next_round_at
 
     def tick(self, now: int) -> None:
-        """Push the batch and begin a round where they are due."""
+        """Push the batch and start a round of reports if they are due."""
         if self._flush_at and now >= self._flush_at:
             self._push(self._batch, now)
             if self.liveness.unreported:
@@ -374,7 +374,7 @@
 
     def _start_round(self, now: int) -> None:
         if now - self.next_round_at > SECOND and self.quorum_since is not None:
-            self.quorum_since = now  # this process was suspended: others may have sent something meanwhile
+            self.quorum_since = now  # this process was suspended: it may not have read reports of others yet
         self.next_round_at = now + ROUND_NS
         self.rounds += 1
         self._broadcast(peer_messages.encode_report(self.liveness.periodic_report(now)))
@@ -385,7 +385,7 @@
             self._outbox.append((peers[self.rounds % len(peers)], repair.request(self)))
 
     def _expire_gateways(self, now: int) -> None:
-        """Conclude that silent gatekeepers are gone; forget those that have been gone for long."""
+        """Mark silent gatekeepers as gone; drop those that have been gone for `KEEP_GONE_NS`."""
         for name, gateway in list(self.gateways.items()):
             silent_ns = self.gateway_silent_ns(name, now)
             if gateway.is_gone:
@@ -395,11 +395,11 @@
             elif silent_ns > GATEWAY_GONE_NS and self._has_quorum_for(GATEWAY_GONE_NS, now):
                 self._put(replace(gateway, state=GatewayState.GONE), now)
 
-    def _has_quorum_for(self, length_ns: int, now: int) -> bool:
-        return self.quorum_since is not None and now - self.quorum_since > length_ns
+    def _has_quorum_for(self, duration_ns: int, now: int) -> bool:
+        return self.quorum_since is not None and now - self.quorum_since > duration_ns
 
     def _expire_workers(self, now: int) -> None:
-        """Conclude that silent workers are lost, then gone; forget those that have been gone for long."""
+        """Mark silent workers as lost, then gone; drop those that have been gone for `KEEP_GONE_NS`."""
         for worker in list(self.workers.values()):
             ended_ns = now - self.ended_at.get(worker.id, now)
             if _is_live(worker):
@@ -423,7 +423,7 @@
         self.last_serials.pop(worker_id, None)
         self.liveness.forget(worker_record_id(worker_id))
 
-    # What is taken out.
+    # Output.
 
     def _broadcast(self, message: Message) -> None:
         self._outbox.extend((ip, message) for ip in self.peers)
@@ -434,21 +434,21 @@
             records.clear()
 
     def take_messages(self, now: int) -> list[tuple[str, Message]]:
-        """Return messages with the ips they go to."""
+        """Return and remove the outgoing messages, each with its destination ip."""
         self._push(self._urgent, now)
         outbox = self._outbox
         self._outbox = []
         return outbox
 
     def take_changed(self) -> list[Record]:
-        """Return the records that have changed since the last call."""
+        """Return the records that changed since the last call."""
         changed = list(self._changed.values())
         self._changed = {}
         return changed
 
 
 def _is_live(worker: Worker) -> bool:
-    """Whether a worker sends heartbeats, as far as is known."""
+    """Whether a worker sends heartbeats, as far as this node knows."""
     return worker.state in (WorkerState.SERVING, WorkerState.DRAINING)
 
 
--- a/pepperrun/control/evacuation_codec.py
+++ b/pepperrun/control/evacuation_codec.py
@@ -1,14 +1,14 @@
-"""Typed evacuation orders, and their codec: only here are the words of the agreed state and its operations.
+"""Types of evacuation orders, and their codec. Only this module knows the keys of the agreed state for them.
 
 | stored or sent | typed |
 | --- | --- |
-| `evacuated` of the state: a zone once for each order that stands | `ZoneOrders.active` |
+| `evacuated` of the state: a zone once for each active order | `ZoneOrders.active` |
 | `evacuations` of the state: `begun`, `finished`, `doubted`, `calls` by zone | the rest of `ZoneOrders` |
 | operation with `call`, `sure`, `seen`, `count` | `OrderCall` |
 | operation with `call`, `lapse`, `count` | `Expiry` |
-| operation without `call` | `CountedOrder`, of a version of the program that knows no repeats |
+| operation without `call` | `CountedOrder`, from a version of the program without deduplication |
 
-`count`, the number of orders that stand afterwards, is sent for that version alone.
+`count`, the number of orders that are active afterwards, is sent only for that version.
 """
 
 from __future__ import annotations
@@ -24,18 +24,18 @@
 
 @dataclass(frozen=True, slots=True)
 class ZoneOrders:
-    """Orders to keep one zone empty.
+    """State of the evacuation orders for one zone.
 
     Attributes
     ----------
     active : int
-        Orders that are not ended, the uncertain ones included.
+        Number of orders that have not ended, including the uncertain ones.
     uncertain : int
-        Those of them that may be repeats of others: once no other stands they expire.
+        Number of active orders that may be repeats of others: they expire once no other order is active.
     begin_serial, end_serial : int
-        Grow with each order that begins or ends an evacuation.
+        Incremented by each order that begins or ends an evacuation.
     call_ids : tuple of str
-        Ids of the last calls that changed anything.
+        Ids of the last calls that changed the orders.
     """
 
     active: int = 0
@@ -56,11 +56,11 @@
     Attributes
     ----------
     call_id : str
-        Names this one proposal: a proposal may be evaluated twice.
+        Identifies this proposal, which may be evaluated more than once.
     is_new : bool
-        By the clock of the node that was called it repeats no order that was applied.
+        Whether the call can't be a repeat of an applied order, by the clock of the node that received it.
     seen_serial : int
-        The serial of its kind on which `is_new` rests.
+        The serial of this kind of order that the node knew when it determined `is_new`.
     """
 
     zone: str
@@ -72,7 +72,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Expiry:
-    """The end of uncertain orders, if these are still the zone's serials."""
+    """The end of the uncertain orders of a zone; valid only while the zone still has these serials."""
 
     zone: str
     call_id: str
@@ -82,7 +82,11 @@
 
 @dataclass(frozen=True, slots=True)
 class CountedOrder:
-    """An order of a version that knows only how many are to stand afterwards; None: one more, or none."""
+    """An order of a version that sends only the number of active orders afterwards.
+
+    With a count of None, an order that begins wants at least one active order afterwards, and one that ends
+    wants none.
+    """
 
     zone: str
     begins: bool
@@ -93,22 +97,22 @@
 
 
 def zones_with_orders(state: Mapping[str, Any]) -> set[str]:
-    """Return the zones that have, or had, an order."""
+    """Return the zones that have or had an order."""
     return {*state.get("evacuated", ()), *state.get("evacuations", ())}
 
 
 def evacuated_zones(state: Mapping[str, Any]) -> set[str]:
-    """Return the zones for which an order stands."""
+    """Return the zones that have an active order."""
     return set(state.get("evacuated", ()))
 
 
 def decode_orders(state: Mapping[str, Any], zone: str) -> ZoneOrders:
-    """Return the orders for a zone; fields of later versions are passed over."""
+    """Return the orders for a zone; fields of later versions are ignored."""
     known = state.get("evacuations", {}).get(zone, {})
     active = state.get("evacuated", []).count(zone)
     return ZoneOrders(
         active=active,
-        # A version that knows nothing of uncertain orders may have ended some.
+        # A version that does not know uncertain orders may have ended some of them.
         uncertain=min(known.get("doubted", 0), active),
         begin_serial=known.get("begun", 0),
         end_serial=known.get("finished", 0),
@@ -117,7 +121,7 @@
 
 
 def encode_orders(state: State, zone: str, orders: ZoneOrders) -> State:
-    """Return the state with other orders for a zone."""
+    """Return the state with new orders for a zone."""
     entry = {
         "begun": orders.begin_serial,
         "finished": orders.end_serial,
@@ -132,7 +136,7 @@
 
 
 def decode_operation(op: Operation) -> EvacuationOperation:
-    """Return an `evacuate` operation.
+    """Return the typed form of an `evacuate` operation.
 
     Raises
     ------
@@ -150,7 +154,7 @@
 
 
 def encode_call(call: OrderCall, active_after: int) -> Operation:
-    """Return the operation for an operator's call, after which so many orders are expected to stand."""
+    """Return the operation for an operator's call; `active_after` orders are expected to be active then."""
     return {
         "do": "evacuate",
         "zone": call.zone,
--- a/pepperrun/control/evacuation_orders.py
+++ b/pepperrun/control/evacuation_orders.py
@@ -1,9 +1,9 @@
-"""Evaluation of evacuation orders on the agreed state. Pure, the same on every node.
+"""Evaluation of evacuation orders on the agreed state. Pure, with equal results on all nodes.
 
-Two operators may empty one zone; it is in use again once both have taken that back. An operator's call that
-got no clear answer is repeated, and nothing in it tells whose it is. A call that may be a repeat is not
-guessed to be one: the zone stays empty as another order would want it, and one order is uncertain from then
-on. Uncertain orders expire once no other stands (`control.evacuations`).
+Two operators may evacuate one zone; it is in use again once both have ended their orders. An operator repeats
+a call that got no definite answer, and nothing in a call identifies its sender. A call that may be a repeat
+is not assumed to be one: the zone stays evacuated as if there were another order, and one order is uncertain
+from then on. Uncertain orders expire once no other order is active (`control.evacuations`).
 """
 
 from __future__ import annotations
@@ -23,8 +23,8 @@
 )
 from pepperrun.control.verdict import Verdict
 
-MAX_ACTIVE_ORDERS = 8  # for one zone: more are the mistake of a script
-MAX_CALL_IDS = 16  # kept of one zone; eight orders may be under way at once
+MAX_ACTIVE_ORDERS = 8  # for one zone; more come from a faulty script
+MAX_CALL_IDS = 16  # kept for one zone; eight orders may be in flight at once
 
 
 def apply_order(state: State, op: Operation) -> Evaluation:
@@ -34,7 +34,7 @@
     if isinstance(operation, CountedOrder):
         return _apply_count(state, operation, orders)
     if operation.call_id in orders.call_ids:
-        return _already(operation.zone, orders)
+        return _unchanged_already(operation.zone, orders)
     if isinstance(operation, Expiry):
         return _expire(state, operation, orders)
     is_new = operation.is_new and operation.seen_serial == orders.serial(begins=operation.begins)
@@ -53,7 +53,8 @@
 
 
 def _begin(state: State, call: OrderCall, orders: ZoneOrders, is_new: bool) -> Evaluation:
-    # One uncertain order covers all repeats. Where only such stand, another keeps them from expiring.
+    # One uncertain order covers all repeats. If all active orders are uncertain, one more order is added,
+    # which keeps them from expiring.
     adds_order = is_new or orders.uncertain in (0, orders.active)
     if orders.active >= MAX_ACTIVE_ORDERS or not adds_order:
         return _unchanged(f"Zone {call.zone} is evacuated already.")
@@ -88,7 +89,7 @@
 
 
 def _apply_count(state: State, order: CountedOrder, orders: ZoneOrders) -> Evaluation:
-    """Evaluate an operation of a version that knows only how many orders stand."""
+    """Evaluate an operation of a version that knows only the number of active orders."""
     if order.begins:
         return _begin_up_to(state, order, orders)
     return _end_down_to(state, order, orders)
@@ -97,7 +98,7 @@
 def _begin_up_to(state: State, order: CountedOrder, orders: ZoneOrders) -> Evaluation:
     count = max(1, orders.active) if order.count is None else order.count
     if orders.active >= count:
-        return _already(order.zone, orders)
+        return _unchanged_already(order.zone, orders)
     begun = replace(_after_begin(orders), active=orders.active + 1)
     return _changed(state, order.zone, begun, f"Zone {order.zone} is evacuated.")
 
@@ -105,28 +106,28 @@
 def _end_down_to(state: State, order: CountedOrder, orders: ZoneOrders) -> Evaluation:
     count = 0 if order.count is None else order.count
     if orders.active <= count:
-        return _already(order.zone, orders)
+        return _unchanged_already(order.zone, orders)
     active = orders.active - 1
     ended = replace(_after_end(orders), active=active, uncertain=min(active, orders.uncertain))
-    in_force = "still evacuated by another order" if active else "in use again"
-    return _changed(state, order.zone, ended, f"Zone {order.zone} is {in_force}.")
+    condition = "still evacuated by another order" if active else "in use again"
+    return _changed(state, order.zone, ended, f"Zone {order.zone} is {condition}.")
 
 
-def _already(zone: str, orders: ZoneOrders) -> Evaluation:
-    in_force = "evacuated" if orders.active else "in use"
-    return _unchanged(f"Zone {zone} is {in_force} already.")
+def _unchanged_already(zone: str, orders: ZoneOrders) -> Evaluation:
+    condition = "evacuated" if orders.active else "in use"
+    return _unchanged(f"Zone {zone} is {condition} already.")
 
 
 def _after_begin(orders: ZoneOrders, *call_ids: str) -> ZoneOrders:
-    """Return the orders with the serial and the ids as after one that begins."""
-    kept = (*orders.call_ids, *call_ids)[-MAX_CALL_IDS:]
-    return replace(orders, begin_serial=orders.begin_serial + 1, call_ids=kept)
+    """Return the orders with the serial and the call ids after an order that begins."""
+    recent_ids = (*orders.call_ids, *call_ids)[-MAX_CALL_IDS:]
+    return replace(orders, begin_serial=orders.begin_serial + 1, call_ids=recent_ids)
 
 
 def _after_end(orders: ZoneOrders, *call_ids: str) -> ZoneOrders:
-    """Return the orders with the serial and the ids as after one that ends."""
-    kept = (*orders.call_ids, *call_ids)[-MAX_CALL_IDS:]
-    return replace(orders, end_serial=orders.end_serial + 1, call_ids=kept)
+    """Return the orders with the serial and the call ids after an order that ends."""
+    recent_ids = (*orders.call_ids, *call_ids)[-MAX_CALL_IDS:]
+    return replace(orders, end_serial=orders.end_serial + 1, call_ids=recent_ids)
 
 
 def _unchanged(sentence: str) -> Evaluation:
--- a/pepperrun/control/evacuations.py
+++ b/pepperrun/control/evacuations.py
@@ -1,12 +1,13 @@
-"""Which calls to evacuate a zone may be repeats, and when uncertain orders expire.
+"""Deduplication times of evacuation orders: which calls may be repeats, and when uncertain orders expire.
 
-A call that got no clear answer is repeated for up to `receipt_ms`, and nothing in it tells whose it is: no
-number, no body, the same address. So, within that time of an order of its kind for the zone, a call may be
-the repeat of that order or another one; `control.evacuation_orders` evaluates it accordingly.
+A call that got no definite answer is repeated for up to `receipt_ms`. Nothing in it identifies its sender:
+it has no number and no body, and all calls have the same address. So a call that arrives within that time
+after an order of its kind for the zone may be a repeat of that order, or a new one;
+`control.evacuation_orders` evaluates it accordingly.
 
-The serials of orders are agreed on, stored and passed on with the state. Each node notes by its own steady
-clock when it learnt of one. A node that starts, or was behind, learns of an order later than it was applied:
-that only lengthens the time in which a call may be a repeat.
+The serials of orders are agreed on, stored and distributed with the state. Each node records by its own
+monotonic clock when it learned of a serial. A node that starts, or was behind, learns of an order later than
+it was applied. That only lengthens the time in which a call may be a repeat.
 """
 
 from __future__ import annotations
@@ -30,61 +31,61 @@
 
 MS = 1_000_000  # ns
 SECOND = 1000 * MS
-MAX_DELAY_NS = SECOND  # by which a repeat that was sent in time arrives later
-RETRY_NS = 2 * SECOND  # an operation that ends uncertain orders is proposed anew
-MAX_HOLD_NS = 60 * SECOND  # by which an uncertain order is expected to outlast the one before it
+MAX_DELAY_NS = SECOND  # a repeat that was sent in time may arrive so much later
+RETRY_NS = 2 * SECOND  # between two proposals to end uncertain orders
+MAX_HOLD_NS = 60 * SECOND  # an uncertain order may be kept for so much longer than the first one
 NO_ORDERS = ZoneOrders()
 
 
 class Evacuations:
-    """What one node knows of the times of orders, and what it proposes.
+    """One node's record of when it learned of evacuation orders; makes the operations to propose.
 
     Attributes
     ----------
     started_at : int
-        What is known at the start counts as if it were applied just then (steady ns).
+        Orders known at the start are treated as applied at this time (monotonic ns).
     known : dict of str to ZoneOrders
-        Orders by zone as of the last change.
-    learnt_at : dict of (str, bool) to int
-        By zone and whether the order begins: when this node learnt of the last one (steady ns).
+        Orders by zone after the last change.
+    learned_at : dict of (str, bool) to int
+        When this node learned of the last order (monotonic ns), by zone and whether the order begins.
     emptied_at : dict of str to int
-        By zone: when its first order came, if this node saw that (steady ns).
+        When the first active order of a zone was applied, if this node saw it (monotonic ns).
     """
 
     def __init__(self, state: Mapping[str, Any], now: int) -> None:
         self.started_at = now
         self.known: dict[str, ZoneOrders] = {}
-        self.learnt_at: dict[tuple[str, bool], int] = {}
+        self.learned_at: dict[tuple[str, bool], int] = {}
         self.emptied_at: dict[str, int] = {}
         self.proposed_at = now - RETRY_NS
         self.on_state(state, now, is_one_operation=False)
 
-    # Learning.
+    # Changes of the state.
 
     def on_state(self, state: Mapping[str, Any], now: int, *, is_one_operation: bool) -> None:
-        """Note a change of the agreed state.
+        """Record a change of the agreed state.
 
         Parameters
         ----------
         is_one_operation : bool
-            The change is by one operation, which was applied just now.
+            Whether the change is a single operation, which was applied just now.
         """
         for zone in zones_with_orders(state) | self.known.keys():
             self._on_orders(zone, decode_orders(state, zone), now, is_one_operation)
 
     def _on_orders(self, zone: str, orders: ZoneOrders, now: int, is_one_operation: bool) -> None:
         before = self.known.get(zone, NO_ORDERS)
-        is_moved = False
+        has_new_serial = False
         for begins in (True, False):
             if orders.serial(begins=begins) != before.serial(begins=begins):
-                self.learnt_at[zone, begins] = now
-                is_moved = True
-        if not orders.active or (is_moved and not is_one_operation):
+                self.learned_at[zone, begins] = now
+                has_new_serial = True
+        if not orders.active or (has_new_serial and not is_one_operation):
             self.emptied_at.pop(zone, None)
         elif not before.active and is_one_operation:
             self.emptied_at[zone] = now
         if _is_change_without_serial(before, orders):
-            self.learnt_at[zone, orders.active > before.active] = now
+            self.learned_at[zone, orders.active > before.active] = now
         self.known[zone] = orders
 
     # Proposing.
@@ -103,20 +104,20 @@
         Parameters
         ----------
         next_call_id : callable
-            Gives another id each time, on all nodes.
+            Returns an id that is unique over all nodes.
         receipt_ms : float
-            How long a call is repeated that got no clear answer.
+            How long operators repeat a call that got no definite answer, ms.
         """
         orders = decode_orders(state, zone)
-        learnt_at = self.learnt_at.get((zone, begins))
-        is_new = learnt_at is None or now - learnt_at > _repeated_for_ns(receipt_ms)
+        learned_at = self.learned_at.get((zone, begins))
+        is_new = learned_at is None or now - learned_at > _repeated_for_ns(receipt_ms)
         call = OrderCall(zone, begins, next_call_id(), is_new, orders.serial(begins=begins))
         return encode_call(call, _active_after(call, orders))
 
     def next_expiry(
         self, state: Mapping[str, Any], next_call_id: Callable[[], str], receipt_ms: float, now: int
     ) -> Operation | None:
-        """Return the operation that ends uncertain orders which nobody has taken back in time, or None."""
+        """Return the operation that ends uncertain orders whose time is over, or None."""
         if now - self.proposed_at < RETRY_NS:
             return None
         for zone in sorted(evacuated_zones(state)):
@@ -128,19 +129,20 @@
         return None
 
     def _expires_at(self, zone: str, receipt_ms: float) -> int:
-        """Return when the uncertain orders of a zone expire (steady ns).
+        """Return when the uncertain orders of a zone expire (monotonic ns).
 
-        An order given within `receipt_ms` after another and held for as long ends within `receipt_ms` after
-        it. One that is held for twice as long does so within the time that the first one stood besides: of
-        that at most `MAX_HOLD_NS` is waited for, and all of it where this node did not see the start.
+        An order that begins within `receipt_ms` after another and lasts as long ends within `receipt_ms`
+        after the other ends. An order that lasts twice as long ends later by the duration of the first one.
+        So the expiry waits for `receipt_ms` and this duration, of which at most `MAX_HOLD_NS` counts. If this
+        node did not see the start of the first order, all of `MAX_HOLD_NS` counts.
         """
-        ended_at = self.learnt_at.get((zone, False), self.started_at)
-        stood_ns = ended_at - self.emptied_at.get(zone, ended_at - MAX_HOLD_NS)
-        return ended_at + _repeated_for_ns(receipt_ms) + min(MAX_HOLD_NS, stood_ns)
+        ended_at = self.learned_at.get((zone, False), self.started_at)
+        duration_ns = ended_at - self.emptied_at.get(zone, ended_at - MAX_HOLD_NS)
+        return ended_at + _repeated_for_ns(receipt_ms) + min(MAX_HOLD_NS, duration_ns)
 
 
 def _is_change_without_serial(before: ZoneOrders, after: ZoneOrders) -> bool:
-    """Whether a version of the program that keeps no serials changed the number of orders."""
+    """Whether a version of the program without serials changed the number of orders."""
     return after.active != before.active and after == replace(before, active=after.active)
 
 
@@ -151,5 +153,5 @@
 
 
 def _repeated_for_ns(receipt_ms: float) -> int:
-    """Return how long after an order was applied its repeats may still come, ns."""
+    """Return how long after an order was applied its repeats may still arrive, ns."""
     return int(receipt_ms * MS) + MAX_DELAY_NS
--- a/pepperrun/control/gateway_count.py
+++ b/pepperrun/control/gateway_count.py
@@ -1,9 +1,10 @@
-"""The agreed number of gatekeepers, among which what all may spend together is split. No I/O.
+"""The agreed number of gatekeepers, among which global quotas are divided. No I/O.
 
-A gatekeeper spends its share of each quota without asking anybody, so too small a number would let all of
-them together spend too much; records in memory are gone when the control nodes restart, the agreed state is
-not. The number grows as soon as more are there, and shrinks once fewer have been there for long: until then
-the shares of those that are gone are left unspent, as one of them may only be partitioned.
+A gatekeeper uses its share of each quota without coordination, so a number that is too small would let all of
+them together exceed the quota. The number is part of the agreed state because the endpoint records, which are
+in memory, are lost when the control nodes restart. It grows as soon as there are more gatekeepers. It shrinks
+once there have been fewer for `SHRINK_DELAY_NS`: until then the shares of those that are gone stay unused, as
+one of them may only be partitioned.
 """
 
 from __future__ import annotations
@@ -14,12 +15,12 @@
 from pepperrun.control.records import GatewayRecord
 
 SECOND = 1_000_000_000  # ns
-SHRINK_DELAY_NS = 30 * SECOND  # longer than a partitioned gatekeeper may go on by what it holds
-RETRY_NS = SECOND // 2  # between two proposals: one may still be under way
+SHRINK_DELAY_NS = 30 * SECOND  # longer than a partitioned gatekeeper may keep using its share
+RETRY_NS = SECOND // 2  # between two proposals, as one may still be in flight
 
 
 class GatewayCount:
-    """Decides when the agreed number is to change; asked by the node that coordinates."""
+    """Decides on the coordinator when the agreed number should change."""
 
     def __init__(self) -> None:
         self.fewer_since: int | None = None
@@ -28,7 +29,7 @@
     def next_operation(
         self, gateways: Iterable[GatewayRecord], body: dict[str, Any], now: int
     ) -> dict[str, Any] | None:
-        """Return the operation to propose now, or None. Before there is a configuration nothing is split."""
+        """Return the operation to propose now, or None. Without a configuration there are no quotas yet."""
         if not body.get("edition"):
             return None
         present = sum(not gateway.is_gone for gateway in gateways)
--- a/pepperrun/control/handlers.py
+++ b/pepperrun/control/handlers.py
@@ -1,4 +1,4 @@
-"""Control calls of workers and operators, and the directory's: matchers over a control node's parts."""
+"""HTTP handlers for the calls of workers, operators and directory clients, with their request routing."""
 
 from __future__ import annotations
 
@@ -31,13 +31,13 @@
 from pepperrun.foundation.settings import Settings
 
 MS = 1_000_000  # ns
-REPLICATION_TIMEOUT_S = 0.3  # for others to confirm that they hold what a worker is told is held
-ORDER_TIMEOUT_NS = 850 * MS  # callers move on after a second of silence
-ORDER_TIMEOUT_NS_PER_KB = 2 * MS  # for each KB of the body, as long ones take longer to bring
-READ_TIMEOUT_S = 0.7  # for a read to be confirmed as the newest
-DIRECTORY_TTL_S = 2.0  # for which clients keep what the directory answered
-FALLBACK_TTL_S = 0.5  # the same for an answer that is better than none and no more
-RETRY_AFTER_S = 0.2  # with a 503
+REPLICATION_TIMEOUT_S = 0.3  # for other nodes to store a record, before it is acknowledged to a worker
+ORDER_TIMEOUT_NS = 850 * MS  # callers try another node after a second without an answer
+ORDER_TIMEOUT_NS_PER_KB = 2 * MS  # for each KB of the body, as long ones take longer to distribute
+READ_TIMEOUT_S = 0.7  # for the confirmation that the state is the newest
+DIRECTORY_TTL_S = 2.0  # how long clients cache an answer of the directory
+FALLBACK_TTL_S = 0.5  # the same for an answer with gatekeepers outside of the allowed regions
+RETRY_AFTER_S = 0.2  # sent with a 503
 MAX_EDITION_DIGITS = 18
 MAX_PORT = 65535
 
@@ -45,18 +45,18 @@
 
 
 class NodeInterface(Protocol):
-    """The parts of the running control node that calls need. Times are steady ns."""
+    """What the handlers use of the running control node. Times are monotonic ns."""
 
     settings: Settings
     registry: EndpointRegistry
     retiring: bool
 
     def now(self) -> int:
-        """Return the steady clock, ns."""
+        """Return the time of the monotonic clock, ns."""
         ...
 
     def process_pending(self) -> None:
-        """Carry out what follows from an event that a part was given."""
+        """Process the output of the node's components after an event."""
         ...
 
     @property
@@ -66,24 +66,24 @@
 
     @property
     def voter_count(self) -> int:
-        """How many machines vote."""
+        """Number of machines that vote."""
         ...
 
     def replicated(self, token: int) -> asyncio.Future[None]:
-        """Return a future that is done once enough nodes hold what the registry gave this token for."""
+        """Return a future that is done once enough nodes store the record that the token stands for."""
         ...
 
     def order(self, op: Operation, timeout_ns: int) -> asyncio.Future[Verdict | None]:
-        """Propose an operator's change; the verdict is None where nothing is certain."""
+        """Propose an operator's change; the verdict is None if its result is unknown."""
         ...
 
     def confirmed(self) -> asyncio.Future[None]:
-        """Return a future that is done once what is known is surely at least as new as this call."""
+        """Return a future that is done once the known state is confirmed to be as new as this call."""
         ...
 
     @property
     def state(self) -> dict[str, Any] | None:
-        """The agreed state, None while none is known."""
+        """The agreed state; None while it is unknown."""
         ...
 
     def other_node(self) -> str | None:
@@ -95,18 +95,18 @@
         ...
 
 
-# Answers.
+# Responses.
 
 
 def detail_answer(status: int, code: str, detail: str = "", retry_after_s: float = 0.0) -> Answer:
-    """Return an answer that says in a sentence what is the matter."""
+    """Return a response with a code for programs and a sentence for people."""
     content = {"code": code, "detail": detail} if detail else {"code": code}
     headers = (("Retry-After", f"{retry_after_s:g}"),) if retry_after_s else ()
     return Answer(status, json.dumps(content).encode(), headers)
 
 
 def unavailable(code: str, detail: str = "") -> Answer:
-    """Return the answer of a node that can't; another may, or this one later."""
+    """Return a 503 with Retry-After: another node, or this one later, may serve the call."""
     return detail_answer(503, code, detail, RETRY_AFTER_S)
 
 
@@ -119,43 +119,43 @@
 
 
 class ControlApi:
-    """Answers calls on the control and the directory port."""
+    """Handlers of the calls on the control port and on the directory port."""
 
     def __init__(self, node: NodeInterface) -> None:
         self.node = node
-        self.host_homes = HostHomeRegions()
-        self.directory_calls = 0  # so that each begins at another gatekeeper
+        self.host_home_regions = HostHomeRegions()
+        self.directory_calls = 0  # seed of the shuffling, so that each answer begins with another gatekeeper
 
     def control_tree(self) -> Matcher:
-        """Return the matchers of the control port."""
+        """Return the routing tree of the control port."""
         return any_of(self._worker_calls(), self._configuration_calls(), self._evacuation_calls())
 
     def _worker_calls(self) -> Matcher:
-        beat = segment("beat", _post(self.beat))
-        leave = segment("leave", _post(self.leave))
-        return segment("crew", variable("id", beat, leave))
+        heartbeat = segment("beat", _post(self.heartbeat))
+        leave = segment("leave", _post(self.worker_ended))
+        return segment("crew", variable("id", heartbeat, leave))
 
     def _configuration_calls(self) -> Matcher:
-        replace = method("POST", header("based-on", endpoint(self.change(read_replace))))
-        amend = method("POST", header("based-on", endpoint(self.change(read_amend))))
-        read = method("GET", endpoint(self.read))
+        replace = method("POST", header("based-on", endpoint(self.configuration_handler(read_replace))))
+        amend = method("POST", header("based-on", endpoint(self.configuration_handler(read_amend))))
+        read = method("GET", endpoint(self.read_configuration))
         return segment(
             "timetable", segment("replace", replace), segment("amend", amend), segment("read", read)
         )
 
     def _evacuation_calls(self) -> Matcher:
-        begin = segment("begin", _post(self.begin))
-        finish = segment("finish", _post(self.finish))
+        begin = segment("begin", _post(self.begin_evacuation))
+        finish = segment("finish", _post(self.end_evacuation))
         return segment("evacuate", variable("zone", begin, finish))
 
     def directory_tree(self) -> Matcher:
-        """Return the matchers of the directory port."""
+        """Return the routing tree of the directory port."""
         return segment("resolve", method("GET", endpoint(self.resolve)))
 
     # Workers.
 
-    def beat(self, call: Call) -> Answer | AwaitedAnswer:
-        """POST /crew/ID/beat: a worker's heartbeat."""
+    def heartbeat(self, call: Call) -> Answer | AwaitedAnswer:
+        """POST /crew/ID/beat: handle a worker's heartbeat."""
         node = self.node
         if node.lacks_quorum:
             return _no_quorum()
@@ -163,22 +163,22 @@
             heartbeat = read_heartbeat(call.values["id"], call.body)
         except PepperrunError as error:
             return detail_answer(400, error.code, error.detail)
-        drains = heartbeat.state is WorkerState.DRAINING
-        needed = node.voter_count // 2 if drains else 0
+        is_draining = heartbeat.state is WorkerState.DRAINING
+        needed = node.voter_count // 2 if is_draining else 0
         token = node.registry.heartbeat(heartbeat, needed, node.now())
         node.process_pending()
         body = self._forwarding(heartbeat)
         return Answer(200, body) if token is None else self._once_replicated(token, body)
 
     def _forwarding(self, heartbeat: WorkerHeartbeat) -> bytes:
-        """Return the body that names the node which should get a worker's heartbeats."""
+        """Return the response body, which names the node to which a worker should send its heartbeats."""
         node = self.node
         zones = node.settings.network.zones
         ip = node.registry.forward_to(heartbeat.id, heartbeat.zone, node.settings.me.zone, zones)
         return json.dumps({"forward_to": node.control_address(ip)}).encode() if ip is not None else b"{}"
 
-    def leave(self, call: Call) -> Answer | AwaitedAnswer:
-        """POST /crew/ID/leave: a worker ends."""
+    def worker_ended(self, call: Call) -> Answer | AwaitedAnswer:
+        """POST /crew/ID/leave: handle a worker's notice that it ends."""
         node = self.node
         if node.lacks_quorum:
             return _no_quorum()
@@ -187,7 +187,7 @@
         return Answer(200, b"{}") if token is None else self._once_replicated(token, b"{}")
 
     async def _once_replicated(self, token: int, body: bytes) -> Answer:
-        """Acknowledge once so many nodes hold it that a loss does not undo it."""
+        """Acknowledge a record once so many nodes store it that losses do not undo it."""
         try:
             async with asyncio.timeout(REPLICATION_TIMEOUT_S):
                 await self.node.replicated(token)
@@ -196,9 +196,11 @@
             return unavailable("not-held", "Too few other machines hold it.")
         return Answer(200, body)
 
-    # The operator.
+    # Operators.
 
-    def change(self, read: Callable[[bytes, int], Operation]) -> Callable[[Call], Answer | AwaitedAnswer]:
+    def configuration_handler(
+        self, read: Callable[[bytes, int], Operation]
+    ) -> Callable[[Call], Answer | AwaitedAnswer]:
         """Return the handler of POST /timetable/replace or /timetable/amend."""
 
         def handle(call: Call) -> Answer | AwaitedAnswer:
@@ -214,30 +216,30 @@
         return handle
 
     async def _refuse(self, error: PepperrunError) -> Answer:
-        """Refuse what is invalid by itself: by a node that has a quorum, as any order is."""
+        """Refuse an invalid configuration after a quorum read, as any order needs a quorum."""
         if not await self._is_confirmed():
             return _not_confirmed()
         event("refused", code=error.code, detail=error.detail)
         return detail_answer(400, error.code, error.detail)
 
-    def begin(self, call: Call) -> Answer | AwaitedAnswer:
-        """POST /evacuate/ZONE/begin: a zone is to be emptied."""
+    def begin_evacuation(self, call: Call) -> Answer | AwaitedAnswer:
+        """POST /evacuate/ZONE/begin: begin the evacuation of a zone."""
         return self._evacuate(call, begin=True)
 
-    def finish(self, call: Call) -> Answer | AwaitedAnswer:
-        """POST /evacuate/ZONE/finish: that is taken back."""
+    def end_evacuation(self, call: Call) -> Answer | AwaitedAnswer:
+        """POST /evacuate/ZONE/finish: end the evacuation of a zone."""
         return self._evacuate(call, begin=False)
 
     def _evacuate(self, call: Call, *, begin: bool) -> Answer | AwaitedAnswer:
         zone = call.values["zone"]
-        # A zone that was evacuated is known, also where this node's settings are not of that day.
+        # A zone that was evacuated before is known even if it is not in the current settings of this node.
         evacuated_before = (self.node.state or {}).get("evacuations", {})
         if zone not in self.node.settings.network.zones and zone not in evacuated_before:
             return detail_answer(404, "unknown-zone", f"There is no zone {zone}.")
         return self.order(call, evacuation_operation(zone, begin), ORDER_TIMEOUT_NS)
 
     def order(self, call: Call, op: Operation, timeout_ns: int) -> Answer | AwaitedAnswer:
-        """Propose an order; a node that stops or has no quorum says so at once."""
+        """Propose an order; a node that shuts down or lacks a quorum redirects or refuses it at once."""
         node = self.node
         other = node.other_node() if node.retiring else None
         if other is not None:
@@ -245,9 +247,9 @@
             return Answer(307, headers=(("Location", f"http://{other}{path}"),))
         if node.lacks_quorum or node.retiring:
             return _no_quorum()
-        return self._ordered(op, timeout_ns)
+        return self._propose(op, timeout_ns)
 
-    async def _ordered(self, op: Operation, timeout_ns: int) -> Answer:
+    async def _propose(self, op: Operation, timeout_ns: int) -> Answer:
         started_at = self.node.now()
         verdict = await self.node.order(op, timeout_ns)
         if verdict is None:
@@ -258,8 +260,8 @@
         code = verdict.code or ("ok" if verdict.status == 200 else "stale-base")
         return detail_answer(verdict.status, code, verdict.detail)
 
-    async def read(self, call: Call) -> Answer:
-        """GET /timetable/read: the configuration as operators put it."""
+    async def read_configuration(self, call: Call) -> Answer:
+        """GET /timetable/read: return the configuration in the format in which operators send it."""
         if self.node.lacks_quorum:
             return _no_quorum()
         if not await self._is_confirmed():
@@ -267,7 +269,7 @@
         return Answer(200, json.dumps(encode_configuration(self.node.state), separators=(",", ":")).encode())
 
     async def _is_confirmed(self) -> bool:
-        """Whether a quorum answers a read that is sent after this call came."""
+        """Return whether a quorum answers a read that is sent after this call arrived."""
         try:
             async with asyncio.timeout(READ_TIMEOUT_S):
                 await self.node.confirmed()
@@ -278,7 +280,7 @@
     # Clients.
 
     def resolve(self, call: Call) -> Answer:
-        """GET /resolve: gatekeepers for a client."""
+        """GET /resolve: return gatekeepers for a client."""
         node = self.node
         self.directory_calls += 1
         chosen = choose_gateways(
@@ -287,7 +289,7 @@
             region=call.query.get("region", ""),
             regions=node.settings.network.zones,
             seed=self.directory_calls,
-            homes=lambda: self.host_homes.of(node.state, call.query.get("name", "")),
+            home_regions=lambda: self.host_home_regions.of(node.state, call.query.get("name", "")),
         )
         if not chosen.addresses:
             return unavailable("no-gateway", "No gatekeeper is ready.")
@@ -314,23 +316,23 @@
 
 
 def read_heartbeat(worker_id: str, body: bytes) -> WorkerHeartbeat:
-    """Return the heartbeat that the body of a call holds.
+    """Return the heartbeat in the body of a call.
 
     Raises
     ------
     PepperrunError
         `bad-beat`: a field is missing or of the wrong type.
     """
-    word = parse_body(body)
+    data = parse_body(body)
     try:
-        return _heartbeat_of(worker_id, word, word.get("notice"), word.get("tracking"))
+        return _heartbeat_of(worker_id, data, data.get("notice"), data.get("tracking"))
     except (TypeError, KeyError, ValueError, OverflowError, AttributeError) as error:
         detail = f"{type(error).__name__}: {error}"
         raise PepperrunError("bad-beat", "reading a heartbeat", detail, worker_id) from None
 
 
-def _heartbeat_of(worker_id: str, word: dict[str, Any], notice: Any, tracking: Any) -> WorkerHeartbeat:
-    address = word.get("address")
+def _heartbeat_of(worker_id: str, data: dict[str, Any], notice: Any, tracking: Any) -> WorkerHeartbeat:
+    address = data.get("address")
     service = notice["line"]
     zone = notice["zone"]
     state = tracking["state"]
--- a/pepperrun/control/heartbeat_routing.py
+++ b/pepperrun/control/heartbeat_routing.py
@@ -1,4 +1,4 @@
-"""Which control node should get a worker's heartbeats. Pure."""
+"""Heartbeat routing: chooses the control node to which a worker sends its heartbeats. Pure."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 
 
 def preferred_node(worker_id: str, zone: str, nodes: Mapping[str, str], regions: Mapping[str, str]) -> str:
-    """Return the ip of the node that should get a worker's heartbeats.
+    """Return the ip of the node to which a worker should send its heartbeats.
 
-    Of the nodes in the worker's zone, else in its region, else of all: by rendezvous hashing, so that workers
-    spread evenly and stay where they are as nodes come and go.
+    The node is one in the worker's zone, else in its region, else any node. Rendezvous hashing chooses among
+    these, so that workers are spread evenly and keep their nodes when others come or go.
 
     Parameters
     ----------
     nodes : mapping of str to str
-        Zone by ip of the nodes that may be chosen; at least one.
+        Zone by ip of the available nodes; not empty.
     regions : mapping of str to str
         Region of each zone.
     """
--- a/pepperrun/control/inspection.py
+++ b/pepperrun/control/inspection.py
@@ -1,4 +1,4 @@
-"""What a running control node holds, as one JSON object for whoever operates it; its keys are the wire's."""
+"""The state of a running control node as one JSON object for operators; its keys are part of the protocol."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class InspectedNode(Protocol):
-    """What `inspect_node` reads of a running control node; `control.node.ControlNode` is one."""
+    """What `inspect_node` reads of a control node; implemented by `control.node.ControlNode`."""
 
     settings: Settings
     incarnation: int
@@ -27,11 +27,11 @@
     retiring: bool
 
     def age_ms(self, now: int) -> float | None:
-        """How old what this node knows may be, ms; None where nothing is confirmed."""
+        """Return the maximum age of the known state, ms; None if no state is confirmed."""
 
 
 def inspect_node(node: InspectedNode, now: int) -> Message:
-    """Return the answer to `show`: ages in ms, addresses as in the settings. Nothing secret is in it."""
+    """Return the reply to `show`: ages in ms, addresses as in the settings. It contains no secrets."""
     me = node.settings.me
     replica = node.replica
     body = replica.body
@@ -69,7 +69,7 @@
 
 
 def _endpoints_by_zone(node: InspectedNode, now: int) -> dict[str, Any]:
-    """Workers by service and state, gatekeepers with their states and when they were last seen."""
+    """Return by zone the workers by service and state, and the gatekeepers with their state and silence."""
     registry = node.registry
     zones: dict[str, dict[str, Any]] = {zone: _empty_zone() for zone in sorted(node.settings.network.zones)}
     counts = Counter((worker.zone, worker.service, worker.state) for worker in registry.workers.values())
--- a/pepperrun/control/item_conversion.py
+++ b/pepperrun/control/item_conversion.py
@@ -1,8 +1,8 @@
 """Conversion of a configuration's items, JSON objects, into the types of `control.configuration`.
 
-What dacite converts decides whether an item is valid. But it takes 0.1 ms for a route: for 1,400 of them half
-a second of a small control node, in which that answers nobody. So items which dacite would surely convert are
-recognized first (`conforms`), and dacite is asked only about the rest, and for what is wrong with them.
+An item is valid if dacite converts it. But dacite takes 0.1 ms for a route: for 1,400 routes this blocks a
+small control node for half a second. So `conforms` first recognizes the items that dacite certainly converts.
+Only the others go to dacite, which also explains the errors in them.
 """
 
 from __future__ import annotations
@@ -27,11 +27,11 @@
     "senders": TenantConfig,
 }  # by table
 ITEM_NAMES = {"routes": "route", "carrier_lines": "service", "senders": "sender"}  # in sentences, by table
-MAX_EXACT_INT = 1 << 53  # whole numbers below it are the same as floats
-DEFAULTED_COLUMNS = ("route_kind", "target_ms")  # of a route: `_with_defaults` has them
+MAX_EXACT_INT = 1 << 53  # integers below it are exact as floats
+DEFAULTED_COLUMNS = ("route_kind", "target_ms")  # of a route; `_with_defaults` supplies them
 
 
-# Numbers as dacite is to convert them.
+# Conversion of numbers, for dacite.
 
 
 def _to_float(value: Any) -> float:
@@ -49,7 +49,7 @@
 DACITE_CONFIG = dacite.Config(type_hooks={float: _to_float, int: _to_int})
 
 
-# What dacite surely converts.
+# Checks for values that dacite certainly converts.
 
 
 def _is_str(value: Any) -> bool:
@@ -106,7 +106,7 @@
 
 
 def conforms(kind: type, item: Item) -> bool:
-    """Whether dacite would surely convert this item; of others dacite tells what is wrong."""
+    """Return whether dacite certainly converts this item; False does not mean that the item is invalid."""
     checks = COLUMN_CHECKS[kind]
     for column, value in item.items():
         check = checks.get(column)
@@ -119,12 +119,12 @@
 
 
 def convert(kind: type[T], item: Item, name: str) -> T:
-    """Return an item with its type: unknown columns are passed over, missing ones have their defaults.
+    """Return an item converted to its type; unknown columns are ignored, missing ones get their defaults.
 
     Parameters
     ----------
     name : str
-        How the error calls the item.
+        Name of the item in the error.
 
     Raises
     ------
@@ -140,7 +140,7 @@
 
 
 def convert_conforming(kind: type[T], item: Item) -> T:
-    """Return what `convert` does, of an item that conforms: many times faster."""
+    """Return the same as `convert` for an item that conforms, many times faster."""
     columns = COLUMN_CHECKS[kind]
     known = {column: value for column, value in item.items() if column in columns}
     if kind is Route:
--- a/pepperrun/control/matchers.py
+++ b/pepperrun/control/matchers.py
@@ -5,8 +5,8 @@
         segment("timetable", segment("read", method("GET", endpoint(read)))),
     )
 
-A matcher takes what it stands for off the call and hands the rest to those inside it. A call that matches
-nowhere is refused by the matcher that came furthest: 404 for a path, 405 for a method, 400 for a header.
+A matcher checks its part of the call and passes the rest to its inner matchers. If no handler matches, the
+mismatch that got furthest gives the status: 404 for a path, 405 for a method, 400 for a header.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 @dataclass(slots=True)
 class Call:
-    """A request: its path in decoded segments, header names in lower case. `values`: of variable segments."""
+    """A request: decoded path segments, header names in lower case; `values` of variables and headers."""
 
     method: str
     path: list[str]
@@ -39,7 +39,7 @@
 
 
 class Cause(enum.IntEnum):
-    """What did not match. A greater one is nearer to a match: it was checked after those below it."""
+    """What did not match. Causes with a higher value are checked later, so they are nearer to a match."""
 
     PATH = 1
     METHOD = 2
@@ -50,7 +50,7 @@
 
 
 class Mismatch(NamedTuple):
-    """No handler: how many segments matched, what did not then, and methods that would have."""
+    """No handler: the number of segments that matched, what did not match then, and the allowed methods."""
 
     depth: int
     cause: Cause = Cause.PATH
@@ -58,27 +58,27 @@
 
     @property
     def nearness(self) -> tuple[int, Cause]:
-        """The greater, the nearer the call came to a handler."""
+        """Sort key: the greatest mismatch came nearest to a handler."""
         return self.depth, self.cause
 
     @property
     def status(self) -> int:
-        """HTTP status of the refusal."""
+        """HTTP status of the response."""
         return STATUS_OF[self.cause]
 
 
 Handler = Callable[[Call], Any]  # returns an Answer, or an awaitable of one
 Match = Handler | Mismatch
-Matcher = Callable[[Call, int], Match]  # with the number of segments that have matched
+Matcher = Callable[[Call, int], Match]  # second argument: the number of segments matched so far
 
 
 def endpoint(handler: Handler) -> Matcher:
-    """Match the end of the path."""
+    """Match the end of the path and return the handler."""
     return lambda call, depth: handler if depth == len(call.path) else Mismatch(depth)
 
 
 def any_of(*inner: Matcher) -> Matcher:
-    """Match what the first of these matches."""
+    """Match with the first of these matchers that matches."""
 
     def match(call: Call, depth: int) -> Match:
         nearest = Mismatch(depth)
@@ -96,7 +96,7 @@
 
 
 def segment(text: str, *inner: Matcher) -> Matcher:
-    """Match a segment of the path."""
+    """Match a path segment with this text."""
     rest = any_of(*inner)
 
     def match(call: Call, depth: int) -> Match:
@@ -108,7 +108,7 @@
 
 
 def variable(name: str, *inner: Matcher) -> Matcher:
-    """Match any segment; its text becomes `values[name]`."""
+    """Match any non-empty path segment and store its text in `values[name]`."""
     rest = any_of(*inner)
 
     def match(call: Call, depth: int) -> Match:
@@ -121,7 +121,7 @@
 
 
 def method(name: str, *inner: Matcher) -> Matcher:
-    """Match a method; the answer to others on a path that is known is 405."""
+    """Match an HTTP method; other methods at the end of the path get a 405."""
     rest = any_of(*inner)
 
     def match(call: Call, depth: int) -> Match:
@@ -135,7 +135,7 @@
 
 
 def header(name: str, *inner: Matcher) -> Matcher:
-    """Match calls that have a header; its text becomes `values[name]`."""
+    """Match calls that have a header, and store its text in `values[name]`."""
     rest = any_of(*inner)
 
     def match(call: Call, depth: int) -> Match:
@@ -149,14 +149,14 @@
 
 
 def parse_target(target: bytes) -> tuple[list[str], dict[str, str]]:
-    """Return a request's target as path segments and query."""
+    """Return the decoded path segments and the query parameters of a request target."""
     path, _, query = target.decode("latin-1").partition("?")
     segments = [unquote(text) for text in path.split("/")[1:]]
     return segments, dict(parse_qsl(query))
 
 
 def dispatch(tree: Matcher, call: Call) -> Any:
-    """Return what the tree's handler returns, an Answer or an awaitable of one; else the refusal."""
+    """Return the result of the matching handler, an Answer or an awaitable of one, or an error response."""
     found = tree(call, 0)
     if not isinstance(found, Mismatch):
         return found(call)
--- a/pepperrun/control/node.py
+++ b/pepperrun/control/node.py
@@ -1,8 +1,8 @@
-"""One running control node: it passes each event to the part that it concerns, and carries out what follows.
+"""A running control node: passes each event to the component concerned, and processes the output of all.
 
-Thin I/O around deciding parts: consensus (`consensus.replica`), endpoints (`control.endpoint_registry`),
-links to the other control nodes (`control.peer_links`), distribution to gatekeepers
-(`distribution.publisher`). After each event `process_pending` takes out what the parts have to say.
+It does the I/O for components without I/O: consensus (`consensus.replica`), endpoints
+(`control.endpoint_registry`), links to the other control nodes (`control.peer_links`) and distribution to
+gatekeepers (`distribution.publisher`). After each event `process_pending` collects their output.
 """
 
 from __future__ import annotations
@@ -34,21 +34,21 @@
 from pepperrun.foundation.timer import Timer
 
 MS = 1_000_000  # ns
-QUORUM_CHECK_NS = 100 * MS  # between two checks; a peer is silent only after `Timeouts.liveness_ns`
-TASK_TIMEOUT_NS = 1500 * MS  # for an operation of the coordinator: then it is proposed anew
+QUORUM_CHECK_NS = 100 * MS  # between two checks; a peer counts as silent only after `Timeouts.liveness_ns`
+TASK_TIMEOUT_NS = 1500 * MS  # for an operation of the coordinator; after that it is proposed again
 
 
 class ControlNode:
-    """`NodeInterface` for the control calls, `Source` for the publisher, `LinkHandler` of all links.
+    """A control node: the `NodeInterface` of the handlers, `Source` of the publisher, `LinkHandler` of all links.
 
     Parameters
     ----------
     state : DurableState
-        From the disk; `store` keeps it.
+        State loaded from the disk; changes are saved to `store`.
     incarnation : int
-        Grows from one start of this process to the next.
+        Increases with each start of this process.
     clock : callable
-        Steady clock, ns.
+        Monotonic clock, ns.
     """
 
     def __init__(
@@ -88,7 +88,7 @@
         self._first_contacts = {ip for ip, _ in settings.contacts()}
         self._lacked_quorum = True
         self._quorum_check_at = 0
-        self._publish_at = 0  # 0: nothing is to be published
+        self._publish_at = 0  # 0: nothing to publish
         self._timer = Timer(self._tick, clock)
         self._processing = False
 
@@ -98,7 +98,7 @@
         self.process_pending()
 
     def reload(self, settings: Settings) -> None:
-        """Take over settings that have changed."""
+        """Apply changed settings."""
         self.settings = settings
         self._first_contacts = {ip for ip, _ in settings.contacts()}
         self._connect_to_wanted_peers()
@@ -107,7 +107,7 @@
         self.peer_links.set_wanted(self._first_contacts | self.replica.voter_ips, self.now())
 
     def hello(self) -> Message:
-        """Return the message by which this node begins a link."""
+        """Return the first message of this node on a new link."""
         me = self.settings.me
         return {
             "station": me.station,
@@ -121,7 +121,7 @@
     # Links (`foundation.link.LinkHandler`).
 
     def opened(self, link: Link, hello: Message) -> None:
-        """Handle a new link by who is at its other end."""
+        """Handle a new link according to the class of the process at its other end."""
         now = self.now()
         if hello["class"] == CONTROL_CLASS:
             self.peer_links.opened(link, hello, now)
@@ -142,7 +142,7 @@
         self.process_pending()
 
     def _on_peer_message(self, ip: str, data: Message, now: int) -> None:
-        """Handle a message of another control node; kinds of a later version are passed over."""
+        """Handle a message of another control node; ignore kinds of later versions."""
         if self.registry.receive(ip, data, now):
             return
         match data["k"]:
@@ -163,7 +163,7 @@
         self.process_pending()
 
     def peer_up(self, ip: str, zone: str) -> None:
-        """Handle the first link to a control node, and tell the others of that node."""
+        """Handle the first link to a control node, and notify the other nodes of it."""
         now = self.now()
         event("peer-up", ip=ip, zone=zone)
         self._quorum_check_at = 0
@@ -186,16 +186,16 @@
         """Handle the loss of one of several links to a control node."""
         self.registry.link_lost(ip, self.now())
 
-    # Source of the publisher.
+    # Source of the publisher (`distribution.publisher`).
 
     @property
     def version(self) -> int:
-        """Version of the agreed state, 0 while none is known."""
+        """Version of the agreed state; 0 while it is unknown."""
         return max(0, self.replica.version)
 
     @property
     def state(self) -> dict[str, Any] | None:
-        """The agreed state, None while none is known."""
+        """The agreed state; None while it is unknown."""
         return self.replica.body or None
 
     @property
@@ -215,11 +215,11 @@
 
     @property
     def control_nodes(self) -> list[list[str]]:
-        """[ip, zone] of this node and of the control nodes that it is linked with."""
+        """[ip, zone] of this node and of the control nodes linked with it."""
         return [[self.settings.me.ip, self.settings.me.zone], *self.peer_links.linked_nodes()]
 
     def age_ms(self, now: int) -> float | None:
-        """How old what this node knows may be, ms; None where nothing is confirmed."""
+        """Return the maximum age of the known state, ms; None if no state is confirmed."""
         confirmed_at = self.replica.confirmed_at
         return None if confirmed_at is None else max(0.0, (now - confirmed_at) / MS)
 
@@ -228,10 +228,10 @@
         self.registry.gateway_heartbeat(gateway, now)
 
     def merge(self, workers: list[Worker], gateways: list[GatewayRecord], now: int) -> None:
-        """Take over newer records that a gatekeeper holds."""
+        """Merge newer records of a gatekeeper's copy."""
         self.registry.merge(workers, gateways, now)
 
-    # What calls need (`control.handlers.NodeInterface`).
+    # Interface of the handlers (`control.handlers.NodeInterface`).
 
     @property
     def lacks_quorum(self) -> bool:
@@ -240,11 +240,11 @@
 
     @property
     def voter_count(self) -> int:
-        """How many machines vote."""
+        """Number of machines that vote."""
         return len(self.replica.voter_ips)
 
     def replicated(self, token: int) -> asyncio.Future[None]:
-        """Return a future that is done once enough nodes hold what the registry gave this token for."""
+        """Return a future that is done once enough nodes store the record that the token stands for."""
         if token in self.registry.waits:
             return self.pending_calls.wait_for_replication(token)
         future: asyncio.Future[None] = self.loop.create_future()
@@ -252,7 +252,7 @@
         return future
 
     def order(self, op: Operation, timeout_ns: int) -> asyncio.Future[Verdict | None]:
-        """Propose an operator's change; the future's verdict is None where nothing is certain."""
+        """Propose an operator's change; the future's verdict is None if its result is unknown."""
         now = self.now()
         op = compact(self.replica.body, op)
         if op["do"] == "evacuate":
@@ -263,7 +263,7 @@
         return future
 
     def _evacuation(self, op: Operation, now: int) -> Operation:
-        """Return the operation for a call to evacuate: it may be a repeat."""
+        """Return the operation for a call to evacuate, which says whether the call may be a repeat."""
         receipt_ms = self.settings.tariffs.bounds.receipt_ms
         body = self.replica.body
         return self.evacuations.operation_for_call(
@@ -271,12 +271,12 @@
         )
 
     def next_call_id(self) -> str:
-        """Return an id of one proposal of one start of one process."""
+        """Return a unique id for a proposal, from the proposer id of this process start and a counter."""
         self._call_count += 1
         return f"{self.replica.register.proposer_id}/{self._call_count}"
 
     def confirmed(self) -> asyncio.Future[None]:
-        """Return a future that is done once what is known is surely at least as new as this call."""
+        """Return a future that is done once the known state is confirmed to be as new as this call."""
         future = self.pending_calls.wait_for_confirmation(self.now())
         self.process_pending()
         return future
@@ -291,10 +291,10 @@
         own = self.settings.listen_address("control_port")
         return f"{ip}:{own[1]}" if own is not None else ip
 
-    # What follows from events.
+    # Output of the components.
 
     def process_pending(self) -> None:
-        """Take out what the parts have to say, and carry it out. Calls from within are passed over."""
+        """Collect and process the output of the components. Reentrant calls are ignored."""
         if self._processing:
             return
         self._processing = True
@@ -310,7 +310,7 @@
         self._set_timer()
 
     def _check_quorum(self, now: int) -> None:
-        """Note whether there is a quorum: at once where a link has come or gone, else now and then."""
+        """Check for a quorum: at once after a link came or went, else every `QUORUM_CHECK_NS`."""
         if now < self._quorum_check_at:
             return
         self._quorum_check_at = now + QUORUM_CHECK_NS
@@ -324,7 +324,7 @@
         content: Any = None
         frame = b""
         for ip, wire_message in self.replica.take_messages():
-            if wire_message is not content:  # a message to several is encoded once
+            if wire_message is not content:  # encode a message to several nodes only once
                 content = wire_message
                 frame = encode(peer_messages.encode_consensus(content))
             self.peer_links.write(ip, frame)
@@ -337,11 +337,11 @@
         records = self.registry.take_changed()
         if records:
             self.publisher.records_changed(records, now)
-        last: Message | None = None
+        encoded: Message | None = None
         frame = b""
         for ip, message in self.registry.take_messages(now):
-            if message is not last:
-                last = message
+            if message is not encoded:
+                encoded = message
                 frame = encode(message)
             self.peer_links.write(ip, frame)
         for token in self.registry.waits.take_completed():
@@ -374,13 +374,13 @@
     # Time.
 
     def schedule_publishing(self, at: int) -> None:
-        """Give the publisher a turn at this time at the latest."""
+        """Call the publisher's `tick` at this time at the latest."""
         self._publish_at = min(self._publish_at, at) if self._publish_at else at
         if not self._processing:
             self._set_timer()
 
     def _set_timer(self) -> None:
-        """Set the one timer to what is due first."""
+        """Set the timer to the earliest due time of the components."""
         due = min(self.replica.next_tick_at(), self.registry.next_tick_at())
         self._timer.set(min(due, self._publish_at) if self._publish_at else due)
 
@@ -398,17 +398,17 @@
         self.process_pending()
 
     def _coordinate(self, now: int) -> None:
-        """Propose what is due, where this node coordinates and a quorum is reachable."""
+        """Propose a due operation if this node is the coordinator and a quorum is reachable."""
         if self.replica.coordinator != self.settings.me.ip or self.replica.lacks_quorum:
             return
         op = self.tasks.next_operation(self.replica.body, self.settings.tariffs.bounds, now)
         if op is not None:
             self.replica.propose(op, now, TASK_TIMEOUT_NS)
 
-    # The end.
+    # Shutdown.
 
     def request_stop(self) -> None:
-        """Prepare a graceful shutdown: the role goes to another node, and the others are told."""
+        """Begin a graceful shutdown: hand the vote and the coordinator role over, and notify the others."""
         self.retiring = True
         self.replica.request_stop(self.now())
         for ip, _ in self.peer_links.linked_nodes():
@@ -416,17 +416,17 @@
         self.process_pending()
 
     def close(self) -> None:
-        """End all links."""
+        """Close all links."""
         self._timer.stop()
         self._processing = True
         self.peer_links.close()
 
 
 def tolerated_losses(settings: Settings) -> int:
-    """How many control machines may be lost at once: a region may hold several zones, each with some."""
-    bear, zones = settings.tariffs.withstand, settings.network.zones
-    sizes: dict[str, int] = {}
+    """Return how many control machines may be lost at once; the loss of a region is that of all its zones."""
+    losses, zones = settings.tariffs.withstand, settings.network.zones
+    zone_counts: dict[str, int] = {}
     for region in zones.values():
-        sizes[region] = sizes.get(region, 0) + 1
-    largest = sorted(sizes.values(), reverse=True)[: bear.regions]
-    return max(1, bear.vehicles, bear.zones, sum(largest))
+        zone_counts[region] = zone_counts.get(region, 0) + 1
+    largest = sorted(zone_counts.values(), reverse=True)[: losses.regions]
+    return max(1, losses.vehicles, losses.zones, sum(largest))
--- a/pepperrun/control/order_codec.py
+++ b/pepperrun/control/order_codec.py
@@ -1,6 +1,6 @@
-"""Codec of operators' orders: from the body of a call to an operation on the agreed state, checked.
+"""Decoder of operators' orders: from the body of a call to a validated operation on the agreed state.
 
-An operation is checked as far as that is possible without the state; `control.changes` checks the rest.
+An operation is validated as far as that is possible without the state; `control.changes` checks the rest.
 """
 
 from __future__ import annotations
@@ -17,38 +17,39 @@
 from pepperrun.control.verdict import configuration_error
 
 DIGEST_BYTES = 12
-OTHER_KEYS = (*ITEM_TYPES, "edition", "limits")  # of a whole configuration; what else it has is kept
+# Keys of a complete configuration that the system interprets; the others are stored as they are.
+KNOWN_KEYS = (*ITEM_TYPES, "edition", "limits")
 
 
 def digest(op: Operation) -> str:
-    """Return the same digest for the same order, whatever way its JSON was written."""
+    """Return the digest of an order; the formatting of its JSON does not matter."""
     text = json.dumps(op, sort_keys=True, separators=(",", ":"))
     return blake2b(text.encode(), digest_size=DIGEST_BYTES).hexdigest()
 
 
 def read_replace(data: bytes, base_edition: int) -> Operation:
-    """Return the operation of a whole configuration on top of an edition.
+    """Return the operation that replaces the configuration of an edition by a complete one.
 
     Raises
     ------
     PepperrunError
-        The body is not valid; its code and sentence are the operator's answer.
+        The body is not valid; the error's code and sentence are sent to the operator.
     """
     body = parse_body(data)
     op: Operation = {"do": "replace", "on": base_edition, "edition": _edition(body)}
     for kind in ITEM_TYPES:
-        op[kind] = _whole_table(kind, body)
+        op[kind] = _complete_table(kind, body)
     check_services_known(op["routes"].values(), op["carrier_lines"])
     check_keys_distinct(op["senders"])
     op["limits"] = _limits(body)
-    more = {key: value for key, value in body.items() if key not in OTHER_KEYS}
+    more = {key: value for key, value in body.items() if key not in KNOWN_KEYS}
     if more:
         op["more"] = more
     op["digest"] = digest(op)
     return op
 
 
-def _whole_table(kind: str, body: dict[str, Any]) -> Items:
+def _complete_table(kind: str, body: dict[str, Any]) -> Items:
     if kind not in body and kind != "senders":
         raise configuration_error("cut-short", f"The configuration has no {kind}.")
     if body.get(kind) is None:
@@ -59,12 +60,12 @@
 
 
 def read_amend(data: bytes, base_edition: int) -> Operation:
-    """Return the operation that changes named items on top of an edition.
+    """Return the operation that changes the named items of an edition.
 
     Raises
     ------
     PepperrunError
-        The body is not valid; its code and sentence are the operator's answer.
+        The body is not valid; the error's code and sentence are sent to the operator.
     """
     body = parse_body(data)
     op: Operation = {"do": "amend", "on": base_edition, "edition": _edition(body)}
@@ -78,7 +79,7 @@
             op["upsert"][kind] = decode_table(kind, upsert[kind])
             check_items(kind, op["upsert"][kind])
         if withdraw.get(kind) is not None:
-            op["withdraw"][kind] = _withdrawn(kind, withdraw[kind], op["upsert"].get(kind, {}))
+            op["withdraw"][kind] = _names_to_withdraw(kind, withdraw[kind], op["upsert"].get(kind, {}))
     limits = _limits(body) or _limits(upsert)
     if limits:
         op["limits"] = limits
@@ -86,7 +87,7 @@
     return op
 
 
-def _withdrawn(kind: str, names: Any, upserted: Items) -> list[str]:
+def _names_to_withdraw(kind: str, names: Any, upserted: Items) -> list[str]:
     if not isinstance(names, list) or not all(isinstance(name, str) for name in names):
         raise configuration_error("bad-type", f"withdraw: {kind} is no list of names.")
     for name in names:
--- a/pepperrun/control/order_deduplication.py
+++ b/pepperrun/control/order_deduplication.py
@@ -1,9 +1,9 @@
 """Order deduplication: which configurations were applied, so that a repeated order is idempotent. Pure.
 
-An order is identified by its edition and the digest of what was sent, `Based-On` included
-(`order_codec.digest`). Applied orders form a chain: each was based on the edition of the one before it. So,
-as long as the chain is known from some edition on, an order based on that edition or a later one was applied
-if and only if it is in the chain. Of an order with an older base nothing can be said.
+An order is identified by its edition and the digest of the request, including `Based-On`
+(`order_codec.digest`). Applied orders form a chain: each was based on the edition of the one before. So if
+the chain is known from some edition on, an order based on that edition or a later one was applied if and only
+if it is in the chain. For an order with an older base the answer is unknown.
 
 The newest `RECENT_ORDERS` are in the state's `taken` with their full digests, as every version of the program
 keeps them. Older ones move to `older`: pages by their first edition. A full page never changes, so a change
@@ -23,15 +23,15 @@
 
 RECENT_ORDERS = 64  # orders in `taken`
 PAGE_ORDERS = 64  # orders on a page of `older`
-MAX_PAGES = 64
-# Orders that are known at least, once so many were applied.
+MAX_PAGES = 64  # pages of `older`
+# Minimum number of the last orders that are known, once so many were applied.
 MIN_REMEMBERED_ORDERS = RECENT_ORDERS + (MAX_PAGES - 1) * PAGE_ORDERS + 1
 SHORT_DIGEST_DIGITS = 12  # hex digits in `older`: 48 bits, compared under one edition only
 HEADER = "head"  # of `older`: {"from": edition, "next": edition}
 
 
 class SeenOrder(enum.Enum):
-    """What is known of an order."""
+    """Whether an order was applied, as far as known."""
 
     APPLIED = "applied"
     NOT_APPLIED = "not applied"
@@ -51,7 +51,7 @@
 
 
 def known_since(state: State) -> int:
-    """Return the edition from which on it is known of orders based on it whether they were applied."""
+    """Return the oldest edition for which it is known whether orders based on it were applied."""
     older = _continuous_pages(state)
     if older:
         return int(older[HEADER]["from"])
@@ -60,11 +60,11 @@
 
 
 def record(before: State, op: Operation) -> State:
-    """Return `taken` and `older` of the state after this order was applied on top of `before`."""
+    """Return `taken` and `older` of the state after this order was applied to `before`."""
     taken = [*before["taken"], [op["edition"], op["digest"]]]
     older = _continuous_pages(before)
     if not older and len(taken) == RECENT_ORDERS:
-        older = {HEADER: {"from": 0, "next": taken[0][0]}}  # nothing has been forgotten so far
+        older = {HEADER: {"from": 0, "next": taken[0][0]}}  # no order was dropped so far
     while len(taken) > RECENT_ORDERS:
         edition, digest = taken.pop(0)
         older = _append(older or {HEADER: {"from": edition}}, edition, digest[:SHORT_DIGEST_DIGITS])
@@ -73,20 +73,20 @@
 
 
 def without_older(state: State) -> State:
-    """Return what gatekeepers hold of a state: no operator asks them for a verdict."""
+    """Return the part of a state that gatekeepers keep: operators send them no orders."""
     if "older" not in state:
         return state
     return {name: part for name, part in state.items() if name != "older"}
 
 
 def _continuous_pages(state: State) -> dict[str, Any]:
-    """Return `older` if it ends where `taken` begins, else {}: an older version was at work."""
+    """Return `older` if it ends where `taken` begins; else {}, as an older version changed `taken`."""
     older: dict[str, Any] = state.get("older") or {}
     return older if older and older[HEADER]["next"] == state["taken"][0][0] else {}
 
 
 def _append(older: dict[str, Any], edition: int, short: str) -> dict[str, Any]:
-    """Return a copy of `older` with one more order, and without the oldest page where there are too many."""
+    """Return a copy of `older` with one more order; drop the oldest page if there are too many."""
     names = sorted((name for name in older if name != HEADER), key=int)
     if names and len(older[names[-1]]) < PAGE_ORDERS:
         return older | {names[-1]: older[names[-1]] | {str(edition): short}}
--- a/pepperrun/control/peer_links.py
+++ b/pepperrun/control/peer_links.py
@@ -1,7 +1,7 @@
-"""Links among control nodes: one address is learnt from another, each pair keeps one link.
+"""Links between control nodes: nodes learn addresses from each other, and each pair keeps one link.
 
-Whoever knows another dials it where no link is up. Both may at once; the link that the lower ip dialled
-stays.
+A node dials every known node without a link. If both nodes of a pair dial at the same time, the link dialled
+by the lower ip stays.
 """
 
 from __future__ import annotations
@@ -13,21 +13,21 @@
 from pepperrun.foundation.netstring import Message, encode
 from pepperrun.foundation.settings import Address
 
-CONTROL_CLASS = "sorting"  # the machine class of a hello, in the words of the wire
-FORGET_NS = 60 * 1_000_000_000  # who was only learnt from others and has not been linked for so long
+CONTROL_CLASS = "sorting"  # the machine class of control nodes in a hello message
+FORGET_NS = 60 * 1_000_000_000  # an unneeded node that was not linked for so long is forgotten
 
 
 class PeerListener(Protocol):
-    """Who handles control nodes that come and go, by ip."""
+    """Gets notified when links to control nodes come and go; nodes are identified by ip."""
 
     def peer_up(self, ip: str, zone: str) -> None:
         """Handle the first link to a node."""
 
     def peer_down(self, ip: str) -> None:
-        """Handle the loss of the last one."""
+        """Handle the loss of the last link to a node."""
 
     def link_lost(self, ip: str) -> None:
-        """Handle the loss of one of several links, with what was under way on it."""
+        """Handle the loss of one of several links, and of the messages in flight on it."""
 
 
 class PeerLinks:
@@ -38,14 +38,14 @@
     port : int
         Internal port, the same on all machines.
     user : LinkHandler
-        Gets the messages of the links.
+        Receives the messages of the links.
     listener : PeerListener
-        Gets the nodes that come and go.
+        Gets notified of nodes that come and go.
 
     Attributes
     ----------
     wanted : set of str
-        Ips that are never forgotten: first contacts and voters.
+        Ips that are never forgotten: the first contacts of the settings, and the voters.
     """
 
     def __init__(
@@ -66,25 +66,25 @@
         self.wanted: set[str] = set()
         self._dialers: dict[str, Any] = {}
         self._links: dict[str, list[Link]] = {}
-        self._zones: dict[str, str] = {}  # of linked nodes
-        self._known_since: dict[str, int] = {}  # when known nodes were last linked or learnt
+        self._zones: dict[str, str] = {}  # zones of linked nodes, by ip
+        self._known_since: dict[str, int] = {}  # when known nodes were last linked, or learned
 
     def set_wanted(self, ips: Iterable[str], now: int) -> None:
-        """Keep links to these for as long as they are named so."""
+        """Keep links to these nodes until the next call."""
         self.wanted = {ip for ip in ips if ip != self.own_ip}
         for ip in self.wanted:
             self._known_since[ip] = now
         self.maintain(now)
 
     def add_known(self, ips: Iterable[str], now: int) -> None:
-        """Link to nodes of which another told."""
+        """Add nodes that another node is linked with, and dial them."""
         for ip in ips:
             if ip != self.own_ip:
                 self._known_since.setdefault(ip, now)
         self.maintain(now)
 
     def opened(self, link: Link, hello: Message, now: int) -> None:
-        """Handle a link on which a control node has said hello."""
+        """Handle a new link after the hello message of a control node."""
         ip = str(hello["ip"])
         if ip == self.own_ip:
             link.close()
@@ -114,23 +114,23 @@
         self.maintain(now)
 
     def ip_of(self, link: Link) -> str | None:
-        """Return the ip of the node at the other end; None for a link of somebody else."""
+        """Return the ip of the control node at the other end; None for a link of another class."""
         return next((ip for ip, links in self._links.items() if link in links), None)
 
     def maintain(self, now: int, *, prune: bool = False) -> None:
-        """Dial who is known and not linked.
+        """Dial the known nodes without a link.
 
         Parameters
         ----------
         prune : bool
-            Also give up second links, and nodes that have long been away.
+            Also close redundant dialers, and forget unneeded nodes that were not linked for `FORGET_NS`.
         """
         for ip in list(self._known_since):
             if prune and self._should_forget(ip, now):
                 self._forget(ip)
             elif ip not in self._dialers and not self._links.get(ip):
                 self._dialers[ip] = self.dial((ip, self.port), self.user, self.hello)
-            elif prune and self._dialled_in_vain(ip):
+            elif prune and self._is_redundant_dialer(ip):
                 self._dialers.pop(ip).close()
 
     def _should_forget(self, ip: str, now: int) -> bool:
@@ -142,29 +142,29 @@
         if ip in self._dialers:
             self._dialers.pop(ip).close()
 
-    def _dialled_in_vain(self, ip: str) -> bool:
-        """Whether the link that the other, lower ip dialled is up: on both sides by now."""
+    def _is_redundant_dialer(self, ip: str) -> bool:
+        """Return whether the other node has the lower ip, and its link is up (on both sides by now)."""
         dialer = self._dialers.get(ip)
         if dialer is None or self.own_ip < ip:
             return False
         return any(link is not dialer.link for link in self._links.get(ip, []))
 
     def send(self, ip: str, message: Message) -> None:
-        """Send to a node that is linked; else the message is lost."""
+        """Send a message to a linked node; drop it if there is no link."""
         self.write(ip, encode(message))
 
     def write(self, ip: str, frame: bytes) -> None:
-        """As `send`, of a message that is encoded already."""
+        """Send an encoded message as `send` does."""
         links = self._links.get(ip)
         if links:
             links[0].write(frame)
 
     def linked_nodes(self) -> list[list[str]]:
-        """Return [ip, zone] of the nodes that are linked."""
+        """Return [ip, zone] of the linked nodes."""
         return [[ip, zone] for ip, zone in self._zones.items()]
 
     def close(self) -> None:
-        """End all links."""
+        """Close all links."""
         for dialer in self._dialers.values():
             dialer.close()
         self._dialers = {}
--- a/pepperrun/control/peer_messages.py
+++ b/pepperrun/control/peer_messages.py
@@ -1,15 +1,15 @@
-"""Messages between control nodes, and their codec: only here are the wire's words for them.
+"""Messages between control nodes, and their codec. Only this module knows their keys on the wire.
 
-| `k` | says | fields |
+| `k` | meaning | fields |
 | --- | --- | --- |
 | queen | a message of the consensus | m: see `consensus.codec` |
-| peers | control nodes that the sender is linked with | cores: rows of ip and zone |
-| bye | the sender stops | |
+| peers | control nodes linked with the sender | cores: rows of ip and zone |
+| bye | the sender shuts down | |
 | vouch | `LivenessReport` | all, del: rows of record id and age in ms; add: record ids |
-| held | the sender holds the records of a token | a: token |
+| held | the sender has stored the records of a token | a: token |
 
-The records themselves go as `cells`, `ask` and `digests` (`distribution.repair`), which the other links speak
-as well. A request to acknowledge `cells` is its field `a`.
+The records themselves are sent as `cells`, `ask` and `digests` (`distribution.repair`), which are used on the
+links to gatekeepers as well. The field `a` of `cells` requests an acknowledgement.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 
 class ReportedEndpoint(NamedTuple):
-    """An endpoint by its record id, and the ms since its last heartbeat."""
+    """The record id of an endpoint, and the milliseconds since its last heartbeat."""
 
     record_id: str
     age_ms: int
@@ -35,16 +35,16 @@
 
 @dataclass(frozen=True, slots=True)
 class LivenessReport:
-    """Which endpoints send their heartbeats to the sender; None where nothing is said.
+    """The endpoints whose heartbeats the sender receives; a field of None is absent from the message.
 
     Attributes
     ----------
     full : list of ReportedEndpoint
-        All of them.
+        All these endpoints.
     added : list of str
-        Record ids of those since the last report.
+        Record ids of the endpoints newly received since the last report.
     removed : list of ReportedEndpoint
-        Those that do so no longer.
+        Endpoints that are no longer received.
     """
 
     full: list[ReportedEndpoint] | None = None
@@ -52,21 +52,21 @@
     removed: list[ReportedEndpoint] | None = None
 
 
-# Decoders raise KeyError, TypeError or ValueError for a message that is not allowed.
+# Decoders raise KeyError, TypeError or ValueError for a malformed message.
 
 
 def decode_consensus(data: Message) -> Any:
-    """Return the wire message of the consensus that is carried."""
+    """Return the wire message of the consensus inside a message."""
     return data["m"]
 
 
 def decode_known_peers(data: Message) -> list[str]:
-    """Return the ips of control nodes that the sender is linked with."""
+    """Return the ips of the control nodes linked with the sender."""
     return [row[0] for row in data["cores"]]
 
 
 def decode_report(data: Message) -> LivenessReport:
-    """Return a liveness report."""
+    """Return the liveness report of a message."""
     return LivenessReport(
         full=_endpoints(data["all"]) if "all" in data else None,
         added=data.get("add"),
@@ -75,7 +75,7 @@
 
 
 def decode_replicated(data: Message) -> int:
-    """Return the token of the records that the sender holds."""
+    """Return the token of the records that the sender has stored."""
     return int(data["a"])
 
 
@@ -84,22 +84,22 @@
 
 
 def encode_consensus(content: Any) -> Message:
-    """Return the wire data that carries a message of the consensus."""
+    """Return the message that carries a wire message of the consensus."""
     return {"k": CONSENSUS, "m": content}
 
 
 def encode_known_peer(ip: str, zone: str) -> Message:
-    """Return the wire data that tells of one more control node."""
+    """Return the message that announces a newly linked control node."""
     return {"k": KNOWN_PEERS, "cores": [[ip, zone]]}
 
 
 def encode_stopping() -> Message:
-    """Return the wire data of a node that stops: no heartbeats should be forwarded to it any more."""
+    """Return the message of a node that shuts down: others then forward no more heartbeats to it."""
     return {"k": PEER_STOPPING}
 
 
 def encode_report(report: LivenessReport) -> Message:
-    """Return the wire data of a liveness report."""
+    """Return the message of a liveness report."""
     data: Message = {"k": LIVENESS_REPORT}
     if report.full is not None:
         data["all"] = report.full
@@ -111,5 +111,5 @@
 
 
 def encode_replicated(token: int) -> Message:
-    """Return the wire data of a node that holds the records sent with `token`."""
+    """Return the message that acknowledges the records sent with `token`."""
     return {"k": RECORDS_REPLICATED, "a": token}
--- a/pepperrun/control/pending_calls.py
+++ b/pepperrun/control/pending_calls.py
@@ -1,4 +1,4 @@
-"""Calls that wait: for the verdict on an order, for other nodes to hold a record, for a confirmed read."""
+"""Pending calls: they wait for the verdict on an order, the replication of a record or a confirmed read."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 
 class _Reader(NamedTuple):
-    """A read that waits until what is known was surely the newest at `asked_at` or later."""
+    """A read that waits until the known state is confirmed as the newest at `asked_at` or later."""
 
     asked_at: int
     future: asyncio.Future[None]
 
 
 class PendingCalls:
-    """Futures of the calls of one control node."""
+    """Futures of the pending calls of one control node."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self._loop = loop
@@ -27,42 +27,42 @@
 
     @property
     def has_readers(self) -> bool:
-        """Whether any read waits."""
+        """Whether any reads are pending."""
         return bool(self._readers)
 
     def wait_for_verdict(self, token: int) -> asyncio.Future[Verdict | None]:
-        """Return a future of the verdict on an order, None where nothing is certain."""
+        """Return a future of the verdict on an order; the verdict is None if its result is unknown."""
         future: asyncio.Future[Verdict | None] = self._loop.create_future()
         self._orders[token] = future
         return future
 
     def settle_order(self, result: ChangeResult) -> None:
-        """Give the result of an order to its call."""
+        """Complete the call of an order with its result."""
         future = self._orders.pop(result.token, None)
         if future is not None and not future.done():
             future.set_result(result.verdict)
 
     def wait_for_replication(self, token: int) -> asyncio.Future[None]:
-        """Return a future that is done once enough nodes hold what the token stands for."""
+        """Return a future that is done once enough nodes store the record that the token stands for."""
         future: asyncio.Future[None] = self._loop.create_future()
         self._replications[token] = future
         future.add_done_callback(lambda _: self._replications.pop(token, None))
         return future
 
     def settle_replication(self, token: int) -> None:
-        """End the wait for a token."""
+        """Complete the call that waits for a token."""
         future = self._replications.pop(token, None)
         if future is not None and not future.done():
             future.set_result(None)
 
     def wait_for_confirmation(self, now: int) -> asyncio.Future[None]:
-        """Return a future that is done once what is known was surely the newest at `now` or later."""
+        """Return a future that is done once the known state is confirmed as the newest at `now` or later."""
         future: asyncio.Future[None] = self._loop.create_future()
         self._readers.append(_Reader(now, future))
         return future
 
     def settle_readers(self, confirmed_at: int | None) -> None:
-        """End the waits of reads that were asked before what is known was surely the newest."""
+        """Complete the reads that began before the known state was last confirmed as the newest."""
         if confirmed_at is not None:
             for reader in self._readers:
                 if reader.asked_at <= confirmed_at and not reader.future.done():
--- a/pepperrun/control/quota_placement.py
+++ b/pepperrun/control/quota_placement.py
@@ -1,12 +1,14 @@
-"""Quota placement: agreed lists of gatekeepers by place, for fleets too large to split quotas. No I/O.
-
-Split among n gatekeepers a tenant's quota comes to buckets that hold no request where n is large. Then one
-gatekeeper of each place owns a share of it (`core.quota_owners`), chosen from these lists. A place is a
-region, or a zone where there is one region. Each change makes the tenants that it moves wait until the former
-owners have surely stopped, so changes are seldom: new gatekeepers come in together, a silent one is replaced
-only after long, and a place of which most are silent is partitioned rather than gone: its list stays. Lists
-that were agreed for so long that every owner by earlier ones has stopped are marked as settled: a gatekeeper
-that starts anew need not wait for anybody else then.
+"""Quota placement: agreed lists of gatekeepers by domain, for fleets too large to split quotas. No I/O.
+
+A quota that is split among many gatekeepers gives buckets that are too small for a single request. In such a
+fleet one gatekeeper of each domain owns a share of a tenant's quota (`core.quota_owners`); it is chosen from
+these lists. A domain is a region, or a zone if there is only one region.
+
+After a change, the tenants that it moves have to wait until the former owners have certainly stopped. So the
+lists change rarely: new gatekeepers are added in batches, and a silent one is replaced only after
+`REPLACE_SILENT_NS`. If most gatekeepers of a domain are silent, the domain is taken to be partitioned and its
+list stays. Lists that are agreed for so long that all owners by earlier lists have stopped are marked as
+settled: a gatekeeper that starts then does not have to wait for former owners.
 """
 
 from __future__ import annotations
@@ -20,21 +22,23 @@
 
 MS = 1_000_000  # ns
 SECOND = 1000 * MS
-QUIET_NS = SECOND  # no gatekeeper came for so long: those that start together are in the first list
-JOIN_BATCH_NS = 3 * SECOND  # later ones wait for others that come with them
-REPLACE_SILENT_NS = 9 * SECOND  # a process that was killed is back within some seconds, without a change
-PRESENT_NS = 3 * SECOND  # seen since then: control nodes report each second
-CHANGE_INTERVAL_NS = 10 * SECOND  # those whom one change moves have their quota again before the next
-RETRY_NS = SECOND // 2  # between two proposals: one may still be under way
-MIN_BUCKET = 2.0  # requests: a share that can't hold so many is too small to serve by
-MAX_PLACES = 3  # the shares of a quota are to hold some requests each
+QUIET_NS = SECOND  # wait until no gatekeeper joined for so long, so that the first lists have all that start
+JOIN_BATCH_NS = (
+    3 * SECOND
+)  # the same for later changes, so that gatekeepers that join together cause only one
+REPLACE_SILENT_NS = 9 * SECOND  # a killed process restarts within seconds, which should not cause a change
+PRESENT_NS = 3 * SECOND  # a gatekeeper seen within this time is present; control nodes report each second
+CHANGE_INTERVAL_NS = 10 * SECOND  # tenants moved by one change have their quota again before the next change
+RETRY_NS = SECOND // 2  # between two proposals, as one may still be in flight
+MIN_BUCKET = 2.0  # requests; a share with a smaller bucket is too small
+MAX_DOMAINS = 3  # more domains would make the shares of a quota too small for some requests each
 
-Places = dict[str, list[str]]  # names of gatekeepers by place
-SilentFor = Callable[[str], int]  # ns without a message, by a gatekeeper's name
+Domains = dict[str, list[str]]  # names of gatekeepers by domain
+SilentFor = Callable[[str], int]  # returns the ns since the last message of a gatekeeper, by its name
 
 
 class QuotaPlacement:
-    """Decides when the agreed lists are to change; asked by the node that coordinates."""
+    """Decides on the coordinator when the agreed lists should change."""
 
     def __init__(self) -> None:
         self.present: frozenset[str] = frozenset()
@@ -59,7 +63,7 @@
         self._observe(agreed["term"], known, silent_ns, now)
         if now - self.proposed_at < RETRY_NS:
             return None
-        operation = self._settle(agreed, bounds, now) or self._replace(
+        operation = self._settle(agreed, bounds, now) or self._change_domains(
             agreed, body, known, silent_ns, bounds, now
         )
         if operation is not None:
@@ -67,7 +71,7 @@
         return operation
 
     def _observe(self, term: int, known: Iterable[str], silent_ns: SilentFor, now: int) -> None:
-        """Note when the lists changed and when a gatekeeper came."""
+        """Record when the lists changed, and when a gatekeeper joined."""
         if term != self.term:
             self.term = term
             self.changed_at = now
@@ -77,13 +81,13 @@
         self.present = present
 
     def _settle(self, agreed: dict[str, Any], bounds: Bounds, now: int) -> dict[str, Any] | None:
-        """Return the operation that marks the lists as settled, once former owners have stopped."""
+        """Return the operation that marks the lists as settled once all former owners have stopped."""
         stopped_ns = int(bounds.revoke_ms * MS) + GRANT_TTL_NS
         if agreed["term"] and not agreed.get("settled") and now - self.changed_at > stopped_ns:
             return {"do": "settled", "term": agreed["term"]}
         return None
 
-    def _replace(
+    def _change_domains(
         self,
         agreed: dict[str, Any],
         body: dict[str, Any],
@@ -92,24 +96,24 @@
         bounds: Bounds,
         now: int,
     ) -> dict[str, Any] | None:
-        """Return the operation that agrees on other lists, where they should change now."""
+        """Return the operation that changes the lists, or None if they should not change now."""
         if now - self.joined_at < QUIET_NS:
             return None
         if not agreed["term"]:
-            places = first_domains(known.values(), self.present)
-            if len(places) < 2 or not is_crowded(body, bounds, len(known)):
+            domains = first_domains(known.values(), self.present)
+            if len(domains) < 2 or not shares_are_too_small(body, bounds, len(known)):
                 return None
         else:
             if now - self.changed_at < CHANGE_INTERVAL_NS or now - self.joined_at < JOIN_BATCH_NS:
                 return None
-            places = updated_domains(agreed["places"], known, self.present, silent_ns)
-            if places == agreed["places"]:
+            domains = updated_domains(agreed["places"], known, self.present, silent_ns)
+            if domains == agreed["places"]:
                 return None
-        return {"do": "keepers", "places": places, "instead": agreed["term"]}
+        return {"do": "keepers", "places": domains, "instead": agreed["term"]}
 
 
-def is_crowded(body: Mapping[str, Any], bounds: Bounds, count: int) -> bool:
-    """Whether the shares of most quotas would be too small to serve by, split among `count`."""
+def shares_are_too_small(body: Mapping[str, Any], bounds: Bounds, count: int) -> bool:
+    """Return whether most quotas, split among `count` gatekeepers, would give too small shares."""
     tenants = (body.get("senders") or {}).values()
     limited = [tenant for tenant in tenants if (tenant.get("rate_per_s") or 0) > 0]
     buckets = [
@@ -119,34 +123,34 @@
     return 2 * too_small > len(buckets)
 
 
-def first_domains(gateways: Iterable[GatewayRecord], present: frozenset[str]) -> Places:
-    """Return the first lists, of the gatekeepers that are present."""
-    regions: Places = {}
-    zones: Places = {}
+def first_domains(gateways: Iterable[GatewayRecord], present: frozenset[str]) -> Domains:
+    """Return the first lists, which have the gatekeepers that are present."""
+    regions: Domains = {}
+    zones: Domains = {}
     for gateway in gateways:
         if gateway.name in present:
             regions.setdefault(gateway.region, []).append(gateway.name)
             zones.setdefault(gateway.zone, []).append(gateway.name)
-    places = regions if len(regions) > 1 else zones
-    largest = sorted(places, key=lambda name: (-len(places[name]), name))[:MAX_PLACES]
-    return {name: sorted(places[name]) for name in sorted(largest)}
+    domains = regions if len(regions) > 1 else zones
+    largest = sorted(domains, key=lambda name: (-len(domains[name]), name))[:MAX_DOMAINS]
+    return {name: sorted(domains[name]) for name in sorted(largest)}
 
 
 def updated_domains(
-    places: Mapping[str, list[str]],
+    domains: Mapping[str, list[str]],
     known: Mapping[str, GatewayRecord],
     present: frozenset[str],
     silent_ns: SilentFor,
-) -> Places:
-    """Return the lists with those that have come and without those that were silent for long.
+) -> Domains:
+    """Return the lists with the new gatekeepers and without those silent for over `REPLACE_SILENT_NS`.
 
-    No place comes or goes: a quota keeps its number of shares.
+    No domain is added or removed, so a quota keeps its number of shares.
     """
-    updated: Places = {}
-    for place, listed in places.items():
-        seen = [name for name in listed if name in present]
-        most_are_there = 2 * len(seen) > len(listed)
-        gone = {name for name in listed if most_are_there and silent_ns(name) > REPLACE_SILENT_NS}
-        come = {name for name in present if place in (known[name].region, known[name].zone)}
-        updated[place] = sorted((set(listed) - gone) | come)
+    updated: Domains = {}
+    for domain, listed in domains.items():
+        listed_present = [name for name in listed if name in present]
+        most_are_present = 2 * len(listed_present) > len(listed)
+        gone = {name for name in listed if most_are_present and silent_ns(name) > REPLACE_SILENT_NS}
+        joined = {name for name in present if domain in (known[name].region, known[name].zone)}
+        updated[domain] = sorted((set(listed) - gone) | joined)
     return updated
--- a/pepperrun/control/records.py
+++ b/pepperrun/control/records.py
@@ -1,9 +1,9 @@
-"""Records of endpoints, workers and gatekeepers: one each, and of two copies the newer wins.
+"""Records of endpoints (workers and gatekeepers): one per endpoint; of two copies the newer wins.
 
-A record's `rank` orders its copies: by incarnation, serial and then by how final its state is. Times in rows
-are lengths (milliseconds still to run), and each process counts them on its own steady clock: a slow way
-makes a worker count as warming up for longer, never for less. A row may have more columns in a later version;
-they are passed over.
+A record's `rank` orders its copies: by incarnation, by serial, then by how final the state is. Times in rows
+are remaining durations in milliseconds, and each process applies them to its own monotonic clock: a message
+delay makes a worker count as warming up for longer, never for less. In later versions rows may have more
+columns, which are ignored.
 """
 
 from __future__ import annotations
@@ -16,16 +16,16 @@
 
 
 class WorkerState(enum.StrEnum):
-    """State of a worker, in the words of the wire."""
+    """State of a worker; the values are part of the protocol."""
 
     SERVING = "boarding"
     DRAINING = "unloading"
-    LOST = "lost"  # concluded from silence; a later heartbeat undoes it
+    LOST = "lost"  # silent for too long; a later heartbeat reverts it
     GONE = "gone"  # final
 
 
 class GatewayState(enum.StrEnum):
-    """State of a gatekeeper, in the words of the wire."""
+    """State of a gatekeeper; the values are part of the protocol."""
 
     STARTING = "starting"
     READY = "ready"
@@ -34,7 +34,7 @@
     GONE = "gone"
 
 
-# How far a worker's state is from serving; of two copies with one serial the graver counts.
+# How final a worker's state is; of two copies with the same serial, the one with the more final state wins.
 FINALITY = {WorkerState.SERVING: 0, WorkerState.LOST: 1, WorkerState.DRAINING: 2, WorkerState.GONE: 3}
 
 
@@ -45,11 +45,11 @@
     Attributes
     ----------
     serial : int
-        Of the heartbeat that last changed anything here, not of the last heartbeat.
+        Serial of the last heartbeat that changed the record, not of the last heartbeat.
     warming_until : int
-        Steady ns, 0 for a worker that is warm.
+        End of the warm-up (monotonic ns); 0 for a warm worker.
     maybe_cold : bool
-        It may have turned cold since its last heartbeat, and counts as cold until the next one.
+        Whether the worker may have become cold since its last heartbeat: it counts as cold until the next.
     """
 
     id: str
@@ -65,18 +65,18 @@
 
     @property
     def rank(self) -> tuple[int, int, int]:
-        """Order of copies: draining and gone are never undone; else the later heartbeat, then the graver."""
+        """Sort key of copies: draining and gone are never reverted; else heartbeat serial, then finality."""
         finality = FINALITY[self.state]
         is_final = finality > FINALITY[WorkerState.LOST]
         return (finality if is_final else 0), self.serial, finality * 2 + (not self.maybe_cold)
 
     @property
     def is_gone(self) -> bool:
-        """Whether it has ended for good."""
+        """Whether the state is gone."""
         return self.state is WorkerState.GONE
 
     def to_row(self, now: int) -> list[Any]:
-        """Return the row for another process, or for a digest where `now` is 0."""
+        """Return the row to send to another process; for a digest `now` is 0."""
         warming_ms = max(0, self.warming_until - now) // MS if now else 0
         return [
             self.id,
@@ -93,12 +93,12 @@
 
     @classmethod
     def from_row(cls, row: list[Any], now: int) -> Worker:
-        """Return the record of another process' row.
+        """Return the record of a row from another process.
 
         Raises
         ------
         ValueError, TypeError
-            The row is none of a worker.
+            The row is not a valid worker row.
         """
         id_, service, address, zone, edition, slots, serial, state, warming_ms, maybe_cold, *_ = row
         return cls(
@@ -122,13 +122,13 @@
     Attributes
     ----------
     client_address : str
-        Where clients reach it.
+        Address for clients.
     internal_address : str
-        Where processes of the system reach it, by TCP and UDP.
+        Address for the processes of the system, by TCP and UDP.
     incarnation : int
-        Grows from one start of its process to the next.
+        Increases with each start of its process.
     serial : int
-        Grows within an incarnation.
+        Increases within an incarnation.
     """
 
     name: str
@@ -142,22 +142,22 @@
 
     @property
     def rank(self) -> tuple[int, int, int]:
-        """Order of copies: a later incarnation, then its later record, then what others conclude."""
-        is_concluded = self.state in (GatewayState.LOST, GatewayState.GONE)
-        return self.incarnation, self.serial, int(is_concluded)
+        """Sort key of copies: incarnation, then serial; at equal serials lost and gone supersede the rest."""
+        is_lost_or_gone = self.state in (GatewayState.LOST, GatewayState.GONE)
+        return self.incarnation, self.serial, int(is_lost_or_gone)
 
     @property
     def is_gone(self) -> bool:
-        """Whether it has ended for good."""
+        """Whether the state is gone."""
         return self.state is GatewayState.GONE
 
     @property
     def is_running(self) -> bool:
-        """Whether it serves or is about to."""
+        """Whether the gatekeeper serves or is about to."""
         return self.state in (GatewayState.READY, GatewayState.STARTING)
 
     def to_row(self) -> list[Any]:
-        """Return the row for another process."""
+        """Return the row to send to another process."""
         return [
             self.name,
             self.zone,
@@ -171,12 +171,12 @@
 
     @classmethod
     def from_row(cls, row: list[Any]) -> GatewayRecord:
-        """Return the record of another process' row.
+        """Return the record of a row from another process.
 
         Raises
         ------
         ValueError, TypeError
-            The row is none of a gatekeeper.
+            The row is not a valid gatekeeper row.
         """
         name, zone, region, client_address, internal_address, incarnation, serial, state, *_ = row
         return cls(
--- a/pepperrun/control/replication_waits.py
+++ b/pepperrun/control/replication_waits.py
@@ -1,4 +1,4 @@
-"""Waits until enough other control nodes hold a record, before a worker gets its acknowledgement. No I/O."""
+"""Waits until enough other control nodes store a record, before a worker gets its acknowledgement. No I/O."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 
 @dataclass(slots=True)
 class ReplicationWait:
-    """How many other control nodes have to hold a record, and which ones do."""
+    """The number of other control nodes that must store a record, and those that have stored it."""
 
     needed: int
     replicated_at: set[str] = field(default_factory=set)
 
 
 class ReplicationWaits:
-    """Waits by token. Tokens of those that are over are in `completed` until they are taken."""
+    """Pending waits by token. Tokens of completed waits stay in `completed` until they are taken."""
 
     def __init__(self) -> None:
         self.last_token = 0
@@ -22,17 +22,17 @@
         self._waits: dict[int, ReplicationWait] = {}
 
     def __contains__(self, token: int) -> bool:
-        """Return whether a wait is not over."""
+        """Return whether a wait is pending."""
         return token in self._waits
 
     def start(self, needed: int) -> int:
-        """Begin a wait for `needed` other nodes; return its token."""
+        """Start a wait for `needed` other nodes; return its token."""
         self.last_token += 1
         self._waits[self.last_token] = ReplicationWait(needed)
         return self.last_token
 
     def confirm(self, ip: str, token: int) -> None:
-        """Note that a node holds what the token stands for."""
+        """Record that a node has stored the record of a token."""
         wait = self._waits.get(token)
         if wait is None:
             return
@@ -42,11 +42,11 @@
             self.completed.append(token)
 
     def give_up(self, token: int) -> None:
-        """Drop a wait that nobody needs any more."""
+        """Drop a wait whose caller has given up."""
         self._waits.pop(token, None)
 
     def take_completed(self) -> list[int]:
-        """Return the tokens of waits that are over."""
+        """Return and remove the tokens of completed waits."""
         completed = self.completed
         self.completed = []
         return completed
--- a/pepperrun/control/table_codec.py
+++ b/pepperrun/control/table_codec.py
@@ -1,6 +1,7 @@
-"""Codec of a configuration as operators send it: tables of columns and rows, here items by name.
+"""Codec between the tables of columns and rows that operators send, and items by name.
 
-Every item keeps each column that was sent with a value, known or not, so that it reads back as it was sent.
+An item keeps each column that was sent with a value, even an unknown one, so that operators read back what
+they sent.
 """
 
 from __future__ import annotations
@@ -17,12 +18,12 @@
 
 
 def parse_body(data: bytes) -> dict[str, Any]:
-    """Return the body of a call.
+    """Return the JSON object in the body of a call.
 
     Raises
     ------
     PepperrunError
-        `cut-short`: it is incomplete or no JSON object.
+        `cut-short`: the body is incomplete, or not a JSON object.
     """
     try:
         body = json.loads(data, parse_constant=_reject_constant)
@@ -34,7 +35,7 @@
 
 
 def decode_table(kind: str, table: Any) -> Items:
-    """Return a table's items by name; columns without a value (null) are left out.
+    """Return a table's items by name; columns with a null value are omitted.
 
     Parameters
     ----------
@@ -44,8 +45,8 @@
     Raises
     ------
     PepperrunError
-        `cut-short`: columns, rows or values are missing. `bad-type`: names are missing or not text.
-        `twice-named`: two items have one name.
+        `cut-short`: columns, rows or values are missing. `bad-type`: names are missing or not strings.
+        `twice-named`: two items have the same name.
     """
     columns, rows = _columns_and_rows(kind, table)
     items: Items = {}
@@ -83,7 +84,7 @@
 
 
 def encode_table(items: Items) -> dict[str, Any]:
-    """Return items as a table again: the columns that any of them has, in the order in which they are met."""
+    """Return items as a table with the columns of all items, in the order of their first occurrence."""
     columns = list(dict.fromkeys(column for item in items.values() for column in item)) or ["name"]
     rows = [[item.get(column) for column in columns] for item in items.values()]
     return {"columns": columns, "rows": rows}
--- a/pepperrun/control/validation.py
+++ b/pepperrun/control/validation.py
@@ -1,6 +1,7 @@
-"""Checks of a configuration: of each item for itself, and of what items say of each other.
+"""Validation of a configuration: of each item by itself, and of references between items.
 
-A check raises a PepperrunError: its code names the kind, its detail is one sentence that names the item.
+A failed check raises a PepperrunError: its code is the kind of error, its detail a sentence that names the
+item.
 """
 
 from __future__ import annotations
@@ -16,12 +17,12 @@
 
 
 def check_items(kind: str, items: Items) -> None:
-    """Check each item of a table for itself.
+    """Check each item of a table by itself.
 
     Raises
     ------
     PepperrunError
-        `bad-type`, or for a route what `check_route` raises.
+        `bad-type`, or for a route the errors of `check_route`.
     """
     for name, item in items.items():
         if kind == "routes":
@@ -31,7 +32,7 @@
 
 
 def check_route(item: Item) -> None:
-    """Check a route for itself.
+    """Check a route by itself.
 
     Raises
     ------
@@ -57,7 +58,7 @@
 
 
 def _check_match(name: str, deadline_ms: float, prefix: str, host: str) -> None:
-    """Check which requests a route takes, and for how long."""
+    """Check a route's deadline, path prefix and host."""
     if not deadline_ms > 0:
         raise configuration_error(
             "no-timeout", f"Route {name} has a deadline_ms of {deadline_ms:g}, not above 0."
@@ -75,7 +76,7 @@
 
 
 def _check_destination(name: str, service: str | None, shares: list[float] | None) -> None:
-    """Check that a route goes to one service, or to several by their shares."""
+    """Check that a route has one service, or several services with their shares."""
     if shares:
         if service is not None:
             raise configuration_error("no-service", f"Route {name} has both a line and splits.")
@@ -89,12 +90,12 @@
 
 
 def check_services_known(routes: Iterable[Item], services: Mapping[str, Any] | set[str]) -> None:
-    """Check that each route, valid for itself, names known services alone.
+    """Check that each route, which is valid by itself, refers only to known services.
 
     Raises
     ------
     PepperrunError
-        `unknown-service`
+        `unknown-service`: a route refers to a service that does not exist.
     """
     for route in routes:
         for service in _services_of(route):
@@ -115,7 +116,7 @@
     Raises
     ------
     PepperrunError
-        `shared-key`
+        `shared-key`: two tenants have the same key.
     """
     owners: dict[str, str] = {}
     for name, sender in senders.items():
--- a/pepperrun/control/verdict.py
+++ b/pepperrun/control/verdict.py
@@ -1,4 +1,4 @@
-"""What an operator is answered: the verdict on an order, and the error of an order that is not valid."""
+"""Results of an operator's order: the verdict, and the error of an invalid configuration."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Verdict(NamedTuple):
-    """HTTP status, a sentence for people, and a code for tools; without one the status stands for it."""
+    """HTTP status, a sentence for people, and a code for tools; an empty code follows from the status."""
 
     status: int
     detail: str
@@ -18,6 +18,6 @@
 
 
 def configuration_error(code: str, sentence: str) -> PepperrunError:
-    """Return the error that says why a configuration is not taken, its sentence made whole."""
-    whole = sentence[:1].upper() + sentence[1:].rstrip()
-    return PepperrunError(code, STEP, whole if whole.endswith(".") else whole + ".")
+    """Return the error of an invalid configuration; adds a capital letter and a full stop to the sentence."""
+    detail = sentence[:1].upper() + sentence[1:].rstrip()
+    return PepperrunError(code, STEP, detail if detail.endswith(".") else detail + ".")
--- a/pepperrun/control_node.py
+++ b/pepperrun/control_node.py
@@ -1,4 +1,4 @@
-"""Control node: the program that answers workers, operators and clients that ask where to go."""
+"""Control node: the program that serves workers, operators, and clients that look up gatekeepers."""
 
 from __future__ import annotations
 
@@ -18,15 +18,15 @@
 from pepperrun.foundation.settings import Settings, load
 from pepperrun.storage.store import DiskStore
 
-SETTINGS_CHECK_S = 2.0  # between two looks whether the settings file has changed
-DRAIN_TIMEOUT_S = 1.5  # for what was read, once told to stop
-LAST_MESSAGES_S = 0.1  # for the last messages to go out
-HANDOVER_TIMEOUT_S = 3.0  # at most until its vote and its duty are others': half of the usual `grace_s`
-HANDOVER_CHECK_S = 0.05  # between two looks whether they are
+SETTINGS_CHECK_S = 2.0  # between two checks for a change of the settings file
+DRAIN_TIMEOUT_S = 1.5  # at shutdown, to answer the calls that were read
+LAST_MESSAGES_S = 0.1  # at shutdown, to send the last messages
+HANDOVER_TIMEOUT_S = 3.0  # to hand over the vote and the coordinator role: half of the usual `grace_s`
+HANDOVER_CHECK_S = 0.05  # between two checks whether the handover is complete
 
 
 class ControlProgram:
-    """The running program: settings, servers and signals around one control node."""
+    """The running program: loads the settings, handles signals and runs the servers of a control node."""
 
     def __init__(self, settings: Settings, path: str | None) -> None:
         self.settings, self.path = settings, path
@@ -42,24 +42,24 @@
         }
 
     def settings_mtime_ns(self) -> int:
-        """Return when the settings file was last changed."""
+        """Return the modification time of the settings file, ns; 0 if it can't be read."""
         try:
-            where: str = self.path or os.environ.get("PEPPERRUN_NODE_FILE") or ""
-            return os.stat(where).st_mtime_ns
+            path: str = self.path or os.environ.get("PEPPERRUN_NODE_FILE") or ""
+            return os.stat(path).st_mtime_ns
         except OSError:
             return 0
 
     async def run(self) -> None:
-        """Serve until told to stop, then shut down gracefully."""
+        """Serve until a signal requests the stop, then shut down gracefully."""
         loop = asyncio.get_running_loop()
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, self.stop.set)
         loop.add_signal_handler(signal.SIGHUP, self.reload_settings)
         listener = await link.listen(self.settings.internal_address, self.node, self.node.hello)
         for name, server in self.servers.items():
-            where = self.settings.listen_address(name)
-            if where is not None:
-                await server.open(where)
+            address = self.settings.listen_address(name)
+            if address is not None:
+                await server.open(address)
         self.node.start()
         while not self.stop.is_set():
             try:
@@ -77,7 +77,7 @@
         self.node.close()
 
     async def wait_for_handover(self) -> None:
-        """Wait until no other node needs this one's vote or role, or the time for it is over."""
+        """Wait until other nodes have taken over this node's vote and role, or the time-out is over."""
         checks = int(HANDOVER_TIMEOUT_S / HANDOVER_CHECK_S)
         for _ in range(checks):
             if self.node.replica.safe_to_stop:
@@ -86,7 +86,7 @@
         logs.event("handover-timed-out", station=self.settings.me.station)
 
     def reload_settings(self) -> None:
-        """Read the settings file again; one that is not valid changes nothing."""
+        """Reload the settings file; an invalid file is logged and changes nothing."""
         self.settings_changed_at = self.settings_mtime_ns()
         try:
             self.settings = load(self.path)
@@ -97,7 +97,7 @@
 
 
 def open_store(settings: Settings) -> tuple[DurableState, StateStore]:
-    """Return the durable state and its store; without a disk nothing outlives the process."""
+    """Return the durable state and its store; without a store directory the state is only in memory."""
     me = settings.me
     contacts = [ip for ip, _ in settings.contacts()] if me.first_run else []
     if me.store_dir is None:
@@ -107,14 +107,12 @@
 
 
 def main(args: list[str] | None = None) -> int:
-    """Run the command line; return 0, or 2 where settings or disk are not valid."""
+    """Run the command line; return 0, or 2 if the settings or the disk are not valid."""
     parser = argparse.ArgumentParser(prog="python3 -m pepperrun.control_node", description=__doc__)
     parser.add_argument(
-        "--settings", metavar="FILE", help="the settings file (else PEPPERRUN_NODE_FILE names it)"
-    )
-    parser.add_argument(
-        "--check", action="store_true", help="read the settings, say whether they are good, and stop"
+        "--settings", metavar="FILE", help="settings file (default: the one named by PEPPERRUN_NODE_FILE)"
     )
+    parser.add_argument("--check", action="store_true", help="check whether the settings are valid, and exit")
     parser.add_argument("--verbose", action="store_true", help="log more")
     options = parser.parse_args(args)
     logs.setup(options.verbose)
--- a/tests/test_quota_owners.py
+++ b/tests/test_quota_owners.py
@@ -18,7 +18,7 @@
     JOIN_BATCH_NS,
     REPLACE_SILENT_NS,
     QuotaPlacement,
-    is_crowded,
+    shares_are_too_small,
 )
 from pepperrun.control.records import GatewayRecord, GatewayState
 from pepperrun.core.gateway import Gateway
@@ -365,7 +365,7 @@
                 state = apply(state, op)[0] or state
         return state.get("keepers", {}).get("places", {})
 
-    assert not is_crowded(state, BOUNDS, 11) and run_placement(3, nodes[:11]) == {}
+    assert not shares_are_too_small(state, BOUNDS, 11) and run_placement(3, nodes[:11]) == {}
     domains = run_placement(3, nodes[:76])
     assert sorted(domains) == ["a", "b", "c"] and sum(map(len, domains.values())) == 76
     assert run_placement(CHANGE_INTERVAL_NS / SECOND - 2, nodes) == domains  # the last gatekeeper has to wait
