--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -1,4 +1,4 @@
-"""Control state: configurations and their changes, cells among core machines, control calls. Virtual time."""
+"""Configurations and their changes, the HTTP handlers and server, and the links between control nodes."""
 
 from __future__ import annotations
 
@@ -9,7 +9,19 @@
 from typing import Any
 
 import pytest
-from clusters import LINES, ROUTES, SENDERS, A, World, amend, beat, cell, gateway, put, whole
+from clusters import (
+    ROUTES,
+    SERVICES,
+    TENANTS,
+    A,
+    World,
+    amend_op,
+    configuration,
+    gateway,
+    heartbeat,
+    replace_op,
+    with_value,
+)
 
 from pepperrun.consensus.state import Operation, digest_of
 from pepperrun.control import item_conversion
@@ -33,19 +45,21 @@
 SECOND = 1000 * MS
 
 
-def test_a_configuration_reads_back_as_it_was_sent_and_planes_read_the_same() -> None:
-    state, verdict = apply(None, put(whole()))
+def test_a_configuration_reads_back_as_sent_and_the_data_plane_reads_it() -> None:
+    state, verdict = apply(None, replace_op(configuration()))
     assert verdict[0] == 200 and state is not None
     back = encode_configuration(state)
     for kind in ("routes", "carrier_lines", "senders"):
-        sent, told = ((set(t["columns"]), t) for t in (whole()[kind], back[kind]))
+        sent, returned = ((set(t["columns"]), t) for t in (configuration()[kind], back[kind]))
         items = [
             [{c: v for c, v in zip(t["columns"], row, strict=True) if v is not None} for row in t["rows"]]
-            for _, t in (sent, told)
+            for _, t in (sent, returned)
         ]
-        assert items[0] == items[1]  # the column that nobody knows is there too
+        assert items[0] == items[1]  # includes the column that is unknown to the code
     assert back["limits"] == {"dwell_ms": 15000} and back["edition"] == 3
-    assert apply({}, put(back))[0] == apply(None, put(whole()))[0] | {"taken": [[3, put(back)["digest"]]]}
+    assert apply({}, replace_op(back))[0] == apply(None, replace_op(configuration()))[0] | {
+        "taken": [[3, replace_op(back)["digest"]]]
+    }
     numbering = Numbering(Bounds())
     read = RoutingTable(1, state, numbering)
     splits = read.routes["a"].config.splits
@@ -53,65 +67,70 @@
     assert (
         read.services[numbering.service_number("y")].cold_s == 0 and read.tenants["s"].config.rate_per_s == 70
     )
-    after = apply(state, amend({"edition": 4, "withdraw": {"senders": ["t"]}}, 3))[0]
+    after = apply(state, amend_op({"edition": 4, "withdraw": {"senders": ["t"]}}, 3))[0]
     assert after is not None
     again = RoutingTable(2, after, numbering, read)
-    assert again.routes["a"] is read.routes["a"] and set(again.tenants) == {
-        "s"
-    }  # what is the same is not reread
-
-
-Spoil = Callable[[dict[str, Any]], Any]
-SPOILT: dict[str, Spoil] = {
-    "unknown-service": lambda body: cell(body, "routes", 0, "splits", [{"line": "z", "share": 1}]),
-    "no-weight": lambda body: cell(body, "routes", 0, "splits", [{"line": "x", "share": 0}]),
-    "no-timeout": lambda body: cell(body, "routes", 1, "deadline_ms", 0),
-    "long-timeout": lambda body: cell(body, "routes", 1, "deadline_ms", 600_001),
-    "bare-prefix": lambda body: cell(body, "routes", 0, "prefix", "a/"),
-    "no-host": lambda body: cell(body, "routes", 0, "depot", ""),
-    "shared-key": lambda body: cell(body, "senders", 1, "stamps", ["k9", "k2"]),
-    "no-service": lambda body: cell(body, "routes", 1, "line", None),
-    "twice-named": lambda body: cell(body, "routes", 1, "name", "a"),
-    "bad-type": lambda body: cell(body, "routes", 1, "deadline_ms", "2000"),
+    assert again.routes["a"] is read.routes["a"] and set(again.tenants) == {"s"}  # unchanged items are reused
+
+
+Corruption = Callable[[dict[str, Any]], Any]
+INVALID: dict[str, Corruption] = {  # by the expected error code
+    "unknown-service": lambda body: with_value(body, "routes", 0, "splits", [{"line": "z", "share": 1}]),
+    "no-weight": lambda body: with_value(body, "routes", 0, "splits", [{"line": "x", "share": 0}]),
+    "no-timeout": lambda body: with_value(body, "routes", 1, "deadline_ms", 0),
+    "long-timeout": lambda body: with_value(body, "routes", 1, "deadline_ms", 600_001),
+    "bare-prefix": lambda body: with_value(body, "routes", 0, "prefix", "a/"),
+    "no-host": lambda body: with_value(body, "routes", 0, "depot", ""),
+    "shared-key": lambda body: with_value(body, "senders", 1, "stamps", ["k9", "k2"]),
+    "no-service": lambda body: with_value(body, "routes", 1, "line", None),
+    "twice-named": lambda body: with_value(body, "routes", 1, "name", "a"),
+    "bad-type": lambda body: with_value(body, "routes", 1, "deadline_ms", "2000"),
     "cut-short": lambda body: body["routes"]["rows"][1].pop() or body,
 }
 
 
-@pytest.mark.parametrize("kind", SPOILT)
-def test_an_invalid_configuration_is_refused_with_its_kind_and_a_sentence(kind: str) -> None:
+@pytest.mark.parametrize("kind", INVALID)
+def test_an_invalid_configuration_is_refused_with_a_code_and_a_sentence(kind: str) -> None:
     with pytest.raises(PepperrunError) as refused:
-        put(SPOILT[kind](whole()))
+        replace_op(INVALID[kind](configuration()))
     assert refused.value.code == kind and len(refused.value.detail) > 20
 
 
-def test_a_body_cut_anywhere_is_refused_and_valid_rarities_are_not() -> None:
-    data = json.dumps(whole()).encode()
+def test_a_truncated_body_is_refused_and_unusual_valid_values_are_accepted() -> None:
+    data = json.dumps(configuration()).encode()
     for end in range(0, len(data), 7):
         with pytest.raises(PepperrunError):
             read_replace(data[:end], 0)
-    cell(body := whole(), "routes", 0, "deadline_ms", 600_000)
-    cell(body, "routes", 1, "splits", [])
-    cell(body, "routes", 0, "prefix", "/")
-    cell(body, "routes", 0, "splits", [{"line": "x", "share": 0}, {"line": "y", "share": 0.5}])
-    cell(body, "senders", 0, "stamps", ["k1", "k1"])
-    cell(body, "senders", 1, "stamps", [])
+    with_value(body := configuration(), "routes", 0, "deadline_ms", 600_000)
+    with_value(body, "routes", 1, "splits", [])
+    with_value(body, "routes", 0, "prefix", "/")
+    with_value(body, "routes", 0, "splits", [{"line": "x", "share": 0}, {"line": "y", "share": 0.5}])
+    with_value(body, "senders", 0, "stamps", ["k1", "k1"])
+    with_value(body, "senders", 1, "stamps", [])
     del body["limits"]
-    put(body | {"senders": None, "remark": "anything"})
-    put(body)
+    replace_op(body | {"senders": None, "remark": "anything"})
+    replace_op(body)
 
 
-def test_orders_on_the_same_edition_race_and_repeats_get_their_answer() -> None:
-    first, other = put(whole(3)), put(whole(3, limits={"dwell_ms": 9}))
+def test_of_orders_on_the_same_edition_one_is_applied_and_repeats_get_their_answer() -> None:
+    first, other = (
+        replace_op(configuration(3)),
+        replace_op(configuration(3, limits={"dwell_ms": 9})),
+    )
     state, _ = apply(None, first)
     assert state is not None and apply(state, other)[1][0] == 412
     assert apply(state, first) == (None, Verdict(200, "Edition 3 has been taken already."))
-    assert apply(state, put(whole(3), on=3))[1][2] == "old-edition"  # the same, but meant as a new one
+    assert (
+        apply(state, replace_op(configuration(3), on=3))[1][2] == "old-edition"
+    )  # the same configuration as a new order
     frozen = copy.deepcopy(state)
-    new, verdict = apply(state, up := amend({"edition": 9, "upsert": {"routes": ROUTES}}, 3))
-    assert verdict[0] == 200 and new is not None and apply(new, first)[1][0] == 200  # also later
-    assert apply(new, amend({"edition": 12, "withdraw": {"routes": ["a"]}}, 3))[1][0] == 412
-    # Edition 9 on top of 3 as a whole, too: neither goes for the other, whichever was first.
-    over = put(whole(9, routes=ROUTES), on=3)
+    new, verdict = apply(state, up := amend_op({"edition": 9, "upsert": {"routes": ROUTES}}, 3))
+    assert (
+        verdict[0] == 200 and new is not None and apply(new, first)[1][0] == 200
+    )  # also after a later change
+    assert apply(new, amend_op({"edition": 12, "withdraw": {"routes": ["a"]}}, 3))[1][0] == 412
+    # Edition 9 as a complete configuration on top of 3 is another order, whichever of the two is first.
+    over = replace_op(configuration(9, routes=ROUTES), on=3)
     assert apply(new, over)[1][0] == 412 and apply(new, up)[1][0] == 200
     other_way, _ = apply(state, over)
     assert apply(other_way, up)[1][0] == 412 and apply(other_way, over)[1][0] == 200
@@ -130,37 +149,37 @@
         ("old-edition", {"edition": 3}),
     ],
 )
-def test_what_counts_of_an_amend_is_what_results(code: str, change: dict[str, Any]) -> None:
-    state, _ = apply(None, put(whole()))
-    new, verdict = apply(state, amend({"edition": 4} | change, 3))
+def test_an_amendment_is_validated_by_the_resulting_configuration(code: str, change: dict[str, Any]) -> None:
+    state, _ = apply(None, replace_op(configuration()))
+    new, verdict = apply(state, amend_op({"edition": 4} | change, 3))
     assert new is None and verdict[0] == 400 and verdict[2] == code
     moved = {"upsert": {"senders": {"columns": ["name", "stamps"], "rows": [["u", ["k3"]]]}}}
-    assert apply(state, amend({"edition": 4, "withdraw": {"senders": ["t"]}} | moved, 3))[1][0] == 200
+    assert apply(state, amend_op({"edition": 4, "withdraw": {"senders": ["t"]}} | moved, 3))[1][0] == 200
 
 
-def test_a_zone_is_emptied_and_taken_back_once_however_often_it_is_asked() -> None:
-    state, _ = apply(None, put(whole()))
+def test_repeated_orders_to_begin_or_end_an_evacuation_take_effect_once() -> None:
+    state, _ = apply(None, replace_op(configuration()))
     begun, verdict = apply(state, evacuation_operation("z1", True))
     assert begun and begun["evacuated"] == ["z1"] and verdict[0] == 200
     assert apply(begun, evacuation_operation("z1", True)) == (
         None,
         Verdict(200, "Zone z1 is evacuated already."),
     )
-    kept, _ = apply(begun, put(whole(5), on=3))
+    kept, _ = apply(begun, replace_op(configuration(5), on=3))
     assert kept and kept["evacuated"] == ["z1"]
     done, _ = apply(kept, evacuation_operation("z1", False))
     assert done and done["evacuated"] == [] and apply(done, evacuation_operation("z1", False))[0] is None
 
 
-class Core:
-    """What the control calls need, played."""
+class FakeNode:
+    """A `NodeInterface` whose results the test sets."""
 
     def __init__(self) -> None:
         self.registry = EndpointRegistry(A, 1500, SECOND)
-        self.alone = False
+        self.is_partitioned = False
         self.verdict: Verdict | None = Verdict(200, "Taken.")
-        self.retiring, self.orders, self.held_now, self.time = False, [], True, SECOND  # type: ignore[var-annotated]
-        self.emptied: dict[str, Any] = {}
+        self.retiring, self.orders, self.replicates, self.time = False, [], True, SECOND  # type: ignore[var-annotated]
+        self.evacuation_state: dict[str, Any] = {}
         zones = {"z0": "r0", "z1": "r1"}
         me = {"station": "s", "role": "r", "ip": A, "zone": "z0", "region": "r0"}
         self.settings = parse(
@@ -174,14 +193,14 @@
 
     @property
     def lacks_quorum(self) -> bool:
-        return self.alone
+        return self.is_partitioned
 
     @property
     def voter_count(self) -> int:
         return 3
 
     def replicated(self, token: int) -> asyncio.Future[None]:
-        return self._future(None) if self.held_now else asyncio.get_running_loop().create_future()
+        return self._future(None) if self.replicates else asyncio.get_running_loop().create_future()
 
     def order(self, op: Operation, timeout_ns: int) -> asyncio.Future[Any]:
         async def decide() -> Any:
@@ -197,8 +216,8 @@
 
     @property
     def state(self) -> dict[str, Any] | None:
-        state, _ = apply(None, put(whole()))
-        return None if state is None else state | self.emptied
+        state, _ = apply(None, replace_op(configuration()))
+        return None if state is None else state | self.evacuation_state
 
     def other_node(self) -> str | None:
         return "10.0.0.9:81"
@@ -213,14 +232,14 @@
         return future
 
 
-def call(core: Core, method: str, target: str, body: Any = None, **headers: str) -> Answer:
+def call(node: FakeNode, method: str, target: str, body: Any = None, **headers: str) -> Answer:
     async def ask() -> Answer:
         path, query = parse_target(target.encode())
         data = body if isinstance(body, bytes) else json.dumps(body).encode()
         tree = (
-            ControlApi(core).control_tree()
+            ControlApi(node).control_tree()
             if not target.startswith("/resolve")
-            else ControlApi(core).directory_tree()
+            else ControlApi(node).directory_tree()
         )
         answer = dispatch(tree, Call(method, path, query, headers, data))
         return answer if isinstance(answer, Answer) else await answer
@@ -228,67 +247,70 @@
     return asyncio.run(ask())
 
 
-BEAT = {
+HEARTBEAT = {
     "address": "10.9.0.1:80",
     "notice": {"line": "x", "edition": "v1", "zone": "z0", "berths": 2},
     "tracking": {"state": "boarding", "serial": 4, "cold_ms": 1500.0},
 }
 
 
-def test_the_tree_of_matchers_finds_who_answers_or_says_what_is_missing() -> None:
-    core = Core()
+def test_calls_are_routed_to_their_handlers_or_get_an_error_status() -> None:
+    node = FakeNode()
     based = {"based-on": "0"}
     assert (
-        call(core, "POST", "/crew/i-7/beat", BEAT).status == 200 and core.registry.workers["i-7"].slots == 2
+        call(node, "POST", "/crew/i-7/beat", HEARTBEAT).status == 200
+        and node.registry.workers["i-7"].slots == 2
     )
     assert (
-        call(core, "POST", "/crew/i%2D7/leave").status == 200 and core.registry.workers["i-7"].state == "gone"
+        call(node, "POST", "/crew/i%2D7/leave").status == 200 and node.registry.workers["i-7"].state == "gone"
     )
-    assert call(core, "POST", "/timetable/replace", whole(), **based).status == 200
-    assert call(core, "POST", "/timetable/replace", whole()).status == 400  # no Based-On
-    assert call(core, "POST", "/timetable/amend", b'{"edition":', **based).status == 400
-    assert call(core, "POST", "/evacuate/z9/begin").status == 404
-    assert call(core, "POST", "/evacuate/z1/begin").status == 200
-    assert [one["do"] for one in core.orders] == ["replace", "evacuate"]
-    assert json.loads(call(core, "GET", "/timetable/read").body)["edition"] == 3
-    refused = call(core, "GET", "/crew/i-7/beat")
+    assert call(node, "POST", "/timetable/replace", configuration(), **based).status == 200
+    assert call(node, "POST", "/timetable/replace", configuration()).status == 400  # no Based-On
+    assert call(node, "POST", "/timetable/amend", b'{"edition":', **based).status == 400
+    assert call(node, "POST", "/evacuate/z9/begin").status == 404
+    assert call(node, "POST", "/evacuate/z1/begin").status == 200
+    assert [one["do"] for one in node.orders] == ["replace", "evacuate"]
+    assert json.loads(call(node, "GET", "/timetable/read").body)["edition"] == 3
+    refused = call(node, "GET", "/crew/i-7/beat")
     assert refused.status == 405 and refused.headers == (("Allow", "POST"),)
     for target in ("/", "/crew", "/crew//beat", "/crew/i-7/beat/", "/timetable/read/x", "/resolve"):
-        assert call(core, "POST", target).status in (404, 405)
+        assert call(node, "POST", target).status in (404, 405)
 
 
-def test_a_minority_takes_nothing_and_who_stops_names_another() -> None:
-    core = Core()
-    core.alone = True
+def test_a_node_without_a_quorum_refuses_calls_and_a_stopping_node_redirects_them() -> None:
+    node = FakeNode()
+    node.is_partitioned = True
     for target in ("/crew/i-7/beat", "/crew/i-7/leave", "/evacuate/z1/begin"):
-        assert call(core, "POST", target, BEAT).status == 503
-    assert not core.orders and not core.registry.workers
-    core.alone, core.retiring = False, True
-    moved = call(core, "POST", "/evacuate/z1/begin")
-    assert moved.status == 307 and moved.headers == (("Location", "http://10.0.0.9:81/evacuate/z1/begin"),)
-    core.retiring, core.verdict = False, None  # type: ignore[assignment]
-    assert call(core, "POST", "/evacuate/z1/begin").status == 503
-    core.verdict = Verdict(503, "Too long ago to be known.", "too-old")
-    unclear = call(core, "POST", "/timetable/replace", whole(), **{"based-on": "0"})
-    assert unclear.status == 503 and unclear.headers and json.loads(unclear.body)["code"] == "too-old"
-    core.emptied = {"evacuations": {"z7": {"begun": 1}}}  # a zone of other settings, which was emptied
-    core.verdict = Verdict(200, "Taken.")
-    assert call(core, "POST", "/evacuate/z7/finish").status == 200
-    assert call(core, "GET", "/resolve?name=n&region=r0&zone=z0").status == 503
-    core.registry.gateway_heartbeat(gateway("g1"), SECOND)
-    told = json.loads(call(core, "GET", "/resolve?name=n&region=r0&zone=z0").body)
-    assert told == {"addresses": ["g1:80"], "ttl_s": 2.0}
+        assert call(node, "POST", target, HEARTBEAT).status == 503
+    assert not node.orders and not node.registry.workers
+    node.is_partitioned, node.retiring = False, True
+    redirect = call(node, "POST", "/evacuate/z1/begin")
+    assert redirect.status == 307 and redirect.headers == (
+        ("Location", "http://10.0.0.9:81/evacuate/z1/begin"),
+    )
+    node.retiring, node.verdict = False, None  # type: ignore[assignment]
+    assert call(node, "POST", "/evacuate/z1/begin").status == 503
+    node.verdict = Verdict(503, "Too long ago to be known.", "too-old")
+    unknown = call(node, "POST", "/timetable/replace", configuration(), **{"based-on": "0"})
+    assert unknown.status == 503 and unknown.headers and json.loads(unknown.body)["code"] == "too-old"
+    node.evacuation_state = {"evacuations": {"z7": {"begun": 1}}}  # a zone of former settings
+    node.verdict = Verdict(200, "Taken.")
+    assert call(node, "POST", "/evacuate/z7/finish").status == 200
+    assert call(node, "GET", "/resolve?name=n&region=r0&zone=z0").status == 503
+    node.registry.gateway_heartbeat(gateway("g1"), SECOND)
+    answer = json.loads(call(node, "GET", "/resolve?name=n&region=r0&zone=z0").body)
+    assert answer == {"addresses": ["g1:80"], "ttl_s": 2.0}
 
 
 @pytest.mark.parametrize("field", ["address", "notice", "tracking"])
-def test_a_beat_that_can_not_be_meant_is_refused(field: str) -> None:
+def test_a_malformed_heartbeat_is_refused(field: str) -> None:
     for value in (None, {}, "x", 7, []):
         with pytest.raises(PepperrunError):
-            read_heartbeat("i-7", json.dumps(BEAT | {field: value}).encode())
+            read_heartbeat("i-7", json.dumps(HEARTBEAT | {field: value}).encode())
 
 
-class Wire(asyncio.Transport):
-    """A transport that keeps what is written."""
+class RecordingTransport(asyncio.Transport):
+    """A transport that records the written bytes."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -308,36 +330,39 @@
     def resume_reading(self) -> None: ...
 
 
-def test_the_server_answers_calls_in_order_chunked_or_not_and_ends_on_garbage() -> None:
-    async def play(data: bytes, size: int) -> Wire:
-        server = Server(ControlApi(Core()).control_tree())
-        caller, wire = ClientConnection(server), Wire()
-        caller.connection_made(wire)
+def test_the_server_answers_calls_in_order_chunked_or_not_and_closes_on_malformed_ones() -> None:
+    async def play(data: bytes, size: int) -> RecordingTransport:
+        server = Server(ControlApi(FakeNode()).control_tree())
+        connection, transport = ClientConnection(server), RecordingTransport()
+        connection.connection_made(transport)
         while data:
-            view = caller.get_buffer(-1)
-            some, data = data[: min(size, len(view))], data[min(size, len(view)) :]
-            view[: len(some)] = some
-            caller.buffer_updated(len(some))
+            view = connection.get_buffer(-1)
+            chunk, data = data[: min(size, len(view))], data[min(size, len(view)) :]
+            view[: len(chunk)] = chunk
+            connection.buffer_updated(len(chunk))
             await asyncio.sleep(0)
         for _ in range(29):
             await asyncio.sleep(0)
-        return wire
+        return transport
 
-    text = json.dumps(whole(pad="x" * 90_000)).encode()
+    text = json.dumps(configuration(pad="x" * 90_000)).encode()
     head = b"POST /timetable/replace HTTP/1.1\r\nHost: h\r\nBased-On: 0\r\n"
     long = head + b"Content-Length: %d\r\n\r\n" % len(text) + text
     chunks = head + b"Transfer-Encoding: chunked\r\n\r\n%x\r\n%b\r\n0\r\n\r\n" % (len(text), text)
     read = b"GET /timetable/read HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n"
     for size in (100, 4000):
-        wire = asyncio.run(play(long + chunks + read, size))
-        assert wire.out.count(b"HTTP/1.1 200 OK") == 3 and wire.closed
-    for garbage, status in ((b"BLAH\r\n\r\n", b"400"), (head + b"Content-Length: 99999999\r\n\r\n", b"413")):
-        wire = asyncio.run(play(garbage, 500))
-        assert wire.out.startswith(b"HTTP/1.1 " + status) and wire.closed
+        transport = asyncio.run(play(long + chunks + read, size))
+        assert transport.out.count(b"HTTP/1.1 200 OK") == 3 and transport.closed
+    for malformed, status in (
+        (b"BLAH\r\n\r\n", b"400"),
+        (head + b"Content-Length: 99999999\r\n\r\n", b"413"),
+    ):
+        transport = asyncio.run(play(malformed, 500))
+        assert transport.out.startswith(b"HTTP/1.1 " + status) and transport.closed
 
 
-class Dial:
-    """A dialler that does nothing."""
+class FakeDialer:
+    """A dialer that does nothing."""
 
     def __init__(self, where: Any, user: Any, hello: Any) -> None:
         self.where, self.link, self.open = where, None, True
@@ -346,71 +371,71 @@
         self.open = False
 
 
-class Plug:
-    """A link's place in the mesh."""
+class FakeLink:
+    """A link that does nothing."""
 
     def close(self) -> None: ...
 
     def write(self, frame: bytes) -> None: ...
 
 
-def test_machines_are_learnt_from_others_linked_once_and_forgotten_when_long_gone() -> None:
-    told: list[tuple[str, str]] = []
+def test_control_nodes_learn_of_each_other_keep_one_link_and_forget_absent_nodes() -> None:
+    events: list[tuple[str, str]] = []
 
-    class Told:
+    class Listener:
         def peer_up(self, ip: str, zone: str) -> None:
-            told.append(("up", ip))
+            events.append(("up", ip))
 
         def peer_down(self, ip: str) -> None:
-            told.append(("down", ip))
+            events.append(("down", ip))
 
         def link_lost(self, ip: str) -> None:
-            told.append(("lost", ip))
+            events.append(("lost", ip))
 
-    mesh = PeerLinks("10.0.0.5", 7600, None, Told(), dict, Dial)  # type: ignore[arg-type]
-    mesh.set_wanted(["10.0.0.1", "10.0.0.5"], SECOND)
-    assert [one.where for one in mesh._dialers.values()] == [("10.0.0.1", 7600)]
-    own, theirs = Plug(), Plug()
-    mesh._dialers["10.0.0.1"].link = own
+    links = PeerLinks("10.0.0.5", 7600, None, Listener(), dict, FakeDialer)  # type: ignore[arg-type]
+    links.set_wanted(["10.0.0.1", "10.0.0.5"], SECOND)
+    assert [one.where for one in links._dialers.values()] == [("10.0.0.1", 7600)]
+    own, theirs = FakeLink(), FakeLink()
+    links._dialers["10.0.0.1"].link = own
     hello = {"ip": "10.0.0.1", "zone": "z1", "cores": [["10.0.0.1", "z1"], ["10.0.0.7", "z2"]]}
-    mesh.opened(own, hello, SECOND)  # type: ignore[arg-type]
-    mesh.opened(theirs, hello, SECOND)  # type: ignore[arg-type]
-    assert told == [("up", "10.0.0.1")] and set(mesh._dialers) == {"10.0.0.1", "10.0.0.7"}
-    dialer = mesh._dialers["10.0.0.1"]
-    mesh.maintain(2 * SECOND)
+    links.opened(own, hello, SECOND)  # type: ignore[arg-type]
+    links.opened(theirs, hello, SECOND)  # type: ignore[arg-type]
+    assert events == [("up", "10.0.0.1")] and set(links._dialers) == {"10.0.0.1", "10.0.0.7"}
+    dialer = links._dialers["10.0.0.1"]
+    links.maintain(2 * SECOND)
     assert dialer.open
-    mesh.maintain(2 * SECOND, prune=True)  # the lower one dialled too: its link stays
-    assert not dialer.open and "10.0.0.1" not in mesh._dialers
-    mesh.closed(own, 2 * SECOND)  # type: ignore[arg-type]
-    assert told[1:] == [("lost", "10.0.0.1")]
-    mesh.closed(theirs, 3 * SECOND)  # type: ignore[arg-type]
-    assert told[-1] == ("down", "10.0.0.1") and "10.0.0.1" in mesh._dialers
-    mesh.maintain(FORGET_NS + 4 * SECOND, prune=True)
-    assert set(mesh._dialers) == {"10.0.0.1"}  # which is wanted; the other was only hearsay
+    links.maintain(2 * SECOND, prune=True)  # the node with the lower ip dialled too: its link stays
+    assert not dialer.open and "10.0.0.1" not in links._dialers
+    links.closed(own, 2 * SECOND)  # type: ignore[arg-type]
+    assert events[1:] == [("lost", "10.0.0.1")]
+    links.closed(theirs, 3 * SECOND)  # type: ignore[arg-type]
+    assert events[-1] == ("down", "10.0.0.1") and "10.0.0.1" in links._dialers
+    links.maintain(FORGET_NS + 4 * SECOND, prune=True)
+    assert set(links._dialers) == {"10.0.0.1"}  # which is wanted; the other was only learned from a node
 
 
-def test_small_changes_wait_a_moment_to_go_together() -> None:
+def test_non_urgent_changes_are_sent_in_one_batch() -> None:
     world = World(2)
     for n in range(20):
-        world.cells[A].heartbeat(beat(f"w{n}", 1), 0, world.now)
-    world.settle()
+        world.registries[A].heartbeat(heartbeat(f"w{n}", 1), 0, world.now)
+    world.deliver()
     world.sent.clear()
     for n in range(20):
-        world.cells[A].heartbeat(beat(f"w{n}", 2, cold=3 * SECOND), 0, world.now)
-        world.settle()
-    assert not world.sent and world.cells[A].next_tick_at() == min(
-        world.now + BATCH_NS, world.cells[A].next_round_at
+        world.registries[A].heartbeat(heartbeat(f"w{n}", 2, cold=3 * SECOND), 0, world.now)
+        world.deliver()
+    assert not world.sent and world.registries[A].next_tick_at() == min(
+        world.now + BATCH_NS, world.registries[A].next_round_at
     )
     world.now += BATCH_NS
-    world.cells[A].tick(world.now)
-    world.settle()
+    world.registries[A].tick(world.now)
+    world.deliver()
     assert [len(message["w"]) for _, _, message in world.sent if "w" in message] == [20]
     assert ROUND_NS > BATCH_NS
 
 
-def many(count: int, edition: int = 3) -> dict[str, Any]:
-    """A whole configuration with so many routes more."""
-    body = whole(edition)
+def many_routes(count: int, edition: int = 3) -> dict[str, Any]:
+    """Return a complete configuration with `count` additional routes."""
+    body = configuration(edition)
     more = [
         [
             f"r{at}",
@@ -433,13 +458,15 @@
     return body
 
 
-def test_thousands_of_routes_are_read_without_dacite_and_rarities_with_it(monkeypatch: Any) -> None:
-    asked: list[Any] = []
+def test_thousands_of_routes_are_read_without_dacite_and_unusual_values_with_it(monkeypatch: Any) -> None:
+    conversions: list[Any] = []
     real = item_conversion.dacite.from_dict
-    monkeypatch.setattr(item_conversion.dacite, "from_dict", lambda *args: asked.append(args) or real(*args))
-    put(many(1400))
-    assert not asked  # a fifth of a second of a core, in which a core machine answers nobody
-    odd: list[Any] = [
+    monkeypatch.setattr(
+        item_conversion.dacite, "from_dict", lambda *args: conversions.append(args) or real(*args)
+    )
+    replace_op(many_routes(1400))
+    assert not conversions  # they would block a control node for a fifth of a second
+    unusual: list[Any] = [
         3.0,
         -1,
         1 << 60,
@@ -453,40 +480,42 @@
         {},
         [{"line": "x", "share": True}],
     ]
-    for kind, table in (("routes", ROUTES), ("carrier_lines", LINES), ("senders", SENDERS)):
+    for kind, table in (("routes", ROUTES), ("carrier_lines", SERVICES), ("senders", TENANTS)):
         for column in table["columns"][1:]:
-            for value in odd:
-                body = cell(whole(), kind, 0, column, value)
+            for value in unusual:
+                body = with_value(configuration(), kind, 0, column, value)
                 item = decode_table(kind, body[kind])[body[kind]["rows"][0][0]]
                 if item_conversion.conforms(ITEM_TYPES[kind], item):
                     item_conversion.convert(
                         ITEM_TYPES[kind], item, "item"
-                    )  # dacite converts all that conforms
+                    )  # dacite converts every item that conforms
 
 
-def test_a_whole_configuration_goes_on_as_what_differs_and_means_the_same() -> None:
-    state, _ = apply(None, put(many(300)))
+def test_a_complete_configuration_is_compacted_to_an_equivalent_amendment() -> None:
+    state, _ = apply(None, replace_op(many_routes(300)))
     assert state is not None
-    body = many(300, 7)
-    cell(body, "routes", 5, "target_ms", 77)
+    body = many_routes(300, 7)
+    with_value(body, "routes", 5, "target_ms", 77)
     del body["routes"]["rows"][9:12]
     body["routes"]["rows"].append(["new", *body["routes"]["rows"][4][1:]])
     body["limits"] = {"dwell_ms": 9, "parcel_bytes": 5}
-    sent = put(body, 3)
-    less = compact(state, sent)
-    (new, verdict), (other, same) = apply(state, sent), apply(state, less)
+    sent = replace_op(body, 3)
+    compacted = compact(state, sent)
+    (new, verdict), (other, same) = apply(state, sent), apply(state, compacted)
     assert new is not None and other is not None and verdict == same
     assert digest_of(new) == digest_of(other) and other["routes"]["r20"] is state["routes"]["r20"]
-    assert len(json.dumps(less)) < len(json.dumps(sent)) / 20
-    assert apply(other, less)[1] == apply(new, sent)[1] == Verdict(200, "Edition 7 has been taken already.")
-    assert compact(other, sent) is sent and compact(None, put(body)) == put(
+    assert len(json.dumps(compacted)) < len(json.dumps(sent)) / 20
+    assert (
+        apply(other, compacted)[1] == apply(new, sent)[1] == Verdict(200, "Edition 7 has been taken already.")
+    )
+    assert compact(other, sent) is sent and compact(None, replace_op(body)) == replace_op(
         body
-    )  # on another edition: nothing to spare
-    gone = put(whole(7, limits={}), 3)
-    assert compact(state, gone) is gone  # what an amendment can't take away
+    )  # on another edition there is nothing to compact
+    gone = replace_op(configuration(7, limits={}), 3)
+    assert compact(state, gone) is gone  # an amendment can't remove limits
 
 
-def test_as_many_vote_as_bear_the_losses_that_are_told() -> None:
+def test_the_number_of_voters_tolerates_the_losses_in_the_settings() -> None:
     zones = {f"{region}{zone}": region for region in "abc" for zone in range(3)}
     for bear, most in (
         ({"vehicles": 2, "zones": 1, "regions": 1}, 7),
