--- a/pepperrun/control/node.py
+++ b/pepperrun/control/node.py
@@ -39,7 +39,7 @@
 
 
 class ControlNode:
-    """A control node: the `NodeInterface` of the handlers, `Source` of the publisher, `LinkHandler` of all links.
+    """A control node: `NodeInterface` of the handlers, `Source` of the publisher, `LinkHandler` of all links.
 
     Parameters
     ----------
--- a/pepperrun/control/peer_links.py
+++ b/pepperrun/control/peer_links.py
@@ -37,7 +37,7 @@
     ----------
     port : int
         Internal port, the same on all machines.
-    user : LinkHandler
+    handler : LinkHandler
         Receives the messages of the links.
     listener : PeerListener
         Gets notified of nodes that come and go.
@@ -52,14 +52,14 @@
         self,
         own_ip: str,
         port: int,
-        user: LinkHandler,
+        handler: LinkHandler,
         listener: PeerListener,
         hello: Callable[[], Message],
         dial: Callable[[Address, LinkHandler, Callable[[], Message]], Any] = Dialer,
     ) -> None:
         self.own_ip = own_ip
         self.port = port
-        self.user = user
+        self.handler = handler
         self.listener = listener
         self.hello = hello
         self.dial = dial
@@ -129,7 +129,7 @@
             if prune and self._should_forget(ip, now):
                 self._forget(ip)
             elif ip not in self._dialers and not self._links.get(ip):
-                self._dialers[ip] = self.dial((ip, self.port), self.user, self.hello)
+                self._dialers[ip] = self.dial((ip, self.port), self.handler, self.hello)
             elif prune and self._is_redundant_dialer(ip):
                 self._dialers.pop(ip).close()
 
