--- a/pepperrun/distribution/__init__.py
+++ b/pepperrun/distribution/__init__.py
@@ -1,1 +1,1 @@
-"""Distribution: configuration and records from the core to all gatekeepers, down a tree of relays."""
+"""Distribution of configuration and records from the control nodes to all gateways through a relay tree."""
--- a/pepperrun/distribution/control_node_selection.py
+++ b/pepperrun/distribution/control_node_selection.py
@@ -1,4 +1,4 @@
-"""Which control node a gatekeeper follows: the nearest that has not failed lately."""
+"""Selection of the control node that a gateway follows: the nearest one without a recent failure."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from pepperrun.foundation.settings import Address
 
 MS = 1_000_000  # ns
-AVOID_NS = 2000 * MS  # a control node that failed is passed over for so long, doubled each time
+AVOID_NS = 2000 * MS  # a failed control node is avoided for this long, doubled with each failure
 MAX_AVOID_NS = 16000 * MS
 
 
 class Nearness(enum.IntEnum):
-    """How near a control node is, the least the nearest."""
+    """Distance to a control node; the lowest value is the nearest."""
 
     SAME_ZONE = 0
     SAME_REGION = 1
@@ -23,28 +23,28 @@
 
 
 class _Avoidance(NamedTuple):
-    """Until when a control node is passed over, and for how long that is."""
+    """Avoidance of a failed control node: its end (monotonic ns) and its length."""
 
     until: int
-    length_ns: int
+    duration_ns: int
 
 
 class ControlNodeSelection:
-    """What is known of control nodes by their addresses: where they are, which have failed lately.
+    """Locations and recent failures of the control nodes, by address.
 
     Parameters
     ----------
     internal_port : int
-        The same on all machines.
+        Same on all machines.
     regions : mapping of str to str
         Region of each zone.
     contacts : list of Address
-        Of the settings, tried where no listed node will do.
+        From the settings; used if no listed node is usable.
 
     Attributes
     ----------
     zones : dict of str to str
-        Zone by ip, as learnt from their hellos and lists.
+        Zone by ip, from the hellos and lists of control nodes.
     """
 
     def __init__(
@@ -59,11 +59,11 @@
         self._avoided: dict[Address, _Avoidance] = {}
 
     def learn(self, control_nodes: Iterable[list[str]]) -> None:
-        """Take over the list, rows of ip and zone, that a control node gave."""
+        """Record the rows of ip and zone that a control node sent."""
         self.zones.update((ip, zone) for ip, zone in control_nodes)
 
     def nearness(self, address: Address) -> Nearness:
-        """Return how near a control node is; far too where its zone is not known."""
+        """Return the distance to a control node; FAR if its zone is unknown."""
         zone = self.zones.get(address[0])
         if zone == self.zone:
             return Nearness.SAME_ZONE
@@ -73,32 +73,34 @@
     def best(
         self, control_nodes: Iterable[list[str]], now: int, *, other_than: Address | None = None
     ) -> Address:
-        """Return the nearest that has not failed lately; first contacts only where no listed one will do.
+        """Return the nearest control node without a recent failure, and not `other_than` if there is another.
 
-        A control node that is partitioned lists itself alone, so those that were listed before count as well.
+        Control nodes of the current list come first. A partitioned control node lists only itself, so nodes
+        of earlier lists and the first contacts are candidates too. If all have failed, the result is the one
+        whose avoidance ends first.
         """
         listed = {(str(row[0]), self.internal_port) for row in control_nodes}
-        learnt = {(ip, self.internal_port) for ip in self.zones}
-        known = listed.union(self.contacts, learnt)
+        known_before = {(ip, self.internal_port) for ip in self.zones}
+        candidates = listed.union(self.contacts, known_before)
 
         def preference(address: Address) -> tuple[int, bool, int, bytes]:
             avoidance = self._avoided.get(address)
             avoided_until = avoidance.until if avoidance is not None and avoidance.until > now else 0
-            drawn = spread_key(self.name, address[0])
-            return avoided_until, address not in listed, self.nearness(address), drawn
+            tie_break = spread_key(self.name, address[0])
+            return avoided_until, address not in listed, self.nearness(address), tie_break
 
-        return min(known - {other_than} or known, key=preference)
+        return min(candidates - {other_than} or candidates, key=preference)
 
     def avoid(self, address: Address, now: int) -> None:
-        """Pass over a control node that failed, each time for longer."""
-        last_ns = self._avoided[address].length_ns if address in self._avoided else AVOID_NS // 2
-        length_ns = min(MAX_AVOID_NS, 2 * last_ns)
-        self._avoided[address] = _Avoidance(now + length_ns, length_ns)
+        """Avoid a control node that failed; the time doubles with each failure, up to `MAX_AVOID_NS`."""
+        last_duration_ns = self._avoided[address].duration_ns if address in self._avoided else AVOID_NS // 2
+        duration_ns = min(MAX_AVOID_NS, 2 * last_duration_ns)
+        self._avoided[address] = _Avoidance(now + duration_ns, duration_ns)
 
     def clear_failures(self, address: Address) -> None:
-        """Forget the failures of a control node that answers well."""
+        """Forget the failures of a control node that answered with fresh state."""
         self._avoided.pop(address, None)
 
     def is_usable(self, address: Address, now: int) -> bool:
-        """Return whether a control node has not failed lately."""
+        """Return whether a control node has no recent failure."""
         return address not in self._avoided or self._avoided[address].until <= now
--- a/pepperrun/distribution/follower.py
+++ b/pepperrun/distribution/follower.py
@@ -1,8 +1,8 @@
-"""The deciding half of a gatekeeper's part in distribution: whom it follows and what it asks for. No I/O.
+"""The receiving side of distribution on a gateway: which nodes it follows and what it requests. No I/O.
 
-It follows one control node (heartbeats, freshness, repair) and one parent in the relay tree (pushes), or
-takes the pushes from the control node as the root of its zone. What answers prove: `distribution.freshness`;
-in which order control nodes and parents are tried: `control_node_selection`, `parent_selection`.
+A gateway follows one control node (heartbeats, freshness, repair) and one parent in the relay tree (pushes).
+The root of a zone gets the pushes from the control node. `distribution.freshness` has what answers prove;
+`control_node_selection` and `parent_selection` have the order in which nodes are tried.
 """
 
 from __future__ import annotations
@@ -28,45 +28,46 @@
 from pepperrun.distribution.parent_selection import ParentSelection
 from pepperrun.distribution.publisher import Connection, state_checksum
 from pepperrun.distribution.replicated_state import AppliedChange, ReplicatedState
-from pepperrun.distribution.uplink import MS, REPAIR_DELAY_NS, SILENT_NS, Uplink
+from pepperrun.distribution.uplink import MS, RECEIVE_TIMEOUT_NS, REPAIR_DELAY_NS, Uplink
 from pepperrun.foundation.errors import RemoteProtocolError
 from pepperrun.foundation.logs import event, log_error
 from pepperrun.foundation.netstring import Message, encode
 from pepperrun.foundation.settings import Address
 
 HEARTBEAT_NS = 400 * MS
-FIRST_HEARTBEAT_NS = HEARTBEAT_NS // 4  # until an answer has proved anything: keyed requests wait for it
-CONNECT_NS = 250 * MS  # not up for so long: another control node is tried beside it
-QUIET_NS = 600 * MS  # nor an answer for so long
-STALE_MS = 1200  # a control node that knows no better than this has lost the others
-STALE_NS = 1000 * MS  # and for so long: one late message among control nodes is no reason to move
-PARENT_LAG_NS = 600 * MS  # a parent has caught up by then, or is partitioned
-SUSPENDED_NS = 600 * MS  # between two ticks: this process was suspended
-SWEEP_NS = 120_000 * MS  # between two looks for records that may be forgotten
+FIRST_HEARTBEAT_NS = HEARTBEAT_NS // 4  # until an answer has proved freshness: keyed requests wait for it
+SLOW_CONNECT_NS = 250 * MS  # if the link is not up by then, another control node is tried in parallel
+SLOW_ANSWER_NS = 600 * MS  # the same after this long without an answer
+STALE_AGE_MS = 1200  # a control node whose state may be older has lost contact with the others
+# A stale control node is left only after this: one late message between control nodes is no reason to leave.
+STALE_TIMEOUT_NS = 1000 * MS
+PARENT_LAG_TIMEOUT_NS = 600 * MS  # a parent that has not caught up by then is partitioned
+SUSPENSION_NS = 600 * MS  # a longer gap between two ticks means that this process was suspended
+SWEEP_NS = 120_000 * MS  # between two sweeps of records that are gone
 
 Apply = Callable[[dict[str, Any] | None, dict[str, Any]], Evaluation]
 
 
 class Follower:
-    """One gatekeeper's links upwards.
+    """The uplinks of one gateway.
 
-    Links that should be up are in `wanted`; the caller calls `opened`, `received`, `closed`, and `tick`
-    when `next_tick_at` says, and looks at `wanted` after each.
+    The caller keeps links to the addresses in `wanted`. It calls `opened`, `received` and `closed` for their
+    events, and `tick` at the time of `next_tick_at`, and updates the links after each call.
 
     Parameters
     ----------
     name, zone : str
-        Of this gatekeeper.
+        Name and zone of this gateway.
     internal_port : int
-        The same on all machines.
+        Same on all machines.
     regions : mapping of str to str
         Region of each zone.
     contacts : list of Address
-        Control nodes of the settings.
+        First contacts of the settings.
     own_record : callable
-        Returns the own record as it is.
+        Returns the current record of this gateway.
     apply : callable
-        Evaluates an operation on the state.
+        Applies an operation to a state.
     """
 
     def __init__(
@@ -90,30 +91,30 @@
         self.control_node_selection = ControlNodeSelection(name, zone, internal_port, regions, contacts)
         self.parent_selection = ParentSelection(name, zone)
         self.control_node = Uplink(self._best_control_node(now), "", now)
-        self.candidate: Uplink | None = None  # a control node that is tried while the present one is kept
+        self.candidate: Uplink | None = None  # a control node tried while the current one is kept
         self.parent: Uplink | None = None
         self._next_heartbeat_at = now
         self._swept_at = now
         self._ticked_at = now
 
-    # Whom to follow.
+    # Choice of the nodes to follow.
 
     def _links(self) -> list[Uplink]:
         return [link for link in (self.control_node, self.candidate, self.parent) if link is not None]
 
     def wanted(self) -> set[Address]:
-        """Return the addresses to which links are to be kept."""
+        """Return the addresses to which links are needed."""
         return {link.address for link in self._links()}
 
     def _best_control_node(self, now: int, *, other_than: Address | None = None) -> Address:
         return self.control_node_selection.best(self.replicated.control_nodes, now, other_than=other_than)
 
     def _leave_control_node(self, now: int, reason: str) -> None:
-        core = self.control_node
-        silent_ms = (now - core.waiting_since()) // MS
-        event("core-left", peer=core.address[0], why=reason, silent_ms=silent_ms)
-        self.control_node_selection.avoid(core.address, now)
-        core.close()
+        control_node = self.control_node
+        silent_ms = (now - control_node.waiting_since()) // MS
+        event("core-left", peer=control_node.address[0], why=reason, silent_ms=silent_ms)
+        self.control_node_selection.avoid(control_node.address, now)
+        control_node.close()
         if self.candidate is not None:
             self.control_node = self.candidate
             self.candidate = None
@@ -126,44 +127,51 @@
             self.candidate.close()
             self.candidate = None
 
-    def _quiet_at(self) -> int:
-        """Return when the control node has been waited for long enough to try another one beside it."""
-        core = self.control_node
-        return core.chosen_at + CONNECT_NS if core.connection is None else core.received_at + QUIET_NS
+    def _overdue_at(self) -> int:
+        """Return when the control node counts as slow, so that another one is tried in parallel."""
+        control_node = self.control_node
+        return (
+            control_node.chosen_at + SLOW_CONNECT_NS
+            if control_node.connection is None
+            else control_node.received_at + SLOW_ANSWER_NS
+        )
 
     def _try_candidate(self, now: int) -> None:
-        """Try a nearer one, or one that may answer sooner; the present one is left once that one answers."""
+        """Try a nearer control node, or another one if the current one is slow.
+
+        The current one is left once the other has answered.
+        """
         nearness = self.control_node_selection.nearness(self.control_node.address)
-        is_quiet = now >= self._quiet_at()
-        if self.candidate is not None or not (nearness or is_quiet):
+        is_overdue = now >= self._overdue_at()
+        if self.candidate is not None or not (nearness or is_overdue):
             return
         best = self._best_control_node(now, other_than=self.control_node.address)
         is_nearer = self.control_node_selection.nearness(
             best
         ) < nearness and self.control_node_selection.is_usable(best, now)
-        if best != self.control_node.address and (is_nearer or is_quiet):
+        if best != self.control_node.address and (is_nearer or is_overdue):
             self.candidate = Uplink(best, "", now)
 
     def _switch_to_candidate(self, now: int) -> None:
-        """Follow the control node that was tried: it has answered well."""
+        """Follow the candidate, which has answered with fresh state."""
         candidate = self.candidate
-        core = self.control_node
+        control_node = self.control_node
         if candidate is None:
             return
         self.candidate = None
         nearness = self.control_node_selection.nearness
-        is_as_near = nearness(core.address) <= nearness(candidate.address)
-        if is_as_near and now < self._quiet_at():
-            candidate.close()  # the present one has answered meanwhile
+        is_as_near = nearness(control_node.address) <= nearness(candidate.address)
+        if is_as_near and now < self._overdue_at():
+            candidate.close()  # the current one has answered meanwhile
             return
-        event("core-moved", peer=candidate.address[0], before=core.address[0])
+        event("core-moved", peer=candidate.address[0], before=control_node.address[0])
         self.control_node = candidate
-        core.close()
+        control_node.close()
         self._request_if_empty(candidate, now)
         self._send_heartbeat(candidate, now)
 
     def _leave_parent(self, now: int, reason: str) -> None:
-        """Attach to the next parent, or to the control node."""
+        """Leave the parent, and attach to the next one or to the control node."""
         parent = self.parent
         if parent is not None:
             event("parent-left", peer=parent.parent_name, why=reason)
@@ -183,13 +191,13 @@
 
     @property
     def is_root(self) -> bool:
-        """Whether the pushes come from the control node: no parent has answered yet."""
+        """Whether the control node pushes the changes: there is no parent that has answered."""
         return self.parent is None or not self.parent.version
 
-    # What happens on links.
+    # Events of links.
 
     def opened(self, address: Address, connection: Connection, hello: Message, now: int) -> None:
-        """Handle a link to a wanted address that is up."""
+        """Handle a new link to a wanted address."""
         for link in self._links():
             if link.address != address:
                 continue
@@ -205,7 +213,7 @@
             self._send_heartbeat(new, now)
 
     def _request_if_empty(self, link: Uplink, now: int) -> None:
-        """Ask at once where nothing is held yet, before anything is known to be missing."""
+        """Request state and records at once if there are none yet, before any are known to be missing."""
         if not self.replicated.version:
             link.request_state(self.replicated, now)
         if not self.replicated.digests.sums:
@@ -226,18 +234,18 @@
         return next((link for link in self._links() if link.connection is connection), None)
 
     def partial_message(self, connection: Connection, now: int) -> None:
-        """Note that part of a long message came, with the answers behind it: its sender is not silent."""
+        """Handle a part of a long message. Answers wait behind it, so its sender has not timed out."""
         link = self._link(connection)
         if link is not None:
             link.received_at = now
 
     def received(self, connection: Connection, message: Message, now: int) -> None:
-        """Handle a message on one of the uplinks; kinds of a later version are passed over.
+        """Handle a message on one of the uplinks; kinds of later versions are ignored.
 
         Raises
         ------
         KeyError, TypeError, ValueError
-            The message is not allowed.
+            The message is invalid.
         """
         link = self._link(connection)
         if link is None:
@@ -256,7 +264,7 @@
             self._on_change(link, StateChange.from_wire(message), now)
 
     def merge(self, workers: list[Worker], gateways: list[GatewayRecord], now: int) -> None:
-        """Take over records that came from anyone."""
+        """Merge records that came from any node."""
         changed = self.replicated.update_records(workers, gateways).gateways
         if any(gateway.zone == self.zone for gateway in changed):
             if any(gateway.name == self.name for gateway in changed):
@@ -270,7 +278,7 @@
         if ack.control_nodes is not None and link is self.control_node:
             self.replicated.control_nodes = ack.control_nodes
             self.control_node_selection.learn(ack.control_nodes)
-        if ack.age_ms is None or ack.age_ms > STALE_MS:
+        if ack.age_ms is None or ack.age_ms > STALE_AGE_MS:
             link.stale_since = link.stale_since or now
         else:
             link.stale_since = 0
@@ -282,7 +290,7 @@
             link.behind_since = link.behind_since or now
         apply_evidence(self.replicated, link)
         self._check_parent_lag(now)
-        if link is self.control_node or not self._control_node_is_well(now):
+        if link is self.control_node or not self._is_control_node_healthy(now):
             record_digest(self.replicated, link, ack, now)
             self._check_digests()
 
@@ -294,7 +302,7 @@
             parent.lagging_since = 0
         elif not parent.lagging_since:
             parent.lagging_since = now
-        elif now - parent.lagging_since > PARENT_LAG_NS:
+        elif now - parent.lagging_since > PARENT_LAG_TIMEOUT_NS:
             self._leave_parent(now, "behind")
 
     def _apply_all_evidence(self) -> None:
@@ -308,7 +316,7 @@
         if change.version <= self.replicated.version:
             return
         if change.base_version != self.replicated.version:
-            # Else it is on its way, or `tick` asks again.
+            # Otherwise the answer to a recent request is in flight; `tick` asks again if it does not come.
             if now - link.state_requested_at >= REPAIR_DELAY_NS:
                 link.request_state(self.replicated, now)
             return
@@ -322,10 +330,10 @@
 
     def _report_mismatch(self, link: Uplink, change: StateChange) -> None:
         peer = link.parent_name or "core"
-        detail = f"number {change.version}"
+        detail = f"change cannot be applied or its result has another checksum: version {change.version}"
         log_error(RemoteProtocolError("change-unlike", "taking a change", detail, peer))
 
-    # What is due.
+    # Timed work.
 
     def _send_heartbeat(self, link: Uplink, now: int) -> None:
         if link.connection is None:
@@ -340,41 +348,45 @@
         link.send_heartbeat(Heartbeat(now, self.replicated.version, attaches, changed))
 
     def membership_changed(self, now: int) -> None:
-        """Choose the parent anew: who is thought to be there may have changed."""
+        """Choose the parent again: other gateways may be present now."""
         self._choose_parent(now)
 
     def send_own_record(self, now: int) -> None:
-        """Send the own record, which has changed, to the control node now."""
+        """Send the changed own record to the control node at once."""
         self._send_heartbeat(self.control_node, now)
 
-    def _control_node_is_well(self, now: int) -> bool:
-        core = self.control_node
-        return core.connection is not None and now - core.received_at <= SILENT_NS and not core.stale_since
+    def _is_control_node_healthy(self, now: int) -> bool:
+        control_node = self.control_node
+        return (
+            control_node.connection is not None
+            and now - control_node.received_at <= RECEIVE_TIMEOUT_NS
+            and not control_node.stale_since
+        )
 
     def tick(self, now: int) -> None:
-        """Do what is due."""
-        if now - self._ticked_at > SUSPENDED_NS:
+        """Leave unresponsive peers, repair, try candidates and send heartbeats, each if due."""
+        if now - self._ticked_at > SUSPENSION_NS:
             for link in self._links():
                 link.resumed(now)
         self._ticked_at = now
-        self._leave_silent(now)
-        for link in self._repairing(now):
+        self._leave_unresponsive(now)
+        for link in self._repair_sources(now):
             link.repair(self.replicated, now, HEARTBEAT_NS)
         self._try_candidate(now)
         if now >= self._next_heartbeat_at:
             self._send_all_heartbeats(now)
 
-    def _leave_silent(self, now: int) -> None:
-        """Leave whoever does not come up or answer."""
-        core = self.control_node
-        if core.connection is None:
-            if now - core.chosen_at > SILENT_NS:
+    def _leave_unresponsive(self, now: int) -> None:
+        """Leave the peers that are not connected or do not answer in time, and a stale control node."""
+        control_node = self.control_node
+        if control_node.connection is None:
+            if now - control_node.chosen_at > RECEIVE_TIMEOUT_NS:
                 self._leave_control_node(now, "not up")
-        elif now - core.received_at > SILENT_NS:
+        elif now - control_node.received_at > RECEIVE_TIMEOUT_NS:
             self._leave_control_node(now, "silent")
-        elif core.stale_since and now - core.stale_since > STALE_NS:
+        elif control_node.stale_since and now - control_node.stale_since > STALE_TIMEOUT_NS:
             self._leave_control_node(now, "stale")
-        if self.candidate is not None and now - self.candidate.chosen_at > SILENT_NS:
+        if self.candidate is not None and now - self.candidate.chosen_at > RECEIVE_TIMEOUT_NS:
             self._drop_candidate(now)
         if self.parent is not None and self.parent.is_timed_out(now):
             self._leave_parent(now, "silent" if self.parent.connection else "not up")
@@ -389,20 +401,23 @@
         for link in self._links():
             self._send_heartbeat(link, now)
 
-    def _repairing(self, now: int) -> list[Uplink]:
-        """Return where to ask for what is missing: the control node, else the parent."""
-        parent = None if self._control_node_is_well(now) else self.parent
+    def _repair_sources(self, now: int) -> list[Uplink]:
+        """Return the links on which to request what is missing.
+
+        These are the control node and, if that is unhealthy, also the parent, each if its link is up.
+        """
+        parent = None if self._is_control_node_healthy(now) else self.parent
         return [
             link for link in (self.control_node, parent) if link is not None and link.connection is not None
         ]
 
     def next_tick_at(self, now: int) -> int:
-        """Return when `tick` has something to do."""
+        """Return the next time at which `tick` has something to do."""
         times = [self._next_heartbeat_at]
-        times += [link.waiting_since() + SILENT_NS + MS for link in self._links()]
-        quiet_at = self._quiet_at()
-        if self.candidate is None and quiet_at > now:
-            times.append(quiet_at)
-        for link in self._repairing(now):
+        times += [link.waiting_since() + RECEIVE_TIMEOUT_NS + MS for link in self._links()]
+        overdue_at = self._overdue_at()
+        if self.candidate is None and overdue_at > now:
+            times.append(overdue_at)
+        for link in self._repair_sources(now):
             times += link.next_repair_at(HEARTBEAT_NS)
         return min(times)
--- a/pepperrun/distribution/freshness.py
+++ b/pepperrun/distribution/freshness.py
@@ -1,11 +1,11 @@
-"""How fresh what a gatekeeper holds is, by the answers to its heartbeats.
-
-Why that is safe: a heartbeat carries this process's own steady clock; the answer is made later, by a node
-which knows that all that was acknowledged before `age_ms` ago is in its version. So what was acknowledged
-before the heartbeat less that age is in that version, and it is held here once the version held is that or
-more. How long both took, or how long this process was suspended between them, only makes the time of the
-heartbeat older. An answer counts on the link that its heartbeat was sent on, and once: nothing that comes
-twice or from an earlier link is believed.
+"""Freshness of the replicated state of a gateway, proved by the answers to its heartbeats.
+
+Why this is safe: a heartbeat carries the sender's monotonic clock. The answer is made later, by a node whose
+version contains every write acknowledged more than `age_ms` ago. So that version contains every write that
+was acknowledged before the time of the heartbeat minus that age, and this process has them once its own
+version is that one or a later one. Message delays, and a suspension of this process in between, only make
+the proved time older. An answer counts once, and only on the link on which its heartbeat was sent:
+duplicates and answers from an earlier link are ignored.
 """
 
 from __future__ import annotations
@@ -18,13 +18,13 @@
 
 
 def record_evidence(link: Uplink, ack: HeartbeatAck) -> None:
-    """Remember what an answer proves as soon as its version is held."""
+    """Store what an answer proves, for when this process has its version."""
     if ack.age_ms is not None:
         link.evidence.append(Evidence(ack.version, ack.heartbeat_sent_at - ack.age_ms * MS))
 
 
 def apply_evidence(replicated: ReplicatedState, link: Uplink) -> None:
-    """Advance `confirmed_at` by the evidence whose version is held."""
+    """Advance `confirmed_at` by all evidence for the current version and earlier ones."""
     for evidence in link.evidence:
         if evidence.version <= replicated.version:
             replicated.confirmed_at = max(replicated.confirmed_at, evidence.confirmed_at)
@@ -35,19 +35,19 @@
 
 
 def record_digest(replicated: ReplicatedState, link: Uplink, ack: HeartbeatAck, now: int) -> None:
-    """Remember which digest of the records is to be reached."""
+    """Store the digest of all records at the other side, which this process has to reach."""
     link.digest_goal = DigestGoal(ack.digest, ack.heartbeat_sent_at)
     if replicated.digests.total_digest() != ack.digest:
         link.differs_since = link.differs_since or now
 
 
-def check_digests(replicated: ReplicatedState, links: Iterable[Uplink], core: Uplink) -> None:
-    """Note where the digest of a link is reached: its records are held, the control node's are the newest."""
+def check_digests(replicated: ReplicatedState, links: Iterable[Uplink], control_node: Uplink) -> None:
+    """Clear the digest goals that are reached. The control node's goal also proves freshness."""
     for link in links:
         goal = link.digest_goal
         if not goal.known_at or replicated.digests.total_digest() != goal.digest:
             continue
-        if link is core:
+        if link is control_node:
             replicated.records_confirmed_at = max(replicated.records_confirmed_at, goal.known_at)
         link.digest_goal = NO_GOAL
         link.differs_since = 0
--- a/pepperrun/distribution/local_record.py
+++ b/pepperrun/distribution/local_record.py
@@ -1,4 +1,4 @@
-"""A gatekeeper's own record, placed before whatever else is held under its name."""
+"""The own record of a gateway, which supersedes all others under its name."""
 
 from __future__ import annotations
 
@@ -10,38 +10,38 @@
 
 
 class LocalRecord:
-    """Keeps the own record ahead of what others conclude.
+    """Makes the own record supersede what other nodes concluded about this gateway.
 
     Parameters
     ----------
     own_record : callable
-        Returns the record as it is, with the incarnation and serial of this process.
+        Returns the current record, with the incarnation and serial of this process.
     """
 
     def __init__(self, name: str, own_record: Callable[[], GatewayRecord]) -> None:
         self.name = name
         self.own_record = own_record
-        # Incarnation and added serial that supersede what others hold under this name.
-        self._ahead = (0, 0)
+        # Incarnation, and amount added to the serial, that supersede the records of other nodes.
+        self._latest = (0, 0)
 
     def current(self, replicated: ReplicatedState) -> GatewayRecord:
-        """Return the record to send, and keep it.
+        """Return the record to send, and store it in `replicated`.
 
-        Others may have concluded that it is lost, and the time of day from which an incarnation is numbered
-        may have jumped back since an earlier one.
+        Other nodes may have marked this gateway as lost. The wall clock, which numbers incarnations, may have
+        been set back since an earlier one.
         """
-        row = self.own_record()
-        held = replicated.gateways.get(self.name)
-        incarnation, added_serial = max(self._ahead, (row.incarnation, 0))
-        own = replace(row, incarnation=incarnation, serial=row.serial + added_serial)
-        if held is not None and held != own and held.rank >= own.rank:
-            if held.incarnation > incarnation:
-                incarnation = held.incarnation + 1
+        record = self.own_record()
+        known = replicated.gateways.get(self.name)
+        incarnation, added_serial = max(self._latest, (record.incarnation, 0))
+        own = replace(record, incarnation=incarnation, serial=record.serial + added_serial)
+        if known is not None and known != own and known.rank >= own.rank:
+            if known.incarnation > incarnation:
+                incarnation = known.incarnation + 1
                 added_serial = 0
             else:
-                added_serial += held.serial - own.serial + 1
-        self._ahead = (incarnation, added_serial)
-        own = replace(row, incarnation=incarnation, serial=row.serial + added_serial)
-        if held != own:
+                added_serial += known.serial - own.serial + 1
+        self._latest = (incarnation, added_serial)
+        own = replace(record, incarnation=incarnation, serial=record.serial + added_serial)
+        if known != own:
             replicated.update_records([], [own])
         return own
--- a/pepperrun/distribution/messages.py
+++ b/pepperrun/distribution/messages.py
@@ -1,14 +1,14 @@
-"""Typed messages of the relay tree, and their codec: only here are the wire's words for them.
+"""Typed messages of the relay tree, and their codec. Only this module uses their names on the wire.
 
 | `k` | message | fields |
 | --- | --- | --- |
 | tick | `Heartbeat` | t sent at, n version, root attaches, g own record |
 | tock | `HeartbeatAck` | t, age ms, n version, d digest, cores control nodes |
-| want | `CatchUpRequest` | n version, whole |
+| want | `CatchUpRequest` | n version, whole for the full state |
 | change | `StateChange` | base, n versions, op operation, seal checksum |
 | agreed | `FullState` | n version, state |
 
-`from_wire` raises KeyError, TypeError or ValueError for a message that is not allowed. Records go as `ask`,
+`from_wire` raises KeyError, TypeError or ValueError for an invalid message. Records are sent as `ask`,
 `cells` and `digests` (`distribution.repair`).
 """
 
@@ -29,18 +29,18 @@
 
 @dataclass(slots=True, frozen=True)
 class Heartbeat:
-    """Heartbeat of a gatekeeper to whom it follows.
+    """Heartbeat of a gateway to its control node or its parent.
 
     Attributes
     ----------
     sent_at : int
-        Steady clock of the sender, ns.
+        Monotonic clock of the sender, ns.
     version : int
-        Of the state that it holds.
+        State version of the sender.
     attaches : bool
-        It wants what is new to be pushed on this link.
+        Whether the receiver is to push changes on this link.
     gateway : GatewayRecord or None
-        Its own record, where that changed since the last heartbeat.
+        Record of the sender, if it changed since the last heartbeat.
     """
 
     sent_at: int
@@ -49,7 +49,7 @@
     gateway: GatewayRecord | None = None
 
     def to_wire(self) -> Message:
-        """Return the wire data."""
+        """Return the message as it is sent."""
         message: Message = {"k": HEARTBEAT, "t": self.sent_at, "n": self.version}
         if self.gateway is not None:
             message["g"] = self.gateway.to_row()
@@ -58,27 +58,27 @@
 
     @classmethod
     def from_wire(cls, message: Message) -> Heartbeat:
-        """Return the message of wire data."""
+        """Return the typed form of a received message."""
         gateway = GatewayRecord.from_row(message["g"]) if "g" in message else None
         return cls(message["t"], int(message["n"]), bool(message.get("root")), gateway)
 
 
 @dataclass(slots=True, frozen=True)
 class HeartbeatAck:
-    """Answer to a heartbeat: all that was acknowledged `age_ms` before it was made is in `version`.
+    """Answer to a heartbeat: `version` contains every write acknowledged `age_ms` before it was made.
 
     Attributes
     ----------
     heartbeat_sent_at : int
         `sent_at` of the heartbeat.
     age_ms : int or None
-        None where it is not known.
+        None if unknown.
     version : int
-        Of the state that the sender of the answer holds.
+        State version of the sender of the answer.
     digest : str
-        Of all records that it holds.
+        Digest of all its records.
     control_nodes : list of [ip, zone] or None
-        Of each control node, where that changed.
+        All control nodes, if the list changed since the last answer.
     """
 
     heartbeat_sent_at: int
@@ -88,7 +88,7 @@
     control_nodes: list[list[str]] | None = None
 
     def to_wire(self) -> Message:
-        """Return the wire data."""
+        """Return the message as it is sent."""
         message: Message = {
             "k": HEARTBEAT_ACK,
             "t": self.heartbeat_sent_at,
@@ -102,7 +102,7 @@
 
     @classmethod
     def from_wire(cls, message: Message) -> HeartbeatAck:
-        """Return the message of wire data."""
+        """Return the typed form of a received message."""
         nodes = message.get("cores")
         age_ms = message["age"]
         return cls(
@@ -116,13 +116,13 @@
 
 @dataclass(slots=True, frozen=True)
 class CatchUpRequest:
-    """Ask for the changes after `version`, or for the full state."""
+    """Request for the changes after `version`, or for the full state."""
 
     version: int
     full: bool = False
 
     def to_wire(self) -> Message:
-        """Return the wire data."""
+        """Return the message as it is sent."""
         message: Message = {"k": CATCH_UP_REQUEST, "n": self.version}
         if self.full:
             message["whole"] = True
@@ -130,13 +130,13 @@
 
     @classmethod
     def from_wire(cls, message: Message) -> CatchUpRequest:
-        """Return the message of wire data."""
+        """Return the typed form of a received message."""
         return cls(int(message["n"]), bool(message.get("whole")))
 
 
 @dataclass(slots=True, frozen=True)
 class StateChange:
-    """One operation on the state with `base_version`; `checksum` checks what comes out of it."""
+    """One operation on the state with `base_version`; `checksum` is that of the resulting state."""
 
     base_version: int
     version: int
@@ -144,7 +144,7 @@
     checksum: str | None
 
     def to_wire(self) -> Message:
-        """Return the wire data."""
+        """Return the message as it is sent."""
         return {
             "k": STATE_CHANGE,
             "base": self.base_version,
@@ -155,7 +155,7 @@
 
     @classmethod
     def from_wire(cls, message: Message) -> StateChange:
-        """Return the message of wire data."""
+        """Return the typed form of a received message."""
         return cls(int(message["base"]), int(message["n"]), message["op"], message.get("seal"))
 
 
@@ -167,10 +167,10 @@
     state: dict[str, Any]
 
     def to_wire(self) -> Message:
-        """Return the wire data."""
+        """Return the message as it is sent."""
         return {"k": FULL_STATE, "n": self.version, "state": self.state}
 
     @classmethod
     def from_wire(cls, message: Message) -> FullState:
-        """Return the message of wire data."""
+        """Return the typed form of a received message."""
         return cls(int(message["n"]), message["state"])
--- a/pepperrun/distribution/parent_selection.py
+++ b/pepperrun/distribution/parent_selection.py
@@ -1,4 +1,4 @@
-"""Which gatekeeper of its zone a gatekeeper attaches to in the relay tree."""
+"""Selection of the parent of a gateway in the relay tree of its zone."""
 
 from __future__ import annotations
 
@@ -10,25 +10,23 @@
 from pepperrun.foundation.settings import Address
 
 MS = 1_000_000  # ns
-AVOID_NS = (
-    4000 * MS
-)  # a parent that failed is passed over for so long; the tree is less urgent than freshness
+AVOID_NS = 4000 * MS  # a failed parent is avoided for this long; the tree is less urgent than freshness
 
 
 class Parent(NamedTuple):
-    """A gatekeeper to attach to, and its internal address."""
+    """A possible parent and its internal address."""
 
     name: str
     address: Address
 
 
 class ParentSelection:
-    """Order of the possible parents, less those that failed lately and those that membership misses.
+    """The possible parents in order, without those that failed recently or that membership reports absent.
 
     Attributes
     ----------
     is_present : callable
-        Returns whether membership finds a gatekeeper, by its name.
+        Returns whether membership reports the gateway with a name as present.
     """
 
     def __init__(self, name: str, zone: str) -> None:
@@ -38,11 +36,11 @@
         self._avoided_until: dict[str, int] = {}
 
     def avoid(self, name: str, now: int) -> None:
-        """Pass over a gatekeeper that failed as parent."""
+        """Avoid a gateway that failed as a parent for `AVOID_NS`."""
         self._avoided_until[name] = now + AVOID_NS
 
     def best(self, gateways: Iterable[GatewayRecord], now: int) -> Parent | None:
-        """Return the best parent; None where the pushes are to come from the control node."""
+        """Return the best parent; None if the control node is to push changes directly."""
         for gateway in parents(self.name, self.zone, gateways):
             if self._avoided_until.get(gateway.name, 0) > now or not self.is_present(gateway.name):
                 continue
--- a/pepperrun/distribution/publisher.py
+++ b/pepperrun/distribution/publisher.py
@@ -1,7 +1,7 @@
-"""The sending side: answers heartbeats, repairs, and pushes what is new to those who attach for that. No I/O.
+"""The sending side of distribution: answers heartbeats, repairs, pushes changes to attached peers. No I/O.
 
-Control nodes and relaying gatekeepers use the same one. Links come in as ports, time as steady nanoseconds,
-and `tick` is called when due.
+Control nodes and relaying gateways use the same class. Links are passed in as `Connection` and times as
+nanoseconds of the monotonic clock; the caller runs `tick` when it is due.
 """
 
 from __future__ import annotations
@@ -29,23 +29,22 @@
 
 MS = 1_000_000  # ns
 SECOND = 1000 * MS
-BATCH_NS = 15 * MS  # records that change together go together
-SILENT_NS = 5 * SECOND  # gatekeepers send heartbeats each 400 ms: one that is silent for so long is gone
-SWEEP_NS = SILENT_NS // 5
-IN_FLIGHT_NS = 2 * SECOND  # what was sent so lately is not sent again: it is on its way
-MAX_HISTORY = 64  # changes kept for those who are a little behind
+BATCH_NS = 15 * MS  # records that change within this time are sent in one message
+RECEIVE_TIMEOUT_NS = 5 * SECOND  # gateways send heartbeats every 400 ms; one silent for this long is gone
+SWEEP_NS = RECEIVE_TIMEOUT_NS // 5
+IN_FLIGHT_NS = 2 * SECOND  # what was sent within this time counts as in flight and is not sent again
+MAX_HISTORY = 64  # changes kept for peers that lack only a few
 MAX_HISTORY_BYTES = 256 * 1024
-LONG_BYTES = 32 * 1024  # on the link: 0.13 s of 2 Mbit/s, the narrowest that there is
-LONG_TIMEOUT_NS = 5 * SECOND  # a long one that is not acknowledged after this is not waited for any more
-RELAY_AFTER_NS = (
-    600 * MS
-)  # what is too long to be relayed has come from a control node by then, or is relayed
+LARGE_BYTES = 32 * 1024  # on the link; takes 0.13 s at 2 Mbit/s, the slowest link
+LARGE_TIMEOUT_NS = 5 * SECOND  # after this an unacknowledged large message no longer delays newer ones
+# By then a change that is too long to relay has come from a control node; else it is relayed.
+RELAY_AFTER_NS = 600 * MS
 CHECKSUM_BYTES = 8
 UNKNOWN_VERSION = -1
 
 
 class Connection(Protocol):
-    """One link; `foundation.link.Link` is one."""
+    """One link to a peer; implemented by `foundation.link.Link`."""
 
     name: str
 
@@ -53,7 +52,7 @@
         """Send a frame."""
 
     def unsent(self) -> int:
-        """Return the bytes written and not yet gone out."""
+        """Return the number of bytes written but not sent yet."""
         ...
 
     def close(self) -> None:
@@ -61,7 +60,7 @@
 
 
 class Source(repair.RecordCopy, Protocol):
-    """Whose state and records are sent: a control node's, or a relay's copy."""
+    """Source of the state and records that are sent: a control node, or the replica of a relay."""
 
     @property
     def version(self) -> int:
@@ -79,22 +78,23 @@
         ...
 
     def age_ms(self, now: int) -> float | None:
-        """Return how long ago `version` was known to be the newest acknowledged; None: not known."""
+        """Return how long ago `version` was known to be the newest acknowledged one; None if unknown."""
         ...
 
     def gateway_heartbeat(self, gateway: GatewayRecord, now: int) -> None:
-        """Handle a gatekeeper's record on its own link (each heartbeat; it may be as before)."""
+        """Handle the record of a gateway on its own link: on each heartbeat, changed or not."""
         ...
 
     def merge(self, workers: list[Worker], gateways: list[GatewayRecord], now: int) -> object:
-        """Take over newer records of another process; the source then calls `records_changed`."""
+        """Merge records of another process; the source then calls `records_changed` with the newer ones."""
         ...
 
 
 def state_checksum(state: dict[str, Any]) -> str:
-    """Return a short check that two copies of a version agree: what differs first if a change is misread.
+    """Return a short checksum over the fields that differ first if a change was applied wrongly.
 
-    `taken` holds the digests of the configurations that led here, so the rest need not be hashed again.
+    Replicas compare it after each change. `taken` holds the digests of the configurations that led to this
+    state, so the rest is not hashed again.
     """
     counts = [len(state.get(name) or ()) for name in ("routes", "carrier_lines", "senders")]
     text = repr([state.get("edition"), counts, state.get("evacuated"), (state.get("taken") or [None])[-1]])
@@ -102,7 +102,7 @@
 
 
 class _RecentChange(NamedTuple):
-    """A change as it is sent, with the versions that it leads from and to."""
+    """The frame of a change, and the versions before and after the change."""
 
     base_version: int
     version: int
@@ -110,7 +110,7 @@
 
 
 class _FullFrame(NamedTuple):
-    """The full state of a version as it is sent."""
+    """The frame of the full state of a version."""
 
     version: int
     frame: bytes
@@ -118,55 +118,55 @@
 
 @dataclass(slots=True)
 class Peer:
-    """What is known of the other side of a link.
+    """State of the peer at the other end of a link.
 
     Attributes
     ----------
     version : int
-        What it holds, or will once it has read what was sent; UNKNOWN_VERSION before its first message.
+        Version of the peer once it has read everything sent; UNKNOWN_VERSION before its first message.
     acknowledged : int
-        What it said that it holds.
+        Version that the peer reported last.
     in_flight_since : int
-        Since when more than that is on its way, and nothing of it has come.
-    long_version, long_sent_at : int
-        The last long state or change that was sent, and when.
+        Since when newer versions are in flight without an acknowledgement of any of them.
+    large_version, large_sent_at : int
+        Version of the last large message, and when it was sent.
     is_attached : bool
-        It wants what is new to be pushed.
+        Whether the peer asked for changes to be pushed.
     control_nodes : list or None
-        As last sent.
+        List that was last sent to the peer.
     relay_budget_bytes : int
-        Relays send it no longer changes; 0 for no limit.
+        Relays do not send longer changes to the peer, control nodes do; 0 for no limit.
     """
 
     received_at: int
     version: int = UNKNOWN_VERSION
     acknowledged: int = UNKNOWN_VERSION
     in_flight_since: int = 0
-    long_version: int = UNKNOWN_VERSION
-    long_sent_at: int = 0
+    large_version: int = UNKNOWN_VERSION
+    large_sent_at: int = 0
     is_attached: bool = False
     gateway: GatewayRecord | None = None
     control_nodes: list[list[str]] | None = None
     relay_budget_bytes: int = 0
 
     def acknowledge(self, version: int, now: int) -> None:
-        """Note what it says that it holds."""
+        """Record the version that the peer reports."""
         if version != self.acknowledged:
             self.acknowledged = version
             self.in_flight_since = now
 
 
 class Publisher:
-    """Sends the state and records of `source` to links.
+    """Sends the state and records of `source` on links.
 
     Parameters
     ----------
     schedule : callable
-        Asks for a `tick` at a time, steady ns.
+        Requests a `tick` at a time of the monotonic clock, ns.
     relay_budget_bytes : int
-        What the own link carries to all that attach here before answers to clients wait for long. A longer
-        change is not relayed: the control node, whose links are wide, sends it to each gatekeeper that sends
-        heartbeats there and gave its own budget. 0: all is relayed.
+        Longest change that this process relays to its peers; longer ones would delay answers to clients on
+        its own link. A control node, whose links are faster, sends a longer change to each gateway that sends
+        heartbeats to it and stated its own budget. 0: changes of any length are relayed.
     """
 
     def __init__(self, source: Source, schedule: Callable[[int], None], relay_budget_bytes: int = 0) -> None:
@@ -176,13 +176,13 @@
         self.peers: dict[Connection, Peer] = {}
         self._state_changed_at = 0
         self._batch: dict[str, Record] = {}
-        self._batch_at = 0  # when the batch goes; 0 for no batch
-        self._history: list[_RecentChange] = []  # each leads on from the one before
+        self._batch_at = 0  # when the batch is sent; 0 for no batch
+        self._history: list[_RecentChange] = []  # each change starts at the version after the previous one
         self._full = _FullFrame(0, b"")
         self._swept_at = 0
 
     def opened(self, connection: Connection, hello: Message, now: int) -> None:
-        """Handle a new link to a gatekeeper."""
+        """Handle a new link from a gateway."""
         self.peers[connection] = Peer(now, relay_budget_bytes=int(hello.get("room") or 0))
 
     def closed(self, connection: Connection, now: int) -> None:
@@ -190,12 +190,12 @@
         self.peers.pop(connection, None)
 
     def received(self, connection: Connection, message: Message, now: int) -> bool:
-        """Handle a message of a gatekeeper; return False for kinds that are not known.
+        """Handle a message of a gateway; return False if its kind is unknown.
 
         Raises
         ------
         KeyError, TypeError, ValueError
-            The message is not allowed: the link then ends.
+            The message is invalid; the caller ends the link.
         """
         peer = self.peers.get(connection)
         if peer is None:
@@ -215,10 +215,11 @@
     def _on_catch_up_request(
         self, connection: Connection, peer: Peer, request: CatchUpRequest, now: int
     ) -> None:
-        """Send what came after the version that a peer holds.
+        """Send the changes after the version of a peer.
 
-        A link carries all that is written to it, in order. So what was sent is on its way, however long that
-        takes, and only what came after it goes out; all of it again if nothing of it comes for too long.
+        A link delivers everything written to it, in order. So what was sent is in flight, however long that
+        takes, and only later changes are sent. Everything is sent again if none of it is acknowledged for too
+        long.
         """
         peer.acknowledge(request.version, now)
         is_overdue = now - peer.in_flight_since > IN_FLIGHT_NS
@@ -227,7 +228,7 @@
             peer.in_flight_since = now
         if request.full or is_overdue:
             peer.version = request.version
-            peer.long_version = UNKNOWN_VERSION
+            peer.large_version = UNKNOWN_VERSION
             peer.in_flight_since = now
         peer.version = max(peer.version, request.version)
         self._catch_up(connection, peer, now, full=request.full, requested=True)
@@ -238,7 +239,7 @@
         if peer.gateway is not None:
             self.source.gateway_heartbeat(peer.gateway, now)
         connection.write(encode(self._ack(peer, heartbeat, now).to_wire()))
-        peer.version = max(peer.version, heartbeat.version)  # not less where more is on its way
+        peer.version = max(peer.version, heartbeat.version)  # not lower: newer versions may be in flight
         peer.acknowledge(heartbeat.version, now)
         peer.is_attached = heartbeat.attaches
         if heartbeat.attaches and peer.version < self.source.version:
@@ -260,17 +261,21 @@
         )
 
     def _sweep(self, now: int) -> None:
-        """End links whose other side has been silent for too long."""
+        """End the links of peers that have sent nothing for too long."""
         self._swept_at = now
-        silent = [connection for connection, peer in self.peers.items() if now - peer.received_at > SILENT_NS]
-        for connection in silent:
+        unresponsive = [
+            connection
+            for connection, peer in self.peers.items()
+            if now - peer.received_at > RECEIVE_TIMEOUT_NS
+        ]
+        for connection in unresponsive:
             del self.peers[connection]
             connection.close()
 
     # The state.
 
     def state_changed(self, change: tuple[int, dict[str, Any]] | None, now: int) -> None:
-        """Push the newer state of the source, by `change` (base version, operation) where it was one."""
+        """Push the newer state of the source, as `change` (base version, operation) if it came by one."""
         self._state_changed_at = now
         self._record_change(change)
         for connection, peer in list(self.peers.items()):
@@ -297,7 +302,7 @@
     def _catch_up(
         self, connection: Connection, peer: Peer, now: int, *, full: bool = False, requested: bool = False
     ) -> None:
-        """Send what a peer lacks: the changes on top of what it holds, else the full state."""
+        """Send what a peer lacks: the changes after its version if they are kept, else the full state."""
         state = self.source.state
         if state is None or peer.version >= self.source.version:
             return
@@ -305,12 +310,12 @@
         size = sum(wire_length(frame) for frame in frames)
         if not requested and not self._should_push(peer, size, now):
             return
-        if size > LONG_BYTES:
-            is_in_flight = peer.acknowledged < peer.long_version
-            if is_in_flight and not full and now - peer.long_sent_at < LONG_TIMEOUT_NS:
-                return  # once that is held the newest goes at once, instead of each in between
-            peer.long_version = self.source.version
-            peer.long_sent_at = now
+        if size > LARGE_BYTES:
+            is_in_flight = peer.acknowledged < peer.large_version
+            if is_in_flight and not full and now - peer.large_sent_at < LARGE_TIMEOUT_NS:
+                return  # once the peer has it, the newest version is sent without those in between
+            peer.large_version = self.source.version
+            peer.large_sent_at = now
         if peer.version <= peer.acknowledged:
             peer.in_flight_since = now
         peer.version = self.source.version
@@ -324,11 +329,11 @@
             if change.base_version == version:
                 frames.append(change.frame)
                 version = change.version
-        leads_there = version == self.source.version and peer.version > 0
-        return frames if leads_there and not full else [self._full_frame(state)]
+        reaches_newest = version == self.source.version and peer.version > 0
+        return frames if reaches_newest and not full else [self._full_frame(state)]
 
     def _full_frame(self, state: dict[str, Any]) -> bytes:
-        """Return the full state, encoded once for each version."""
+        """Return the frame of the full state, which is encoded once for each version."""
         version = self.source.version
         if self._full.version != version:
             message = FullState(version, without_older(state))
@@ -336,25 +341,25 @@
         return self._full.frame
 
     def _should_push(self, peer: Peer, size: int, now: int) -> bool:
-        """Return whether this process is to send so many bytes to a peer that has not asked."""
-        is_waited_for = not self.relay_budget_bytes or now - self._state_changed_at >= RELAY_AFTER_NS
-        if peer.is_attached and is_waited_for:
+        """Return whether to push this many bytes to a peer that did not request them."""
+        is_any_size_due = not self.relay_budget_bytes or now - self._state_changed_at >= RELAY_AFTER_NS
+        if peer.is_attached and is_any_size_due:
             return True
         return size <= self.relay_budget_bytes if peer.is_attached else size > peer.relay_budget_bytes
 
     # Records.
 
     def records_changed(self, records: Iterable[Record], now: int) -> None:
-        """Push these records within `BATCH_NS`."""
+        """Push these records to the attached peers within `BATCH_NS`."""
         if not any(peer.is_attached for peer in self.peers.values()):
-            return  # whoever attaches later compares digests
+            return  # peers that attach later compare digests
         self._batch |= {record_id(record): record for record in records}
         if self._batch and not self._batch_at:
             self._batch_at = now + BATCH_NS
             self.schedule(self._batch_at)
 
     def tick(self, now: int) -> None:
-        """Send what is due."""
+        """Send the batch of records if it is due."""
         if not self._batch_at or now < self._batch_at:
             return
         self._batch_at = 0
--- a/pepperrun/distribution/relay.py
+++ b/pepperrun/distribution/relay.py
@@ -1,4 +1,4 @@
-"""Relaying: what a gatekeeper takes over from above goes on to those under it."""
+"""Relaying: a gateway passes the changes that it applies on to the gateways below it."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class ReplicatedSource:
-    """What a replicated state holds, as a part of a `Source`."""
+    """The members of a `Source` that come from a replicated state."""
 
     replicated: ReplicatedState
 
@@ -36,7 +36,7 @@
 
     @property
     def gateways(self) -> Mapping[str, GatewayRecord]:
-        """Gatekeepers by name."""
+        """Gateways by name."""
         return self.replicated.gateways
 
     @property
@@ -46,7 +46,7 @@
 
 
 class Relay(ReplicatedSource):
-    """A follower's state as a source for the gatekeepers under it."""
+    """The state of a follower as the source for the gateways below it."""
 
     def __init__(self, follower: Follower) -> None:
         self.follower = follower
@@ -58,25 +58,25 @@
         return self.replicated.control_nodes
 
     def age_ms(self, now: int) -> float | None:
-        """Return how long ago what is held was known to be the newest; None if never."""
+        """Return how long ago the state was known to be the newest; None if never."""
         return self.replicated.age_ms(now)
 
     def gateway_heartbeat(self, gateway: GatewayRecord, now: int) -> None:
-        """Do nothing: the control nodes get the records of gatekeepers from themselves."""
+        """Do nothing: control nodes get the records of gateways from the gateways."""
 
     def merge(self, workers: list[Worker], gateways: list[GatewayRecord], now: int) -> None:
-        """Take over newer records of a gatekeeper below."""
+        """Merge records of a gateway below."""
         self.follower.merge(workers, gateways, now)
 
 
-def publish(
+def create_publisher(
     source: Source,
     replicated: ReplicatedState,
     schedule: Callable[[int], None],
     clock: Clock,
     relay_budget_bytes: int = 0,
 ) -> Publisher:
-    """Return a publisher that passes on what a replicated state takes over, before others are notified."""
+    """Return a publisher of the changes of a replicated state. It comes before all other listeners."""
     publisher = Publisher(source, schedule, relay_budget_bytes)
     replicated.on_state.insert(0, lambda version, state, change: publisher.state_changed(change, clock()))
     replicated.on_workers.insert(0, lambda changed: publisher.records_changed(changed, clock()))
@@ -84,8 +84,8 @@
     return publisher
 
 
-def relay(
+def create_relay(
     follower: Follower, schedule: Callable[[int], None], clock: Clock, relay_budget_bytes: int = 0
 ) -> Publisher:
-    """Return a publisher that passes on what the follower takes over, as soon as it has it."""
-    return publish(Relay(follower), follower.replicated, schedule, clock, relay_budget_bytes)
+    """Return a publisher that relays the changes of a follower as soon as they are applied."""
+    return create_publisher(Relay(follower), follower.replicated, schedule, clock, relay_budget_bytes)
--- a/pepperrun/distribution/repair.py
+++ b/pepperrun/distribution/repair.py
@@ -1,15 +1,16 @@
-"""Repair (anti-entropy) of two copies of records: digests are compared range by range, rows go both ways.
+"""Repair (anti-entropy) of two replicas of the records: compares digests by range and exchanges rows.
 
 | `k` | fields | what it does |
 | --- | --- | --- |
-| ask | digests by range, parts | asks for what differs; `parts`: the ranges are partitions |
-| cells | w, g rows of workers and gatekeepers, of, a | records; those of the ranges `of` are complete |
+| ask | digests by range, parts | requests what differs; `parts`: the ranges are partitions |
+| cells | w, g rows of workers and gateways, of, a | records; those of the ranges `of` are complete |
 | digests | digests of partitions by range | ranges that differ and hold too many records |
 
-One side asks with its digests by zone. The other answers with its records of the small ranges that differ,
-and with the digests of the partitions of the large ones, which the first compares and asks about. Who gets
-the records `of` a range sends back what it holds there that is newer or that the other lacks, so both end up
-with the newest of each. `a` asks for an acknowledgement that the records are held (`control.peer_messages`).
+One side sends its digests by zone. The other answers with its records of the small ranges that differ, and
+with the digests of the partitions of the large ones, which the first compares and asks about. The receiver of
+the records `of` a range sends back its own records of that range that are newer or that the sender lacks, so
+both sides end with the newest of each. `a` requests an acknowledgement that the records are stored
+(`control.peer_messages`).
 """
 
 from __future__ import annotations
@@ -34,14 +35,14 @@
 RECORDS = "cells"
 PARTITION_DIGESTS = "digests"
 KINDS = (REQUEST, RECORDS, PARTITION_DIGESTS)
-TOKEN = "a"  # field of `cells` that asks for an acknowledgement
+TOKEN = "a"  # field of `cells` that requests an acknowledgement
 
-MAX_RANGE_RECORDS = 48  # a range with no more is sent as it is; splitting it costs another round trip
-MAX_DEPTH = 2  # digits of a partition
+MAX_RANGE_RECORDS = 48  # a range with no more is sent complete; splitting it costs a round trip
+MAX_DEPTH = 2  # hexadecimal digits of a partition
 
 
 class RecordCopy(Protocol):
-    """One copy of the records."""
+    """One replica of the records."""
 
     @property
     def workers(self) -> Mapping[str, Worker]:
@@ -49,7 +50,7 @@
 
     @property
     def gateways(self) -> Mapping[str, GatewayRecord]:
-        """Gatekeepers by name."""
+        """Gateways by name."""
 
     @property
     def digests(self) -> RangeDigests:
@@ -57,7 +58,7 @@
 
 
 class Records(NamedTuple):
-    """Records of workers and of gatekeepers."""
+    """Lists of worker records and gateway records."""
 
     workers: list[Worker]
     gateways: list[GatewayRecord]
@@ -67,7 +68,7 @@
 
 
 def is_repair_message(message: Message) -> bool:
-    """Return whether `handle` takes messages of this kind."""
+    """Return whether `handle` accepts messages of this kind."""
     return message["k"] in KINDS
 
 
@@ -92,12 +93,12 @@
 
 
 def decode_records(message: Message, now: int) -> Records:
-    """Return the records that a message carries.
+    """Return the records in a message.
 
     Raises
     ------
     ValueError, TypeError
-        A row is none of a worker or gatekeeper.
+        A row is not a valid worker or gateway.
     """
     workers = [Worker.from_row(row, now) for row in message.get("w", ())]
     gateways = [GatewayRecord.from_row(row) for row in message.get("g", ())]
@@ -105,16 +106,16 @@
 
 
 def with_replication_token(message: Message, token: int) -> Message:
-    """Return a message of records with a request to acknowledge that they are held."""
+    """Return a message of records with a request to acknowledge that they are stored."""
     return message | {TOKEN: token}
 
 
 def replication_token(message: Message) -> int | None:
-    """Return the token of that request, where there is one."""
+    """Return the token of the request to acknowledge; None if the message has no such request."""
     return message.get(TOKEN)
 
 
-# Comparing and sending back.
+# Comparing and replying.
 
 
 def request(copy: RecordCopy) -> Message:
@@ -123,12 +124,12 @@
 
 
 def handle(copy: RecordCopy, merge: Merge, message: Message, now: int) -> list[Message]:
-    """Handle a message of these kinds; return what to answer.
+    """Handle a repair message and return the answers to it.
 
     Raises
     ------
     KeyError, TypeError, ValueError
-        The message is not allowed.
+        The message is invalid.
     """
     match message["k"]:
         case "ask":
@@ -136,11 +137,11 @@
         case "digests":
             return _compare_partitions(copy, message["digests"])
         case _:
-            return _take_records(copy, merge, message, now)
+            return _merge_records(copy, merge, message, now)
 
 
 def _answer_request(copy: RecordCopy, digests: Digests, is_partitions: bool, now: int) -> list[Message]:
-    """Return the records of small ranges that differ, and the digests of the partitions of large ones."""
+    """Return the records of the small ranges that differ, and the partition digests of the large ones."""
     if is_partitions:
         keys = [key for key, digest in digests.items() if copy.digests.of(key) != digest]
     else:
@@ -162,7 +163,7 @@
 
 
 def _compare_partitions(copy: RecordCopy, ranges: Mapping[str, Digests]) -> list[Message]:
-    """Ask about the partitions that differ."""
+    """Return a request for the partitions that differ."""
     differ: Digests = {}
     for key, digests in ranges.items():
         own = copy.digests.by_partition(key)
@@ -170,23 +171,23 @@
     return [{"k": REQUEST, "digests": differ, "parts": True}] if differ else []
 
 
-def _take_records(copy: RecordCopy, merge: Merge, message: Message, now: int) -> list[Message]:
-    """Merge records; send back what is newer here or what the other lacks in the ranges that it named."""
+def _merge_records(copy: RecordCopy, merge: Merge, message: Message, now: int) -> list[Message]:
+    """Merge records, and return those that are newer here or missing there in the ranges of the message."""
     records = decode_records(message, now)
-    back: list[Record] = []
+    replies: list[Record] = []
     if message.get("of"):
         received: dict[str, Record] = {record_id(worker): worker for worker in records.workers}
         received |= {record_id(gateway): gateway for gateway in records.gateways}
         for record in _records_in(copy, message["of"]):
             other = received.get(record_id(record))
             if (not record.is_gone) if other is None else newer(other, record):
-                back.append(record)
+                replies.append(record)
     merge(records.workers, records.gateways, now)
-    return [encode_records(back, now)] if back else []
+    return [encode_records(replies, now)] if replies else []
 
 
 def _records_in(copy: RecordCopy, keys: Iterable[str]) -> list[Record]:
-    """Return the records of these ranges, those that are gone too."""
+    """Return the records of these ranges, including those that are gone."""
     wanted = set(keys)
     zones = {key.partition("/")[0] for key in wanted}
     records: list[Record] = [*copy.workers.values(), *copy.gateways.values()]
--- a/pepperrun/distribution/replicated_state.py
+++ b/pepperrun/distribution/replicated_state.py
@@ -1,6 +1,6 @@
-"""What a gatekeeper holds of the agreed state and of the records, and how fresh that is.
+"""A replica of the agreed state and of the records, and how fresh it is.
 
-No version and no record ever goes back.
+The version and the records are never replaced by older ones.
 """
 
 from __future__ import annotations
@@ -12,12 +12,12 @@
 from pepperrun.distribution.digests import WORKER_PREFIX, RangeDigests, Record, newer, record_id
 from pepperrun.distribution.repair import Records
 
-State = dict[str, Any]  # the agreed state, see docs/SYSTEM.md
+State = dict[str, Any]  # the agreed state; docs/SYSTEM.md describes the fields
 NS_PER_MS = 1e6
 
 
 class AppliedChange(NamedTuple):
-    """The operation by which a state came from the one with version `base_version`."""
+    """The operation that changed the state with version `base_version` to the current one."""
 
     base_version: int
     operation: dict[str, Any]
@@ -27,24 +27,24 @@
 
 
 class ReplicatedState:
-    """The copy of one process, for readers and for the relay. Times are steady ns, 0 for never.
+    """The replica of one process, for readers and for the relay. Times are monotonic ns, 0 for never.
 
     Attributes
     ----------
     version, state
-        Of the agreed state; 0 and None before the first.
+        Version and content of the agreed state; 0 and None before the first.
     workers, gateways : dict
-        Records by id and by name; those that are gone stay for a while.
+        Records by id and by name. Those that are gone stay until a later `sweep`.
     confirmed_at : int
-        All that was acknowledged before it is in `state`.
+        `state` contains every write that was acknowledged before this time.
     records_confirmed_at : int
-        All records that the control node knew then are held.
+        The replica has all records that the control node had at this time.
     control_nodes : list of [ip, zone]
-        As the control nodes gave them last.
+        The list that a control node sent last.
     on_state : list of callable
-        Called with version, state and the `AppliedChange` where it was one operation.
+        Called with the version, the state, and the `AppliedChange` if one operation led to it.
     on_workers, on_gateways : list of callable
-        Called with the records that were taken over.
+        Called with the records that were replaced by newer ones or added.
     """
 
     def __init__(self) -> None:
@@ -59,15 +59,15 @@
         self.on_state: list[StateListener] = []
         self.on_workers: list[Callable[[list[Worker]], None]] = []
         self.on_gateways: list[Callable[[list[GatewayRecord]], None]] = []
-        self._gone: dict[str, int] = {}  # records that are gone, and the sweep in which they became so
+        self._gone: dict[str, int] = {}  # number of sweeps at the time when a record, by id, was gone
         self._sweeps = 0
 
     def age_ms(self, now: int) -> float | None:
-        """Return how long ago what is held was known to be the newest; None if never."""
+        """Return how long ago the state was known to be the newest; None if never."""
         return (now - self.confirmed_at) / NS_PER_MS if self.confirmed_at else None
 
     def update_state(self, version: int, state: State, change: AppliedChange | None = None) -> bool:
-        """Take over a newer state; return False where what is held is as new."""
+        """Store a newer state; return False if the current one is as new."""
         if version <= self.version:
             return False
         self.version = version
@@ -77,40 +77,40 @@
         return True
 
     def update_records(self, workers: Iterable[Worker], gateways: Iterable[GatewayRecord]) -> Records:
-        """Take over the newer ones of these records and return them."""
-        taken = Records([], [])
+        """Store those of these records that are newer, and return them."""
+        updated = Records([], [])
         for worker in workers:
             known_worker = self.workers.get(worker.id)
             if newer(known_worker, worker):
                 self.workers[worker.id] = worker
                 self.digests.replace(known_worker, worker)
-                taken.workers.append(worker)
+                updated.workers.append(worker)
         for gateway in gateways:
             known_gateway = self.gateways.get(gateway.name)
             if newer(known_gateway, gateway):
                 self.gateways[gateway.name] = gateway
                 self.digests.replace(known_gateway, gateway)
-                taken.gateways.append(gateway)
-        self._note_gone(taken)
-        self._notify(taken)
-        return taken
+                updated.gateways.append(gateway)
+        self._record_gone(updated)
+        self._notify(updated)
+        return updated
 
-    def _notify(self, taken: Records) -> None:
-        if taken.workers:
+    def _notify(self, updated: Records) -> None:
+        if updated.workers:
             for worker_listener in self.on_workers:
-                worker_listener(taken.workers)
-        if taken.gateways:
+                worker_listener(updated.workers)
+        if updated.gateways:
             for gateway_listener in self.on_gateways:
-                gateway_listener(taken.gateways)
+                gateway_listener(updated.gateways)
 
-    def _note_gone(self, taken: Records) -> None:
-        records: list[Record] = [*taken.workers, *taken.gateways]
+    def _record_gone(self, updated: Records) -> None:
+        records: list[Record] = [*updated.workers, *updated.gateways]
         for record in records:
             if record.is_gone:
                 self._gone[record_id(record)] = self._sweeps
 
     def sweep(self) -> None:
-        """Forget what has been gone since before the last sweep but one, without notifying anybody."""
+        """Forget the records that were gone before the previous sweep. Listeners are not notified."""
         self._sweeps += 1
         for id_ in [id_ for id_, swept in self._gone.items() if swept < self._sweeps - 1]:
             del self._gone[id_]
--- a/pepperrun/distribution/service.py
+++ b/pepperrun/distribution/service.py
@@ -1,4 +1,4 @@
-"""A gatekeeper's part in distribution on real links: its state kept up to date, and passed on."""
+"""Distribution on a gateway, on real links: keeps the replicated state up to date and relays it."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from pepperrun.control.records import GatewayRecord
 from pepperrun.distribution.follower import Follower
 from pepperrun.distribution.publisher import Publisher
-from pepperrun.distribution.relay import relay
+from pepperrun.distribution.relay import create_relay
 from pepperrun.distribution.tree import FAN_OUT
 from pepperrun.foundation.link import OPERATOR_CLASS, Dialer, Link, listen
 from pepperrun.foundation.netstring import Message
@@ -18,15 +18,15 @@
 from pepperrun.foundation.timer import Timer
 
 BYTES_PER_MBIT = 125_000
-# Share of time of the own link for relaying one change. Answers wait behind the change; latency targets start
-# at 0.3 s.
+# Time on the own link for relaying one change to all children. Answers to clients wait behind it, with
+# latency targets from 0.3 s on.
 RELAY_BUDGET_S = 0.1
-CONNECT_TIMEOUT_S = 0.4  # the first try at a machine that is just coming back is lost
-MAX_RETRY_S = 0.2  # between two tries: who is tried was chosen, and is given up within a second
+CONNECT_TIMEOUT_S = 0.4  # the first attempt at a machine that is just coming back is lost
+MAX_RETRY_S = 0.2  # between two attempts: the follower abandons an unreachable peer within a second
 
 
 class UplinkHandler:
-    """Passes on what happens on one link upwards (`foundation.link.LinkHandler`)."""
+    """Passes the events of one uplink to the follower (`foundation.link.LinkHandler`)."""
 
     def __init__(self, service: DistributionService, address: Address) -> None:
         self.service = service
@@ -51,7 +51,7 @@
 
 
 class DownlinkHandler:
-    """Passes on what happens on links that gatekeepers open to this one (`foundation.link.LinkHandler`)."""
+    """Passes the events of links from other gateways to the publisher (`foundation.link.LinkHandler`)."""
 
     def __init__(self, service: DistributionService, publisher: Publisher) -> None:
         self.service = service
@@ -63,7 +63,7 @@
             self.publisher.opened(link, hello, self.service.clock())
 
     def received(self, link: Link, message: Message) -> None:
-        """Handle a message of a gatekeeper below or of an operator's tool."""
+        """Handle a message of a child gateway or of an operator's tool."""
         if message["k"] == "show":
             link.send(self.service.inspect(self.service.clock()))
             return
@@ -75,19 +75,19 @@
 
 
 class DistributionService:
-    """Runs on each gatekeeper. Readers use `replicated`; its listeners run on the loop.
+    """Runs distribution on a gateway. Readers use `replicated`, whose listeners run on the event loop.
 
     Parameters
     ----------
     incarnation : int
-        Of this process.
+        Incarnation of this process.
     own_record : callable
-        Returns this gatekeeper's own record; its `serial` grows with each change of state.
+        Returns the record of this gateway; its `serial` grows with each change of state.
 
     Attributes
     ----------
     inspect : callable
-        Returns what an operator is told who asks what is held.
+        Returns the answer to an operator's tool that asks for the state of this process.
     """
 
     def __init__(
@@ -121,9 +121,9 @@
         )
         self.replicated = self.follower.replicated
         self.inspect: Callable[[int], Message] = lambda now: {"k": "shown", "number": self.replicated.version}
-        self._follow_timer = Timer(self._follow, clock)
-        self._publish_timer = Timer(self._publish, clock)
-        self.publisher = relay(self.follower, self._publish_timer.set, clock, relay_budget_bytes)
+        self._follower_timer = Timer(self._tick_follower, clock)
+        self._publisher_timer = Timer(self._tick_publisher, clock)
+        self.publisher = create_relay(self.follower, self._publisher_timer.set, clock, relay_budget_bytes)
         self._dialers: dict[Address, Dialer] = {}
         self._server: asyncio.Server | None = None
         self._closing = False
@@ -132,7 +132,7 @@
         return self._hello_message
 
     async def start(self) -> None:
-        """Listen for other gatekeepers and keep links.
+        """Listen for other gateways and open the uplinks.
 
         Raises
         ------
@@ -144,7 +144,7 @@
         self.update_links()
 
     def update_links(self) -> None:
-        """Bring the links in line with what is wanted, and the timer."""
+        """Open and close links to match `Follower.wanted`, and set the timer."""
         if self._closing:
             return
         wanted = self.follower.wanted()
@@ -154,33 +154,33 @@
             for address in wanted - self._dialers.keys():
                 handler = UplinkHandler(self, address)
                 self._dialers[address] = Dialer(address, handler, self._hello, CONNECT_TIMEOUT_S, MAX_RETRY_S)
-        self._follow_timer.set(self.follower.next_tick_at(self.clock()))
+        self._follower_timer.set(self.follower.next_tick_at(self.clock()))
 
-    def _follow(self) -> None:
+    def _tick_follower(self) -> None:
         self.follower.tick(self.clock())
         self.update_links()
 
-    def _publish(self) -> None:
+    def _tick_publisher(self) -> None:
         self.publisher.tick(self.clock())
 
     def membership_changed(self) -> None:
-        """Choose the parent anew: see `follower.parent_selection.is_present`."""
+        """Choose the parent again after a change of membership (`ParentSelection.is_present`)."""
         self.follower.membership_changed(self.clock())
         self.update_links()
 
     def set_contacts(self, contacts: list[Address]) -> None:
-        """Take over the control nodes of changed settings."""
+        """Use the first contacts of changed settings."""
         self.follower.control_node_selection.contacts = contacts
 
     def send_own_record(self) -> None:
-        """Send the own record, which has changed (ready, draining), now and not with the next heartbeat."""
+        """Send the own record, which has changed (ready, draining), before the next heartbeat is due."""
         self.follower.send_own_record(self.clock())
 
     async def close(self) -> None:
-        """End all links."""
+        """Close all links and stop listening."""
         self._closing = True
-        self._follow_timer.stop()
-        self._publish_timer.stop()
+        self._follower_timer.stop()
+        self._publisher_timer.stop()
         for dialer in self._dialers.values():
             dialer.close()
         for connection in list(self.publisher.peers):
--- a/pepperrun/distribution/tree.py
+++ b/pepperrun/distribution/tree.py
@@ -1,7 +1,7 @@
-"""The relay tree: an order of the gatekeepers of a zone that all compute alike from what they hold.
+"""The relay tree: an order of the gateways of a zone that each of them computes from its own records.
 
-Each attaches only to a gatekeeper before it in the order, so there are no circles whatever the views; where
-no one before it will do, it attaches to the control node itself, as the first always does.
+A gateway attaches only to one that precedes it in the order, so there are no cycles even if their records
+differ. If no preceding gateway is usable, it attaches to the control node, as the first one always does.
 """
 
 from __future__ import annotations
@@ -12,32 +12,32 @@
 
 from pepperrun.control.records import GatewayRecord
 
-FAN_OUT = 4  # children of one relay: a hundred gatekeepers of a zone are 4 steps deep
+FAN_OUT = 4  # children of one relay; the tree of a zone with a hundred gateways is 4 levels deep
 KEY_BYTES = 8
 
 
 @lru_cache(maxsize=4096)
 def order_key(name: str) -> bytes:
-    """Return a key that orders names without regard to machines or racks."""
+    """Return a hash key for the order of gateways, so that the order does not follow machines or racks."""
     return blake2b(name.encode(), digest_size=KEY_BYTES).digest()
 
 
 def spread_key(*parts: str) -> bytes:
-    """Return a key for one choice of one chooser: many who choose spread over it."""
+    """Return a hash key of one chooser and one option; it spreads the choosers over equal options."""
     return blake2b("|".join(parts).encode(), digest_size=KEY_BYTES).digest()
 
 
 def parents(name: str, zone: str, gateways: Iterable[GatewayRecord]) -> list[GatewayRecord]:
-    """Return whom to attach to, the best first; empty for the root of the zone."""
+    """Return the possible parents of a gateway, the best first; empty for the root of the zone."""
     own_key = order_key(name)
-    before = [
+    preceding = [
         gateway
         for gateway in gateways
         if gateway.zone == zone and gateway.is_running and order_key(gateway.name) < own_key
     ]
-    if not before:
+    if not preceding:
         return []
-    before.sort(key=lambda gateway: order_key(gateway.name))
-    # A heap: the parent of the i-th, counted from 0, is the (i - 1) // FAN_OUT-th.
-    best = (len(before) - 1) // FAN_OUT
-    return before[best::-1]
+    preceding.sort(key=lambda gateway: order_key(gateway.name))
+    # Heap layout: the parent of index i is at index (i - 1) // FAN_OUT.
+    best = (len(preceding) - 1) // FAN_OUT
+    return preceding[best::-1]
--- a/pepperrun/distribution/uplink.py
+++ b/pepperrun/distribution/uplink.py
@@ -15,20 +15,20 @@
 from pepperrun.foundation.settings import Address
 
 MS = 1_000_000  # ns
-SILENT_NS = 1000 * MS  # two and a half heartbeats unanswered: the other side is gone, partitioned or stuck
-REPAIR_DELAY_NS = 250 * MS  # what is missing comes down the tree within this, or is asked for
-MAX_UNANSWERED = 16  # heartbeats without an answer that are remembered
+RECEIVE_TIMEOUT_NS = 1000 * MS  # 2.5 heartbeats unanswered: the peer is gone, partitioned or stuck
+REPAIR_DELAY_NS = 250 * MS  # what has not come down the tree within this time is requested
+MAX_UNANSWERED = 16  # heartbeats that can still be answered
 
 
 class Evidence(NamedTuple):
-    """All that was acknowledged before `confirmed_at` is in the state with `version`."""
+    """Proof that the state with `version` contains every write acknowledged before `confirmed_at`."""
 
     version: int
     confirmed_at: int
 
 
 class DigestGoal(NamedTuple):
-    """The digest of all records that the other side held at `known_at`."""
+    """The digest of all records that the peer had at `known_at`."""
 
     digest: str
     known_at: int
@@ -39,30 +39,30 @@
 
 @dataclass(slots=True)
 class Uplink:
-    """One link, up or not yet, and what its other side has said. Times are steady ns, 0 for never.
+    """One link, up or not yet, and what its peer has reported. Times are monotonic ns, 0 for never.
 
     Attributes
     ----------
     parent_name : str
         Empty for a control node.
     chosen_at : int
-        When it was chosen.
+        When the peer was chosen.
     received_at : int
-        When something came last.
+        When data was received last.
     version : int
-        Of the state that the other side holds, by its last answer.
+        State version of the peer, by its last answer.
     stale_since : int
-        Since when the other side does not know what is the newest.
+        Since when the peer has not known what the newest version is.
     behind_since : int
-        Since when this process lacks the version that the other side holds.
+        Since when this process has lacked the version of the peer.
     lagging_since : int
-        Since when the other side lacks the version that the control node holds.
+        Since when the peer has lacked the version of the control node.
     differs_since : int
-        Since when the digests of the records have differed.
+        Since when the digests of the records on both sides have differed.
     sent_record : GatewayRecord or None
-        Own record as last sent on this link.
+        The own record as it was last sent on this link.
     evidence : list of Evidence
-        Counts once its version is held.
+        Proofs that count once this process has their version.
     """
 
     address: Address
@@ -83,32 +83,32 @@
     digest_goal: DigestGoal = NO_GOAL
 
     def waiting_since(self) -> int:
-        """Return since when the other side has been waited for."""
+        """Return since when this process has waited for the peer."""
         return self.received_at or self.chosen_at
 
     def is_timed_out(self, now: int) -> bool:
-        """Return whether nothing has come for too long, be the link up or not."""
-        return now - self.waiting_since() > SILENT_NS
+        """Return whether nothing has been received for too long, whether the link is up or not."""
+        return now - self.waiting_since() > RECEIVE_TIMEOUT_NS
 
     def resumed(self, now: int) -> None:
-        """Forgive a time in which this process was suspended: what came meanwhile waits to be read."""
+        """Restart the time-outs after a suspension of this process: what came meanwhile is still unread."""
         if self.received_at:
             self.received_at = now
         self.chosen_at = now
         self.stale_since = 0
 
     def close(self) -> None:
-        """End the link."""
+        """Close the link if it is up."""
         if self.connection is not None:
             self.connection.close()
 
     def send_heartbeat(self, heartbeat: Heartbeat) -> None:
-        """Send a heartbeat; its answer may come back on this link, once."""
+        """Send a heartbeat; one answer to it is accepted, on this link."""
         self.unanswered.append(heartbeat.sent_at)
         self._send(heartbeat.to_wire())
 
     def accepts_ack(self, heartbeat_sent_at: int) -> bool:
-        """Return whether an answer is to a heartbeat of this link; that and earlier ones are then over."""
+        """Return whether an answer is to a heartbeat of this link. Then it and earlier ones need no answer."""
         if heartbeat_sent_at not in self.unanswered:
             return False
         while self.unanswered.popleft() != heartbeat_sent_at:
@@ -116,19 +116,19 @@
         return True
 
     def request_state(self, replicated: ReplicatedState, now: int, *, full: bool = False) -> None:
-        """Ask for the changes after what is held, or for the full state."""
+        """Request the changes after the current version, or the full state."""
         if self.connection is not None:
             self.state_requested_at = now
             self._send(CatchUpRequest(replicated.version, full).to_wire())
 
     def request_records(self, replicated: ReplicatedState, now: int) -> None:
-        """Ask for records that differ."""
+        """Request the records that differ."""
         if self.connection is not None:
             self.records_requested_at = now
             self._send(repair.request(replicated))
 
     def repair(self, replicated: ReplicatedState, now: int, interval_ns: int) -> None:
-        """Ask for what has been missing for too long; for records once in `interval_ns`."""
+        """Request what has been missing for too long; records at most once in `interval_ns`."""
         is_late = bool(self.behind_since) and now - self.behind_since >= REPAIR_DELAY_NS
         if is_late and now - self.state_requested_at >= REPAIR_DELAY_NS:
             self.request_state(replicated, now)
@@ -137,7 +137,7 @@
             self.request_records(replicated, now)
 
     def next_repair_at(self, interval_ns: int) -> list[int]:
-        """Return when `repair` has something to do."""
+        """Return the times at which `repair` has something to do."""
         times = []
         if self.behind_since:
             times.append(max(self.behind_since, self.state_requested_at) + REPAIR_DELAY_NS)
--- a/pepperrun/foundation/__init__.py
+++ b/pepperrun/foundation/__init__.py
@@ -1,1 +1,1 @@
-"""Foundation (shared base of the system's programs): settings, wire between own processes, errors, logs."""
+"""Foundation of all programs of the system: settings, links between its processes, errors, logs."""
--- a/pepperrun/foundation/errors.py
+++ b/pepperrun/foundation/errors.py
@@ -1,21 +1,21 @@
-"""Errors of the system: one hierarchy, each with the step at which it arose and the peer it concerned."""
+"""Exception classes of the system. Each error carries the step that failed and the peer involved."""
 
 from __future__ import annotations
 
 
 class PepperrunError(Exception):
-    """Base of all errors of the system.
+    """Base class of all errors of the system.
 
     Attributes
     ----------
     code : str
-        Stable name for tools and answers, such as ``bad-message``.
+        Stable identifier for tools and responses, such as ``bad-message``.
     step : str
-        What was being done.
+        Operation that failed.
     detail : str
-        A sentence, or part of one, for people; may be empty.
+        Explanation for people; may be empty.
     peer : str
-        With whom it was being done; empty where no peer is concerned.
+        Process at the other end; empty if no peer is involved.
     """
 
     def __init__(self, code: str, step: str, detail: str = "", peer: str = "") -> None:
@@ -28,29 +28,29 @@
 
 
 class RemoteProtocolError(PepperrunError):
-    """A peer sent what the protocol does not allow."""
+    """A peer sent a message that violates the protocol."""
 
 
 class StorageError(PepperrunError):
-    """Base of the errors of durable state."""
+    """Base class of errors of durable state."""
 
 
 class DiskUnavailableError(StorageError):
-    """The disk refuses to read or write now; what it holds is not known to be damaged."""
+    """A read or write failed; the data on the disk is not known to be damaged."""
 
     def __init__(self, step: str, detail: str) -> None:
         super().__init__("disk-failed", step, detail)
 
 
 class CorruptStateError(StorageError):
-    """What lies on the disk is not what was written."""
+    """The data on the disk differs from what was written."""
 
     def __init__(self, step: str, detail: str) -> None:
         super().__init__("disk-doubtful", step, detail)
 
 
 class NewerFormatError(StorageError):
-    """A later version wrote the disk."""
+    """A later version of the program wrote the data on the disk."""
 
     def __init__(self, step: str, detail: str) -> None:
         super().__init__("disk-newer", step, detail)
--- a/pepperrun/foundation/link.py
+++ b/pepperrun/foundation/link.py
@@ -1,7 +1,7 @@
-"""Links: TCP connections between own processes that carry netstrings of JSON both ways.
+"""Links: TCP connections between processes of the system that carry JSON netstrings in both directions.
 
-A link that breaks loses what was under way; whoever uses links repeats what must arrive. Each side's first
-message is its hello (`{"k": "hello", "v": 1, ...}`), which the other is told with `opened`.
+A link that breaks loses the messages in flight; its users send again what must arrive. The first message of
+each side is its hello (`{"k": "hello", "v": 1, ...}`), which the other side gets with `opened`.
 """
 
 from __future__ import annotations
@@ -18,25 +18,45 @@
 from pepperrun.foundation.settings import Address
 
 PROTOCOL_VERSION = 1
-OPERATOR_CLASS = "operator"  # the class, in a hello, of one who only looks: it is shown what is held
-TCP_TIMEOUT_MS = 2000  # unacknowledged bytes for so long: the other machine is gone or behind a cut
-CONNECT_TIMEOUT_S = 1.0  # a connection takes no longer to come up, or will not
-RETRY_DELAY_S = (0.05, 1.0)  # between two tries: at first, and at most
-MAX_UNSENT_BYTES = 16 * 1024 * 1024  # bytes: a link whose other side takes nothing ends
+OPERATOR_CLASS = "operator"  # class in the hello of an operator's tool, which only reads the state
+TCP_TIMEOUT_MS = 2000  # with bytes unacknowledged for longer the other machine is down or partitioned
+CONNECT_TIMEOUT_S = 1.0  # a connection that takes longer to open is not expected to open
+RETRY_DELAY_S = (0.05, 1.0)  # between two connection attempts: at first, and at most
+MAX_UNSENT_BYTES = 16 * 1024 * 1024  # a link with more bytes unsent ends: its peer does not read
 
 
 class LinkHandler(Protocol):
-    """Whom a link tells of what happens on it."""
+    """Handler of the events of links."""
 
-    def opened(self, link: Link, hello: Message) -> None: ...
+    def opened(self, link: Link, hello: Message) -> None:
+        """Handle a link whose peer has sent its hello."""
+        ...
 
-    def received(self, link: Link, message: Message) -> None: ...
+    def received(self, link: Link, message: Message) -> None:
+        """Handle a message after the hello."""
+        ...
 
-    def closed(self, link: Link) -> None: ...
+    def closed(self, link: Link) -> None:
+        """Handle the end of a link that was opened."""
+        ...
 
 
 class Link(asyncio.Protocol):
-    """One connection. `name` is the other side's station once it has said hello."""
+    """One connection to a peer.
+
+    Attributes
+    ----------
+    name : str
+        Station name of the peer; empty until its hello.
+    hello_received : bool
+        Whether the peer has sent its hello.
+    accepts_deflate : bool
+        Whether the peer reads compressed frames.
+    done : asyncio.Future or None
+        Set by the dialer; resolved when the connection ends.
+    on_partial_message : callable or None
+        Called when received bytes complete no message: they are part of a longer one.
+    """
 
     def __init__(self, handler: LinkHandler, hello: Callable[[], Message]) -> None:
         self.handler, self.hello = handler, hello
@@ -44,7 +64,7 @@
         self.decoder = Decoder()
         self.name, self.hello_received, self.accepts_deflate = "", False, False
         self.done: asyncio.Future[None] | None = None
-        self.on_partial_message: Callable[[], None] | None = None  # part of a message came
+        self.on_partial_message: Callable[[], None] | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
@@ -70,7 +90,7 @@
                     self.accepts_deflate = DEFLATE in (message.get("packs") or ())
                     self.handler.opened(self, message)
                 else:
-                    raise PepperrunError("bad-hello", "greeting", "no hello at first")
+                    raise PepperrunError("bad-hello", "greeting", "the first message is not a valid hello")
         except PepperrunError as error:
             error.peer = error.peer or self.name
             log_error(error)
@@ -87,16 +107,21 @@
             self.done.set_result(None)
 
     def send(self, message: Message) -> None:
-        """Sends, or drops where the link is down."""
+        """Send a message, or drop it if the link is down."""
         self.write(encode(message))
 
     def write(self, frame: bytes) -> None:
-        """Sends a frame that is encoded already: one encoding for many links."""
+        """Send an encoded frame, or drop it if the link is down.
+
+        A message to many links is encoded only once. Ends the link if too many bytes are unsent.
+        """
         transport = self.transport
         if transport is None or transport.is_closing():
             return
         if transport.get_write_buffer_size() > MAX_UNSENT_BYTES:
-            log_error(PepperrunError("link-stuck", "sending", "the other side takes nothing", self.name))
+            log_error(
+                PepperrunError("link-stuck", "sending", "the peer does not read; the link ends", self.name)
+            )
             transport.abort()
             return
         transport.write(
@@ -104,26 +129,37 @@
         )
 
     def unsent(self) -> int:
-        """Bytes written and not yet gone out, as far as is known here."""
+        """Return the number of bytes in the write buffer; the kernel may hold more."""
         return self.transport.get_write_buffer_size() if self.transport is not None else 0
 
     def close(self) -> None:
-        """Ends it at once."""
+        """End the link at once, dropping what is unsent."""
         if self.transport is not None:
             self.transport.abort()
 
 
 async def listen(address: Address, handler: LinkHandler, hello: Callable[[], Message]) -> asyncio.Server:
-    """Takes links at an address."""
+    """Accept links at an address.
+
+    Raises
+    ------
+    OSError
+        The address cannot be used.
+    """
     loop = asyncio.get_running_loop()
     return await loop.create_server(lambda: Link(handler, hello), *address, reuse_address=True)
 
 
 class Dialer:
-    """Keeps one link up to an address until it is closed.
-
-    `connect_timeout_s` bounds one attempt. The delay between attempts starts at RETRY_DELAY_S[0] and grows
-    up to `max_retry_s`.
+    """Keeps one link to an address up, reconnecting until `close` is called.
+
+    Parameters
+    ----------
+    connect_timeout_s : float
+        Time limit of one connection attempt.
+    max_retry_s : float
+        Maximum delay between two attempts. The delay starts at ``RETRY_DELAY_S[0]``, doubles after each
+        failed attempt and is jittered.
     """
 
     def __init__(
@@ -145,7 +181,7 @@
         self.task = asyncio.get_running_loop().create_task(self._run())
 
     async def _run(self) -> None:
-        loop, wait = asyncio.get_running_loop(), RETRY_DELAY_S[0]
+        loop, delay = asyncio.get_running_loop(), RETRY_DELAY_S[0]
         while True:
             try:
                 async with asyncio.timeout(self.connect_timeout_s):
@@ -153,17 +189,17 @@
                         lambda: Link(self.handler, self.hello), *self.address
                     )
             except OSError:
-                wait = min(self.max_retry_s, 2 * wait)
+                delay = min(self.max_retry_s, 2 * delay)
             else:
                 self.link, link.done = link, loop.create_future()
                 if link.transport is not None:
                     await link.done
-                wait = RETRY_DELAY_S[0] if link.hello_received else min(self.max_retry_s, 2 * wait)
+                delay = RETRY_DELAY_S[0] if link.hello_received else min(self.max_retry_s, 2 * delay)
                 self.link = None
-            await asyncio.sleep(wait * random.uniform(0.5, 1.0))
+            await asyncio.sleep(delay * random.uniform(0.5, 1.0))
 
     def close(self) -> None:
-        """Ends the link and tries no more."""
+        """End the link and stop connecting."""
         self.task.cancel()
         if self.link is not None:
             self.link.close()
--- a/pepperrun/foundation/logs.py
+++ b/pepperrun/foundation/logs.py
@@ -1,4 +1,4 @@
-"""Logs by absl: one line of key=value pairs for each event, on standard error."""
+"""Structured logs through absl: one line of key=value pairs for each event, on standard error."""
 
 from __future__ import annotations
 
@@ -12,8 +12,14 @@
 
 
 def setup(verbose: bool = False) -> None:
-    """Lines of the present program's parts become events too."""
-    flags.FLAGS.mark_as_parsed()  # absl's own flags stay as they are: argparse reads the command line
+    """Set up absl, and log the lines of `pepperrun.log` as events.
+
+    Parameters
+    ----------
+    verbose : bool
+        Log debug messages too.
+    """
+    flags.FLAGS.mark_as_parsed()  # argparse reads the command line, so absl's flags keep their defaults
     logging.use_absl_handler()
     logging.set_verbosity(logging.DEBUG if verbose else logging.INFO)
     log.set_sink(lambda kind, text, more: event("said", kind=kind, text=text, more=more))
@@ -23,21 +29,21 @@
     if isinstance(value, int | float):
         return f"{value:.6g}" if isinstance(value, float) else str(value)
     text = str(value)
-    plain = text and all(one.isalnum() or one in "-_.:/+@" for one in text)
+    plain = text and all(char.isalnum() or char in "-_.:/+@" for char in text)
     return text if plain else json.dumps(text)
 
 
-def line(name: str, pairs: dict[str, Any]) -> str:
-    """The line of one event."""
+def format_event(name: str, pairs: dict[str, Any]) -> str:
+    """Return the log line of an event. Values with unusual characters are quoted as JSON."""
     return " ".join([f"event={name}", *(f"{key}={_value(value)}" for key, value in pairs.items())])
 
 
 def event(name: str, **pairs: Any) -> None:
-    """Something has happened that whoever is on call may want to see."""
-    logging.info("%s", line(name, pairs))
+    """Log an event that an operator may want to see."""
+    logging.info("%s", format_event(name, pairs))
 
 
 def log_error(error: PepperrunError, **pairs: Any) -> None:
-    """An error has been met and dealt with."""
+    """Log an error that was handled."""
     what = {"code": error.code, "step": error.step, "peer": error.peer or "-", "detail": error.detail or "-"}
-    logging.warning("%s", line("error", what | pairs))
+    logging.warning("%s", format_event("error", what | pairs))
--- a/pepperrun/foundation/settings.py
+++ b/pepperrun/foundation/settings.py
@@ -1,4 +1,7 @@
-"""The settings file of a process, read and checked by dacite. Fields that are not known are ignored."""
+"""The settings file of a process, read and checked by dacite. Unknown fields are ignored.
+
+The classes mirror the tables of the file, and their fields are the keys of the file.
+"""
 
 from __future__ import annotations
 
@@ -17,7 +20,7 @@
 
 @dataclass(frozen=True)
 class Limits:
-    """What a machine gives a process; 0 for no limit told."""
+    """Resources that the machine gives the process; 0 where no limit is stated."""
 
     cpu_share: float = 1.0
     cores: int = 1
@@ -29,7 +32,7 @@
 
 @dataclass(frozen=True)
 class Self:
-    """This process and its machine."""
+    """This process and its machine: table `self` of the file."""
 
     station: str
     role: str
@@ -45,24 +48,24 @@
 
 @dataclass(frozen=True)
 class Network:
-    """Addresses: what is served here, what is free for own use, whom to ask first."""
+    """Addresses and ports: those served here, the internal ports, and the control nodes to contact first."""
 
     sidings: list[int]
     first_contacts: list[str]
     postboxes: dict[str, str] = field(default_factory=dict)
-    zones: dict[str, str] = field(default_factory=dict)  # zone: its region
+    zones: dict[str, str] = field(default_factory=dict)  # region of each zone
 
 
 @dataclass(frozen=True)
 class Carrier:
-    """How workers tell of themselves."""
+    """Heartbeats of workers."""
 
     beat_ms: float = 1500
 
 
 @dataclass(frozen=True)
 class Withstand:
-    """What may be lost at once."""
+    """Failures at one time that the system must tolerate."""
 
     vehicles: int = 1
     zones: int = 0
@@ -71,7 +74,7 @@
 
 @dataclass(frozen=True)
 class Bounds:
-    """The figures of the rules; `_ms` in milliseconds, `_s` in seconds."""
+    """Limits that the rules set; `_ms` is in milliseconds, `_s` in seconds."""
 
     contact_ms: float = 4000
     receipt_ms: float = 6000
@@ -98,7 +101,7 @@
 
 @dataclass(frozen=True)
 class Tariffs:
-    """The rules in force and their figures."""
+    """The rules in force and their limits."""
 
     terms_in_force: list[str] = field(default_factory=list)
     withstand: Withstand = field(default_factory=Withstand)
@@ -107,7 +110,7 @@
 
 @dataclass(frozen=True)
 class Settings:
-    """All that a process is told. `station` and the like stand in `me`, the file's table `self`."""
+    """All settings of a process. `me` is the table `self` of the file."""
 
     me: Self
     network: Network
@@ -115,32 +118,44 @@
     tariffs: Tariffs = field(default_factory=Tariffs)
 
     def listen_address(self, name: str) -> Address | None:
-        """Where this process serves that, or None where it does not."""
+        """Return the address at which this process serves `name`, or None if it does not serve it."""
         text = self.network.postboxes.get(name)
         return parse_address(text) if text is not None else None
 
     @property
     def internal_address(self) -> Address:
-        """Where own processes reach this one, by TCP and by UDP."""
+        """Address at which other processes of the system reach this one, by TCP and by UDP."""
         return self.me.ip, self.network.sidings[0]
 
     def contacts(self) -> list[Address]:
-        """Own addresses of the core machines named first; all machines use the same ports."""
+        """Return the internal addresses of the first contacts. All machines use the same internal port."""
         return [(parse_address(text)[0], self.network.sidings[0]) for text in self.network.first_contacts]
 
 
 def parse_address(text: str) -> Address:
-    """`host:port` as a pair; PepperrunError where it is none."""
+    """Return the host and port of `host:port`.
+
+    Raises
+    ------
+    PepperrunError
+        The text is not `host:port` with a port from 1 to 65535.
+    """
     host, _, port = text.rpartition(":")
     if not host or not port.isdigit() or not 0 < int(port) < 65536:
-        raise PepperrunError("bad-address", "settings", f"{text!r} is no address")
+        raise PepperrunError("bad-address", "settings", f"{text!r} is not an address of the form host:port")
     return host, int(port)
 
 
 def parse(data: Any) -> Settings:
-    """Settings from the file's tables; PepperrunError names the field that is no good."""
+    """Return the settings in the tables of a file.
+
+    Raises
+    ------
+    PepperrunError
+        A field is missing or invalid; the error names it.
+    """
     if not isinstance(data, dict):
-        raise PepperrunError("bad-settings", "settings", "the file holds no tables")
+        raise PepperrunError("bad-settings", "settings", "the file is not a mapping of tables")
     tables = {("me" if key == "self" else key): value for key, value in data.items()}
     config = dacite.Config(type_hooks={float: float})
     try:
@@ -148,18 +163,26 @@
     except (dacite.DaciteError, TypeError, ValueError) as error:
         raise PepperrunError("bad-settings", "settings", str(error)) from None
     if len(settings.network.sidings) != 2:
-        raise PepperrunError("bad-settings", "settings", "network.sidings: a first and a last port")
+        raise PepperrunError(
+            "bad-settings", "settings", "network.sidings must be the first and the last port of a range"
+        )
     for text in [*settings.network.first_contacts, *settings.network.postboxes.values()]:
         parse_address(text)
     return settings
 
 
 def load(path: str | None = None) -> Settings:
-    """Reads the file at `path`, else at the one that PEPPERRUN_NODE_FILE names."""
+    """Read the settings file at `path`, by default the one that PEPPERRUN_NODE_FILE names.
+
+    Raises
+    ------
+    PepperrunError
+        The file cannot be read or is invalid.
+    """
     where = path if path is not None else os.environ.get("PEPPERRUN_NODE_FILE", "/etc/pepperrun/node.yaml")
     loader = getattr(yaml, "CSafeLoader", yaml.SafeLoader)
     try:
-        data = yaml.load(Path(where).read_text(), loader)  # a safe loader, in C where there is one
+        data = yaml.load(Path(where).read_text(), loader)  # a safe loader; the C version if available
     except (OSError, yaml.YAMLError) as error:
         raise PepperrunError("bad-settings", "settings", f"{where}: {error}") from None
     return parse(data)
--- a/pepperrun/foundation/timer.py
+++ b/pepperrun/foundation/timer.py
@@ -1,4 +1,4 @@
-"""One timer of the event loop for whatever is due first."""
+"""A timer of the event loop that always waits for the earliest time that was requested."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Timer:
-    """One timer of the loop: calls `callback` at the earliest time that was set (steady ns)."""
+    """Calls `callback` once, at the earliest of the times that were set (monotonic clock, ns)."""
 
     def __init__(self, callback: Callable[[], None], clock: Callable[[], int]) -> None:
         self.callback = callback
@@ -18,7 +18,7 @@
         self._handle: asyncio.TimerHandle | None = None
 
     def set(self, due: int) -> None:
-        """Call back at this time, or sooner if that was asked for."""
+        """Call back at `due`, unless an earlier time is already set."""
         if self._due and self._due <= due:
             return
         self.stop()
@@ -32,7 +32,7 @@
         self.callback()
 
     def stop(self) -> None:
-        """Forget what was set."""
+        """Cancel the timer."""
         if self._handle is not None:
             self._handle.cancel()
         self._due = 0
--- a/pepperrun/operator/event_log.py
+++ b/pepperrun/operator/event_log.py
@@ -32,7 +32,7 @@
 
 
 def pairs_of(text: str) -> dict[str, str]:
-    """The pairs of one line, as `foundation.logs.line` writes them."""
+    """The pairs of one line, as `foundation.logs.format_event` writes them."""
     out = {}
     for name, value in _PAIR.findall(text):
         try:
--- a/pepperrun/simulation/distribution_world.py
+++ b/pepperrun/simulation/distribution_world.py
@@ -17,7 +17,7 @@
 from pepperrun.control.records import GatewayRecord, GatewayState, Worker, WorkerState
 from pepperrun.distribution.follower import Follower
 from pepperrun.distribution.publisher import Publisher
-from pepperrun.distribution.relay import ReplicatedSource, publish, relay
+from pepperrun.distribution.relay import ReplicatedSource, create_publisher, create_relay
 from pepperrun.distribution.replicated_state import AppliedChange, ReplicatedState
 from pepperrun.foundation.netstring import Decoder, Message
 from pepperrun.foundation.settings import Address
@@ -93,7 +93,7 @@
         self.replicated = ReplicatedState()
         self.control_nodes = world.cores
         self.known_at: int | None = None
-        self.publisher = publish(self, self.replicated, self.flush_at, self.clock)
+        self.publisher = create_publisher(self, self.replicated, self.flush_at, self.clock)
 
     def age_ms(self, now: int) -> float | None:
         return None if self.known_at is None else (self.world.now - self.known_at) / MS
@@ -117,7 +117,7 @@
         self.follower = Follower(
             station, zone, PORT, world.zones, contacts, own_record=lambda: row, apply=apply, now=self.clock()
         )
-        self.publisher = relay(self.follower, self.flush_at, self.clock)
+        self.publisher = create_relay(self.follower, self.flush_at, self.clock)
         self.replicated = self.follower.replicated
         self.alarm = 0
         self.up: dict[Address, Port] = {}
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -153,7 +153,7 @@
 def log(path: Path, *lines: tuple[float, str, dict[str, Any]]) -> Path:
     head = "I0102 03:04:{:09.6f} 12345 logs.py:34] {}"
     path.write_text(
-        "noise\n" + "\n".join(head.format(at, logs.line(name, pairs)) for at, name, pairs in lines)
+        "noise\n" + "\n".join(head.format(at, logs.format_event(name, pairs)) for at, name, pairs in lines)
     )
     return path
 
@@ -219,7 +219,7 @@
     assert operatorctl.main(["report", *map(str, paths), "--out", str(out)]) == 0
     assert out.read_text().count("data:image/png") == 4
     assert [round(ms) for _, number, ms in page.in_force(lines) if number == 7] == [200, 500]
-    assert json.dumps(pairs_of(logs.line("x", {"a": 'q "1" \\', "b": ""}))) == json.dumps(
+    assert json.dumps(pairs_of(logs.format_event("x", {"a": 'q "1" \\', "b": ""}))) == json.dumps(
         {"event": "x", "a": 'q "1" \\', "b": ""}
     )
 
@@ -230,7 +230,7 @@
     def line(at: float, who: str, name: str, **pairs: Any) -> str:
         hour = len(who)
         head = f"I0102 {hour:02}:00:00.000000 1 logs.py:37]"
-        return f"{at:9.4f} {who} {head} {logs.line(name, pairs)}"
+        return f"{at:9.4f} {who} {head} {logs.format_event(name, pairs)}"
 
     begun = {"do": "evacuate", "zone": "z1", "begin": True}
     ended = begun | {"begin": False}
