--- a/pepperrun/distribution/uplink.py
+++ b/pepperrun/distribution/uplink.py
@@ -108,7 +108,7 @@
         self._send(heartbeat.to_wire())
 
     def accepts_ack(self, heartbeat_sent_at: int) -> bool:
-        """Return whether an answer is to a heartbeat of this link. Then it and earlier ones need no answer."""
+        """Return whether an answer is to a heartbeat of this link, and forget it and earlier ones."""
         if heartbeat_sent_at not in self.unanswered:
             return False
         while self.unanswered.popleft() != heartbeat_sent_at:
--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -1,4 +1,4 @@
-"""Distribution in virtual time: news goes through dead relays and cuts, freshness is never overstated."""
+"""Distribution in virtual time: changes pass failed relays and partitions, freshness is never overstated."""
 
 import asyncio
 import json
@@ -35,7 +35,8 @@
             index += 1
     world.change()
     world.run(start_ms)
-    assert world.sent["agreed"] + world.sent["change"] <= 2 * len(world.gates)  # no change without its base
+    # Every change is sent on top of its base version.
+    assert world.sent["agreed"] + world.sent["change"] <= 2 * len(world.gates)
     return world
 
 
@@ -45,32 +46,33 @@
     ]
 
 
-def under(world, gate):
+def descendants(world, gate):
     direct = children(world, gate)
-    return direct + [far for one in direct for far in under(world, one)]
+    return direct + [far for one in direct for far in descendants(world, one)]
 
 
-def test_a_hundred_gatekeepers_form_a_tree_and_news_costs_the_core_one_message_a_zone():
+def test_a_hundred_gateways_form_trees_and_a_change_costs_the_control_nodes_one_message_per_zone():
     world = fleet(1, {"a1": 60, "b1": 30, "c2": 10})
     roots = [gate for gate in world.gates if gate.follower.is_root]
     assert [gate.zone for gate in roots] == ["a1", "b1", "c2"]
     for gate in world.gates:
-        ranks = sorted(
+        ordered = sorted(
             (one for one in world.gates if one.zone == gate.zone), key=lambda one: order_key(one.station)
         )
-        place = ranks.index(gate)
-        if place:
-            assert gate.follower.parent.parent_name == ranks[(place - 1) // FAN_OUT].station
+        rank = ordered.index(gate)
+        if rank:
+            assert gate.follower.parent.parent_name == ordered[(rank - 1) // FAN_OUT].station
         assert gate.follower.control_node.address[0] in {
             ip for ip, zone in world.cores if zone[0] == gate.zone[0]
         }
     world.run(100)
     world.sent.clear(), world.frames.clear()
-    began = world.now
-    number = world.change()
-    while world.lags(number):
+    started_at = world.now
+    version = world.change()
+    while world.lags(version):
         world.run(1)
-    assert world.now - began < 60 * MS  # 4 steps of one zone, 12 ms to the farthest core machine
+    # 4 levels within the zone, and 12 ms to the farthest control node.
+    assert world.now - started_at < 60 * MS
     world.run(1000)
     assert world.sent["change"] == len(world.gates) and not world.sent["agreed"] + world.sent["want"]
     pushed = Counter({who: n for (who, kind), n in world.frames.items() if kind == "change"})
@@ -81,96 +83,105 @@
         world.worker(f"w{each}", "b2", at=world.control_nodes[0])
     world.run(1000)
     assert all(len(gate.replicated.workers) == 20 for gate in world.gates)
-    assert world.sent["cells"] < 1.3 * len(world.gates)  # records that change together go together
+    # Records that change together are sent in one message.
+    assert world.sent["cells"] < 1.3 * len(world.gates)
     world.check()
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_a_dead_relay_with_half_of_the_fleet_under_it_holds_nobody_up_for_a_second(seed):
+def test_the_failure_of_a_relay_with_many_descendants_delays_no_gateway_by_a_second(seed):
     world = fleet(seed, {"a1": 40})
-    best = max(world.gates, key=lambda gate: len(under(world, gate)) if not gate.follower.is_root else 0)
+    best = max(
+        world.gates, key=lambda gate: len(descendants(world, gate)) if not gate.follower.is_root else 0
+    )
     world.stop(best)
     root = next(gate for gate in world.gates if gate.follower.is_root)
     if seed:
         world.stop(root)
-    number = world.change()
+    version = world.change()
     world.worker("w1", "a1")
     world.run(1000)
-    assert not world.lags(number)
+    assert not world.lags(version)
     assert all("w1" in gate.replicated.workers for gate in world.gates if gate.alive)
     lost = [
         replace(one.follower.local_record.own_record(), state=GatewayState.LOST)
         for one in world.gates
         if not one.alive
     ]
-    world.control_nodes[0].replicated.update_records([], lost)  # what the core concludes from their silence
+    world.control_nodes[0].replicated.update_records([], lost)  # the control nodes detect the failures
     world.run(6000)
-    whole = [gate for gate in world.gates if gate.alive and gate.follower.is_root]
-    assert len(whole) == 1  # and a tree has formed again
+    roots = [gate for gate in world.gates if gate.alive and gate.follower.is_root]
+    assert len(roots) == 1  # the gateways form a single tree again
     world.check()
 
 
-def test_a_relay_that_wakes_behind_a_cut_brings_nobody_back():
+def test_a_partitioned_relay_does_not_roll_back_its_children():
     world = fleet(4, {"a1": 12})
-    old = next(gate for gate in world.gates if children(world, gate) and not gate.follower.is_root)
-    kids = children(world, old)
-    world.cut_off(old, [*world.control_nodes, *(one for one in world.gates if one not in kids)])
+    stale_relay = next(gate for gate in world.gates if children(world, gate) and not gate.follower.is_root)
+    old_children = children(world, stale_relay)
+    world.cut_off(
+        stale_relay, [*world.control_nodes, *(one for one in world.gates if one not in old_children)]
+    )
     world.worker("w1", "a1", 5)
-    numbers = [world.change() for _ in range(3)]
+    versions = [world.change() for _ in range(3)]
     world.run(1500)
-    assert old.replicated.version < numbers[0] and all(kid.replicated.version == numbers[-1] for kid in kids)
-    stale = Worker("w1", "line", "10.9.0.1:80", "a1", "v1", 2, 1)
-    for kid in kids:  # the old relay's word, as late as can be
-        port = next(iter(kid.up.values()))
-        kid.follower.received(port, {"k": "agreed", "n": numbers[0], "state": {"edition": 0}}, kid.clock())
-        kid.follower.received(port, repair.encode_records([stale], 1), kid.clock())
-        assert kid.replicated.version == numbers[-1] and kid.replicated.workers["w1"].serial == 5
+    assert stale_relay.replicated.version < versions[0] and all(
+        child.replicated.version == versions[-1] for child in old_children
+    )
+    stale_worker = Worker("w1", "line", "10.9.0.1:80", "a1", "v1", 2, 1)
+    for child in old_children:  # late messages of the partitioned relay
+        port = next(iter(child.up.values()))
+        child.follower.received(
+            port, {"k": "agreed", "n": versions[0], "state": {"edition": 0}}, child.clock()
+        )
+        child.follower.received(port, repair.encode_records([stale_worker], 1), child.clock())
+        assert child.replicated.version == versions[-1] and child.replicated.workers["w1"].serial == 5
     world.cuts.clear()
     world.run(2500)
-    assert old.replicated.version == numbers[-1] and old.replicated.workers["w1"].serial == 5
+    assert stale_relay.replicated.version == versions[-1] and stale_relay.replicated.workers["w1"].serial == 5
     world.check()
 
 
-def test_gatekeepers_leave_a_core_machine_that_is_cut_off_and_move_back_to_the_nearer_one():
+def test_gateways_leave_a_partitioned_control_node_and_return_to_the_nearer_one_later():
     world = fleet(5, {"a1": 3, "b2": 3})
-    lone = world.control_nodes[0]
-    world.cut_off(lone, world.control_nodes)
-    followed = [gate for gate in world.gates if gate.follower.control_node.address[0] == lone.ip]
+    isolated = world.control_nodes[0]
+    world.cut_off(isolated, world.control_nodes)
+    followed = [gate for gate in world.gates if gate.follower.control_node.address[0] == isolated.ip]
     assert len(followed) == 3
     for _ in range(8):
-        number = world.change()
+        version = world.change()
         world.run(500)
-    assert all(gate.follower.control_node.address[0] != lone.ip for gate in world.gates)
-    assert not world.lags(number - 1)
+    assert all(gate.follower.control_node.address[0] != isolated.ip for gate in world.gates)
+    assert not world.lags(version - 1)
     for gate in world.gates:
         assert gate.age_ms() < 1000
     world.cuts.clear()
     world.run(20000)
-    assert all(gate.follower.control_node.address[0] == lone.ip for gate in followed)
+    assert all(gate.follower.control_node.address[0] == isolated.ip for gate in followed)
     world.check()
 
 
-def test_who_reaches_no_core_machine_learns_from_its_parent_how_fresh_it_is():
+def test_a_gateway_without_control_nodes_proves_freshness_through_its_parent():
     world = fleet(6, {"a1": 6})
     gate = next(one for one in world.gates if not one.follower.is_root)
     world.cut_off(gate, world.control_nodes)
     world.run(3000)
-    number = world.change()
+    version = world.change()
     world.worker("w1", "a1")
     world.run(1000)
-    assert gate.replicated.version == number and "w1" in gate.replicated.workers
+    assert gate.replicated.version == version and "w1" in gate.replicated.workers
     assert gate.age_ms() < 1500
     world.check()
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_nobody_claims_to_be_fresher_than_it_is_and_all_agree_in_the_end(seed):
+def test_no_gateway_overstates_freshness_and_all_converge(seed):
     assert not Day(seed).play()
 
 
-def test_another_core_machine_is_tried_before_the_present_one_is_given_up():
+def test_another_control_node_is_tried_before_the_current_one_is_left():
     world = World(10, ZONES, CORES)
-    world.stop(world.control_nodes[0])  # a first contact of all is down at the start
+    world.stop(world.control_nodes[0])  # one of the first contacts of all gateways is down at the start
     for index in range(12):
         world.gate(index, "a1")
     world.change()
@@ -183,14 +194,15 @@
     for _ in range(40):
         world.run(50)
         oldest = max(oldest, *(gate.age_ms() for gate in world.gates))
-    assert oldest < 1150  # a tick, what is quiet, the way to another
+    # The heartbeat interval, the time until an answer counts as slow, and the connection to another node.
+    assert oldest < 1150
 
 
 @pytest.mark.parametrize("phase", range(0, 400, 100))
-def test_who_has_just_started_asks_often_until_the_core_knows_that_it_is_the_newest(phase):
+def test_a_started_gateway_sends_heartbeats_often_until_its_state_is_confirmed(phase):
     world = World(12, ZONES, CORES)
     world.change()
-    for control_node in world.control_nodes:  # those of the core have not met
+    for control_node in world.control_nodes:  # the control nodes have not connected to each other yet
         world.cut_off(control_node, [one for one in world.control_nodes if one is not control_node])
         control_node.known_at = None
     for index in range(6):
@@ -200,115 +212,127 @@
     world.cuts.clear()
     while not all(control_node.known_at for control_node in world.control_nodes):
         world.run(1)
-    world.run(160)  # a quarter of a tick, and there and back
+    world.run(160)  # a quarter of a heartbeat interval, and a round trip
     assert all(gate.replicated.confirmed_at for gate in world.gates)
     world.sent.clear()
     world.run(4000)
-    assert world.sent["tick"] <= 2.1 * 11 * len(world.gates)  # to a core machine and a parent, as before
+    # Heartbeats to a control node and a parent, at the normal interval again.
+    assert world.sent["tick"] <= 2.1 * 11 * len(world.gates)
     world.check()
 
 
-def test_who_stood_still_takes_nobody_else_for_silent():
+def test_a_suspended_gateway_does_not_time_out_its_peers():
     world = fleet(8, {"a1": 4})
     gate = next(one for one in world.gates if not one.follower.is_root)
     followed = gate.follower.control_node.connection, gate.follower.parent.connection
     gate.alive = False
     world.run(1700)
     world.wake(gate)
-    assert gate.age_ms() > 1500  # what it held may be old by now, and it says so
+    assert gate.age_ms() > 1500  # its state may be old by now, and it reports that
     world.run(1000)
     assert (gate.follower.control_node.connection, gate.follower.parent.connection) == followed
     assert gate.age_ms() < 1000
 
 
-def test_only_an_echo_of_what_was_asked_here_counts_and_a_change_misread_is_asked_for_whole():
+def test_unsolicited_answers_are_ignored_and_a_checksum_mismatch_requests_the_full_state():
     world = fleet(11, {"a1": 1})
     (gate,) = world.gates
-    port, held = gate.follower.control_node.connection, gate.replicated.confirmed_at
-    word = {"k": "tock", "age": 0, "n": gate.replicated.version, "d": gate.replicated.digests.total_digest()}
-    for t in (gate.clock() + 10**12, held + 1):  # of an earlier start of the machine, of an earlier link
-        gate.follower.received(port, word | {"t": t}, gate.clock())
-    assert gate.replicated.confirmed_at == held
-    number = gate.replicated.version
-    change = {"k": "change", "base": number, "n": number + 1, "op": {"edition": 9}, "seal": "of another"}
+    port, confirmed_at = gate.follower.control_node.connection, gate.replicated.confirmed_at
+    answer = {
+        "k": "tock",
+        "age": 0,
+        "n": gate.replicated.version,
+        "d": gate.replicated.digests.total_digest(),
+    }
+    for t in (gate.clock() + 10**12, confirmed_at + 1):  # answers of an earlier boot and of an earlier link
+        gate.follower.received(port, answer | {"t": t}, gate.clock())
+    assert gate.replicated.confirmed_at == confirmed_at
+    version = gate.replicated.version
+    change = {"k": "change", "base": version, "n": version + 1, "op": {"edition": 9}, "seal": "of another"}
     world.sent.clear()
     gate.follower.received(port, change, gate.clock())
-    assert gate.replicated.version == number and world.sent["want"] == 1
+    assert gate.replicated.version == version and world.sent["want"] == 1
 
 
-def test_what_is_under_way_is_not_sent_again():
+def test_changes_in_flight_are_not_sent_again():
     world = fleet(9, {"a1": 1})
     (gate,), control_node = world.gates, world.control_nodes[0]
-    number = world.change()
+    version = world.change()
     port = next(one for one in control_node.publisher.peers if one.other is gate)
     world.sent.clear()
-    for ms in (1, 300, 600):  # it has not been read yet
-        control_node.publisher.received(port, {"k": "want", "n": number - 1}, control_node.clock() + ms * MS)
+    for ms in (1, 300, 600):  # the peer has not read it yet
+        control_node.publisher.received(port, {"k": "want", "n": version - 1}, control_node.clock() + ms * MS)
     assert not world.sent["agreed"] + world.sent["change"]
-    control_node.publisher.received(port, {"k": "want", "n": number - 1, "whole": True}, control_node.clock())
+    control_node.publisher.received(
+        port, {"k": "want", "n": version - 1, "whole": True}, control_node.clock()
+    )
     assert world.sent["agreed"] == 1
 
 
-def test_copies_that_differ_in_a_few_of_many_records_exchange_little_and_end_alike():
-    dice = random.Random(9)
-    workers = [Worker(f"w{n}", "line", f"10.0.0.{n}:80", dice.choice("xy"), "v", 2, 1) for n in range(4000)]
+def test_replicas_that_differ_in_few_records_converge_with_little_traffic():
+    rng = random.Random(9)
+    workers = [Worker(f"w{n}", "line", f"10.0.0.{n}:80", rng.choice("xy"), "v", 2, 1) for n in range(4000)]
     one, other = ReplicatedState(), ReplicatedState()
     one.update_records(workers, []), other.update_records(workers[:-1], [])
-    for book, picked in ((one, workers[:3]), (other, workers[5:8])):
-        book.update_records([replace(worker, serial=2, state=WorkerState.DRAINING) for worker in picked], [])
+    for replica, picked in ((one, workers[:3]), (other, workers[5:8])):
+        replica.update_records(
+            [replace(worker, serial=2, state=WorkerState.DRAINING) for worker in picked], []
+        )
     gateway = GatewayRecord("front-1", "x", "r", "10.1.0.1:80", "10.1.0.1:7600", 1)
     other.update_records([], [gateway])
     gone = Worker("w9999", "line", "10.0.0.1:80", "x", "v", 2, 1, WorkerState.GONE)
     one.update_records([gone], [])
     assert one.digests.total_digest() != other.digests.total_digest()
-    rows, ways = 0, [(other, one, repair.request(one))]
-    while ways:
-        to, back, message = ways.pop()
+    rows, pending = 0, [(other, one, repair.request(one))]
+    while pending:
+        receiver, sender, message = pending.pop()
         rows += len(message.get("w", ()))
-        answers = repair.handle(to, lambda w, g, now, to=to: to.update_records(w, g), message, 1)
-        ways += [(back, to, answer) for answer in answers]
+        answers = repair.handle(
+            receiver, lambda w, g, now, receiver=receiver: receiver.update_records(w, g), message, 1
+        )
+        pending += [(sender, receiver, answer) for answer in answers]
     assert one.digests.total_digest() == other.digests.total_digest() and rows < 400
     assert one.workers["w5"].state == other.workers["w0"].state == "unloading" and "front-1" in one.gateways
     assert "w9999" not in other.workers or other.workers["w9999"].state == "gone"
 
 
-def test_thousands_of_routes_reach_all_over_links_at_their_limit():
-    """One copy takes a machine's link over two seconds: who sends it is not silent meanwhile."""
+def test_a_configuration_of_thousands_of_routes_reaches_all_over_saturated_links():
+    """One full state occupies a link for over two seconds; its sender must not time out meanwhile."""
     world = fleet(12, {"a1": 5, "b1": 3})
     world.padding = {f"p{n}": {"name": f"p{n}", "prefix": f"/{n:0200}/"} for n in range(3000)}
-    world.rate = 375.0  # bytes a ms
-    number, began = world.change(whole=True), world.now
-    while world.lags(number) and world.now - began < 25_000 * MS:
+    world.rate = 375.0  # bytes per ms
+    version, started_at = world.change(whole=True), world.now
+    while world.lags(version) and world.now - started_at < 25_000 * MS:
         world.run(50)
-    assert not world.lags(number)
+    assert not world.lags(version)
     world.run(15_000)
     assert max(gate.age_ms() for gate in world.gates) < 1500
     world.check()
 
 
-def test_the_first_change_builds_on_nothing():
-    """Asked for again and again, as who holds no state could not take it, it filled the links."""
+def test_the_first_change_applies_to_an_empty_state():
+    """Without state the first change could not be applied; endless requests for it then filled the links."""
     written = []
     port = SimpleNamespace(name="s", write=written.append, close=lambda: None)
-    row = GatewayRecord("g", "z", "r", "1.1.1.1:1", "1.1.1.1:7600", 1)
+    record = GatewayRecord("g", "z", "r", "1.1.1.1:1", "1.1.1.1:7600", 1)
     core = ("1.1.1.2", 7600)
     follower = Follower(
-        "g", "z", 7600, {"z": "r"}, [core], own_record=lambda: row, apply=changes.apply, now=0
+        "g", "z", 7600, {"z": "r"}, [core], own_record=lambda: record, apply=changes.apply, now=0
     )
     follower.opened(core, port, {"k": "hello", "station": "s", "class": "sorting", "cores": []}, 1)
     op = changes.evacuation_operation("z", True)
     state, _ = changes.apply(None, op)
-    told = len(written)
+    written_before = len(written)
     follower.received(port, {"k": "change", "base": 0, "n": 1, "op": op, "seal": state_checksum(state)}, 2)
     assert (
         follower.replicated.version == 1
         and follower.replicated.state["evacuated"] == ["z"]
-        and len(written) == told
+        and len(written) == written_before
     )
 
 
 class Wire(asyncio.Transport):
-    """A transport that keeps what is written."""
+    """A transport that stores the written bytes."""
 
     def __init__(self):
         super().__init__()
@@ -330,7 +354,7 @@
         self.data = None
 
 
-def test_long_frames_are_deflated_for_those_who_read_that_and_a_bomb_ends_the_link():
+def test_long_frames_are_compressed_on_request_and_a_decompression_bomb_ends_the_link():
     received = []
     user = SimpleNamespace(
         opened=lambda link, hello: None, received=lambda link, message: received.append(message)
@@ -339,14 +363,14 @@
     rows = [[f"r{at}", f"host-{at % 7}.example", f"/p{at}/", "safe", 1500] for at in range(1400)]
     frame = encode({"k": "agreed", "n": 3, "state": rows})
     sent = {}
-    for what, packs in (("old", {}), ("new", {"packs": ["later", "deflate"]})):
+    for kind, hello_fields in (("old", {}), ("new", {"packs": ["later", "deflate"]})):
         link = Link(user, lambda: {"station": "s"})
         link.connection_made(Wire())
-        link.data_received(encode({"k": "hello", "station": "o"} | packs))
+        link.data_received(encode({"k": "hello", "station": "o"} | hello_fields))
         link.transport.data = b""
         link.write(frame), link.write(encode({"k": "tick"}))
-        sent[what] = link.transport.data
-        link.data_received(sent[what])
+        sent[kind] = link.transport.data
+        link.data_received(sent[kind])
     assert received[0] == received[2] and [one["k"] for one in received] == ["agreed", "tick"] * 2
     assert sent["old"].startswith(frame) and len(sent["new"]) < len(frame) / 4
     bomb = zlib.compress(b'{"k":"x","y":"' + b" " * (MAX_FRAME_BYTES + 1))
@@ -354,7 +378,7 @@
     assert len(received) == 4 and link.transport.data is None
 
 
-def test_a_joiner_gets_each_change_that_it_lacks_as_a_frame_of_its_own():
+def test_each_missing_change_is_sent_in_its_own_frame():
     frames, port = [], Wire()
     source = SimpleNamespace(
         version=0, state={"edition": 0}, digests=RangeDigests(), control_nodes=[], age_ms=lambda now: 1.0
@@ -363,15 +387,15 @@
     port.write = frames.append
     publisher.opened(port, {}, 0)
     publisher.received(port, {"k": "tick", "t": 1, "n": 1, "root": False}, 0)
-    for number in range(1, 4):
-        source.version, source.state = number, {"edition": number}
-        publisher.state_changed((number - 1, {"edition": number}), 0)
+    for version in range(1, 4):
+        source.version, source.state = version, {"edition": version}
+        publisher.state_changed((version - 1, {"edition": version}), 0)
     frames.clear()
     publisher.received(port, {"k": "want", "n": 1}, 0)
     assert [[one["k"] for one in Decoder().feed(frame)] for frame in frames] == [["change"], ["change"]]
 
 
-def test_a_change_that_takes_seconds_of_a_narrow_link_is_no_silence():
+def test_a_change_that_takes_seconds_on_a_slow_link_causes_no_timeout():
     world = Narrow(2, 1.0, packs=False)
     for at in range(12):
         world.gate(at, list(NARROW)[at % 3])
@@ -384,32 +408,35 @@
     assert all(gate.age_ms() < 1500 for gate in world.gates)
 
 
-def test_a_long_change_goes_straight_from_the_core_and_round_a_cut_by_the_relay():
+def test_a_long_change_is_sent_by_the_control_nodes_and_relayed_around_a_partition():
     world = Narrow(3, 2.0)
     for at in range(27):
         world.gate(at, list(NARROW)[at % 3])
     world.change()
     world.run(4000)
-    lone = next(gate for gate in world.gates if gate.follower.parent and not children(world, gate))
-    world.cut_off(lone, world.control_nodes)
+    isolated = next(gate for gate in world.gates if gate.follower.parent and not children(world, gate))
+    world.cut_off(isolated, world.control_nodes)
     world.run(3000)
-    relay = next(gate for gate in world.gates if gate.station == lone.follower.parent.parent_name)
+    relay = next(gate for gate in world.gates if gate.station == isolated.follower.parent.parent_name)
     world.sizes.clear()
     times = told(world, 1400, 3)
     assert len(times) == 27 and times[-2] < 200 and times[-1] < 1200
-    length = world.sizes[lone.station]  # 0.13 s of its link, once
+    length = world.sizes[isolated.station]  # sent once: 0.13 s of its link
     assert all(world.sizes[gate.station] < 1.2 * length for gate in world.gates if gate is not relay)
     world.check()
     world.sizes.clear()
-    assert len(told(world, 1, 3)) == 27  # a short one goes down the tree
+    assert len(told(world, 1, 3)) == 27  # a short change goes down the tree
     assert sum(world.sizes[control_node.station] for control_node in world.control_nodes) < 10_000
 
 
-def test_typed_messages_keep_their_bytes_and_read_back():
-    row = GatewayRecord("s", "z", "r", "10.0.0.1:80", "10.0.0.1:90", 3)
-    listed = '["s","z","r","10.0.0.1:80","10.0.0.1:90",3,0,"starting"]'
+def test_typed_messages_encode_to_fixed_bytes_and_decode_back():
+    record = GatewayRecord("s", "z", "r", "10.0.0.1:80", "10.0.0.1:90", 3)
+    encoded_record = '["s","z","r","10.0.0.1:80","10.0.0.1:90",3,0,"starting"]'
     for message, text in (
-        (messages.Heartbeat(5, 7, True, row), '{"k":"tick","t":5,"n":7,"g":' + listed + ',"root":true}'),
+        (
+            messages.Heartbeat(5, 7, True, record),
+            '{"k":"tick","t":5,"n":7,"g":' + encoded_record + ',"root":true}',
+        ),
         (messages.Heartbeat(5, 7, False), '{"k":"tick","t":5,"n":7,"root":false}'),
         (messages.HeartbeatAck(5, None, 7, "d"), '{"k":"tock","t":5,"age":null,"n":7,"d":"d"}'),
         (
