--- a/pepperrun/dataplane/__init__.py
+++ b/pepperrun/dataplane/__init__.py
@@ -1,1 +1,1 @@
-"""Data plane: the front for clients, where a request may go, and where not."""
+"""Data plane: accepts requests of clients, decides which workers they may go to, and forwards them."""
--- a/pepperrun/dataplane/attempt_reports.py
+++ b/pepperrun/dataplane/attempt_reports.py
@@ -1,9 +1,9 @@
-"""Reports of attempts that this gatekeeper gave up, or judged late, while their worker may be at work, and of
-attempts whose client has left.
+"""Log lines and counts of attempts that this gatekeeper abandoned or judged late while their worker may be at
+work, and of attempts whose client has left.
 
-From these lines and counts one can tell, after the fact, who ended an attempt and on what evidence, when a
-client's leaving was heard, and how long work went on after it. Lines are limited to so many a second; the
-counts, which `show` has, are complete.
+They show afterwards who ended an attempt and on what evidence, when a client's disconnect was noticed, and
+how long work went on after it. Lines are limited to so many per second; the counts, which `show` prints, are
+complete.
 """
 
 from __future__ import annotations
@@ -22,22 +22,22 @@
 
 ABANDONED, LATE, ANSWERED_OVER = "attempt-abandoned", "attempt-late", "answered-over-attempt"
 CLIENT_LEFT, OUTLIVED = "client-left", "attempt-outlived-client"
-OUTLIVED_NS = 500 * MS  # work that goes on for so long after its client has left is done for nobody
+OUTLIVED_NS = 500 * MS  # work that goes on for so long after its client has left is reported as wasted
 LINES_PER_S = 20.0
-MOST_ID = 64  # characters of an attempt id
+MAX_ID_LENGTH = 64  # characters of a logged Attempt-Id
 
 
 class AttemptReports:
-    """Log lines and counts of abandoned and late attempts of one gatekeeper.
+    """Logs and counts the abandoned and late attempts of one gatekeeper.
 
     Parameters
     ----------
     clock
-        The steady clock, in nanoseconds.
+        Returns the steady clock in nanoseconds.
     worker_name
-        The id of the worker with this number.
+        Returns the id of the worker with this number.
     is_draining
-        True once this gatekeeper has been told to stop.
+        Returns True once this gatekeeper has been told to stop.
     log
         Writes one event.
     """
@@ -53,32 +53,33 @@
         self.abandoned_by_reason: Counter[AbandonReason] = Counter()
         self.counts: Counter[str] = Counter()  # by event
         self._limit = LogRateLimit(LINES_PER_S, clock())
-        self._left_at: dict[tuple[int, int], int] = {}  # by request and attempt, while the attempt is out
+        # When the client left, by request and attempt, while the attempt is in flight.
+        self._left_at: dict[tuple[int, int], int] = {}
 
     def abandoned(self, attempt: Attempt, reason: AbandonReason) -> None:
-        """Record that this side ends an attempt that has been written to its worker."""
+        """Records that this side ends an attempt that has been written to its worker."""
         self.abandoned_by_reason[reason] += 1
         self._write(ABANDONED, attempt.exchange, attempt.number, attempt.backend, reason=reason)
 
     def late(self, attempt: Attempt, known: AnswerTime, limit_ns: float) -> None:
-        """Record that an attempt counts as a failure of its worker before its end, and by what measure."""
+        """Records that an attempt counts as a failure of its worker before its end, and by which measure."""
         measure = {"mean_ms": known.mean_ns / MS, "limit_ms": limit_ns / MS, "answers": known.answers}
         self._write(LATE, attempt.exchange, attempt.number, attempt.backend, **measure)
 
     def answered_over(self, exchange: Exchange[Any, Any], end: End) -> None:
-        """Record a final answer of this gatekeeper's own while a worker may be at work on the request."""
+        """Records a final answer of this gatekeeper itself while a worker may be at work on the request."""
         number = max(exchange.open_attempts)
         self._write(ANSWERED_OVER, exchange, number, None, end=end.value.replace(" ", "-"))
 
     def client_left(self, attempts: list[Attempt]) -> None:
-        """Record that the client of these attempts has left while they are out."""
+        """Records that the client of these attempts has left while they are in flight."""
         for attempt in attempts:
             self._left_at[attempt.exchange.id, attempt.number] = self.clock()
             written = attempt.connection is not None
             self._write(CLIENT_LEFT, attempt.exchange, attempt.number, attempt.backend, written=written)
 
     def ended(self, exchange: Exchange[Any, Any], number: int, worker: int, outcome: Outcome) -> None:
-        """Record an attempt that ended long after its client had left."""
+        """Records an attempt if it ended long after its client had left."""
         left_at = self._left_at.pop((exchange.id, number), None)
         if left_at is not None and (after_ns := self.clock() - left_at) > OUTLIVED_NS:
             ended = {"after_ms": after_ns // MS, "outcome": outcome.value}
@@ -94,7 +95,7 @@
         name = self.worker_name(worker) if worker is not None else "-"
         self.log(
             event,
-            id=exchange.request.headers.get(b"attempt-id", b"-").decode("latin-1")[:MOST_ID],
+            id=exchange.request.headers.get(b"attempt-id", b"-").decode("latin-1")[:MAX_ID_LENGTH],
             worker=name,
             out_ms=(now - exchange.attempt_times[number]) // MS,
             left_ms=(exchange.deadline - now) // MS,
--- a/pepperrun/dataplane/ejection.py
+++ b/pepperrun/dataplane/ejection.py
@@ -1,24 +1,24 @@
-"""Outlier ejection: which workers are ejected, by what becomes of requests and not by their word.
-
-The deciding half, without I/O. Each gatekeeper alone sees an unhealthy worker too seldom: with 12 requests
-a second over three services and eight workers each, a worker that fails half of them would be told from
-luck only after most of a fault's time. So the gatekeepers of a zone add up what they see. Who has met a
-failure reports that worker's counts to the others of its zone, and while it is in doubt so do they; of
-workers that do well nothing is reported. Each judges for itself, from the same counts: an ejection holds
-for callers of this zone, needs nobody who might be gone, and a worker that fails one zone's callers is left
-out by those only.
-
-A failure adds FAILURE_SCORE to a worker's score, a good answer takes SUCCESS_SCORE off, down to 0. So the
-score of one that fails fewer than one in nine falls (lost or spoilt answers here and there are no illness),
-three failures in a row reach EJECTION_SCORE, and one that fails 45% is found in about eight answers. A
-worker's own Not-Run or 421 counts for nothing: it is full, or another. Nobody is ejected by one other
-gatekeeper's word: its own links may be bad.
-
-An ejected one is left out for EJECTION_NS, twice as long each time that it is found to fail again, at most
-MAX_EJECTION_NS; then the zone's gatekeepers together try it with some requests a second, safe ones where
-its service has any: a failure ends that, some good answers bring it back. Of the workers of one service in
-one region that bear load at most a third are out; where more than half look bad the fault is not theirs,
-and none is.
+"""Outlier ejection: takes workers out of use by the outcomes of requests, not by what the workers say.
+
+Decides without I/O. A single gatekeeper sees an unhealthy worker too seldom: with 12 requests a second over
+three services and eight workers each, a worker that fails half of them would be told from chance only after
+most of a fault's duration. So the gatekeepers of a zone combine what they see. A gatekeeper that has seen a
+failure reports the counts of that worker to the others of its zone, and while the worker is in doubt so do
+they; of workers that do well nothing is reported. Each gatekeeper judges for itself from the same counts. So
+an ejection holds for the callers of this zone and depends on no machine that might be down, and a worker that
+fails the callers of one zone is ejected by those only.
+
+A failure adds FAILURE_SCORE to a worker's score, a success subtracts SUCCESS_SCORE, down to 0. So the score
+of a worker that fails fewer than one in nine requests falls (occasional lost or invalid responses do not make
+it unhealthy), three failures in a row reach EJECTION_SCORE, and a worker that fails 45% is found after about
+eight responses. A worker's own Not-Run or 421 counts for nothing: the worker is full, or it is another one.
+No worker is ejected on the report of one other gatekeeper alone: the links of that gatekeeper may be bad.
+
+An ejected worker gets no requests for EJECTION_NS, twice as long each time it is found to fail again, at most
+MAX_EJECTION_NS. Then the gatekeepers of the zone together try it with some requests a second, safe ones where
+its service has any: one failure ends the trial, some successes end the ejection. Of the workers of one
+service in one region that take load, at most a third are ejected. Where more than half look bad the fault is
+not theirs, and none is ejected.
 """
 
 from __future__ import annotations
@@ -28,18 +28,18 @@
 from typing import NamedTuple
 
 SECOND = 1_000_000_000
-FAILURE_SCORE, SUCCESS_SCORE, EJECTION_SCORE = 4.0, 0.5, 12.0  # see above
-TRIAL_SUCCESS_SCORE = 2.0  # what a good answer takes off on trial: four of them in a row
+FAILURE_SCORE, SUCCESS_SCORE, EJECTION_SCORE = 4.0, 0.5, 12.0  # the module text explains them
+TRIAL_SUCCESS_SCORE = 2.0  # subtracted by a success on trial: four in a row end the trial
 EJECTION_NS = 2 * SECOND  # the first time
-MAX_EJECTION_NS = 8 * SECOND  # bounds an ejection that is not deserved
+MAX_EJECTION_NS = 8 * SECOND  # limits an undeserved ejection
 TRIAL_INTERVAL_NS = SECOND // 2  # between two trials by all gatekeepers of a zone
-FORGET_NS = 10 * SECOND  # a score that nothing was added to for so long is forgotten
-SELF = 0  # as a source: this gatekeeper itself; others have numbers above 0
-MAX_COUNT = 255  # of a count, on the wire
+FORGET_NS = 10 * SECOND  # a score without an update for so long is dropped
+SELF = 0  # as a source: this gatekeeper itself; the others have numbers above 0
+MAX_COUNT = 255  # of a count in a datagram
 
 
 class OutcomeCount(NamedTuple):
-    """What one gatekeeper saw of a worker since it last told."""
+    """The outcomes that one gatekeeper saw at a worker since its last report."""
 
     worker: int
     good: int
@@ -48,28 +48,28 @@
 
 @dataclass(slots=True)
 class FailureRecord:
-    """What is known of one worker that has failed lately. Times: steady ns."""
+    """What is known of one worker that has failed recently. Times are steady ns."""
 
     updated_at: int
     score: float = 0.0
-    reporters: set[int] = field(default_factory=set)  # who saw it fail
-    ejected_until: int = 0  # left out until then
-    ejected_ns: int = 0  # how long the last time; 0: never
-    on_trial: bool = False  # it has been out, and few requests go there
-    next_trial_at: int = 0  # on trial: this gatekeeper's next one
+    reporters: set[int] = field(default_factory=set)  # the gatekeepers that saw it fail
+    ejected_until: int = 0
+    ejected_ns: int = 0  # duration of the last ejection; 0: never ejected
+    on_trial: bool = False  # it was ejected, and gets few requests now
+    next_trial_at: int = 0  # when this gatekeeper may send the next request of the trial
 
 
 class OutlierEjection:
-    """Failure records of workers, and what follows from them.
+    """Failure records of workers, and which workers are ejected by them.
 
     Parameters
     ----------
     alternatives
-        The workers that bear the same load in the same region as a worker, itself included.
+        Returns the workers that take the same load in the same region as a worker, itself included.
     draw
-        From 0 to 1.
+        Returns a random number from 0 to 1.
     on_ejected
-        Is told of each ejection.
+        Called with each ejection.
     """
 
     def __init__(
@@ -80,13 +80,13 @@
     ) -> None:
         self.alternatives, self.draw, self.on_ejected = alternatives, draw, on_ejected
         self.records: dict[int, FailureRecord] = {}
-        self.unreported: dict[int, list[int]] = {}  # good and bad, not told yet
+        self.unreported: dict[int, list[int]] = {}  # successes and failures not yet reported, by worker
         self.zone_size = 1  # gatekeepers of this zone
 
     # Evidence.
 
     def record_own(self, worker: int, good: bool, now: int) -> None:
-        """An own outcome."""
+        """Records an outcome that this gatekeeper saw."""
         if good and worker not in self.records:
             return
         count = self.unreported.setdefault(worker, [0, 0])
@@ -94,13 +94,13 @@
         self._add(worker, SELF, int(good), int(not good), now)
 
     def record_reported(self, source: int, counts: Collection[OutcomeCount], now: int) -> None:
-        """Another gatekeeper of this zone tells; `source` above 0."""
+        """Records the report of another gatekeeper of this zone; `source` is above 0."""
         for worker, good, bad in counts:
             if bad or worker in self.records:
                 self._add(worker, source, good, bad, now)
 
     def take_unreported(self) -> list[OutcomeCount]:
-        """What the others are to be told now."""
+        """Returns and clears the counts that the other gatekeepers have not been sent."""
         out = [
             OutcomeCount(worker, min(good, MAX_COUNT), min(bad, MAX_COUNT))
             for worker, (good, bad) in self.unreported.items()
@@ -114,7 +114,7 @@
             record = self.records[worker] = FailureRecord(now)
         record.updated_at = now
         if record.ejected_until > now:
-            return  # what still comes of requests sent before
+            return  # late outcomes of requests sent before the ejection
         if bad:
             record.reporters.add(source)
         success = TRIAL_SUCCESS_SCORE if record.on_trial else SUCCESS_SCORE
@@ -141,28 +141,31 @@
             record.next_trial_at = record.ejected_until + spread_ns
             self.on_ejected(worker, record)
 
-    # What follows from it.
+    # Effects.
 
     def is_ejected(self, worker: int, now: int) -> bool:
-        """Is it left out now?"""
+        """Returns whether the worker is ejected now."""
         record = self.records.get(worker)
         return record is not None and record.ejected_until > now
 
     def may_send(self, worker: int, now: int, safe: bool = True) -> bool:
-        """May a request go there? `safe`: it may run again, or its service has none that may."""
+        """Returns whether a request may go to the worker.
+
+        `safe`: the request may be retried, or its service has no requests that may.
+        """
         record = self.records.get(worker)
         if record is None or not record.on_trial:
             return True
         return safe and now >= max(record.ejected_until, record.next_trial_at)
 
     def on_sent(self, worker: int, now: int) -> None:
-        """One goes there."""
+        """Notes that a request was sent to the worker."""
         record = self.records.get(worker)
         if record is not None and record.on_trial:
             record.next_trial_at = now + TRIAL_INTERVAL_NS * self.zone_size
 
     def retain(self, known: Collection[int]) -> None:
-        """Only these workers are left."""
+        """Forgets all workers except these."""
         for table in (self.records, self.unreported):
             for worker in [one for one in table if one not in known]:
                 del table[worker]
--- a/pepperrun/dataplane/gate.py
+++ b/pepperrun/dataplane/gate.py
@@ -1,7 +1,7 @@
-"""The gate: what must not go out, or not there, asked at the moment of sending.
+"""The gate: decides at the moment of sending whether a request may go out, and to which workers.
 
-A request may have waited since its configuration was looked up, or this process may have stood still. So the
-configuration held now, the age of what is held, zones and homes are asked again for each attempt.
+A request may have been queued since its configuration was looked up, or this process may have been paused. So
+the present configuration, its age, zones and home regions are checked again for each attempt.
 """
 
 from __future__ import annotations
@@ -15,10 +15,10 @@
 from pepperrun.dataplane.workers import WorkerTable
 from pepperrun.foundation.settings import Bounds
 
-SPARE_MS = 500  # before a removed key's time is over nothing is sent with a key
-SAFE_NS = 5000 * MS  # a service that had no repeatable request for so long is tried with others
-AGAIN_NS = 500 * MS  # until what is held may be fresh again
-UNHEARD_MS = 4000  # of workers of which nothing has been heard for so long any may have turned cold
+REVOCATION_MARGIN_MS = 500  # before a revoked key expires requests with a key are no longer sent
+SAFE_TIMEOUT_NS = 5000 * MS  # a service without a safe request for so long is tried with unsafe ones
+RETRY_NS = 500 * MS  # until the state may be fresh again
+RECORDS_TIMEOUT_MS = 4000  # without updates for so long any worker may be warming up
 
 
 class Gate:
@@ -44,32 +44,37 @@
         )
         self.table: RoutingTable | None = None
         self.ejection: OutlierEjection | None = None
-        self.safe_at: dict[int, int] = {}  # by service: when a repeatable request last went out
-        self.bind(bounds)
-
-    def bind(self, bounds: Bounds) -> None:
-        """The rules' figures as they are now."""
-        # What is spent of a quota without asking has an end too: others split anew without who is cut off.
-        self.total = bounds.revocation_total or bounds.quota_window_s > 0
-        self.fence_ns = int(max(0.0, bounds.revoke_ms - SPARE_MS) * MS)
-
-    def is_fresh(self, now: int, most_ns: int) -> bool:
-        """Is what is held known to have been the newest so short a time ago?"""
+        self.safe_at: dict[int, int] = {}  # by service: when a safe request was last sent
+        self.update_bounds(bounds)
+
+    def update_bounds(self, bounds: Bounds) -> None:
+        """Applies the present bounds of the settings."""
+        # Without a request to an owner, quotas may be spent only for a limited time as well: the others split
+        # them anew without a gatekeeper that is partitioned.
+        self.tenants_need_fresh_state = bounds.revocation_total or bounds.quota_window_s > 0
+        self.fence_ns = int(max(0.0, bounds.revoke_ms - REVOCATION_MARGIN_MS) * MS)
+
+    def is_fresh(self, now: int, max_age_ns: int) -> bool:
+        """Returns whether the state is known to have been the newest at most `max_age_ns` ago."""
         at = self.confirmed_at()
-        return at > 0 and now - at <= most_ns
+        return at > 0 and now - at <= max_age_ns
 
     def wait_ns(self, context: object, now: int) -> int:
-        """0, or the nanoseconds after which it may be tried again."""
+        """Returns 0 if the request may be sent, else the ns after which it may be tried again."""
         table = self.table
         assert isinstance(context, GateContext)
         if table is None or not context.revalidate(table):
-            return AGAIN_NS
-        if context.tenant is not None and self.total and not self.is_fresh(now, self.fence_ns):
-            return AGAIN_NS
+            return RETRY_NS
+        if (
+            context.tenant is not None
+            and self.tenants_need_fresh_state
+            and not self.is_fresh(now, self.fence_ns)
+        ):
+            return RETRY_NS
         return 0
 
     def may_send(self, context: object, backend: int, now: int) -> bool:
-        """May it go to this worker now?"""
+        """Returns whether the request may go to this worker now."""
         assert isinstance(context, GateContext)
         workers = self.workers
         known = workers.by_number.get(backend)
@@ -78,32 +83,34 @@
         if context.home_regions is not None and known.region not in context.home_regions:
             return False
         if self.ejection is not None:
-            safe = context.safe or now - self.safe_at.get(context.service, -SAFE_NS) >= SAFE_NS
+            safe = (
+                context.safe or now - self.safe_at.get(context.service, -SAFE_TIMEOUT_NS) >= SAFE_TIMEOUT_NS
+            )
             if not self.ejection.may_send(backend, now, safe):
                 return False
-        if not self._cold(backend, now):
+        if not self._is_warming_up(backend, now):
             self.slow_start.on_warm(backend)
             return True
-        rate = self._cold_per_s(known.service)
+        rate = self._slow_start_rate(known.service)
         return rate is None or self.slow_start.may_send(
             backend, known.record.id, known.record.zone, rate, now
         )
 
     def on_sent(self, context: object, backend: int, now: int) -> None:
-        """It goes there."""
+        """Notes that the request was sent to this worker."""
         assert isinstance(context, GateContext)
         if context.safe:
             self.safe_at[context.service] = now
         if self.ejection is not None:
             self.ejection.on_sent(backend, now)
         known = self.workers.by_number.get(backend)
-        if known is not None and self._cold(backend, now):
-            rate = self._cold_per_s(known.service)
+        if known is not None and self._is_warming_up(backend, now):
+            rate = self._slow_start_rate(known.service)
             if rate is not None:
                 self.slow_start.on_sent(backend, rate, now)
 
     def may_write(self, context: GateContext, backend: int, now: int) -> bool:
-        """May what was sent off to this worker still be written now? It may have waited for a connection."""
+        """Returns whether an attempt at this worker may still be written after waiting for a connection."""
         if self.wait_ns(context, now):
             return False
         known = self.workers.by_number.get(backend)
@@ -111,13 +118,13 @@
             return False
         return context.home_regions is None or known.region in context.home_regions
 
-    def _cold(self, backend: int, now: int) -> bool:
-        if now - self.records_confirmed_at() > UNHEARD_MS * MS:
+    def _is_warming_up(self, backend: int, now: int) -> bool:
+        if now - self.records_confirmed_at() > RECORDS_TIMEOUT_MS * MS:
             return True
         return self.workers.is_warming_up(self.workers.by_number[backend], now)
 
-    def _cold_per_s(self, service: int) -> float | None:
-        """What a cold worker of a service bears; None where its service knows no cold."""
+    def _slow_start_rate(self, service: int) -> float | None:
+        """Returns the requests per second that a worker takes while it warms up; None without slow start."""
         known = self.table.services.get(service) if self.table is not None else None
         if known is None:
             return 0.0
--- a/pepperrun/dataplane/inspection.py
+++ b/pepperrun/dataplane/inspection.py
@@ -1,4 +1,4 @@
-"""Showing: what a running gatekeeper holds, as one JSON object for whoever operates it."""
+"""Inspection: the state of a running gatekeeper as one JSON object for operators (`show`)."""
 
 from __future__ import annotations
 
@@ -16,34 +16,46 @@
 from pepperrun.membership.gateway_probe_service import GatewayProbeService
 
 MS = 1_000_000
-DEEPEST = 64  # steps: more than any tree has
+MAX_DEPTH = 64  # links: deeper than any distribution tree
 
 
-def shown(
-    row: GatewayRecord, news: DistributionService, plane: DataPlane, probes: GatewayProbeService, now: int
+def status_message(
+    own: GatewayRecord,
+    distribution: DistributionService,
+    plane: DataPlane,
+    probes: GatewayProbeService,
+    now: int,
 ) -> Message:
-    """The answer to `show`: ages in ms, levels in requests. Keys are not in it."""
-    book, follower, keeper, table = news.replicated, news.follower, plane.gatekeeper, plane.table
+    """Returns the answer to `show`: ages in ms, levels in requests. It holds no keys of tenants."""
+    replicated, follower, gatekeeper, table = (
+        distribution.replicated,
+        distribution.follower,
+        plane.gatekeeper,
+        plane.table,
+    )
     core, parent = follower.control_node, follower.parent
     return {
-        **{"k": "shown", "class": "counter", "station": row.name, "zone": row.zone, "region": row.region},
+        **{"k": "shown", "class": "counter", "station": own.name, "zone": own.zone, "region": own.region},
         **{
-            "ip": row.internal_address.rpartition(":")[0],
-            "counter": row.client_address,
-            "state": row.state,
-            "life": row.incarnation,
+            "ip": own.internal_address.rpartition(":")[0],
+            "counter": own.client_address,
+            "state": own.state,
+            "life": own.incarnation,
+        },
+        **{"ready": plane.ready(), "number": replicated.version, "edition": table.edition if table else 0},
+        **{
+            "age_ms": _age(replicated.confirmed_at, now),
+            "cells_age_ms": _age(replicated.records_confirmed_at, now),
         },
-        **{"ready": plane.ready(), "number": book.version, "edition": table.edition if table else 0},
-        **{"age_ms": _age(book.confirmed_at, now), "cells_age_ms": _age(book.records_confirmed_at, now)},
         "core": {"ip": core.address[0], "linked": core.connection is not None},
         "parent": {"station": parent.parent_name, "number": parent.version} if parent else None,
-        **{"root": follower.is_root, "depth": depth(row.name, row.zone, book.gateways.values())},
+        **{"root": follower.is_root, "depth": tree_depth(own.name, own.zone, replicated.gateways.values())},
         "children": [
             {"station": port.name, "number": peer.version}
-            for port, peer in news.publisher.peers.items()
+            for port, peer in distribution.publisher.peers.items()
             if peer.is_attached
         ],
-        "keepers": {place: len(held) for place, held in plane.quota_owners.domains.items()},
+        "keepers": {domain: len(owners) for domain, owners in plane.quota_owners.domains.items()},
         **{
             "seats": plane.numbering.agreed_gateways,
             "parts": plane.numbering.quota_shares,
@@ -55,9 +67,9 @@
             "absent": sorted(probes.prober.absent_gateways()),
             "doubts_itself": probes.suspects_itself,
         },
-        **{"clients": plane.listener.count(), "under_way": keeper.pending_count()},
-        "answers": {end.value: count for end, count in keeper.counts.items()},
-        "attempts": {outcome.name.lower(): count for outcome, count in keeper.outcomes.items()},
+        **{"clients": plane.listener.count(), "under_way": gatekeeper.pending_count()},
+        "answers": {end.value: count for end, count in gatekeeper.counts.items()},
+        "attempts": {outcome.name.lower(): count for outcome, count in gatekeeper.outcomes.items()},
         "abandoned": {str(reason): count for reason, count in plane.reports.abandoned_by_reason.items()},
         **{"late": plane.reports.counts[LATE], "answered_over": plane.reports.counts[ANSWERED_OVER]},
         **{"clients_left": plane.reports.counts[CLIENT_LEFT], "outlived": plane.reports.counts[OUTLIVED]},
@@ -66,7 +78,7 @@
 
 
 def _answer_times(plane: DataPlane) -> dict[str, int]:
-    """How many classes of requests there are, and for how many of them late attempts are told by now."""
+    """Returns the number of request classes, and of those whose late attempts can be told by now."""
     shared = plane.outcome_sharing
     judged = sum(known.late_ns() < float("inf") for known in shared.answer_times.values())
     return {
@@ -77,25 +89,26 @@
 
 
 def _age(at: int, now: int) -> int | None:
+    """Returns the age in ms; None where there was none yet."""
     return (now - at) // MS if at else None
 
 
-def depth(station: str, zone: str, gateways: Iterable[GatewayRecord]) -> int:
-    """How many links the news takes from the core to here, where each follows its first choice."""
-    held, steps = list(gateways), 1
-    while steps < DEEPEST and (above := parents(station, zone, held)):
-        station, steps = above[0].name, steps + 1
+def tree_depth(name: str, zone: str, gateways: Iterable[GatewayRecord]) -> int:
+    """Returns the number of links from the core to this gatekeeper, if each follows its preferred parent."""
+    known, steps = list(gateways), 1
+    while steps < MAX_DEPTH and (above := parents(name, zone, known)):
+        name, steps = above[0].name, steps + 1
     return steps
 
 
 def _level(bucket: Bucket, now: int) -> float:
-    """What is in it now; looking does not touch it."""
+    """Returns the level of a bucket now, without refilling the bucket."""
     filled = bucket.level + bucket.rate * max(0, now - bucket.at) / 1e9
     return round(min(bucket.depth, filled), 2)
 
 
 def _shares(plane: DataPlane, now: int) -> list[dict[str, Any]]:
-    """This gatekeeper's part of each tenant's quota: a request a second, the most it holds, what is there."""
+    """Returns this gatekeeper's share of each tenant's quota: requests per second, depth and level."""
     if plane.table is None:
         return []
     quotas, settings = plane.gatekeeper.gateway.quotas, plane.gatekeeper.settings
@@ -105,17 +118,17 @@
         if plan.ceiling_rate <= 0:
             out.append({"tenant": name, "rate": None, "depth": None, "level": None})
             continue
-        places = plane.quota_owners.domains
-        part = 1 / max(1, settings.gateways, settings.min_quota_shares)
-        if places:  # kept by some for all: a part that is this gatekeeper's, or none
-            part = 0.0 if plane.quota_owners.share_starts_at(tenant.customer) is None else 1 / len(places)
-        row = {"tenant": name, "rate": plan.ceiling_rate * part, "depth": plan.ceiling_depth * part}
+        domains = plane.quota_owners.domains
+        share = 1 / max(1, settings.gateways, settings.min_quota_shares)
+        if domains:  # owned by some gatekeepers for all: the share of this one, or none
+            share = 0.0 if plane.quota_owners.share_starts_at(tenant.customer) is None else 1 / len(domains)
+        row = {"tenant": name, "rate": plan.ceiling_rate * share, "depth": plan.ceiling_depth * share}
         out.append(row | {"level": _level(account.hard_limit, now) if account is not None else None})
     return out
 
 
 def _workers(plane: DataPlane, now: int) -> dict[str, dict[str, int]]:
-    """By service: how many in each state, and how many of the boarding ones are cold or may be."""
+    """Returns by service the number of workers in each state, and of serving ones that are restricted."""
     out: dict[str, Counter[str]] = {}
     for known in plane.workers.by_number.values():
         counted = out.setdefault(known.record.service, Counter())
@@ -124,4 +137,4 @@
             counted["cold"] += plane.workers.is_warming_up(known, now)
             counted["misdirected"] += bool(known.misdirected_until)
             counted["ejected"] += plane.outcome_sharing.ejection.is_ejected(known.number, now)
-    return {line: dict(sorted(counted.items())) for line, counted in sorted(out.items())}
+    return {service: dict(sorted(counted.items())) for service, counted in sorted(out.items())}
--- a/pepperrun/dataplane/outcome_report.py
+++ b/pepperrun/dataplane/outcome_report.py
@@ -1,10 +1,10 @@
-"""The datagram by which the gatekeepers of a zone tell each other what became of their attempts.
+"""The datagram in which gatekeepers of a zone report the outcomes of their attempts to each other.
 
-A tag, the hash of the sender's station and its incarnation, as the counts of the quotas have them; two
-numbers, of rows and of rests; rows of a worker's number and what was seen of it, good and bad; a byte for
-each length of rest after which a kept connection was reset unanswered (`net.stale_rates`). What follows is
-passed over. It stays within a zone, goes out only where there is something to report, and is lost without
-harm.
+It holds a tag, the hash of the sender's name and the sender's incarnation, in the same form as the quota
+counts (`peer_messages`); two numbers, of rows and of idle-time buckets; rows of a worker's number with its
+successes and failures; and one byte for each idle-time bucket (`net.stale_rates`) in which a reused
+connection was reset without a response. Bytes after that are ignored. The datagram stays within a zone and is
+sent only if there is something to report. Losing one does no harm.
 """
 
 from __future__ import annotations
@@ -23,30 +23,38 @@
 
 @dataclass(frozen=True)
 class OutcomeReport:
-    """What one gatekeeper saw since its last report. `rests`: steps of `net.stale_rates.StaleRates`."""
+    """What one gatekeeper saw since its last report.
 
-    station: int
+    `sender_hash`: the `name_hash` of its name. `stale_buckets`: buckets of `net.stale_rates.StaleRates`.
+    """
+
+    sender_hash: int
     incarnation: int
     counts: list[OutcomeCount]
-    rests: list[int]
+    stale_buckets: list[int]
 
 
 def encode(report: OutcomeReport) -> bytes:
-    """Return the bytes of a datagram."""
+    """Returns the bytes of a datagram."""
     rows = b"".join(_ROW.pack(*count) for count in report.counts)
-    head = HEADER.pack(TAG, report.station, report.incarnation)
-    return head + _NUMBERS.pack(len(report.counts), len(report.rests)) + rows + bytes(report.rests)
+    head = HEADER.pack(TAG, report.sender_hash, report.incarnation)
+    return (
+        head
+        + _NUMBERS.pack(len(report.counts), len(report.stale_buckets))
+        + rows
+        + bytes(report.stale_buckets)
+    )
 
 
 def decode(data: bytes) -> OutcomeReport | None:
-    """Return what a datagram says; None where it is cut short."""
+    """Returns the report in a datagram; None where the datagram is truncated."""
     at = HEADER.size + _NUMBERS.size
     if len(data) < at:
         return None
-    _, station, incarnation = HEADER.unpack_from(data)
-    rows, rests = _NUMBERS.unpack_from(data, HEADER.size)
+    _, sender_hash, incarnation = HEADER.unpack_from(data)
+    rows, buckets = _NUMBERS.unpack_from(data, HEADER.size)
     end = at + rows * _ROW.size
-    if len(data) < end + rests:
+    if len(data) < end + buckets:
         return None
     counts = [OutcomeCount(*row) for row in _ROW.iter_unpack(data[at:end])]
-    return OutcomeReport(station, incarnation, counts, list(data[end : end + rests]))
+    return OutcomeReport(sender_hash, incarnation, counts, list(data[end : end + buckets]))
--- a/pepperrun/dataplane/outcome_sharing.py
+++ b/pepperrun/dataplane/outcome_sharing.py
@@ -1,8 +1,8 @@
-"""Sharing of outcomes: what outlier ejection learns of own attempts and from the others of the zone.
+"""Sharing of outcomes: feeds outlier ejection with own attempts and with reports from the same zone.
 
-`outcome_report` has the message between gatekeepers, `answer_times` when an attempt is late, `ejection`
-what follows for a worker. That a worker hangs is only ever suspected here: nothing in this module ends an
-attempt but one whose request another attempt has been answered for.
+`outcome_report` has the message between gatekeepers, `answer_times` decides when an attempt is late, and
+`ejection` which workers are ejected. This module only ever suspects that a worker hangs: it ends no attempt
+except those whose request has been answered by another attempt.
 """
 
 from __future__ import annotations
@@ -29,42 +29,46 @@
 from pepperrun.net.upstream import OnAttemptEnded, UpstreamClient
 
 SECOND = 1_000_000_000
-MAX_RECEIVERS = 16  # gatekeepers that one reports to: of larger zones those next to it by hash
-REPORT_S = 0.05  # what is seen within this goes together: short against the time between two of its requests
+MAX_RECEIVERS = 16  # gatekeepers that one reports to; in larger zones those next to it by hash
+# Outcomes within this time share a report: short against the time between two requests of one gatekeeper.
+REPORT_S = 0.05
 CHECK_S = 0.25  # between checks for late attempts
-FAILED = (Outcome.ERROR, Outcome.RESET, Outcome.TIMEOUT, Outcome.CONNECT_FAILED)
+FAILURES = (Outcome.ERROR, Outcome.RESET, Outcome.TIMEOUT, Outcome.CONNECT_FAILED)
 
 
 class SharedStaleRates(StaleRates):
-    """What is learnt of rested connections, here and by the others of the zone."""
+    """Stale rates of idle connections, from this gatekeeper and the others of its zone."""
 
     def __init__(self, report: Callable[[int], None]) -> None:
         super().__init__()
         self.report = report
 
     def record_reuse(self, idle_ns: int, stale: bool) -> None:
-        """A rested connection was used; one that proved stale is reported."""
+        """Records the reuse of an idle connection; a stale one is reported."""
         super().record_reuse(idle_ns, stale)
         if stale:
             self.report(self._bucket(idle_ns))
 
-    def merge_reported(self, step: int) -> None:
-        """Another has met one: as if it were the first here. Who has met more knows better."""
-        if step < len(self.rates):
-            self.rates[step] = max(self.rates[step], self.SAMPLE_WEIGHT)
+    def merge_reported(self, bucket: int) -> None:
+        """Counts another gatekeeper's stale connection as if it were the first here.
+
+        A higher rate of this gatekeeper stays, as it rests on more connections.
+        """
+        if bucket < len(self.rates):
+            self.rates[bucket] = max(self.rates[bucket], self.SAMPLE_WEIGHT)
 
 
 class OutcomeSharing:
-    """Stands between the attempts and the decisions, and sees how each ends.
+    """Receives the end of each attempt, passes it on to the core, and shares the outcomes within the zone.
 
     Parameters
     ----------
-    passed
-        Is told next of each end.
-    suspected
-        Is told of a late attempt of a safe request at an ejected worker. That the worker hangs is not known.
+    on_ended
+        Called next with each end.
+    on_suspected
+        Called with a late attempt of a safe request at an ejected worker. The worker may or may not hang.
     draw
-        From 0 to 1.
+        Returns a random number from 0 to 1.
     reports
         Where late and abandoned attempts are logged and counted.
     """
@@ -75,49 +79,49 @@
         clock: Callable[[], int],
         workers: WorkerTable,
         peer_messages: PeerMessages,
-        passed: OnAttemptEnded,
-        suspected: Callable[[Exchange[Any, Any], int], None],
+        on_ended: OnAttemptEnded,
+        on_suspected: Callable[[Exchange[Any, Any], int], None],
         draw: Callable[[], float],
         reports: AttemptReports,
     ) -> None:
         self.loop, self.clock, self.workers, self.peer_messages = loop, clock, workers, peer_messages
-        self.passed, self.on_suspected, self.reports = passed, suspected, reports
+        self.on_ended, self.on_suspected, self.reports = on_ended, on_suspected, reports
         self.is_draining = reports.is_draining
         self.answer_times: defaultdict[int, AnswerTime] = defaultdict(AnswerTime)  # by class
         self.ejection = OutlierEjection(self._alternatives, draw, self._on_ejected)
-        self.stale_rates = SharedStaleRates(self._on_stale_rest)
+        self.stale_rates = SharedStaleRates(self._on_stale_connection)
         self.upstream: UpstreamClient | None = None
-        self.receivers: list[int] = []  # peers' numbers: whom this one reports to
-        self.unreported_rests: set[int] = set()
-        self.late: set[tuple[int, int]] = set()  # attempts that were counted before their end
+        self.receivers: list[int] = []  # numbers of the peers that this gatekeeper reports to
+        self.unreported_buckets: set[int] = set()
+        self.late: set[tuple[int, int]] = set()  # attempts that were counted as failures before their end
         self.report_timer: asyncio.TimerHandle | None = None
         self.checked_at = clock()
         self.check_timer = loop.call_later(CHECK_S, self.check_late_attempts)
         peer_messages.handlers[TAG] = self.on_report
 
-    def start(self, servers: UpstreamClient) -> None:
-        """These carry out the attempts."""
-        self.upstream = servers
-        servers.stale_rates = self.stale_rates
-        servers.ends_stalled = self.stalled
+    def start(self, upstream: UpstreamClient) -> None:
+        """Attaches the client that carries out the attempts."""
+        self.upstream = upstream
+        upstream.stale_rates = self.stale_rates
+        upstream.ends_stalled = self.on_stalled
 
-    # Who there is.
+    # Membership.
 
-    def on_gateways(self, gateways: Iterable[GatewayRecord], station: str, zone: str) -> None:
-        """The gatekeepers that there are: those of this zone share what they see."""
-        names = {station}
+    def on_gateways(self, gateways: Iterable[GatewayRecord], own_name: str, zone: str) -> None:
+        """Takes in the gatekeepers present: those of this zone share what they see."""
+        names = {own_name}
         for gateway in gateways:
             if gateway.zone == zone and gateway.state in (GatewayState.READY, GatewayState.STARTING):
                 names.add(gateway.name)
         ring = sorted(names, key=name_hash)
         self.ejection.zone_size = len(ring)
-        at = ring.index(station)
-        lives = self.peer_messages.peers.present
-        next_ones = (ring[at + 1 :] + ring[:at])[:MAX_RECEIVERS]
-        self.receivers = [lives[name][1] for name in next_ones if name in lives]
+        at = ring.index(own_name)
+        present = self.peer_messages.peers.present
+        successors = (ring[at + 1 :] + ring[:at])[:MAX_RECEIVERS]
+        self.receivers = [present[name][1] for name in successors if name in present]
 
     def _alternatives(self, worker: int) -> list[int]:
-        """The workers that bear the same load in the same region, itself included."""
+        """Returns the workers that take the same load in the same region, itself included."""
         workers, now = self.workers, self.clock()
         known = workers.by_number.get(worker)
         if known is None:
@@ -135,7 +139,7 @@
         name = self.workers.id_by_number.get(worker, "?")
         event("ejected", worker=name, ms=record.ejected_ns // MS, seen_by=len(record.reporters))
 
-    # What is seen.
+    # Outcomes.
 
     def ended(
         self,
@@ -146,7 +150,7 @@
         given: object = None,
         units: float = 0.0,
     ) -> None:
-        """An attempt has ended."""
+        """Takes in the end of an attempt. Other attempts of a request that was answered are cancelled."""
         now, key = self.clock(), (exchange.id, attempt)
         self.reports.ended(exchange, attempt, backend, outcome)
         if outcome is Outcome.OK:
@@ -159,15 +163,22 @@
             self.answer_times[exchange.cls].add_cancelled(now - exchange.attempt_times[attempt])
         if key in self.late:
             self.late.discard(key)
-        elif outcome is Outcome.OK or outcome in FAILED and not self._own_doing(exchange, backend, outcome):
+        elif (
+            outcome is Outcome.OK
+            or outcome in FAILURES
+            and not self._is_local_failure(exchange, backend, outcome)
+        ):
             self._record(backend, outcome is Outcome.OK, now)
-        self.passed(exchange, attempt, backend, outcome, given, units)
+        self.on_ended(exchange, attempt, backend, outcome, given, units)
         if outcome is Outcome.OK and self.upstream is not None:
             for other in sorted(exchange.open_attempts):
                 self.upstream.cancel(exchange, other, AbandonReason.SUPERSEDED)
 
-    def _own_doing(self, exchange: Exchange[Any, Any], backend: int, outcome: Outcome) -> bool:
-        """It got no connection: none may go there now, or all that this gatekeeper may have were busy."""
+    def _is_local_failure(self, exchange: Exchange[Any, Any], backend: int, outcome: Outcome) -> bool:
+        """Whether an attempt failed to connect for a reason that is not the worker's.
+
+        Nothing may be sent there now, or all connections that this gatekeeper may have there were busy.
+        """
         if outcome is not Outcome.CONNECT_FAILED:
             return False
         return self.workers.address(backend) is None or self.clock() >= exchange.deadline - MS
@@ -176,31 +187,33 @@
         self.ejection.record_own(backend, good, now)
         self._schedule_report()
 
-    def _on_stale_rest(self, step: int) -> None:
-        self.unreported_rests.add(step)
+    def _on_stale_connection(self, bucket: int) -> None:
+        self.unreported_buckets.add(bucket)
         self._schedule_report()
 
     def check_late_attempts(self) -> None:
-        """Attempts that are out for too long count at once; what may run again gets another beside.
+        """Counts attempts in flight for too long as failures; safe ones get another attempt beside them.
 
-        A gatekeeper that is told to stop judges nobody: it sends nothing new, so that what it has left are
-        the long ones, and no good answer to a short one offsets them.
+        A gatekeeper that drains judges no worker: it sends nothing new, so only its long attempts are left,
+        and no success of a short one offsets them.
         """
         self.check_timer = self.loop.call_later(CHECK_S, self.check_late_attempts)
-        now, servers = self.clock(), self.upstream
-        stood_still, self.checked_at = now - self.checked_at > 3 * CHECK_S * SECOND, now
-        if servers is None or stood_still:  # that they are late is this process's own doing
+        now, upstream = self.clock(), self.upstream
+        was_paused, self.checked_at = now - self.checked_at > 3 * CHECK_S * SECOND, now
+        if upstream is None or was_paused:  # attempts may be late because this process was paused
             return
         waiting = [
-            one for one in servers.attempts.values() if one.connection and not one.exchange.wait_after_body_ns
+            one
+            for one in upstream.attempts.values()
+            if one.connection and not one.exchange.wait_after_body_ns
         ]
         running_ns: Counter[int] = Counter()
         for attempt in waiting:
-            running_ns[attempt.exchange.cls] += _out_ns(attempt, now)
+            running_ns[attempt.exchange.cls] += _running_ns(attempt, now)
         for attempt in waiting:
             cls = attempt.exchange.cls
             limit_ns = self.answer_times[cls].late_ns(running_ns[cls])
-            if _out_ns(attempt, now) <= limit_ns:
+            if _running_ns(attempt, now) <= limit_ns:
                 continue
             if not self.is_draining():
                 self._count_late(attempt, limit_ns, now)
@@ -215,10 +228,10 @@
         self.reports.late(attempt, self.answer_times[attempt.exchange.cls], limit_ns)
         self._record(attempt.backend, False, now)
 
-    def stalled(self, attempt: Attempt) -> bool:
-        """An answer has begun and comes no further: what may run again gets another attempt beside.
+    def on_stalled(self, attempt: Attempt) -> bool:
+        """Requests another attempt beside one whose response has begun and stalls, if the request is safe.
 
-        Returns whether the attempt is to end for that, which it never is: its worker may go on.
+        Returns whether the stalled attempt is to be ended. That is never so: its worker may go on.
         """
         if _is_safe(attempt):
             self.on_suspected(attempt.exchange, attempt.number)
@@ -227,45 +240,45 @@
     # Between gatekeepers.
 
     def _schedule_report(self) -> None:
-        if self.report_timer is None and (self.ejection.unreported or self.unreported_rests):
+        if self.report_timer is None and (self.ejection.unreported or self.unreported_buckets):
             self.report_timer = self.loop.call_later(REPORT_S, self.send_report)
 
     def send_report(self) -> None:
-        """What is new goes to the others of the zone."""
+        """Sends the outcomes not yet reported to the other gatekeepers of the zone."""
         self.report_timer = None
-        counts, rests = self.ejection.take_unreported(), sorted(self.unreported_rests)
-        self.unreported_rests.clear()
-        own, incarnation = self.peer_messages.own, self.peer_messages.life()
+        counts, buckets = self.ejection.take_unreported(), sorted(self.unreported_buckets)
+        self.unreported_buckets.clear()
+        own_hash, incarnation = self.peer_messages.own_hash, self.peer_messages.incarnation()
         for first in range(0, max(1, len(counts)), MAX_ROWS):
             some = counts[first : first + MAX_ROWS]
-            self._send(encode(OutcomeReport(own, incarnation, some, [] if first else rests)))
+            self._send(encode(OutcomeReport(own_hash, incarnation, some, [] if first else buckets)))
 
     def _send(self, data: bytes) -> None:
         for number in self.receivers:
-            if (where := self.peer_messages.peers.addresses.get(number)) is not None:
-                self.peer_messages.send_datagram(data, where)
+            if (address := self.peer_messages.peers.addresses.get(number)) is not None:
+                self.peer_messages.send_datagram(data, address)
 
     def on_report(self, data: bytes, addr: Address) -> None:
-        """A datagram of another gatekeeper."""
+        """Takes in a datagram of another gatekeeper."""
         report = decode(data)
         if report is None:
             return
-        source = self.peer_messages.peers.find(report.station, report.incarnation)
+        source = self.peer_messages.peers.find(report.sender_hash, report.incarnation)
         if source is None:
             return
         known = [count for count in report.counts if count.worker in self.workers.by_number]
         self.ejection.record_reported(source, known, self.clock())
-        for step in report.rests:
-            self.stale_rates.merge_reported(step)
+        for bucket in report.stale_buckets:
+            self.stale_rates.merge_reported(bucket)
 
     def close(self) -> None:
-        """Ends it."""
+        """Stops the timers."""
         self.check_timer.cancel()
         if self.report_timer is not None:
             self.report_timer.cancel()
 
 
-def _out_ns(attempt: Attempt, now: int) -> int:
+def _running_ns(attempt: Attempt, now: int) -> int:
     return now - attempt.exchange.attempt_times[attempt.number]
 
 
--- a/pepperrun/dataplane/plane.py
+++ b/pepperrun/dataplane/plane.py
@@ -1,4 +1,4 @@
-"""The data plane put together: news in, requests through the decisions, answers out."""
+"""Assembles the data plane: takes in updates of state and records, and serves requests through the core."""
 
 from __future__ import annotations
 
@@ -31,14 +31,14 @@
 from pepperrun.net.upstream import UpstreamClient
 
 SECOND = 1_000_000_000
-BASE_MB = 90  # of the limit on memory: the program itself with its connections
-KEPT_FILES = 264  # of the descriptors: for files, links and the loop
-KEEPALIVE_NS = 5 * SECOND  # idle connections, where a worker does not say more
-CONNECT_NS = SECOND
-LEAST_EACH = 2  # connections of this gatekeeper to one worker at the least
-CAP_PART = 0.9  # of a worker's connections, as others may count gatekeepers otherwise
-RESTORE_S = 4.0  # after a 421, once the worker's address may be its own again
-ANSWER_NS = 500 * MS  # before an edition must be known a word on what there is not is held for sure
+BASE_MB = 90  # of the memory limit: the program itself with its connections
+RESERVED_FILES = 264  # of the descriptors: for files, links and the event loop
+KEEPALIVE_NS = 5 * SECOND  # of idle connections, where a worker announces no other time
+CONNECT_TIMEOUT_NS = SECOND
+MIN_CONNECTIONS_PER_WORKER = 2  # of this gatekeeper
+CONNECTION_CAP_FRACTION = 0.9  # of a worker's connections, as others may assume another number of gatekeepers
+RESTORE_S = 4.0  # after a 421; by then the worker's address may be its own again
+ANSWER_NS = 500 * MS  # margin: a 404 or 401 needs a state younger than `edition_ms` by this
 
 
 class DataPlane:
@@ -52,7 +52,7 @@
         settings: Settings,
         seed: int,
         clock: Callable[[], int],
-        life: Callable[[], int],
+        incarnation: Callable[[], int],
         confirmed_at: Callable[[], int],
         records_confirmed_at: Callable[[], int],
     ) -> None:
@@ -71,16 +71,17 @@
         self.slow_start = SlowStartShares(me.station, zones, bounds.cold_excess, bounds.cold_slack)
         self.gate = Gate(bounds, self.workers, self.slow_start, confirmed_at, records_confirmed_at)
         self.peers = Peers(me.station)
-        near = me.zone, me.region
+        own_domains = me.zone, me.region
         self.quota_owners = QuotaOwners(
-            me.station, near, lambda: self.gate.fence_ns, self.gate.is_fresh, self._number
+            me.station, own_domains, lambda: self.gate.fence_ns, self.gate.is_fresh, self._peer_number
         )
         self.gatekeeper = Gatekeeper(
-            self.numbering.settings(), seed, clock, loop, self._tell, log=self._log, gate=self.gate
+            self.numbering.settings(), seed, clock, loop, self._send_to_peer, log=self._log, gate=self.gate
         )
         self.gatekeeper.gateway.quotas.members = ()
-        self.gatekeeper.gateway.retry_budget.level = 1.0  # the life before may have spent what was saved up
-        self.peer_messages = PeerMessages(self.peers, life, self.gatekeeper.peer_message_received)
+        # The previous incarnation may have spent the saved-up retries.
+        self.gatekeeper.gateway.retry_budget.level = 1.0
+        self.peer_messages = PeerMessages(self.peers, incarnation, self.gatekeeper.peer_message_received)
         self.reports = AttemptReports(
             clock, lambda worker: self.workers.id_by_number.get(worker, "?"), lambda: self.listener.draining
         )
@@ -98,7 +99,7 @@
         self.gate.ejection = self.outcome_sharing.ejection
         limits = me.limits
         budget = MemoryBudget(max(4, int((limits.memory_mb - BASE_MB) / 2) if limits.memory_mb else 64) << 20)
-        sockets = max(64, (limits.file_handles or 2048) - KEPT_FILES)
+        sockets = max(64, (limits.file_handles or 2048) - RESERVED_FILES)
         wire = WorkerWire(self.workers, self.gate, clock, self._on_misdirected)
         self.upstream = UpstreamClient(
             loop,
@@ -108,44 +109,44 @@
             wire,
             sockets // 2,
             KEEPALIVE_NS,
-            CONNECT_NS,
+            CONNECT_TIMEOUT_NS,
             budget,
         )
         self.upstream.on_abandon = self.reports.abandoned
         self.gatekeeper.on_client_left = self._on_client_left
         self.outcome_sharing.start(self.upstream)
         self.gatekeeper.backends = self.upstream
-        sure_ns = int(max(bounds.edition_ms - ANSWER_NS / MS, bounds.edition_ms / 2) * MS)
-        self.front = Front(self.numbering, self.gate, self.gatekeeper, clock, budget, seed, sure_ns)
+        max_age_ns = int(max(bounds.edition_ms - ANSWER_NS / MS, bounds.edition_ms / 2) * MS)
+        self.front = Front(self.numbering, self.gate, self.gatekeeper, clock, budget, seed, max_age_ns)
         self.listener = FrontListener(loop, clock, sockets // 2, self.front.make_client)
         self.listener.limits_of = self.front.timeouts_of
         self.gatekeeper.on_exchange_closed = self.listener.notify_change
         self.table: RoutingTable | None = None
 
-    def log_requests(self, most: float) -> None:
-        """A line for each request that was not served at the first try, `most` a second."""
-        if most > 0:
-            self.front.trace = RequestTrace(self.front, most)
+    def log_requests(self, rate: float) -> None:
+        """Logs each request not served at the first attempt, at most `rate` lines a second; 0: none."""
+        if rate > 0:
+            self.front.trace = RequestTrace(self.front, rate)
             self.gatekeeper.observer = self.front.trace.finished
 
-    # News.
+    # Updates from the distribution tree.
 
-    def on_agreed_state(self, number: int, state: dict[str, Any], change: object = None) -> None:
-        """A newer agreed state; an older one changes nothing."""
-        if self.table is not None and number <= self.table.version:
+    def on_agreed_state(self, version: int, state: dict[str, Any], change: object = None) -> None:
+        """Takes in a newer agreed state; an older one changes nothing."""
+        if self.table is not None and version <= self.table.version:
             return
-        table = RoutingTable(number, state, self.numbering, self.table)
+        table = RoutingTable(version, state, self.numbering, self.table)
         self.numbering.set_agreed_gateways(int(state.get("seats", 0)))
-        self._keep(state.get("keepers"), table)
-        self._settle()
-        moved = self.workers.evacuate(table.evacuated, self.clock())
+        self._update_quota_owners(state.get("keepers"), table)
+        self._apply_settings()
+        changes = self.workers.evacuate(table.evacuated, self.clock())
         self.table = self.gate.table = table
         self.front.update_table(table)
-        self._listed(moved)
-        self._bound_connections()
+        self._update_backends(changes)
+        self._limit_connections()
 
-    def _keep(self, listed: dict[str, Any] | None, table: RoutingTable) -> None:
-        """Who keeps quotas, as agreed on."""
+    def _update_quota_owners(self, listed: dict[str, Any] | None, table: RoutingTable) -> None:
+        """Takes the quota owners from the agreed state."""
         quota_owners, quotas = self.quota_owners, self.gatekeeper.gateway.quotas
         quota_owners.plans = {tenant.customer: tenant.plan for tenant in table.tenants.values()}
         if quota_owners.update(listed, self.clock()):
@@ -153,102 +154,102 @@
             self.numbering.set_quota_owners(bool(quota_owners.domains))
             self.numbering.changed = True
 
-    def _number(self, station: str) -> int:
-        """The number by which the decisions know a gatekeeper."""
-        if station == self.settings.me.station:
+    def _peer_number(self, name: str) -> int:
+        """Returns the number by which the core knows a gatekeeper; 0 for this one."""
+        if name == self.settings.me.station:
             return 0
-        return self.peers.present.get(station, (0, ABSENT))[1]
+        return self.peers.present.get(name, (0, ABSENT))[1]
 
     def on_workers(self, changed: Iterable[Worker]) -> None:
-        """Records of workers that are new or have changed."""
-        listing = self.workers.update(changed)
-        self._settle()
-        self._listed(listing)
+        """Takes in records of workers that are new or have changed."""
+        changes = self.workers.update(changed)
+        self._apply_settings()
+        self._update_backends(changes)
         self.slow_start.retain(self.workers.by_number)
         self.outcome_sharing.ejection.retain(self.workers.by_number)
 
     def on_gateways(self, changed: Iterable[GatewayRecord]) -> None:
-        """Records of gatekeepers that are new or have changed."""
+        """Takes in records of gatekeepers that are new or have changed."""
         changed = list(changed)
         self.slow_start.update(changed)
-        others = self.peers.update(changed)
+        membership_changed = self.peers.update(changed)
         self.outcome_sharing.on_gateways(
             self.slow_start.gateways.values(), self.settings.me.station, self.settings.me.zone
         )
-        if others:
+        if membership_changed:
             members = self.peers.members
             self.gatekeeper.flush_events()
             self.gatekeeper.gateway.quotas.members = members
             self.numbering.set_gateways(len(members) + 1)
             self.numbering.changed = True
-            self._settle()
-            self._bound_connections()
+            self._apply_settings()
+            self._limit_connections()
 
-    def update_membership_status(self, absent: frozenset[str], doubt: bool) -> None:
-        """These gatekeepers are thought to be absent: they keep no store. Who doubts itself grants nothing.
+    def update_membership_status(self, absent: frozenset[str], suspects_itself: bool) -> None:
+        """Takes the gatekeepers that are probably absent, which own no quota shares for now.
 
-        Quotas go by when each peer was last heard, as before: the part of one that is only out of reach is
-        not given to others.
+        A gatekeeper that suspects itself grants no units. Otherwise quotas still depend on when each peer was
+        last heard from: the share of a peer that is only unreachable is not given to others.
         """
-        lives, quotas = self.peers.present, self.gatekeeper.gateway.quotas
-        lost = frozenset(lives[station][1] for station in absent if station in lives)
-        standing = MembershipStatus(False, lost, frozenset(), doubt, not doubt)
-        if standing != quotas.membership_status:
-            quotas.membership_status = standing
+        present, quotas = self.peers.present, self.gatekeeper.gateway.quotas
+        lost = frozenset(present[name][1] for name in absent if name in present)
+        status = MembershipStatus(False, lost, frozenset(), suspects_itself, not suspects_itself)
+        if status != quotas.membership_status:
+            quotas.membership_status = status
 
-    def _settle(self) -> None:
+    def _apply_settings(self) -> None:
         if self.numbering.changed:
             self.gatekeeper.update_settings(self.numbering.settings())
 
-    def _listed(self, listing: BackendList | None) -> None:
-        if listing is not None and listing.backends:
-            self.gatekeeper.backend_list_received(listing)
+    def _update_backends(self, changes: BackendList | None) -> None:
+        if changes is not None and changes.backends:
+            self.gatekeeper.backend_list_received(changes)
             self.upstream.on_endpoints_changed()
 
-    def _bound_connections(self) -> None:
-        """This gatekeeper's part of the connections that one worker takes from all."""
+    def _limit_connections(self) -> None:
+        """Limits connections to this gatekeeper's share of those that one worker accepts from all."""
         services = self.table.services.values() if self.table else ()
         caps = [service.berth_cap for service in services if service.berth_cap > 0]
-        each = int(min(caps) * CAP_PART) // self.numbering.gateways if caps else 0
-        self.upstream.max_per_backend = max(LEAST_EACH, each) if caps else 0
+        each = int(min(caps) * CONNECTION_CAP_FRACTION) // self.numbering.gateways if caps else 0
+        self.upstream.max_per_backend = max(MIN_CONNECTIONS_PER_WORKER, each) if caps else 0
 
     def _on_misdirected(self, backend: int) -> None:
         now = self.clock()
         event("misdirected", worker=self.workers.id_by_number.get(backend, "?"))
-        self._listed(self.workers.mark_misdirected(backend, now))
+        self._update_backends(self.workers.mark_misdirected(backend, now))
         asyncio.get_running_loop().call_later(RESTORE_S, self._restore_misdirected)
 
     def _restore_misdirected(self) -> None:
-        self._listed(self.workers.restore_misdirected(self.clock()))
+        self._update_backends(self.workers.restore_misdirected(self.clock()))
 
     def _on_client_left(self, exchange: Exchange[Any, Any]) -> None:
         self.reports.client_left(self.upstream.attempts_of(exchange))
 
-    def _tell(self, peer: int, data: bytes) -> None:
+    def _send_to_peer(self, peer: int, data: bytes) -> None:
         self.peer_messages.send_to_peer(peer, data)
 
     def _log(self, text: str) -> None:
-        """A line of the decisions, with the worker's id in place of its number."""
+        """Logs a line of the core, with the worker's id in place of its number."""
         names = self.workers.id_by_number
         text = re.sub(r"backend (\d+)", lambda match: f"worker {names.get(int(match[1]), match[1])}", text)
         event("decisions", text=text)
 
     def ready(self) -> bool:
-        """Does it hold a configuration and fresh news, and take clients?"""
+        """Whether it has a configuration, knows the state to be fresh, and accepts clients."""
         fresh = self.gate.is_fresh(self.clock(), int(self.settings.tariffs.bounds.edition_ms * MS))
         return self.table is not None and fresh and self.listener.accepts_clients()
 
     def has_pending_requests(self) -> bool:
-        """Is an attempt out, be it for a client who has left? What may not be repeated goes on then."""
+        """Whether a request is unfinished. Unsafe ones go on at their workers after the client has left."""
         return bool(self.gatekeeper.exchanges)
 
     def expire_all(self) -> None:
-        """What is still out gets its final answer now."""
+        """Gives all pending requests their final answer now."""
         for exchange in list(self.gatekeeper.exchanges.values()):
             self.gatekeeper.expire(exchange)
 
     def reload_settings(self, settings: Settings) -> None:
-        """The settings file has changed."""
+        """Applies a changed settings file."""
         me, bounds = settings.me, settings.tariffs.bounds
         self.settings = settings
         zones = {me.zone: me.region} | settings.network.zones
@@ -258,12 +259,12 @@
             bounds.cold_slack,
         )
         self.numbering.bounds, self.numbering.changed = bounds, True
-        self.gate.bind(bounds)
-        self._settle()
-        self._listed(self.workers.rezone(zones))
+        self.gate.update_bounds(bounds)
+        self._apply_settings()
+        self._update_backends(self.workers.update_zones(zones))
 
     def close(self) -> None:
-        """Ends it all."""
+        """Closes all sockets and stops all timers."""
         self.listener.close()
         self.upstream.close()
         self.outcome_sharing.close()
--- a/pepperrun/dataplane/routes.py
+++ b/pepperrun/dataplane/routes.py
@@ -1,4 +1,4 @@
-"""Which route, service and tenant a request has: one configuration, made ready for look-ups."""
+"""Routing: one version of the configuration, prepared to look up route, service and tenant of a request."""
 
 from __future__ import annotations
 
@@ -22,14 +22,17 @@
 
 
 def read_item(kind: type[Converted], item: Item) -> Converted:
-    """An item of the agreed state, read as the core read it before it was taken: the same columns may be
-    missing, whole numbers may be written as 3.0. PepperrunError where it can't be meant."""
+    """Returns an item of the agreed state, converted as the core machines converted it when it was accepted.
+
+    The same columns may be missing, and whole numbers may be written as 3.0. Raises PepperrunError for an
+    item that is not valid.
+    """
     given = {key: value for key, value in item.items() if value is not None}
     return convert_conforming(kind, given) if conforms(kind, given) else convert(kind, given, kind.__name__)
 
 
 def convert_or_log(item: Item, make: Callable[[Item], Converted]) -> Converted | None:
-    """An item ready for use; None, with a line in the log, where it can't be meant: the rest goes on."""
+    """Returns an item ready for use. An invalid one is logged and gives None, so that the rest works."""
     try:
         return make(item)
     except (PepperrunError, ValueError, TypeError, AttributeError) as error:
@@ -40,7 +43,7 @@
 def _reuse_or_convert(
     items: dict[str, Item] | None, before: dict[str, Entry], make: Callable[[Entry | None, Item], Entry]
 ) -> dict[str, Entry]:
-    """Items ready for use; those that are as they were are taken over, others made anew from both."""
+    """Returns items ready for use; unchanged ones are reused, others are made from both versions."""
     out = {}
     for name, item in (items or {}).items():
         one = before.get(name)
@@ -52,19 +55,19 @@
 
 
 def region_set(regions: list[str]) -> frozenset[str] | None:
-    """The regions in which something may be served; None for all."""
+    """Returns the regions in which a request may be served; None for all."""
     return frozenset(regions) if regions else None
 
 
 def intersect_regions(one: frozenset[str] | None, other: frozenset[str] | None) -> frozenset[str] | None:
-    """Where both homes allow it."""
+    """Returns the regions that both sets allow; None for all."""
     if one is None or other is None:
         return one if other is None else other
     return one & other
 
 
 class Way:
-    """A route, ready for use. `services` and `classes`: numbers of its services and of its requests there."""
+    """A route, ready for use. `services` has the numbers of its services, `classes` its class at each."""
 
     __slots__ = (
         *(
@@ -93,29 +96,29 @@
         if not parts and config.line is not None:
             parts = [(config.line, 1.0)]
         if not parts:
-            raise ValueError("it names no service")
+            raise ValueError("the route names no service")
         self.services = [numbering.service_number(name) for name, _ in parts]
         self.weights = [share for _, share in parts]
-        aim_ns = max(1, int(config.target_ms * MS))
-        self.limits = RequestLimits(aim_ns, max(1, config.tries))
+        target_ns = max(1, int(config.target_ms * MS))
+        self.limits = RequestLimits(target_ns, max(1, config.tries))
         numbering.allow_attempts(self.limits.max_attempts)
-        # What it asks of a service takes as long as before, whatever time it is now given.
+        # The class stays when the latency target changes: the work at the service takes as long as before.
         known: dict[int, int] = {}
         if before is not None and before.safe == self.safe:
             known = dict(zip(before.services, before.classes, strict=True))
         self.classes: list[int] = [
-            known[service] if service in known else numbering.class_number(service, self.safe, aim_ns)
+            known[service] if service in known else numbering.class_number(service, self.safe, target_ns)
             for service in self.services
         ]
 
     def limits_for(self, remaining_ns: int) -> RequestLimits:
-        """What it allows a request whose client has so much time left."""
+        """Returns the limits for a request whose client waits for so long."""
         if remaining_ns > self.limits.initial_ns:
             self.limits = replace(self.limits, initial_ns=remaining_ns)
         return self.limits
 
     def choose_service(self, rng: random.Random) -> int:
-        """The place among `services` of the service that one request goes to."""
+        """Returns the index in `services` of a random service for one request, by weight."""
         if len(self.services) == 1:
             return 0
         return rng.choices(range(len(self.services)), self.weights)[0]
@@ -137,7 +140,7 @@
 
 
 class RoutingTable:
-    """One number of the agreed state. What is as it was in the one before is taken from there."""
+    """One version of the agreed state, ready for look-ups. Unchanged items of an older one are reused."""
 
     def __init__(
         self, version: int, state: Item, numbering: Numbering, before: RoutingTable | None = None
@@ -145,7 +148,7 @@
         self.version, self.edition = version, int(state.get("edition") or 0)
         self.limits: Limits = read_item(Limits, state.get("limits") or {})
         self.evacuated = frozenset(state.get("evacuated") or ())
-        self.keys_required = bool(state.get("senders"))  # are keys asked for at all?
+        self.keys_required = bool(state.get("senders"))  # on all routes that are not keyless
         self.services: dict[int, ServiceConfig] = {}
         for item in (state.get("carrier_lines") or {}).values():
             service = convert_or_log(item, lambda one: read_item(ServiceConfig, one))
@@ -167,7 +170,7 @@
         self.keys = {key: tenant for tenant in self.tenants.values() for key in tenant.keys}
 
     def find(self, host: bytes, path: bytes) -> Way | None:
-        """Among the routes of a host the one with the longest prefix that begins the path."""
+        """Returns the route of a host with the longest prefix of the path; None where there is none."""
         prefixes = self.hosts.get(host)
         if prefixes is None:
             return None
@@ -180,15 +183,15 @@
         return None
 
     def requires_key(self, route: Way) -> bool:
-        """Does a request on this route need a key?"""
+        """Returns whether a request on this route needs a key."""
         return self.keys_required and not route.keyless
 
 
-ROUTE_RANKS = 1000  # of routes, within one of a tenant
+ROUTE_RANKS = 1000  # ranks of routes within one rank of a tenant
 
 
 class GateContext:
-    """What decides where one request may go; read again when the configuration has moved on."""
+    """What decides where one request may be sent. It is checked again when the configuration changes."""
 
     __slots__ = (
         "home_regions",
@@ -215,7 +218,7 @@
     ) -> None:
         self.version, self.route, self.service, self.safe = table.version, route, service, route.safe
         self.host, self.path, self.key = host, path, key
-        # A tenant's precedence goes before that of the route.
+        # The precedence of the tenant counts before that of the route.
         precedence = tenant.config.precedence if tenant is not None else None
         self.rank = (precedence or 0) * ROUTE_RANKS + min(ROUTE_RANKS - 1, route.config.precedence)
         self.tenant = tenant.name if tenant is not None else None
@@ -224,7 +227,10 @@
         )
 
     def revalidate(self, table: RoutingTable) -> bool:
-        """Does this configuration, too, send the request there, under this name?"""
+        """Returns whether this version, too, sends the request to the same service for the same tenant.
+
+        If so, the context takes over the route and regions of this version.
+        """
         if self.version == table.version:
             return True
         route = table.find(self.host, self.path)
--- a/pepperrun/dataplane/slow_start.py
+++ b/pepperrun/dataplane/slow_start.py
@@ -1,13 +1,14 @@
-"""Cold workers (slow start): how much of what one bears each gatekeeper may send, without asking the others.
-
-Over all gatekeepers together, in or out of touch, a cold worker may get in any second at most
-B = cold_per_s * cold_excess + cold_slack requests. Each gatekeeper ranks the gatekeepers that it knows for
-each worker: those of its zone first, then of its region, then by a hash of both names; the first K = 3 serve
-it while it is cold. Each of these sends at most one in S = K / (PART * cold_per_s) seconds, and the first no
-sooner than S after it knew itself to be chosen. So one gatekeeper sends at most 1 + floor(1 / S) in any
-second, and V different views of who is there at most V * K * (1 + floor(1 / S)): with cold_per_s 5.3 that is
-6 for one view and 12 for two, below B = 12.95. Where two views could come to more than B, S grows until they
-do not.
+"""Slow start: how many requests each gatekeeper may send to a worker that is warming up.
+
+The gatekeepers follow these rules without asking each other. All gatekeepers together, connected or
+partitioned, may send a worker that is warming up at most B = cold_per_s * cold_excess + cold_slack requests
+in any second. Each gatekeeper ranks the gatekeepers that it knows for each worker: those of the worker's zone
+first, then those of its region, then by a hash of both names. The first K = 3 serve the worker while it warms
+up. Each of them sends at most one request in S = K / (CAPACITY_FRACTION * cold_per_s) seconds, and the first
+one no sooner than S after it learned that it is assigned. So one gatekeeper sends at most 1 + floor(1 / S)
+requests in any second, and V different views of the membership lead to at most V * K * (1 + floor(1 / S)):
+with cold_per_s 5.3 that is 6 for one view and 12 for two, below B = 12.95. Where two views could exceed B, S
+grows until they do not.
 """
 
 from __future__ import annotations
@@ -18,19 +19,18 @@
 from pepperrun.control.records import GatewayRecord, GatewayState
 
 SECOND = 1_000_000_000
-ASSIGNED_GATEWAYS = 3  # gatekeepers that serve one cold worker
-PART = 0.8  # of what it bears
-VIEWS = 2  # of who is there, that may differ at a time
-LEAST_PER_S = 0.2  # where a service tells of no figure, a cold worker is tried this often
+ASSIGNED_GATEWAYS = 3  # gatekeepers that serve one worker while it warms up
+CAPACITY_FRACTION = 0.8  # of what the worker can handle
+MAX_VIEWS = 2  # views of the membership that may exist at the same time
+MIN_REQUESTS_PER_S = 0.2  # to a worker that is warming up, where its service states no rate
 
 
 def send_interval_ns(cold_per_s: float, excess: float, slack: float) -> int:
-    """Nanoseconds between two requests of one gatekeeper to one cold worker; see above."""
+    """Returns the ns between two requests of one gatekeeper to one worker; the module text has the rule."""
     most = cold_per_s * excess + slack
-    rate = max(LEAST_PER_S, cold_per_s) * PART / ASSIGNED_GATEWAYS
-    each = int(
-        most / (VIEWS * ASSIGNED_GATEWAYS)
-    )  # of one gatekeeper in a second: 1 + floor(1 / S) must not pass it
+    rate = max(MIN_REQUESTS_PER_S, cold_per_s) * CAPACITY_FRACTION / ASSIGNED_GATEWAYS
+    # Requests of one gatekeeper in a second: 1 + floor(1 / S) must not exceed this.
+    each = int(most / (MAX_VIEWS * ASSIGNED_GATEWAYS))
     if each >= 1 and 1 + int(rate) > each:
         rate = each - 1e-6 if each > 1 else 1 - 1e-6
     return int(SECOND / rate) + 1
@@ -39,46 +39,49 @@
 def assigned_gateways(
     worker: str, zone: str, gateways: Iterable[GatewayRecord], zones: Mapping[str, str]
 ) -> list[str]:
-    """The stations of the gatekeepers that serve a worker of this zone while it is cold."""
+    """Returns the names of the gatekeepers that serve a worker of this zone while it warms up."""
 
     def rank(gateway: GatewayRecord) -> tuple[bool, bool, bytes]:
-        lot = hashlib.blake2s(f"{worker} {gateway.name}".encode(), digest_size=8).digest()
-        return gateway.zone != zone, gateway.region != zones.get(zone), lot
+        digest = hashlib.blake2s(f"{worker} {gateway.name}".encode(), digest_size=8).digest()
+        return gateway.zone != zone, gateway.region != zones.get(zone), digest
 
-    there = [gateway for gateway in gateways if gateway.state in (GatewayState.READY, GatewayState.STARTING)]
-    return [gateway.name for gateway in sorted(there, key=rank)[:ASSIGNED_GATEWAYS]]
+    present = [
+        gateway for gateway in gateways if gateway.state in (GatewayState.READY, GatewayState.STARTING)
+    ]
+    return [gateway.name for gateway in sorted(present, key=rank)[:ASSIGNED_GATEWAYS]]
 
 
 class SlowStartShares:
-    """This gatekeeper's part in serving cold workers."""
+    """The share of this gatekeeper in the requests to workers that are warming up."""
 
-    def __init__(self, station: str, zones: Mapping[str, str], excess: float, slack: float) -> None:
-        self.station, self.zones, self.excess, self.slack = station, zones, excess, slack
+    def __init__(self, name: str, zones: Mapping[str, str], excess: float, slack: float) -> None:
+        self.name, self.zones, self.excess, self.slack = name, zones, excess, slack
         self.gateways: dict[str, GatewayRecord] = {}
-        self.views = 0  # counts changes of who is there
-        self.mine: dict[int, tuple[int, bool]] = {}  # worker: the view, and whether it is this one's to serve
-        self.next_at: dict[int, int] = {}
+        self.view = 0  # incremented with each change of the membership
+        # By worker: the view it was computed for, and whether this gatekeeper is assigned to the worker.
+        self.assigned: dict[int, tuple[int, bool]] = {}
+        self.next_at: dict[int, int] = {}  # by worker: when the next request may go there
 
     def update(self, gateways: Iterable[GatewayRecord]) -> None:
-        """Gatekeepers have come, changed or gone."""
+        """Takes in records of gatekeepers that are new or have changed."""
         for gateway in gateways:
             old = self.gateways.get(gateway.name)
             self.gateways[gateway.name] = gateway
             if old is None or (old.state, old.zone) != (gateway.state, gateway.zone):
-                self.views += 1
-
-    def _serves(self, number: int, worker: str, zone: str) -> bool:
-        view, mine = self.mine.get(number, (-1, False))
-        if view != self.views:
-            mine = self.station in assigned_gateways(worker, zone, self.gateways.values(), self.zones)
-            self.mine[number] = self.views, mine
-            if not mine:
+                self.view += 1
+
+    def _is_assigned(self, number: int, worker: str, zone: str) -> bool:
+        view, assigned = self.assigned.get(number, (-1, False))
+        if view != self.view:
+            assigned = self.name in assigned_gateways(worker, zone, self.gateways.values(), self.zones)
+            self.assigned[number] = self.view, assigned
+            if not assigned:
                 self.next_at.pop(number, None)
-        return mine
+        return assigned
 
     def may_send(self, number: int, worker: str, zone: str, cold_per_s: float, now: int) -> bool:
-        """May a request go to this cold worker now?"""
-        if not self._serves(number, worker, zone):
+        """Returns whether a request may go to this worker, which is warming up, now."""
+        if not self._is_assigned(number, worker, zone):
             return False
         at = self.next_at.get(number)
         if at is None:
@@ -87,15 +90,15 @@
         return now >= at
 
     def on_sent(self, number: int, cold_per_s: float, now: int) -> None:
-        """One has gone there."""
+        """Notes that a request was sent to a worker that is warming up."""
         self.next_at[number] = now + send_interval_ns(cold_per_s, self.excess, self.slack)
 
     def on_warm(self, number: int) -> None:
-        """It is not cold now."""
+        """Notes that a worker is not warming up now."""
         self.next_at.pop(number, None)
 
     def retain(self, known: Iterable[int]) -> None:
-        """Only these workers are left."""
+        """Forgets all workers except these."""
         kept = set(known)
-        self.mine = {number: mine for number, mine in self.mine.items() if number in kept}
+        self.assigned = {number: mine for number, mine in self.assigned.items() if number in kept}
         self.next_at = {number: at for number, at in self.next_at.items() if number in kept}
--- a/pepperrun/dataplane/trace.py
+++ b/pepperrun/dataplane/trace.py
@@ -1,9 +1,9 @@
 """Request log: a line for each request not served at the first attempt within its latency target.
 
-Off unless asked for: while it is off the request path has no more than a look at a name. What is left out for
-the bound is counted and told once a second has begun anew. A reason that the decisions do not tell is read
-from what holds when the request is over: whether the news is fresh, whether the service has workers, and
-whether all of them are cold.
+The log is off by default; then the request path only checks whether it is on. Lines are limited per second.
+Those left out are counted, and the count is logged with the next line. Where the core gives no reason, the
+reason is derived from the state at the end of the request: whether the agreed state is fresh, whether the
+service has workers, and whether all of them are warming up.
 """
 
 from __future__ import annotations
@@ -22,15 +22,15 @@
     from pepperrun.net.http1 import Request
 
 SECOND = 1_000_000_000
-VERBOSE = 20.0  # lines a second where only `--verbose` was said
-MOST_ID = 64  # characters of an attempt id
+VERBOSE_LINES_PER_S = 20.0  # with `--verbose` and no `--trace`
+MAX_ID_LENGTH = 64  # characters of a logged Attempt-Id
 
 
 class LogRateLimit:
-    """Lets so many through a second, and as many at once; counts the others. `now` in steady ns."""
+    """Lets `rate` lines through a second, in bursts of as many, and counts the others. Times: steady ns."""
 
     def __init__(self, rate: float, now: int) -> None:
-        self.rate, self.most, self.level, self.at, self.suppressed = (
+        self.rate, self.burst, self.level, self.at, self.suppressed = (
             rate,
             max(1.0, rate),
             max(1.0, rate),
@@ -39,8 +39,8 @@
         )
 
     def allow(self, now: int) -> bool:
-        """May one more go through?"""
-        self.level = min(self.most, self.level + self.rate * (now - self.at) / SECOND)
+        """Returns whether one more line may be written now."""
+        self.level = min(self.burst, self.level + self.rate * (now - self.at) / SECOND)
         self.at = now
         if self.level < 1:
             self.suppressed += 1
@@ -50,45 +50,44 @@
 
 
 class RequestTrace:
-    """Requests of one front, as its lines. `tell(name, **pairs)` writes one."""
+    """Writes the log lines for the requests of one front. `log(name, **pairs)` writes one event."""
 
-    def __init__(self, front: Front, rate: float, tell: Callable[..., None] = event) -> None:
-        self.front, self.tell = front, tell
+    def __init__(self, front: Front, rate: float, log: Callable[..., None] = event) -> None:
+        self.front, self.log = front, log
         self.limit = LogRateLimit(rate, front.clock())
-        self.final_answers: dict[
-            int, tuple[int, Final[Any]]
-        ] = {}  # status and end, until the last attempt has ended
+        # By request: status and final answer, until the last attempt has ended.
+        self.final_answers: dict[int, tuple[int, Final[Any]]] = {}
 
     def answered(self, exchange: Exchange[Any, Any], status: int, final: Final[Any]) -> None:
-        """A final answer. One that was served at the first try, in time, costs no more than this look."""
+        """Notes a final answer. One served in time by the first attempt costs only this check."""
         late = self.front.clock() - exchange.started > exchange.gate_context.route.config.target_ms * MS
         if late or final.end is not End.SERVED or len(exchange.attempt_times) > 1:
             self.final_answers[exchange.id] = status, final
 
     def answered_directly(self, request: Request, status: int) -> None:
-        """Answered without the decisions."""
+        """Logs a request that was answered without the core."""
         reasons = {400: "bad", 401: "key", 404: "route", 503: "stale"}
         now = self.front.clock()
-        if self._let(now):
+        if self._allow(now):
             table = self.front.table
             more = {"edition": table.edition if table is not None else 0, "tries": "-"}
             known = {"route": "-", "tenant": "-", "kind": "-", "aim": "-", "status": status}
             reason = "no-configuration" if table is None else reasons.get(status, "-")
-            took = (now - request.arrived_at) / MS
-            self.tell("request", id=_id(request), **known, reason=reason, ms=took, **more)
+            elapsed_ms = (now - request.arrived_at) / MS
+            self.log("request", id=_id(request), **known, reason=reason, ms=elapsed_ms, **more)
 
     def finished(self, exchange: Exchange[Any, Any]) -> None:
-        """It has its answer and no attempt is out (`Gatekeeper.observer`)."""
+        """Logs a request that has its answer and no attempt in flight (`Gatekeeper.observer`)."""
         status, final = self.final_answers.pop(exchange.id, (0, None))
         if final is None and exchange.end is End.SERVED:
             return
         now = self.front.clock()
-        if not self._let(now):
+        if not self._allow(now):
             return
         context: GateContext = exchange.gate_context
         ended = exchange.finished or now
         table = self.front.table
-        self.tell(
+        self.log(
             "request",
             id=_id(exchange.request),
             route=context.route.name,
@@ -99,20 +98,20 @@
             reason=self._reason(exchange, final, now),
             ms=(ended - exchange.started) / MS,
             edition=table.edition if table is not None else 0,
-            tries=self._tries(exchange) or "-",
+            tries=self._attempts(exchange) or "-",
         )
 
-    def _let(self, now: int) -> bool:
+    def _allow(self, now: int) -> bool:
         limit = self.limit
         if not limit.allow(now):
             return False
         if limit.suppressed:
-            self.tell("requests-left-out", count=limit.suppressed)
+            self.log("requests-left-out", count=limit.suppressed)
             limit.suppressed = 0
         return True
 
-    def _tries(self, exchange: Exchange[Any, Any]) -> str:
-        """Of each attempt: worker, when it was sent, how it ended, how long that took (ms)."""
+    def _attempts(self, exchange: Exchange[Any, Any]) -> str:
+        """Returns worker, time of sending, outcome and duration (ms) of each attempt, as one text."""
         names = self.front.gate.workers.id_by_number
         parts = []
         for backend, sent, outcome, ended in exchange.trace or ():
@@ -137,8 +136,8 @@
             return "fence"
         if exchange.end is End.TIMED_OUT or (final is not None and final.deadline_passed):
             return "out-of-time"
-        there = self._there(exchange.gate_context)
-        if not there:
+        available = self._available_workers(exchange.gate_context)
+        if not available:
             return "no-worker"
         if exchange.trace and any(one[2] in (Outcome.FULL, Outcome.CONNECT_FAILED) for one in exchange.trace):
             return (
@@ -147,9 +146,9 @@
                 else "tries"
             )
         workers = self.front.gate.workers
-        return "cold" if all(workers.is_warming_up(known, now) for known in there) else "full"
+        return "cold" if all(workers.is_warming_up(known, now) for known in available) else "full"
 
-    def _there(self, context: GateContext) -> list[Any]:
+    def _available_workers(self, context: GateContext) -> list[Any]:
         workers = self.front.gate.workers
         return [
             known
@@ -161,4 +160,4 @@
 
 
 def _id(request: Request) -> str:
-    return request.headers.get(b"attempt-id", b"-")[:MOST_ID].decode("latin-1")
+    return request.headers.get(b"attempt-id", b"-")[:MAX_ID_LENGTH].decode("latin-1")
--- a/pepperrun/dataplane/workers.py
+++ b/pepperrun/dataplane/workers.py
@@ -1,4 +1,4 @@
-"""The workers as this gatekeeper uses them: numbers, addresses, zones, who is cold or left out."""
+"""The workers that this gatekeeper knows: numbers, addresses, zones, and which are warming up or excluded."""
 
 from __future__ import annotations
 
@@ -12,25 +12,26 @@
 from pepperrun.foundation.settings import Address, parse_address
 
 SECOND = 1_000_000_000
-# After an evacuation a zone's workers count as cold until their heartbeats must have come.
+# After an evacuation the workers of a zone count as warming up until their heartbeats must have arrived.
 REOPENED_NS = 4 * SECOND
-MISDIRECTED_NS = 3 * SECOND  # another has its address: nothing is sent there, or until a record says more
-FAR_ZONE, FAR_REGION = 1.02, 2.2  # how much slower a worker counts for its distance; see SYSTEM.md, Prices
+MISDIRECTED_NS = 3 * SECOND  # after a 421 (another worker has the address), or until a new record
+# How much slower a worker counts for its distance; SYSTEM.md, Prices, has the prices behind it.
+OTHER_ZONE_FACTOR, OTHER_REGION_FACTOR = 1.02, 2.2
 
 
 class KnownWorker:
-    """One life of a worker. `number` stands for its id in the decisions."""
+    """One incarnation of a worker. `number` stands for its id in the core."""
 
     __slots__ = ("address", "misdirected_until", "number", "record", "region", "service")
 
     def __init__(self, record: Worker, number: int, service: int, region: str | None, where: Address) -> None:
         self.record, self.number, self.service = record, number, service
         self.region, self.address = region, where
-        self.misdirected_until = 0  # until then its address is known to be another's
+        self.misdirected_until = 0  # until then another worker is known to have its address
 
 
 class WorkerTable:
-    """All workers that the roster names. Answers what `UpstreamClient` asks of a directory."""
+    """All workers that are listed. Implements the directory that `UpstreamClient` needs."""
 
     def __init__(self, numbering: Numbering, zones: Mapping[str, str], zone: str, region: str) -> None:
         self.numbering, self.zones, self.zone, self.region = numbering, zones, zone, region
@@ -39,10 +40,10 @@
         self.number_by_id: dict[str, int] = {}
         self.zone_numbers: dict[str, int] = {}
         self.evacuated: frozenset[str] = frozenset()
-        self.reopened: dict[str, int] = {}  # zone: until when its workers may have turned cold unheard
+        self.reopened_until: dict[str, int] = {}  # by zone: until then its workers may be warming up
 
     def number_for(self, name: str) -> int:
-        """The number of a worker's id."""
+        """Returns the number of a worker's id, which is assigned at the first call."""
         if name not in self.number_by_id:
             number = name_hash(name)
             while number in self.id_by_number:
@@ -51,7 +52,7 @@
         return self.number_by_id[name]
 
     def update(self, workers: Iterable[Worker]) -> BackendList:
-        """Takes in records that are new or have changed."""
+        """Takes in records that are new or have changed; returns the changes for the core."""
         changed = []
         for worker in workers:
             number = self.number_for(worker.id)
@@ -70,66 +71,72 @@
             service = self.numbering.service_number(worker.service)
             known = KnownWorker(worker, number, service, self.zones.get(worker.zone), where)
             self.by_number[number] = known
-            changed.append(self._row(known))
+            changed.append(self._backend(known))
         for row in changed:
             if row.state is BackendState.GONE and row.id not in self.by_number:
                 self.number_by_id.pop(self.id_by_number.pop(row.id, ""), None)
         return BackendList(ListKind.DELTA, tuple(changed))
 
     def evacuate(self, zones: frozenset[str], now: int) -> BackendList | None:
-        """Nothing is sent to these zones from now on; None where that changes nothing."""
+        """Sets the zones that get no requests; returns the changes for the core, None if there are none."""
         if zones == self.evacuated:
             return None
-        moved = zones ^ self.evacuated
+        affected = zones ^ self.evacuated
         for zone in self.evacuated - zones:
-            self.reopened[zone] = now + REOPENED_NS
+            self.reopened_until[zone] = now + REOPENED_NS
         self.evacuated = zones
-        rows = [self._row(known) for known in self.by_number.values() if known.record.zone in moved]
-        return BackendList(ListKind.DELTA, tuple(rows)) if rows else None
+        backends = [
+            self._backend(known) for known in self.by_number.values() if known.record.zone in affected
+        ]
+        return BackendList(ListKind.DELTA, tuple(backends)) if backends else None
 
     def mark_misdirected(self, number: int, now: int) -> BackendList | None:
-        """Another worker answers at its address."""
+        """Notes that another worker answered at the address of this one."""
         known = self.by_number.get(number)
         if known is None:
             return None
         known.misdirected_until = now + MISDIRECTED_NS
-        return BackendList(ListKind.DELTA, (self._row(known),))
+        return BackendList(ListKind.DELTA, (self._backend(known),))
 
     def restore_misdirected(self, now: int) -> BackendList | None:
-        """Those whose addresses were another's a while ago are tried again."""
-        held = (known for known in self.by_number.values() if known.misdirected_until)
-        back = [known for known in held if now >= known.misdirected_until]
-        for known in back:
+        """Tries workers again whose address belonged to another worker a while ago."""
+        misdirected = (known for known in self.by_number.values() if known.misdirected_until)
+        restored = [known for known in misdirected if now >= known.misdirected_until]
+        for known in restored:
             known.misdirected_until = 0
-        return BackendList(ListKind.DELTA, tuple(self._row(known) for known in back)) if back else None
-
-    def rezone(self, zones: Mapping[str, str]) -> BackendList:
-        """Zones and their regions, as the settings have them now."""
+        return (
+            BackendList(ListKind.DELTA, tuple(self._backend(known) for known in restored))
+            if restored
+            else None
+        )
+
+    def update_zones(self, zones: Mapping[str, str]) -> BackendList:
+        """Applies the zones and their regions of changed settings."""
         self.zones = zones
         for known in self.by_number.values():
             known.region = zones.get(known.record.zone)
-        return BackendList(ListKind.DELTA, tuple(self._row(known) for known in self.by_number.values()))
+        return BackendList(ListKind.DELTA, tuple(self._backend(known) for known in self.by_number.values()))
 
     def zone_number(self, name: str) -> int:
-        """The number of a zone."""
+        """Returns the number of a zone, which is assigned at the first call."""
         return self.zone_numbers.setdefault(name, len(self.zone_numbers))
 
-    def _row(self, known: KnownWorker) -> Backend:
+    def _backend(self, known: KnownWorker) -> Backend:
         state = BackendState.GONE
         if known.record.state == WorkerState.SERVING:
-            closed = known.record.zone in self.evacuated or known.misdirected_until
-            state = BackendState.DRAINING if closed else BackendState.READY
+            excluded = known.record.zone in self.evacuated or known.misdirected_until
+            state = BackendState.DRAINING if excluded else BackendState.READY
         elif known.record.state == WorkerState.DRAINING:
             state = BackendState.DRAINING
-        near = 1.0 if known.record.zone == self.zone else FAR_ZONE
-        far = near if known.region == self.region else FAR_REGION
+        in_region = 1.0 if known.record.zone == self.zone else OTHER_ZONE_FACTOR
+        distance = in_region if known.region == self.region else OTHER_REGION_FACTOR
         zone = self.zone_number(known.record.zone)
-        return Backend(known.number, zone, state=state, service=known.service, distance_factor=far)
+        return Backend(known.number, zone, state=state, service=known.service, distance_factor=distance)
 
     # For `UpstreamClient`.
 
     def address(self, backend: int) -> Address | None:
-        """Where a worker listens; None for one to which nothing may be sent now."""
+        """Returns the address of a worker; None where nothing may be sent to it now."""
         known = self.by_number.get(backend)
         if known is None or known.misdirected_until:
             return None
@@ -138,12 +145,14 @@
         return known.address
 
     def is_listed(self, backend: int) -> bool:
-        """Is it in the roster?"""
+        """Returns whether the worker is listed."""
         return backend in self.by_number
 
     # For the gate.
 
     def is_warming_up(self, known: KnownWorker, now: int) -> bool:
-        """Is it cold, or may it be?"""
+        """Returns whether a worker is warming up, or may be."""
         worker = known.record
-        return worker.maybe_cold or worker.warming_until > now or self.reopened.get(worker.zone, 0) > now
+        return (
+            worker.maybe_cold or worker.warming_until > now or self.reopened_until.get(worker.zone, 0) > now
+        )
--- a/tests/test_ejection.py
+++ b/tests/test_ejection.py
@@ -221,7 +221,7 @@
             and not three.ejection.records
             and not two.ejection.unreported
         )
-        of_no_life = OutcomeReport(one.peer_messages.own, 99, [OutcomeCount(worker, 0, 9)], [])
+        of_no_life = OutcomeReport(one.peer_messages.own_hash, 99, [OutcomeCount(worker, 0, 9)], [])
         two.on_report(encode(of_no_life), (HOST, 1))
         assert two.ejection.records[worker].score == FAILURE_SCORE
 
