--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -121,7 +121,7 @@
 
     async def test() -> None:
         cluster, worker = DisconnectCluster(), await StandIn(stall).start()
-        cluster.work("w1", worker.port)
+        cluster.add_worker("w1", worker.port)
         client = await cluster.ask_with_long_deadline()
         await request_reached(worker)
         cluster.plane.listener.draining = draining
@@ -144,7 +144,7 @@
 
     async def test() -> None:
         cluster, worker = DisconnectCluster("unsafe"), await StandIn(wait_then(ok())).start()
-        cluster.work("w1", worker.port)
+        cluster.add_worker("w1", worker.port)
         client = await cluster.ask_with_long_deadline()
         await request_reached(worker)
         disconnect(client)
@@ -162,7 +162,7 @@
 
     async def test() -> None:
         cluster, worker = DisconnectCluster("unsafe"), await StandIn(wait_then(ok())).start()
-        cluster.work("w1", worker.port)
+        cluster.add_worker("w1", worker.port)
         client = await cluster.ask_with_long_deadline()
         await request_reached(worker)
         client.writer.close()
@@ -185,7 +185,7 @@
 def test_client_that_reconnects_at_once_is_served() -> None:
     async def test() -> None:
         cluster, worker = DisconnectCluster(), await StandIn(stall, ok()).start()
-        cluster.work("w1", worker.port)
+        cluster.add_worker("w1", worker.port)
         client = await cluster.ask_with_long_deadline()
         await request_reached(worker)
         client.writer.close()
@@ -204,7 +204,7 @@
     async def test() -> None:
         count = 60
         cluster, worker = DisconnectCluster(), await StandIn(*[stall] * count, ok()).start()
-        cluster.work("w1", worker.port)
+        cluster.add_worker("w1", worker.port)
         clients = [await cluster.ask_with_long_deadline(f"i{number}") for number in range(count)]
         (cls,) = {exchange.cls for exchange in cluster.gatekeeper.exchanges.values()} or {0}
         known = cluster.plane.outcome_sharing.answer_times[cls]
@@ -237,7 +237,7 @@
         await until(lambda: cluster.gatekeeper.exchanges)
         client.writer.close()
         await until(lambda: cluster.has_noticed_disconnects() and not cluster.gatekeeper.gateway.pending)
-        cluster.work("w1", worker.port)
+        cluster.add_worker("w1", worker.port)
         assert (await (await cluster.ask_with_long_deadline()).answer())[0] == 200
         assert len(worker.heads) == 1 and b"gone" not in worker.heads[0]
 
@@ -251,7 +251,7 @@
     async def test() -> None:
         cluster, worker = DisconnectCluster(kind), await StandIn(wait_then(ok(id=b"first")), ok()).start()
         cluster.servers.max_per_backend = 1
-        cluster.work("w1", worker.port)
+        cluster.add_worker("w1", worker.port)
         first = await cluster.ask_with_long_deadline("first")
         await request_reached(worker)
         second = await cluster.ask_with_long_deadline("gone")
@@ -292,7 +292,7 @@
 
     async def test() -> None:
         cluster, worker = DisconnectCluster(), await StandIn(stall).start()
-        cluster.work("w1", worker.port)
+        cluster.add_worker("w1", worker.port)
         client = await cluster.ask_with_long_deadline()
         await request_reached(worker)
         await pipeline_requests(cluster, client)
@@ -312,7 +312,7 @@
 
     async def test() -> None:
         cluster, worker = DisconnectCluster("unsafe"), await StandIn(wait_then(ok()), ok()).start()
-        cluster.work("w1", worker.port)
+        cluster.add_worker("w1", worker.port)
         client = await cluster.ask_with_long_deadline()
         await request_reached(worker)
         await pipeline_requests(cluster, client)
@@ -332,7 +332,7 @@
 
     async def test() -> None:
         cluster, worker = DisconnectCluster(), await StandIn(stall).start()
-        cluster.work("w1", worker.port)
+        cluster.add_worker("w1", worker.port)
         for _ in range(3):
             client = await cluster.ask_with_long_deadline()
             await request_reached(worker)
@@ -402,7 +402,7 @@
     async def test() -> None:
         cluster, worker = DisconnectCluster(), PausedWorker()
         server = await asyncio.get_running_loop().create_server(lambda: worker, HOST, 0)
-        cluster.work("w1", server.sockets[0].getsockname()[1])
+        cluster.add_worker("w1", server.sockets[0].getsockname()[1])
         client = await cluster.ask_with_long_deadline(method="POST", Content_Length=str(64 * LONG))
         await upload_until_blocked(cluster, client)
         disconnect(client)
@@ -419,7 +419,7 @@
     async def test() -> None:
         cluster, worker, size = DisconnectCluster("unsafe"), PausedWorker(), 0
         server = await asyncio.get_running_loop().create_server(lambda: worker, HOST, 0)
-        cluster.work("w1", server.sockets[0].getsockname()[1])
+        cluster.add_worker("w1", server.sockets[0].getsockname()[1])
         client = await cluster.ask_with_long_deadline(method="POST", Transfer_Encoding="chunked")
         size = await upload_until_blocked(cluster, client, encode_chunk)
         client.writer.write(LAST_CHUNK)
@@ -444,7 +444,7 @@
 
     async def test() -> None:
         cluster, worker = DisconnectCluster(), await StandIn(ok(b"x" * (64 * LONG))).start()
-        cluster.work("w1", worker.port)
+        cluster.add_worker("w1", worker.port)
         client = await cluster.ask_with_long_deadline()
         await until(lambda: any(kept.write_blocked_at is not None for kept in cluster.connections()))
         await pipeline_requests(cluster, client)
@@ -460,8 +460,8 @@
     async def test() -> None:
         before, after = DisconnectCluster(), DisconnectCluster()
         worker = await StandIn(ok(), stall).start()
-        before.work("w1", worker.port)
-        after.work("w1", worker.port)
+        before.add_worker("w1", worker.port)
+        after.add_worker("w1", worker.port)
         client = await before.ask_with_long_deadline()
         assert (await client.answer())[0] == 200
         (kept,) = before.connections()
--- a/tests/test_conversations.py
+++ b/tests/test_conversations.py
@@ -148,7 +148,7 @@
             await wait_then(b"y" * 100_000)(server, reader, writer)
 
         worker = await StandIn(long, ok(b"second", b"i2")).start()
-        cluster.work("w1", worker.port)
+        cluster.add_worker("w1", worker.port)
         client = await cluster.ask()
         await client.reader.readuntil(b"\r\n\r\n")
         await cluster.ask("/none", client=client, Attempt_Id="i2")  # would be answered at once
@@ -174,9 +174,9 @@
             await stray(server, reader, writer)
 
         worker, other = await StandIn(ok(), second).start(), await StandIn(ok(b"twice", b"i2")).start()
-        cluster.work("w1", worker.port)
+        cluster.add_worker("w1", worker.port)
         assert (await (await cluster.ask()).answer())[0] == 200
-        cluster.work("w2", other.port, zone="b")
+        cluster.add_worker("w2", other.port, zone="b")
         client = await cluster.ask(Attempt_Id="i2")
         assert (await client.answer())[0] == 502 and not other.heads
 
@@ -193,7 +193,7 @@
         no = answer(503, b"", b"Not-Run: 1", b"Attempt-Id: i1")
         workers = [await StandIn(no, no + ok()).start() for _ in range(2)]
         for number, worker in enumerate(workers):
-            cluster.work(f"w{number}", worker.port)
+            cluster.add_worker(f"w{number}", worker.port)
         await (await cluster.ask()).answer()
         assert sum(len(worker.heads) for worker in workers) == 3
         assert all(worker.connections == len(worker.heads) for worker in workers)
@@ -206,7 +206,7 @@
         cluster = Cluster(route("r", "/p/"))
         named = b"Connection: Postmark, attempt-id, x-own"
         worker = await StandIn(ok(b"fine", b"i1", named, b"X-Own: 1")).start()
-        cluster.work("w1", worker.port)
+        cluster.add_worker("w1", worker.port)
         client = await cluster.ask(Connection="Host, Attempt-Id, x-own", X_Own="1")
         status, fields, _ = await client.answer()
         assert status == 200 and fields["postmark"] == "p" and "x-own" not in fields
@@ -220,7 +220,7 @@
 def test_a_key_among_others_is_not_shown_to_a_worker(told):
     async def test():
         cluster, worker = Cluster(route("r", "/p/", unstamped=True)), await StandIn(ok()).start()
-        cluster.work("w1", worker.port)
+        cluster.add_worker("w1", worker.port)
         assert (await (await cluster.ask(key=None, Authorization=told)).answer())[0] == 200
         assert b"uthorization" not in worker.heads[0]
 
@@ -245,7 +245,7 @@
     async def test():
         cluster = Cluster(route("r", "/p/"))
         worker = await StandIn(ok(b"z" * 3_000_000)).start()
-        cluster.work("w1", worker.port)
+        cluster.add_worker("w1", worker.port)
         client = await cluster.ask(Connection="close")
         client.writer.write(b"POST /p/x HTTP/1.1\r\nContent-Length: 900000\r\n\r\n" + b"b" * 900_000)
         got = await client.reader.read()
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -169,7 +169,7 @@
         cluster.plane.gatekeeper.observer = front.trace.finished
         full = answer(503, b"", b"Not-Run: 1", b"Attempt-Id: i1")
         worker = await StandIn(ok(), full).start()
-        cluster.work("w1", worker.port)
+        cluster.add_worker("w1", worker.port)
         for want in (200, 503):
             client = await cluster.ask()
             assert (await client.answer())[0] == want
