--- a/features/steps/operators.py
+++ b/features/steps/operators.py
@@ -18,7 +18,7 @@
     """`NodeInterface` for the control calls of one machine."""
 
     def __init__(self, trio, ip):
-        self.trio, self.ip, self.retiring = trio, ip, False
+        self.trio, self.ip, self.is_stopping = trio, ip, False
         me = {"station": "s", "role": "control_node", "ip": ip, "zone": "a", "region": "r1"}
         network = {"sidings": [7600, 7615], "first_contacts": [], "zones": playing.ZONES}
         self.settings: Settings = parse({"self": me, "network": network})
--- a/pepperrun/control/changes.py
+++ b/pepperrun/control/changes.py
@@ -111,7 +111,7 @@
     new = configuration | {"edition": op["edition"], "evacuated": state["evacuated"]}
     new |= {key: state[key] for key in KEPT_PARTS if key in state}
     new.pop("older", None)
-    new |= order_deduplication.record(state, op)
+    new |= order_deduplication.record_order(state, op)
     return Evaluation(new, Verdict(200, f"Edition {op['edition']} is taken."))
 
 
--- a/pepperrun/control/endpoint_registry.py
+++ b/pepperrun/control/endpoint_registry.py
@@ -184,16 +184,16 @@
         if known is not None and heartbeat.serial <= last_serial and not begins_draining:
             return
         self.last_serials[heartbeat.id] = max(last_serial, heartbeat.serial)
-        self._note_alive(worker_record_id(heartbeat.id), now)
+        self._record_alive(worker_record_id(heartbeat.id), now)
         is_urgent = is_draining or known is None or known.state is WorkerState.LOST
-        self._update(self._merged(known, heartbeat, now), now, urgent=is_urgent)
+        self._update(self._updated_record(known, heartbeat, now), now, urgent=is_urgent)
 
-    def _note_alive(self, id_: str, now: int) -> None:
+    def _record_alive(self, id_: str, now: int) -> None:
         self.liveness.record_heartbeat(id_, now)
         if self.liveness.unreported:
             self._flush_at = self._flush_at or now + BATCH_NS
 
-    def _merged(self, known: Worker | None, heartbeat: WorkerHeartbeat, now: int) -> Worker:
+    def _updated_record(self, known: Worker | None, heartbeat: WorkerHeartbeat, now: int) -> Worker:
         """Return the record after a heartbeat; the known record with its serial if nothing has changed."""
         was_draining = known is not None and known.state is WorkerState.DRAINING
         merged = Worker(
@@ -219,10 +219,10 @@
         """Assign an address to its newest worker: the previous one has ended without notice."""
         other = self.workers.get(self.address_owners.get(heartbeat.address, ""))
         if other is not None and other.id != heartbeat.id and _is_live(other):
-            self._update(self._ended(other), now, urgent=True)
+            self._update(self._ended_record(other), now, urgent=True)
         self.address_owners.forceput(heartbeat.address, heartbeat.id)
 
-    def _ended(self, worker: Worker) -> Worker:
+    def _ended_record(self, worker: Worker) -> Worker:
         """Return the record of a worker that ended without notice: lost, or gone if it was draining."""
         state = WorkerState.LOST if worker.state is WorkerState.SERVING else WorkerState.GONE
         return replace(worker, state=state, serial=self._last_serial(worker))
@@ -266,7 +266,7 @@
 
     def gateway_heartbeat(self, record: GatewayRecord, now: int) -> None:
         """Handle a gatekeeper's record from its link; a higher serial revives one that was taken for gone."""
-        self._note_alive(gateway_record_id(record.name), now)
+        self._record_alive(gateway_record_id(record.name), now)
         known = self.gateways.get(record.name)
         if known is not None and known.is_gone and _same_version(known, record):
             record = replace(record, serial=record.serial + 1)
@@ -295,14 +295,14 @@
             known = self.gateways.get(gateway.name)
             is_new_and_gone = known is None and gateway.is_gone
             if newer(known, gateway) and not is_new_and_gone:
-                self._put(gateway, now)
+                self._store(gateway, now)
 
     def _merge_worker(self, worker: Worker, now: int) -> None:
         known = self.workers.get(worker.id)
         is_new_and_gone = known is None and worker.is_gone
         if not newer(known, worker) or is_new_and_gone:
             return
-        self._put(worker, now)
+        self._store(worker, now)
         self._reassert(worker, now)
         if known is None and worker.state is not WorkerState.LOST:
             self.address_owners.forceput(worker.address, worker.id)
@@ -320,10 +320,10 @@
             return self.workers.get(record.id)
         return self.gateways.get(record.name)
 
-    def _put(self, record: Record, now: int) -> None:
+    def _store(self, record: Record, now: int) -> None:
         """Store a record in this copy without pushing it to the others."""
         if isinstance(record, Worker):
-            self._put_worker(record, now)
+            self._store_worker(record, now)
             is_present = _is_live(record)
         else:
             self.digests.replace(self.gateways.get(record.name), record)
@@ -333,7 +333,7 @@
         self._changed[id_] = record
         self.liveness.record_update(id_, is_present=is_present, now=now)
 
-    def _put_worker(self, worker: Worker, now: int) -> None:
+    def _store_worker(self, worker: Worker, now: int) -> None:
         self.digests.replace(self.workers.get(worker.id), worker)
         self.workers[worker.id] = worker
         if _is_live(worker):
@@ -348,7 +348,7 @@
         id_ = record_id(record)
         if self._known(record) is record:
             return
-        self._put(record, now)
+        self._store(record, now)
         if urgent:
             self._batch.pop(id_, None)
             self._urgent[id_] = record
@@ -393,7 +393,7 @@
                     del self.gateways[name]
                     self.liveness.forget(gateway_record_id(name))
             elif silent_ns > GATEWAY_GONE_NS and self._has_quorum_for(GATEWAY_GONE_NS, now):
-                self._put(replace(gateway, state=GatewayState.GONE), now)
+                self._store(replace(gateway, state=GatewayState.GONE), now)
 
     def _has_quorum_for(self, duration_ns: int, now: int) -> bool:
         return self.quorum_since is not None and now - self.quorum_since > duration_ns
@@ -405,7 +405,7 @@
             if _is_live(worker):
                 self._expire_live_worker(worker, now)
             elif worker.state is WorkerState.LOST and ended_ns > LOST_TO_GONE_NS:
-                self._put(replace(worker, state=WorkerState.GONE), now)
+                self._store(replace(worker, state=WorkerState.GONE), now)
             elif worker.is_gone and ended_ns > KEEP_GONE_NS:
                 self._forget_worker(worker.id)
 
@@ -415,7 +415,7 @@
         last_seen = self.liveness.last_seen(worker_record_id(worker.id), now)
         if now - max(last_seen, self.quorum_since) > self.worker_lost_ns:
             state = WorkerState.LOST if worker.state is WorkerState.SERVING else WorkerState.GONE
-            self._put(replace(worker, state=state), now)
+            self._store(replace(worker, state=state), now)
 
     def _forget_worker(self, worker_id: str) -> None:
         del self.workers[worker_id]
--- a/pepperrun/control/handlers.py
+++ b/pepperrun/control/handlers.py
@@ -49,7 +49,7 @@
 
     settings: Settings
     registry: EndpointRegistry
-    retiring: bool
+    is_stopping: bool
 
     def now(self) -> int:
         """Return the time of the monotonic clock, ns."""
@@ -86,7 +86,7 @@
         """The agreed state; None while it is unknown."""
         ...
 
-    def other_node(self) -> str | None:
+    def linked_node(self) -> str | None:
         """Return the control address of a linked control node."""
         ...
 
@@ -187,7 +187,7 @@
         return Answer(200, b"{}") if token is None else self._once_replicated(token, b"{}")
 
     async def _once_replicated(self, token: int, body: bytes) -> Answer:
-        """Acknowledge a record once so many nodes store it that losses do not undo it."""
+        """Acknowledge a record once a majority stores it, so that the loss of a node does not undo it."""
         try:
             async with asyncio.timeout(REPLICATION_TIMEOUT_S):
                 await self.node.replicated(token)
@@ -207,7 +207,7 @@
             if self.node.lacks_quorum:
                 return _no_quorum()
             try:
-                op = read(call.body, _based_on(call))
+                op = read(call.body, _base_edition(call))
             except PepperrunError as error:
                 return self._refuse(error)
             timeout_ns = ORDER_TIMEOUT_NS + len(call.body) * ORDER_TIMEOUT_NS_PER_KB // 1024
@@ -241,11 +241,11 @@
     def order(self, call: Call, op: Operation, timeout_ns: int) -> Answer | AwaitedAnswer:
         """Propose an order; a node that shuts down or lacks a quorum redirects or refuses it at once."""
         node = self.node
-        other = node.other_node() if node.retiring else None
+        other = node.linked_node() if node.is_stopping else None
         if other is not None:
             path = "/" + "/".join(call.path)
             return Answer(307, headers=(("Location", f"http://{other}{path}"),))
-        if node.lacks_quorum or node.retiring:
+        if node.lacks_quorum or node.is_stopping:
             return _no_quorum()
         return self._propose(op, timeout_ns)
 
@@ -308,7 +308,7 @@
     return method("POST", endpoint(handler))
 
 
-def _based_on(call: Call) -> int:
+def _base_edition(call: Call) -> int:
     text = call.values["based-on"].strip()
     if not (text.isascii() and text.isdigit()) or len(text) > MAX_EDITION_DIGITS:
         raise configuration_error("bad-type", f"Based-On is no edition: {text:.40}.")
--- a/pepperrun/control/inspection.py
+++ b/pepperrun/control/inspection.py
@@ -24,7 +24,7 @@
     registry: EndpointRegistry
     peer_links: PeerLinks
     publisher: Publisher
-    retiring: bool
+    is_stopping: bool
 
     def age_ms(self, now: int) -> float | None:
         """Return the maximum age of the known state, ms; None if no state is confirmed."""
@@ -56,7 +56,7 @@
         "voters": [list(voter) for voter in value.voters] if value else [],
         "leaving_voters": [list(voter) for voter in outgoing],
         "keeper": replica.coordinator,
-        "stopping": node.retiring,
+        "stopping": node.is_stopping,
         "peers": node.peer_links.linked_nodes(),
         "evacuated": sorted(body.get("evacuated", ())),
         "cells": _endpoints_by_zone(node, now),
--- a/pepperrun/control/node.py
+++ b/pepperrun/control/node.py
@@ -82,7 +82,7 @@
         self.pending_calls = PendingCalls(self.loop)
         self.evacuations = Evacuations(self.replica.body, now)
         self.tasks = CoordinatorTasks(self.registry, self.evacuations, self.next_call_id)
-        self.retiring = False
+        self.is_stopping = False
         self._evacuated_zones: set[str] = set(self.replica.body.get("evacuated", ()))
         self._call_count = 0
         self._first_contacts = {ip for ip, _ in settings.contacts()}
@@ -281,7 +281,7 @@
         self.process_pending()
         return future
 
-    def other_node(self) -> str | None:
+    def linked_node(self) -> str | None:
         """Return the control address of a linked control node."""
         ip = next(iter(self.registry.peers), None)
         return self.control_address(ip) if ip is not None else None
@@ -303,8 +303,8 @@
             self._check_quorum(now)
             self._process_consensus(now)
             self._process_registry(now)
-            if self.pending_calls.has_readers:
-                self.pending_calls.settle_readers(self.replica.confirmed_at)
+            if self.pending_calls.has_pending_reads:
+                self.pending_calls.complete_reads(self.replica.confirmed_at)
         finally:
             self._processing = False
         self._set_timer()
@@ -331,7 +331,7 @@
         for change in self.replica.take_changes():
             self._on_change(change, now)
         for result in self.replica.take_results():
-            self.pending_calls.settle_order(result)
+            self.pending_calls.complete_order(result)
 
     def _process_registry(self, now: int) -> None:
         records = self.registry.take_changed()
@@ -345,7 +345,7 @@
                 frame = encode(message)
             self.peer_links.write(ip, frame)
         for token in self.registry.waits.take_completed():
-            self.pending_calls.settle_replication(token)
+            self.pending_calls.complete_replication(token)
 
     def _on_change(self, change: BodyChange, now: int) -> None:
         """Handle a change of the agreed state."""
@@ -409,7 +409,7 @@
 
     def request_stop(self) -> None:
         """Begin a graceful shutdown: hand the vote and the coordinator role over, and notify the others."""
-        self.retiring = True
+        self.is_stopping = True
         self.replica.request_stop(self.now())
         for ip, _ in self.peer_links.linked_nodes():
             self.peer_links.send(ip, peer_messages.encode_stopping())
--- a/pepperrun/control/order_deduplication.py
+++ b/pepperrun/control/order_deduplication.py
@@ -59,7 +59,7 @@
     return taken[0][0] if len(taken) >= RECENT_ORDERS else 0
 
 
-def record(before: State, op: Operation) -> State:
+def record_order(before: State, op: Operation) -> State:
     """Return `taken` and `older` of the state after this order was applied to `before`."""
     taken = [*before["taken"], [op["edition"], op["digest"]]]
     older = _continuous_pages(before)
--- a/pepperrun/control/pending_calls.py
+++ b/pepperrun/control/pending_calls.py
@@ -9,7 +9,7 @@
 from pepperrun.control.verdict import Verdict
 
 
-class _Reader(NamedTuple):
+class _PendingRead(NamedTuple):
     """A read that waits until the known state is confirmed as the newest at `asked_at` or later."""
 
     asked_at: int
@@ -23,12 +23,12 @@
         self._loop = loop
         self._orders: dict[int, asyncio.Future[Verdict | None]] = {}
         self._replications: dict[int, asyncio.Future[None]] = {}
-        self._readers: list[_Reader] = []
+        self._reads: list[_PendingRead] = []
 
     @property
-    def has_readers(self) -> bool:
+    def has_pending_reads(self) -> bool:
         """Whether any reads are pending."""
-        return bool(self._readers)
+        return bool(self._reads)
 
     def wait_for_verdict(self, token: int) -> asyncio.Future[Verdict | None]:
         """Return a future of the verdict on an order; the verdict is None if its result is unknown."""
@@ -36,7 +36,7 @@
         self._orders[token] = future
         return future
 
-    def settle_order(self, result: ChangeResult) -> None:
+    def complete_order(self, result: ChangeResult) -> None:
         """Complete the call of an order with its result."""
         future = self._orders.pop(result.token, None)
         if future is not None and not future.done():
@@ -49,7 +49,7 @@
         future.add_done_callback(lambda _: self._replications.pop(token, None))
         return future
 
-    def settle_replication(self, token: int) -> None:
+    def complete_replication(self, token: int) -> None:
         """Complete the call that waits for a token."""
         future = self._replications.pop(token, None)
         if future is not None and not future.done():
@@ -58,13 +58,13 @@
     def wait_for_confirmation(self, now: int) -> asyncio.Future[None]:
         """Return a future that is done once the known state is confirmed as the newest at `now` or later."""
         future: asyncio.Future[None] = self._loop.create_future()
-        self._readers.append(_Reader(now, future))
+        self._reads.append(_PendingRead(now, future))
         return future
 
-    def settle_readers(self, confirmed_at: int | None) -> None:
+    def complete_reads(self, confirmed_at: int | None) -> None:
         """Complete the reads that began before the known state was last confirmed as the newest."""
         if confirmed_at is not None:
-            for reader in self._readers:
-                if reader.asked_at <= confirmed_at and not reader.future.done():
-                    reader.future.set_result(None)
-        self._readers = [reader for reader in self._readers if not reader.future.done()]
+            for read in self._reads:
+                if read.asked_at <= confirmed_at and not read.future.done():
+                    read.future.set_result(None)
+        self._reads = [read for read in self._reads if not read.future.done()]
--- a/pepperrun/control_node.py
+++ b/pepperrun/control_node.py
@@ -77,7 +77,7 @@
         self.node.close()
 
     async def wait_for_handover(self) -> None:
-        """Wait until other nodes have taken over this node's vote and role, or the time-out is over."""
+        """Wait until this node has no vote or role that another could take, or the time-out is over."""
         checks = int(HANDOVER_TIMEOUT_S / HANDOVER_CHECK_S)
         for _ in range(checks):
             if self.node.replica.safe_to_stop:
--- a/pepperrun/simulation/control_bugs.py
+++ b/pepperrun/simulation/control_bugs.py
@@ -77,15 +77,15 @@
 
 
 def _believe_early_answers(node: ControlNode) -> None:
-    settle = node.pending_calls.settle_readers
+    complete = node.pending_calls.complete_reads
     last = [node.replica.confirmed_at]
 
-    def settle_all(confirmed_at: int | None) -> None:
+    def complete_all(confirmed_at: int | None) -> None:
         moved = confirmed_at != last[0]
         last[0] = confirmed_at
-        settle(node.now() if moved else confirmed_at)
+        complete(node.now() if moved else confirmed_at)
 
-    node.pending_calls.settle_readers = settle_all  # type: ignore[method-assign]
+    node.pending_calls.complete_reads = complete_all  # type: ignore[method-assign]
 
 
 def judge_late_orders(register: Register) -> None:
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -178,7 +178,7 @@
         self.registry = EndpointRegistry(A, 1500, SECOND)
         self.is_partitioned = False
         self.verdict: Verdict | None = Verdict(200, "Taken.")
-        self.retiring, self.orders, self.replicates, self.time = False, [], True, SECOND  # type: ignore[var-annotated]
+        self.is_stopping, self.orders, self.replicates, self.time = False, [], True, SECOND  # type: ignore[var-annotated]
         self.evacuation_state: dict[str, Any] = {}
         zones = {"z0": "r0", "z1": "r1"}
         me = {"station": "s", "role": "r", "ip": A, "zone": "z0", "region": "r0"}
@@ -219,7 +219,7 @@
         state, _ = apply(None, replace_op(configuration()))
         return None if state is None else state | self.evacuation_state
 
-    def other_node(self) -> str | None:
+    def linked_node(self) -> str | None:
         return "10.0.0.9:81"
 
     def control_address(self, ip: str) -> str:
@@ -283,12 +283,12 @@
     for target in ("/crew/i-7/beat", "/crew/i-7/leave", "/evacuate/z1/begin"):
         assert call(node, "POST", target, HEARTBEAT).status == 503
     assert not node.orders and not node.registry.workers
-    node.is_partitioned, node.retiring = False, True
+    node.is_partitioned, node.is_stopping = False, True
     redirect = call(node, "POST", "/evacuate/z1/begin")
     assert redirect.status == 307 and redirect.headers == (
         ("Location", "http://10.0.0.9:81/evacuate/z1/begin"),
     )
-    node.retiring, node.verdict = False, None  # type: ignore[assignment]
+    node.is_stopping, node.verdict = False, None  # type: ignore[assignment]
     assert call(node, "POST", "/evacuate/z1/begin").status == 503
     node.verdict = Verdict(503, "Too long ago to be known.", "too-old")
     unknown = call(node, "POST", "/timetable/replace", configuration(), **{"based-on": "0"})
