--- a/pepperrun/handover/__init__.py
+++ b/pepperrun/handover/__init__.py
@@ -1,1 +1,1 @@
-"""Replacing the process while it serves: one gatekeeper, two processes, one of which decides at a time."""
+"""Replaces a serving process without dropping connections: of the two processes, one decides at a time."""
--- a/pepperrun/handover/channel.py
+++ b/pepperrun/handover/channel.py
@@ -1,4 +1,4 @@
-"""A Unix socket between the two processes of a gatekeeper: messages in order, some with a descriptor."""
+"""Ordered messages, some with a file descriptor, over a Unix socket between two processes of a gatekeeper."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 
 from pepperrun.handover.wire import MAX_MESSAGE_BYTES
 
-MAX_READS_PER_WAKEUP = 64  # messages read before others have a turn
-MAX_PATH_BYTES = 100  # of a Unix socket; the system's bound is 107
+MAX_READS_PER_WAKEUP = 64  # messages read before the event loop runs other callbacks
+MAX_PATH_BYTES = 100  # of a Unix socket; the system's limit is 107
 _CREDENTIALS = struct.Struct("3i")
 
 MessageCallback = Callable[[bytes, int | None], None]
@@ -35,12 +35,12 @@
     ) -> None:
         self.loop, self.on_message, self.on_closed = loop, on_message, on_closed
         self.sock: socket.socket | None = sock
-        self.queue: deque[tuple[bytes, int | None]] = deque()  # not yet sent, with descriptors owned here
+        self.queue: deque[tuple[bytes, int | None]] = deque()  # not yet sent; owns the descriptors
         sock.setblocking(False)
         loop.add_reader(sock, self._read)
 
     def send(self, data: bytes, fd: int | None = None) -> None:
-        """Sends a message in its turn; the descriptor is closed here once it has gone, or can't go."""
+        """Queues a message. Closes the descriptor once it has been sent, or if it can't be sent."""
         if self.sock is None:
             if fd is not None:
                 os.close(fd)
@@ -87,7 +87,7 @@
             self.on_message(data, fds[0] if fds else None)
 
     def close(self) -> None:
-        """Ends it; what was not sent is dropped."""
+        """Closes the connection, drops messages that were not sent and calls `on_closed`."""
         sock, self.sock = self.sock, None
         if sock is None:
             return
@@ -101,13 +101,16 @@
         self.on_closed()
 
     async def wait_until_sent(self) -> None:
-        """Until all is sent, or can't be."""
+        """Waits until all messages are sent or the connection has ended."""
         while self.sock is not None and self.queue:
             await asyncio.sleep(0.005)
 
 
 def socket_path(folder: str, name: str) -> Path:
-    """Where a gatekeeper's processes meet; ValueError where the system takes no such path."""
+    """Returns the path of a gatekeeper's handover socket.
+
+    Raises ValueError if the path is too long for a Unix socket.
+    """
     safe_name = "".join(char if char.isalnum() and char.isascii() or char in "._-" else "_" for char in name)
     path = Path(folder) / f"pepperrun-{safe_name}.sock"
     if len(os.fsencode(path)) + 12 > MAX_PATH_BYTES:
@@ -116,9 +119,13 @@
 
 
 def bind_socket(path: Path) -> socket.socket:
-    """Listens at a path; another process's socket there is replaced, so that one can always be reached."""
+    """Returns a socket that listens at a path, for processes of this user only.
+
+    Binds to a temporary path and renames it, which replaces another process's socket at the path: at any time
+    some process can be reached there.
+    """
     temporary_path = path.with_name(f"{path.name}.{os.getpid()}")
-    temporary_path.unlink(missing_ok=True)  # of a process long gone that had this id
+    temporary_path.unlink(missing_ok=True)  # left by an ended process that had this process id
     sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     try:
         old_umask = os.umask(0o177)
@@ -136,13 +143,13 @@
 
 
 def is_same_user(sock: socket.socket) -> bool:
-    """Is the other end a process of this user?"""
+    """Whether the process at the other end runs as this user."""
     raw = sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, _CREDENTIALS.size)
     return int(_CREDENTIALS.unpack(raw)[1]) == os.geteuid()
 
 
 def connect(path: Path) -> socket.socket | None:
-    """A connection to the process that listens there; None where there is none."""
+    """Returns a connection to the process that listens at a path; None if there is none of this user."""
     sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     try:
         sock.settimeout(0.5)
--- a/pepperrun/handover/predecessor.py
+++ b/pepperrun/handover/predecessor.py
@@ -1,6 +1,7 @@
-"""The process that serves: it waits for a successor, gives it what it knows and the connections, and ends.
+"""The serving process's side of a handover: it sends its state and its connections to a successor, then ends.
 
-What it had taken it answers itself. If the successor goes away first, it serves on with what it kept back.
+It answers the requests it has accepted itself. If the successor ends first, it resumes serving with the units
+that it retained.
 """
 
 from __future__ import annotations
@@ -24,21 +25,21 @@
     from pepperrun.net.peers import Peers
     from pepperrun.net.upstream import UpstreamClient
 
-PASS_INTERVAL_S = 0.02  # between looks for connections that have come to owe nothing
-READY_TIMEOUT_S = 0.7  # for the successor to say yes once it has the state: clients wait meanwhile
-MAX_QUEUED_MESSAGES = 64  # messages to the successor that wait; it may be slow to take them
+PASS_INTERVAL_S = 0.02  # between checks for connections without pending responses
+READY_TIMEOUT_S = 0.7  # from the state until the successor reports ready; clients wait meanwhile
+MAX_QUEUED_MESSAGES = 64  # unsent messages to the successor, which may be slow to receive them
 
 
 class Phase(enum.Enum):
-    """Who decides."""
+    """Which of the two processes decides."""
 
     SERVING = "serving"
-    STATE_SENT = "giving"  # the successor has the state and has not said yes
-    HANDED_OVER = "given"  # it takes clients
+    STATE_SENT = "giving"  # the successor has the state and has not reported ready
+    HANDED_OVER = "given"  # the successor accepts clients
 
 
 class Predecessor:
-    """Waits at the door for the process that is to take this one's place."""
+    """Listens for a successor and hands state, sockets and client connections over to it."""
 
     def __init__(
         self,
@@ -62,11 +63,13 @@
         self.listen()
 
     def listen(self) -> None:
-        """Listens for a successor; where that can't be, a line: a replacement then starts from nothing."""
+        """Listens for a successor; if that fails, logs it: a successor then starts without state."""
         try:
             self.listen_socket = bind_socket(self.path)
         except OSError as error:
-            log_message("hand-over", f"no hand-over: {self.path}: {error.strerror or error}")
+            log_message(
+                "hand-over", f"handover is off: can't listen at {self.path}: {error.strerror or error}"
+            )
             return
         self.loop.add_reader(self.listen_socket, self._on_connect)
 
@@ -83,64 +86,64 @@
 
     def _on_message(self, data: bytes, fd: int | None) -> None:
         if fd is not None:
-            os.close(fd)  # a successor has none to give
+            os.close(fd)  # a successor sends no descriptors
         try:
             kind, body = wire.decode(data)
         except ValueError as error:
-            log_message("hand-over", f"a successor that can't be understood: {error}")
+            log_message("hand-over", f"dropping a successor that sent an invalid message: {error}")
             self._end_channel()
             return
         if kind is MessageKind.REQUEST_STATE and self.phase is Phase.SERVING:
             self._send_state()
         elif kind is MessageKind.READY and self.phase is not Phase.HANDED_OVER:
-            if self.phase is Phase.SERVING:  # it was late, and what it has been connection is old
+            if self.phase is Phase.SERVING:  # ready after the time-out: the state it has is out of date
                 self._send_state()
             self._complete_handover()
         elif kind is MessageKind.PEER_MESSAGE and self.phase is not Phase.SERVING and len(body) > 4:
             self.gatekeeper.peer_message_received(int.from_bytes(body[:4], "little"), body[4:])
 
     def _send_state(self) -> None:
-        """From here on the successor decides, once it can."""
+        """Stops deciding and sends the state: the successor decides once it is ready."""
         assert self.channel is not None
         self.phase = Phase.STATE_SENT
         self.listener.suspend()
         self.listener.on_client_answered = self._pass_connection
         for client in list(self.listener.clients):
             client.pause_requests(True)
-        self.gatekeeper.flush_events()  # what has been taken needs its part of the stores
+        self.gatekeeper.flush_events()  # requests already accepted need their units of the buckets
         peers, now = self.peers(), self.gatekeeper.clock()
         gateway_state, self.retained_accounts = state.export(self.gatekeeper.gateway, now)
         self.gatekeeper.sends_to_peers = False
         for message in wire.state_messages({"gateway": gateway_state} | self.export_process_state()):
             self.channel.send(message)
         if peers is not None and (fd := peers.hand_over_socket()) is not None:
-            self.channel.send(
-                wire.encode(MessageKind.PEER_SOCKET), fd
-            )  # one that it has already is closed there
+            # A successor that already has the socket closes this copy.
+            self.channel.send(wire.encode(MessageKind.PEER_SOCKET), fd)
         log_message(
-            "hand-over: given", f"gave the state to a successor: {len(self.retained_accounts)} customers"
+            "hand-over: given", f"sent the state of {len(self.retained_accounts)} customers to a successor"
         )
         self._timer = self.loop.call_later(READY_TIMEOUT_S, self._on_ready_timeout)
 
     def _on_ready_timeout(self) -> None:
         self._timer = None
         if self.phase is Phase.STATE_SENT:
-            log_message("hand-over", "the successor has not said yes yet: serving on until it does")
+            log_message("hand-over", "the successor is not ready yet; resumed serving until it is")
             self._resume_serving()
 
     def _complete_handover(self) -> None:
         self.phase = Phase.HANDED_OVER
         if self._timer is not None:
             self._timer.cancel()
-        self._close_listen_socket()  # the successor has its own at the same path
+        self._close_listen_socket()  # the successor listens at the same path
         log_message(
-            "hand-over: yes", f"the successor serves; {len(self.listener.clients)} connections are passed on"
+            "hand-over: yes",
+            f"the successor is ready; passing {len(self.listener.clients)} connections to it",
         )
         self.upstream.retire(True)
         self._pass_connections()
 
     def _pass_connections(self) -> None:
-        """Passes on the connections that owe nothing; the others once they have their answer."""
+        """Passes connections without pending responses now, the others once they have their response."""
         self._timer = None
         if self.phase is not Phase.HANDED_OVER or self.channel is None:
             return
@@ -167,22 +170,22 @@
             self.channel.close()
 
     def _on_channel_closed(self) -> None:
-        """The successor is gone. While this process is not told to end, it serves on."""
+        """The successor has ended: resumes serving unless this process is stopping."""
         self.channel = None
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
         if self.phase is Phase.SERVING or self.stopping:
             self.phase = Phase.SERVING
-            self.listener.notify_change()  # `finish` need not wait for it any longer
+            self.listener.notify_change()  # `finish` stops waiting for the successor
             return
-        log_message("hand-over: gone", "the successor is gone: serving on")
+        log_message("hand-over: gone", "the successor has ended; resumed serving")
         self._resume_serving()
-        self._close_listen_socket()  # at its path there may be the successor's
+        self._close_listen_socket()  # the path may hold the successor's socket
         self.listen()
 
     def _resume_serving(self) -> None:
-        """Decides again, with what it kept back."""
+        """Decides again, with the units it retained."""
         self.phase = Phase.SERVING
         state.resume(self.gatekeeper.gateway, self.retained_accounts, self.gatekeeper.clock())
         self.retained_accounts = []
@@ -196,9 +199,10 @@
         self.listener.end_suspension()
 
     async def finish(self, timeout_s: float) -> bool:
-        """At SIGTERM: until what was taken has its answer and the connections are passed on.
+        """Waits until accepted requests have their response and all connections are passed on.
 
-        False where nobody has taken over: the caller drains as at any planned stop.
+        Called at SIGTERM. Returns False if no successor has taken over: the caller then drains as at any
+        graceful shutdown.
         """
         self.stopping = True
         if self.phase is not Phase.HANDED_OVER:
@@ -209,7 +213,7 @@
                 while self.listener.clients and self.channel is not None:
                     await self.listener.wait_for_change()
         except TimeoutError:
-            log_message("hand-over", "connections could not be passed on in time")
+            log_message("hand-over", "not all connections were passed to the successor in time")
         if self.channel is None:
             return not self.listener.clients
         rows = state.export_remainder(self.retained_accounts, self.gatekeeper.clock())
@@ -220,12 +224,12 @@
                 await self.channel.wait_until_sent()
         except TimeoutError:
             pass
-        log_message("hand-over: passed on", f"passed on {self.passed_count} connections")
+        log_message("hand-over: passed on", f"passed {self.passed_count} connections to the successor")
         self._end_channel()
         return True
 
     def close(self) -> None:
-        """Takes no successor any more."""
+        """Accepts no more successors and closes the connection to the current one."""
         self._close_listen_socket()
         self._end_channel()
 
--- a/pepperrun/handover/successor.py
+++ b/pepperrun/handover/successor.py
@@ -1,4 +1,4 @@
-"""The process that takes the place of one that serves: it asks for the state, then for connections."""
+"""The new process's side of a handover: it requests the state, then adopts the client connections."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
     from pepperrun.net.listener import Listener
     from pepperrun.net.peers import Peers
 
-STATE_TIMEOUT_S = 2.0  # for the state: the platform gives a start 6 s
+STATE_TIMEOUT_S = 2.0  # for the state; the platform allows 6 s for a start
 
 
 class Successor:
-    """The link to the process that served until now."""
+    """The connection to the predecessor, and what was received on it."""
 
     def __init__(self) -> None:
         self.channel: Channel | None = None
@@ -37,7 +37,7 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def request_state(self, path: Path) -> None:
-        """Asks whoever serves for what it knows; no good answer in time means a start from nothing."""
+        """Requests the serving process's state; this process starts without it if none arrives in time."""
         sock = connect(path)
         if sock is None:
             return
@@ -47,8 +47,8 @@
             async with asyncio.timeout(STATE_TIMEOUT_S):
                 await self.state_done.wait()
         except TimeoutError:
-            log_message("hand-over", f"the process that serves gave no state within {STATE_TIMEOUT_S:.0f} s")
-        # The peers' socket follows the state at once.
+            log_message("hand-over", f"the serving process sent no state within {STATE_TIMEOUT_S:.0f} s")
+        # The peers' socket is sent right after the state.
         for _ in range(20):
             if (
                 self.process_state is None
@@ -70,10 +70,10 @@
                 assembler, self.assembler = self.assembler, wire.StateAssembler()
                 received_state = assembler.finish(body)
                 if not isinstance(received_state, dict):
-                    raise ValueError("the state is no object")
+                    raise ValueError("the state is not a JSON object")
                 self.process_state = received_state
                 self.state_done.set()
-                if self.gatekeeper is not None:  # the yes was late, and the first one is old by now
+                if self.gatekeeper is not None:  # reported ready late: the earlier state is out of date
                     self.restore(self.gatekeeper)
             elif kind is MessageKind.PEER_SOCKET and fd is not None and self.peer_socket_fd is None:
                 self.peer_socket_fd, fd = fd, None
@@ -81,50 +81,52 @@
                 now = self.gatekeeper.clock()
                 state.add_remainder(self.gatekeeper.gateway, wire.unpack(body), now)
         except (ValueError, TypeError) as error:
-            log_message("hand-over", f"a message of the hand-over is no good: {error}")
+            log_message("hand-over", f"invalid handover message: {error}")
             self.state_done.set()
         finally:
             if fd is not None:
                 os.close(fd)
 
     def endpoint_list(self) -> EndpointList | None:
-        """The list of workers that the predecessor had; None where there is no good one."""
+        """Returns the predecessor's endpoint list; None if it is missing or invalid."""
         if self.process_state is None:
             return None
         try:
             return read_endpoint_list(self.process_state["list"])
         except (KeyError, TypeError, ValueError) as error:
-            log_message("hand-over", f"the list is no good: {error}")
+            log_message("hand-over", f"the predecessor's endpoint list is invalid: {error}")
             return None
 
     def list_version(self) -> int | None:
-        """The list's version as discovery told it; None where it is to be asked for whole."""
+        """Returns discovery's version of the list; None if the complete list must be requested."""
         endpoint_list = self.endpoint_list()
         if endpoint_list is None or self.process_state is None or self.process_state.get("known") is not True:
             return None
         return endpoint_list.version
 
     def restore(self, gatekeeper: Gatekeeper) -> bool:
-        """Goes on from the state, if there is a good one."""
+        """Restores the gateway from the state; returns whether there is a valid one."""
         self.gatekeeper = gatekeeper
         if self.process_state is None:
             return False
         try:
             state.restore(gatekeeper.gateway, self.process_state.get("gateway"), gatekeeper.clock())
         except ValueError as error:
-            log_message("hand-over", f"the state is no good, starting without it: {error}")
+            log_message("hand-over", f"starting without the predecessor's state, which is invalid: {error}")
             return False
-        log_message("hand-over", f"took over {len(gatekeeper.gateway.quotas.accounts)} customers")
+        log_message(
+            "hand-over", f"took over the state of {len(gatekeeper.gateway.quotas.accounts)} customers"
+        )
         return True
 
     def announce_ready(self, listener: Listener, peers: Peers | None) -> None:
-        """Clients are taken here now."""
+        """Reports that this process accepts clients; copies peers' messages to the predecessor from now on."""
         self.listener = listener
         if self.channel is None:
             return
         if self.channel.sock is None:
             if self.process_state is not None and self.gatekeeper is not None:
-                log_message("hand-over", "the process that served decides again: going on without its state")
+                log_message("hand-over", "the predecessor resumed serving; dropping its state")
                 state.reset(self.gatekeeper.gateway, self.gatekeeper.clock())
             return
         self.channel.send(wire.encode(MessageKind.READY))
@@ -132,7 +134,7 @@
             peers.on_message_copy = self._forward_peer_message
 
     def _forward_peer_message(self, peer: int, data: bytes) -> None:
-        """What peers answer may be for a request that the predecessor has taken."""
+        """Copies a peer's message to the predecessor: the message may answer a request accepted there."""
         if self.channel is not None and self.channel.sock is not None:
             self.channel.send(wire.encode(MessageKind.PEER_MESSAGE, peer.to_bytes(4, "little") + data))
 
@@ -152,6 +154,6 @@
         task.add_done_callback(self._tasks.discard)
 
     def close(self) -> None:
-        """Ends the link."""
+        """Closes the connection to the predecessor."""
         if self.channel is not None:
             self.channel.close()
--- a/pepperrun/handover/wire.py
+++ b/pepperrun/handover/wire.py
@@ -1,7 +1,7 @@
-"""Messages between the process that serves and the one that takes its place. Does no I/O.
+"""Messages between the serving process and its successor. Does no I/O.
 
-Each is one datagram of a Unix SOCK_SEQPACKET connection, with at most one descriptor. The two processes may
-be of different versions of the program: the first message and the state carry a version of their own.
+Each message is one datagram of a Unix SOCK_SEQPACKET connection, with at most one descriptor. The two
+processes may run different versions of the program: each message and the state carry a version number.
 """
 
 from __future__ import annotations
@@ -14,37 +14,38 @@
 from enum import IntEnum
 from typing import Any
 
-VERSION = 1  # of these messages and of what the state holds
+VERSION = 1  # of these messages and of the state's content
 CHUNK_BYTES = 32 * 1024
-MAX_STATE_BYTES = 32 * 1024 * 1024  # of the state in JSON
-MAX_PARTIAL_BYTES = 32 * 1024  # bytes of a request that has begun, which travel with its connection
+MAX_STATE_BYTES = 32 * 1024 * 1024  # of the state as JSON
+MAX_PARTIAL_BYTES = 32 * 1024  # of a partly received request, which is sent along with its connection
 MAX_MESSAGE_BYTES = MAX_PARTIAL_BYTES + 256
 _CLIENT = struct.Struct("<qqqqI")
-# Answers, exchanges, last use, a part of a request and when it began, as listeners have it.
+# Counts of responses and of exchanges, time of the last use, a partial request and when that began, in ns:
+# as `pepperrun.net.listener` defines it.
 ConnectionSnapshot = tuple[int, int, int, bytes, int]
 
 
 class MessageKind(IntEnum):
-    """What a message says."""
+    """Kind of a message; the number is sent."""
 
-    REQUEST_STATE = 1  # to the predecessor: decide no more, give what you know
-    STATE_CHUNK = 2  # from it: a part of the state, packed
-    STATE_END = 3  # from it: the state is whole, and its checksum
-    PEER_SOCKET = 4  # from it: the peers' socket
-    READY = 5  # to it: the successor takes clients
-    CLIENT_CONNECTION = 6  # from it: a connection that owes nothing
-    PEER_MESSAGE = 7  # to it: what a peer said
-    REMAINDER = 8  # from it: what is left of what it held back, as packed JSON
-    REJECTED = 9  # from it: not now
+    REQUEST_STATE = 1  # to the predecessor: stop deciding and send the state
+    STATE_CHUNK = 2  # from the predecessor: a chunk of the compressed state
+    STATE_END = 3  # from the predecessor: the state is complete; its checksum
+    PEER_SOCKET = 4  # from the predecessor: the socket for messages of peers
+    READY = 5  # to the predecessor: the successor accepts clients
+    CLIENT_CONNECTION = 6  # from the predecessor: a client connection without pending responses
+    PEER_MESSAGE = 7  # to the predecessor: a copy of a peer's message
+    REMAINDER = 8  # from the predecessor: the unused rest of what it retained, as compressed JSON
+    REJECTED = 9  # from the predecessor: no handover now
 
 
 def encode(kind: MessageKind, body: bytes = b"") -> bytes:
-    """A message of a kind and its bytes."""
+    """Returns a message: one byte each for kind and version, then the body."""
     return bytes((kind, VERSION)) + body
 
 
 def encode_client(snapshot: ConnectionSnapshot) -> bytes:
-    """A connection's message."""
+    """Returns the message that describes a client connection; its descriptor is sent along."""
     response_count, request_count, last_used_at, partial, partial_started_at = snapshot
     return encode(
         MessageKind.CLIENT_CONNECTION,
@@ -53,16 +54,16 @@
 
 
 def decode(data: bytes) -> tuple[MessageKind, bytes]:
-    """A message's kind and bytes; ValueError where it can't be one, or is of another version."""
+    """Returns a message's kind and body; raises ValueError if it is malformed or of another version."""
     if len(data) < 2:
-        raise ValueError("half a message")
+        raise ValueError("the message has no kind and version")
     if data[1] != VERSION:
-        raise ValueError(f"version {data[1]}, {VERSION} is known")
+        raise ValueError(f"the message has version {data[1]}, but {VERSION} is expected")
     return MessageKind(data[0]), data[2:]
 
 
 def decode_client(body: bytes) -> ConnectionSnapshot:
-    """A connection's state; ValueError where it can't be one."""
+    """Returns a client connection's snapshot; raises ValueError if it is malformed."""
     try:
         response_count, request_count, last_used_at, partial_started_at, length = _CLIENT.unpack_from(body)
     except struct.error as error:
@@ -73,32 +74,32 @@
         or length > MAX_PARTIAL_BYTES
         or min(response_count, request_count, last_used_at, partial_started_at) < 0
     ):
-        raise ValueError("a connection's state is garbled")
+        raise ValueError("a connection's snapshot is malformed")
     return response_count, request_count, last_used_at, partial, partial_started_at
 
 
 def pack(table: Any) -> bytes:
-    """JSON, compressed."""
+    """Returns a value as JSON, compressed with zlib."""
     return zlib.compress(json.dumps(table, separators=(",", ":")).encode(), 1)
 
 
 def unpack(data: bytes) -> Any:
-    """What `pack` made; ValueError where it can't be that, or would take too much memory."""
+    """Returns the value that `pack` encoded; raises ValueError if it is malformed or too large."""
     inflater = zlib.decompressobj()
     try:
         text = inflater.decompress(data, MAX_STATE_BYTES)
     except zlib.error as error:
         raise ValueError(str(error)) from None
     if not inflater.eof or inflater.unused_data:
-        raise ValueError("not whole, or too large")
+        raise ValueError("the data is incomplete, too large or followed by other data")
     try:
         return json.loads(text)
     except RecursionError:
-        raise ValueError("nested too deeply") from None
+        raise ValueError("the JSON is nested too deeply") from None
 
 
 def state_messages(table: Any) -> Iterator[bytes]:
-    """The messages that carry a state."""
+    """Yields the messages that carry a state: its chunks, then their SHA-256 digest."""
     data = pack(table)
     for at in range(0, len(data), CHUNK_BYTES):
         yield encode(MessageKind.STATE_CHUNK, data[at : at + CHUNK_BYTES])
@@ -106,21 +107,21 @@
 
 
 class StateAssembler:
-    """Puts a state together again."""
+    """Collects the chunks of a state."""
 
     def __init__(self) -> None:
         self.chunks: list[bytes] = []
         self.size = 0
 
     def add(self, body: bytes) -> None:
-        """A part; ValueError past all bounds."""
+        """Adds a chunk; raises ValueError once the chunks exceed `MAX_STATE_BYTES`."""
         self.size += len(body)
         if self.size > MAX_STATE_BYTES:
             raise ValueError("the state is too large")
         self.chunks.append(body)
 
     def finish(self, digest: bytes) -> Any:
-        """The state; ValueError where the checksum or the form is wrong."""
+        """Returns the state; raises ValueError if the checksum is wrong or the data is malformed."""
         data, self.chunks = b"".join(self.chunks), []
         if hashlib.sha256(data).digest() != digest:
             raise ValueError("the checksum is wrong")
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -451,7 +451,7 @@
         assert await readyz(second) == b"done\n" and (await readyz(admin)).startswith(b"error")
         new.kill()
         await new.wait()
-        await node.until(old, "serving on")
+        await node.until(old, "resumed serving")
         assert await readyz(admin) == b"done\n"
         client = await Client.to(node.port)
         client.ask()
@@ -473,7 +473,7 @@
         link = connect(socket_path(str(tmp_path), "n0"))
         assert link is not None
         link.send(wire.encode(wire.MessageKind.REQUEST_STATE))
-        await node.until(old, "gave the state")
+        await node.until(old, "sent the state")
         assert (await readyz(admin)).startswith(b"error")
         client = await Client.to(node.port)  # waits in the socket that is shared
         client.ask()
@@ -567,7 +567,7 @@
 
         late.send(wire.encode(wire.MessageKind.REQUEST_STATE))
         first = await state_of()
-        await node.until(old, "serving on until it does")
+        await node.until(old, "resumed serving until it is")
         assert await readyz(admin) == b"done\n"
         idle.ask()  # on the connection that was held
         assert (await idle.answer())[0] == 200
@@ -611,7 +611,7 @@
         client.ask()
         await worker.arrived.get()
         new, _ = await node.start()
-        await node.until(old, "the successor serves")
+        await node.until(old, "the successor is ready")
         old.send_signal(signal.SIGTERM)
         await node.until(old, "drains")
         new.kill()
