--- a/pepperrun/__main__.py
+++ b/pepperrun/__main__.py
@@ -1,4 +1,4 @@
-"""The command: a sub-command, or without one a gatekeeper."""
+"""The `pepperrun` command: runs a gatekeeper, or the sub-command that is given."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def main(arguments: list[str]) -> int:
-    """A sub-command, or without one a gatekeeper; the exit code."""
+    """Runs the sub-command, or a gatekeeper without one, and returns the exit code."""
     if not arguments or arguments[0].startswith("-") and arguments[0] not in HELP:
         return serve(arguments)
     try:
@@ -22,7 +22,7 @@
 
 
 def entry() -> None:
-    """The installed command."""
+    """Entry point of the installed command: exits with the code of `main`."""
     sys.exit(main(sys.argv[1:]))
 
 
--- a/pepperrun/admin/__init__.py
+++ b/pepperrun/admin/__init__.py
@@ -1,1 +1,1 @@
-"""The second address: where operators ask a running gatekeeper whether it serves, and for its figures."""
+"""The admin address: operators query a running gatekeeper's readiness, metrics and membership there."""
--- a/pepperrun/admin/client.py
+++ b/pepperrun/admin/client.py
@@ -1,4 +1,4 @@
-"""Calls a gatekeeper's second address, as operators' tools do."""
+"""Sends commands to a gatekeeper's admin address, for operators' tools."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def send_command(address: tuple[str, int], command: str, timeout_s: float = TIMEOUT_S) -> bytes:
-    """One call of a second address; OSError where it does not answer."""
+    """Returns the answer to a command; raises OSError if the address does not answer in time."""
     with socket.create_connection(address, timeout_s) as sock:
         sock.settimeout(timeout_s)
         sock.sendall(command.encode() + b"\n")
@@ -22,11 +22,11 @@
 
 
 def query_json(address: tuple[str, int], command: str = "members") -> dict[str, Any]:
-    """The response as a table; ValueError where it is an error."""
+    """Returns the JSON object in the answer; raises ValueError if the answer is an error or no object."""
     response = send_command(address, command)
     if response.startswith(b"error"):
         raise ValueError(response.decode(errors="replace").strip())
     table = json.loads(response)
     if not isinstance(table, dict):
-        raise ValueError("not an answer of a gatekeeper")
+        raise ValueError("the answer is not a JSON object")
     return table
--- a/pepperrun/admin/commands.py
+++ b/pepperrun/admin/commands.py
@@ -1,6 +1,7 @@
-"""What operators' lines mean and how they are answered. Does no I/O.
+"""Parses and answers operators' commands. Does no I/O.
 
-A call is one line; the answer begins with `done` or `error`, but for metrics, which end with a line `end`.
+A command is one line. Its answer begins with `done` or `error`; metrics have no such line but end with a line
+`end`.
 """
 
 from __future__ import annotations
@@ -8,14 +9,14 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 
-MAX_LINE_BYTES = 256  # bytes of a call; the longest there is has 9
+MAX_LINE_BYTES = 256  # the longest known command, `telemetry`, has 9
 DONE = b"done\n"
 NOT_READY = b"error not ready\n"
 
 
 @dataclass(slots=True, frozen=True)
 class Metric:
-    """A figure; `is_counter`: it only grows from 0 while the process runs."""
+    """A metric: a gauge, or with `is_counter` a counter, which only grows from 0 while the process runs."""
 
     name: str
     value: int
@@ -23,13 +24,16 @@
 
 
 def format_statsd(metrics: Iterable[Metric]) -> bytes:
-    """Figures as lines of statsd's form, and the line that ends them."""
+    """Returns metrics as lines in statsd's format, followed by the line `end`."""
     lines = [f"node.{metric.name}:{metric.value}|{'c' if metric.is_counter else 'g'}\n" for metric in metrics]
     return "".join(lines).encode() + b"end\n"
 
 
 class CommandHandler:
-    """Answers calls with what the two sources say at that moment."""
+    """Answers commands from the current readiness and metrics.
+
+    `extra` answers commands that are not known here; None if it does not know them either.
+    """
 
     def __init__(
         self,
@@ -40,7 +44,7 @@
         self.ready, self.metrics, self.extra = ready, metrics, extra
 
     def answer(self, line: bytes) -> bytes:
-        """The answer to a line without its end; what can't be read gets one line that begins with `error`."""
+        """Returns the answer to a line without its newline; for an unknown command one line with `error`."""
         match line.strip(b" \t\r"):
             case b"readyz":
                 return DONE if self.ready() else NOT_READY
@@ -52,7 +56,10 @@
 
 
 def parse_command(received: bytes) -> bytes | None:
-    """The call in what has come so far, None until its line has ended; ValueError where none is to come."""
+    """Returns the command in the received bytes, None until its line is complete.
+
+    Raises ValueError if the line is longer than `MAX_LINE_BYTES`.
+    """
     line, end, _ = received.partition(b"\n")
     if len(line) > MAX_LINE_BYTES:
         raise ValueError("the line is too long")
--- a/pepperrun/admin/core_metrics.py
+++ b/pepperrun/admin/core_metrics.py
@@ -1,4 +1,4 @@
-"""What the second address tells of a core: counted where the figures for Graphite and collectd are."""
+"""The metrics of a core at the admin address, from the same counters as those for Graphite and collectd."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def core_metrics(gatekeeper: Gatekeeper, upstream: UpstreamClient, directory: Directory) -> Iterator[Metric]:
-    """The figures now."""
+    """Yields the current value of each metric."""
     for name, ends in ENDS_BY_NAME.items():
         for request_class, counts in zip(gatekeeper.settings.classes, gatekeeper.by_class, strict=True):
             yield Metric(f"{name}.{request_class.name}", sum(counts[end] for end in ends), True)
--- a/pepperrun/admin/server.py
+++ b/pepperrun/admin/server.py
@@ -1,6 +1,6 @@
-"""Connections at the second address: one line each, a few at a time, none for long.
+"""The server at the admin address: one command per connection, few connections, each with a time-out.
 
-Callers that say nothing must cost clients nothing and keep no other caller out.
+Silent connections must neither take resources from clients nor keep other operators out.
 """
 
 from __future__ import annotations
@@ -13,14 +13,14 @@
 from pepperrun.log import log_message
 from pepperrun.net.buffer import Buffer
 
-MAX_CONNECTIONS = 16  # connections at a time; the oldest one that waits gives way
-TIMEOUT_S = 5.0  # for a whole call, and for taking the answer
+MAX_CONNECTIONS = 16  # open at once; the oldest one is closed for a new one
+TIMEOUT_S = 5.0  # from the connection until the answer has been received
 # What the admin address may hold: its connections, those that are closing, and the listener.
 MAX_DESCRIPTORS = MAX_CONNECTIONS + 4
 
 
 class AdminConnection(asyncio.BufferedProtocol):
-    """A connection that brings one call."""
+    """A connection, on which one command is read and answered."""
 
     def __init__(self, server: AdminServer) -> None:
         self.server = server
@@ -43,7 +43,7 @@
 
     def get_buffer(self, sizehint: int) -> memoryview:
         if self.responded or self.buffer.is_full():
-            self.buffer.release()  # what comes behind the call is not read
+            self.buffer.release()  # bytes after the command are ignored
             self.buffer = Buffer(MAX_LINE_BYTES + 2)
         return self.buffer.free_space()
 
@@ -62,37 +62,37 @@
             self.respond(self.server.respond_to(line))
 
     def eof_received(self) -> bool:
-        if not self.responded:  # a call whose line did not end is none
+        if not self.responded:  # a line without its newline is not a command
             self.respond(b"error half a call\n")
         return False
 
     def respond(self, answer: bytes) -> None:
-        """The one answer; the connection ends once it is taken."""
+        """Sends the answer; the connection closes once the answer has been sent."""
         self.responded = True
         if self.transport is not None:
             self.transport.write(answer)
-            if self.buffer.is_full():  # closing on unread bytes resets it: the answer might be lost
+            if self.buffer.is_full():  # closing with unread bytes sends a reset, which may drop the answer
                 self.transport.write_eof()
             else:
                 self.transport.close()
 
     def abort(self) -> None:
-        """Ends it, whatever is unsaid."""
+        """Closes the connection at once; data not sent yet is dropped."""
         if self.transport is not None:
             self.transport.abort()
 
 
 class AdminServer:
-    """Listens at the second address."""
+    """Accepts connections at the admin address."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, commands: CommandHandler) -> None:
         self.loop, self.commands = loop, commands
-        self.connections: dict[AdminConnection, None] = {}  # the oldest first
+        self.connections: dict[AdminConnection, None] = {}  # oldest first
         self.listener: asyncio.Server | None = None
         self.address: Address = ("", 0)
 
     async def open(self, address: Address) -> None:
-        """Listens there; UnusableError names the key where that can't be."""
+        """Starts to listen; raises UnusableError, which names the key, if the address can't be used."""
         try:
             self.listener = await self.loop.create_server(
                 lambda: AdminConnection(self),
@@ -104,10 +104,10 @@
         except OSError as error:
             raise UnusableError(f"admin: {address[0]}:{address[1]}: {error.strerror}") from None
         self.address = self.listener.sockets[0].getsockname()[:2]
-        log_message("admin", f"operators may call at {self.address[0]}:{self.address[1]}")
+        log_message("admin", f"accepting operator commands at {self.address[0]}:{self.address[1]}")
 
     def add(self, connection: AdminConnection) -> None:
-        """A connection is up; at the limit the oldest one gives way."""
+        """Adds a connection; beyond the limit closes the oldest one."""
         self.connections[connection] = None
         if len(self.connections) > MAX_CONNECTIONS:
             oldest = next(iter(self.connections))
@@ -115,15 +115,15 @@
             oldest.abort()
 
     def respond_to(self, line: bytes) -> bytes:
-        """The answer to a call; a fault in a figure is the caller's to see and nobody else's."""
+        """Returns the answer to a command; an exception gives an error answer and a log line."""
         try:
             return self.commands.answer(line)
         except Exception as error:
-            log_message("admin", f"a call was not answered: {type(error).__name__}: {error}")
+            log_message("admin", f"an operator command failed: {type(error).__name__}: {error}")
             return b"error it could not be answered\n"
 
     def close(self) -> None:
-        """Listens no more and ends what is open."""
+        """Stops listening and closes all connections."""
         if self.listener is not None:
             self.listener.close()
         for connection in list(self.connections):
--- a/pepperrun/assembly.py
+++ b/pepperrun/assembly.py
@@ -1,4 +1,4 @@
-"""Puts the parts of a gatekeeper together: cores, fronts, the watch on discovery and the second address."""
+"""Creates and connects the components of a gatekeeper: cores, listeners, discovery, admin and handover."""
 
 from __future__ import annotations
 
@@ -41,15 +41,14 @@
     from pepperrun.parking.config import ClientsConfig
     from pepperrun.parking.lot import Lot
 
-PEER_RETRY_INTERVAL_S = 0.5  # between tries for an address that another process still has
+PEER_RETRY_INTERVAL_S = 0.5  # between attempts to bind an address that another process still uses
 CoreAndListener = tuple["Core", "Listener | None"]
-RESERVED_DESCRIPTORS = (
-    24  # descriptors that are not connections of clients or to backends: files, listeners, the loop's
-)
+# Descriptors that are not connections of clients or to backends: files, listeners and the event loop's.
+RESERVED_DESCRIPTORS = 24
 
 
 class Core:
-    """A gatekeeper with the backends before which it stands."""
+    """A gatekeeper with the connections to its backends, its peers and its membership service."""
 
     def __init__(
         self,
@@ -85,7 +84,7 @@
         self.gatekeeper.backends = self.upstream
 
     def _log(self, text: str) -> None:
-        """A line of the gateway, with the backend's name in place of its number."""
+        """Logs a line of the gateway with backend names in place of backend numbers."""
         names = self.directory.names
 
         def name(match: re.Match[str]) -> str:
@@ -104,9 +103,10 @@
         fd: int | None = None,
         retry: bool = False,
     ) -> None:
-        """Listens for messages of the other gatekeepers, by `fd` where another process gave its socket.
+        """Opens the socket for messages of peers, from `fd` if another process handed its socket over.
 
-        `retry`: another process may have the address still; tries again until it is free.
+        Does nothing but close `fd` if peer messages are off. `retry`: another process may still use the
+        address; tries again until the address is free.
         """
         if listen is None or not self.settings.peer_messages:
             if fd is not None:
@@ -119,7 +119,7 @@
         except OSError as error:
             if not retry:
                 raise
-            log_message("peers", f"peers can't be heard yet: {error}")
+            log_message("peers", f"can't open the socket for peer messages yet: {error}")
             task = asyncio.get_running_loop().create_task(self._retry_open_peers(listen, peers))
             self.retry_tasks.add(task)
             task.add_done_callback(self.retry_tasks.discard)
@@ -132,21 +132,22 @@
                     listen, peers, self.settings.me, self.gatekeeper.peer_message_received
                 )
             except OSError as error:
-                log_message("peers", f"peers can't be heard yet: {error}")
+                log_message("peers", f"can't open the socket for peer messages yet: {error}")
         if self.membership is not None:
             self.peers.on_membership = self.membership.on_datagram
 
     def apply_endpoint_list(self, endpoint_list: EndpointList, kind: ListKind | None = None) -> None:
-        """Takes in a list of backends."""
+        """Applies an endpoint list: the gateway gets it first, then the connections to backends."""
         kind = kind or (ListKind.FULL if endpoint_list.full else ListKind.DELTA)
         self.gatekeeper.backend_list_received(self.directory.apply(endpoint_list, kind))
         self.upstream.on_endpoints_changed()
 
 
 def split_sockets(limit: int) -> tuple[int, int]:
-    """Connections of clients and to backends, at most, within the limit on descriptors.
+    """Returns the limits on client and on backend connections: half of the descriptors each.
 
-    Clients that ask hold a third of them at most; the rest of the clients' half is for those that do not.
+    Clients with a request in flight use at most a third of the descriptors; the rest of the clients' half is
+    for idle ones.
     """
     soft = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
     if soft != resource.RLIM_INFINITY:
@@ -155,9 +156,9 @@
 
 
 def make_lot(config: ClientsConfig, clock: Clock, sockets: int, auth_sockets: int) -> tuple[Lot, int]:
-    """Where clients' connections are parked, and how many may lead to workers: a sixth of the descriptors.
+    """Returns the lot that parks client connections and the limit on connections to workers.
 
-    The limit on descriptors is raised as far as the system lets an ordinary user.
+    The limit is a sixth of the descriptors. Raises the process's soft limit on descriptors to the hard one.
     """
     from pepperrun.parking.lot import Lot
 
@@ -166,16 +167,16 @@
         resource.setrlimit(resource.RLIMIT_NOFILE, (hard, hard))
     limit = min(sockets, hard) if hard != resource.RLIM_INFINITY else sockets
     backends = max(16, limit // 6)
-    here = max(16, limit - RESERVED_DESCRIPTORS - backends - auth_sockets // 2 - config.holders)
+    max_here = max(16, limit - RESERVED_DESCRIPTORS - backends - auth_sockets // 2 - config.holders)
     if config.most_here:
-        here = min(here, config.most_here)
-    return Lot(asyncio.get_running_loop(), clock, config, here), backends
+        max_here = min(max_here, config.most_here)
+    return Lot(asyncio.get_running_loop(), clock, config, max_here), backends
 
 
 async def start_auth(
     config: AuthConfig, clock: Clock, seed: int, lot: Lot | None = None
 ) -> tuple[Core, AuthService, Listener | None]:
-    """The core before the authentication servers and, where configured, its front."""
+    """Starts the core for the authentication servers and, where configured, its listener."""
     max_clients, max_backends = config.sockets // 2, config.sockets // 2
     core = Core(
         clock,
@@ -192,11 +193,11 @@
     service = AuthService(config, core.gatekeeper, clock)
     if config.listen is None:
         return core, service, None
-    make = ForwardAuth(service).new_connection
+    protocol_factory = ForwardAuth(service).new_connection
     return (
         core,
         service,
-        open_listener("forward authentication", config.listen, clock, max_clients, make, lot),
+        open_listener("forward authentication", config.listen, clock, max_clients, protocol_factory, lot),
     )
 
 
@@ -211,7 +212,10 @@
     successor: Successor | None = None,
     watch: DiscoveryWatch | None = None,
 ) -> tuple[Core, Listener]:
-    """The core before the workers and the platform's front."""
+    """Starts the core for the workers and the platform's listener.
+
+    `successor`: the connection to the predecessor, whose endpoint list and state are applied first.
+    """
     max_clients, max_backends = split_sockets(sockets) if lot is None else (0, backends)
     budget = MemoryBudget.from_memory_limit(config.memory_mb)
     core = Core(
@@ -234,13 +238,14 @@
     fd = successor.peer_socket_fd if successor is not None else None
     await core.open_peers(config.peer_listen, config.peers, fd, retry=inherited is not None)
     if watch is not None:
-        # What the agent holds counts as told from the start on: nothing is sent before it is asked.
+        # The agent's list counts as received from the start on: no request is sent before the first call.
         known = config.known.version if config.known.endpoints else None
         if successor is not None and successor.process_state is not None:
             known = successor.list_version()
         watch.move(config.discovery, core.apply_endpoint_list, discovery_backoff(config), known)
         if successor is None or successor.process_state is None:
-            # A drain is to be kept so long after it was told: waiting longer gains nothing and serves nobody.
+            # A drain must take effect this long after its notification: a longer wait would gain nothing and
+            # serve no client.
             await watch.wait_for_first_list(config.settings.drain_grace_ns / SECOND)
     front = Platform(config.settings, core.gatekeeper, clock, auth, budget)
     return core, open_listener(
@@ -253,17 +258,17 @@
     address: Address,
     clock: Clock,
     max_clients: int,
-    make: Callable[[Listener], asyncio.BufferedProtocol],
+    protocol_factory: Callable[[Listener], asyncio.BufferedProtocol],
     lot: Lot | None = None,
     inherited: socket.socket | None = None,
 ) -> Listener:
-    """A front at its address."""
+    """Opens a listener at an address, or on the inherited socket, and logs the address."""
     if lot is None:
-        listener = Listener(asyncio.get_running_loop(), clock, max_clients, make)
+        listener = Listener(asyncio.get_running_loop(), clock, max_clients, protocol_factory)
     else:
         from pepperrun.parking.listener import ParkingListener
 
-        listener = ParkingListener(asyncio.get_running_loop(), clock, lot, make)
+        listener = ParkingListener(asyncio.get_running_loop(), clock, lot, protocol_factory)
     listener.open(address, inherited)
     log_message(name, f"{name} listens at {listener.address[0]}:{listener.address[1]}")
     return listener
@@ -272,7 +277,10 @@
 def start_membership(
     config: Config, members: MembershipConfig, core: Core, inherited_state: Any = None
 ) -> MembershipService:
-    """Membership, over the socket of the ordinary messages; `before`: what a process before this one knew."""
+    """Starts membership over the socket of the peer messages.
+
+    `inherited_state`: the membership state of the process that this one replaces.
+    """
     from pepperrun.membership.service import MembershipService
 
     names = members.names or [f"gatekeeper {number}" for number in range(config.settings.gateways)]
@@ -286,7 +294,7 @@
 
 
 async def open_admin(address: Address, core: Core, listener: Listener) -> AdminServer:
-    """The second address: it says yes while clients are taken."""
+    """Opens the admin address, which reports ready while clients are accepted."""
 
     def all_metrics() -> Iterator[Metric]:
         yield from core_metrics(core.gatekeeper, core.upstream, core.directory)
@@ -305,14 +313,18 @@
 
 
 def discovery_backoff(config: Config) -> Backoff:
-    """When to call discovery: others call it too, but where lists are pushed it is an agent of one's own."""
+    """Returns the delays between calls of discovery.
+
+    Where lists are pushed, a local agent without other callers is called; elsewhere all gatekeepers call the
+    same service.
+    """
     if not config.settings.must_ask_for_list:
         return LocalAgentBackoff(config.settings.drain_grace_ns / SECOND)
     return Backoff(config.settings.gateways, random.Random(config.seed))
 
 
 class DiscoveryWatch:
-    """The watch on discovery, which a new configuration may move to another address."""
+    """Polls discovery in a task; a new configuration may change the address."""
 
     def __init__(self) -> None:
         self.address: Address | None = None
@@ -327,9 +339,9 @@
         known_version: int | None = None,
         moved: bool = False,
     ) -> None:
-        """Watches there from now on, `known_version` and `moved` as `Discovery` has them.
+        """Polls this address from now on; `known_version` and `moved` are those of `Discovery`.
 
-        The last list stands until the new address has sent one.
+        The last list stays until the new address has sent one. Does nothing if the address is the same.
         """
         if address == self.address:
             return
@@ -340,7 +352,7 @@
             self.task = asyncio.get_running_loop().create_task(self.discovery.run())
 
     async def wait_for_first_list(self, timeout_s: float) -> None:
-        """Until the first call is answered or has failed, for so long at most."""
+        """Waits until the first call is answered or has failed, at most `timeout_s`."""
         if self.discovery is not None:
             try:
                 async with asyncio.timeout(timeout_s):
@@ -349,49 +361,52 @@
                 pass
 
     def stop(self) -> None:
-        """Watches no more."""
+        """Stops polling."""
         if self.task is not None:
             self.task.cancel()
         self.address = self.task = self.discovery = None
 
 
 def inherited_socket(env: Mapping[str, str]) -> socket.socket | None:
-    """The clients' listening socket that the platform holds; UnusableError where what is named is none."""
+    """Returns the listening socket inherited from the platform, None without `NODE_INHERITED_FD`.
+
+    Raises UnusableError if the descriptor is not a listening TCP socket.
+    """
     text = env.get("NODE_INHERITED_FD")
     if not text:
         return None
     if not text.isascii() or not text.isdigit() or len(text) > 6:
-        raise UnusableError(f"NODE_INHERITED_FD: {text!r} is no descriptor")
+        raise UnusableError(f"NODE_INHERITED_FD: {text!r} is not a descriptor")
     number = int(text)
     try:
         if not stat.S_ISSOCK(os.fstat(number).st_mode):
-            raise UnusableError(f"NODE_INHERITED_FD: descriptor {number} is no socket")
+            raise UnusableError(f"NODE_INHERITED_FD: descriptor {number} is not a socket")
     except OSError as error:
         raise UnusableError(f"NODE_INHERITED_FD: descriptor {number}: {error.strerror}") from None
     sock = socket.socket(fileno=number)
     stream = sock.type == socket.SOCK_STREAM and sock.family in (socket.AF_INET, socket.AF_INET6)
     if not stream or not sock.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
         sock.detach()
-        raise UnusableError(f"NODE_INHERITED_FD: descriptor {number} does not listen for clients")
+        raise UnusableError(f"NODE_INHERITED_FD: descriptor {number} is not a listening TCP socket")
     os.set_inheritable(number, False)
     return sock
 
 
 def handover_path(name: str, env: Mapping[str, str]) -> Path | None:
-    """Where this gatekeeper's processes meet; None, with a line, where there is no such place."""
+    """Returns the path of this gatekeeper's handover socket; logs the reason and returns None without one."""
     folder = env.get("TMPDIR")
     if not folder:
-        log_message("hand-over", "no hand-over: TMPDIR is not set")
+        log_message("hand-over", "handover is off: TMPDIR is not set")
         return None
     try:
         return socket_path(folder, name)
     except ValueError as error:
-        log_message("hand-over", f"no hand-over: {error}")
+        log_message("hand-over", f"handover is off: {error}")
         return None
 
 
 async def request_handover(path: Path | None) -> Successor | None:
-    """The process that serves until now, asked for what it knows."""
+    """Requests the state of the process that serves now; returns the connection to it."""
     if path is None:
         return None
     successor = Successor()
@@ -400,13 +415,15 @@
 
 
 def await_successor(path: Path, core: Core, listener: Listener, watch: DiscoveryWatch) -> Predecessor:
-    """Waits for the process that is to take this one's place."""
+    """Listens for the process that will replace this one."""
 
     def export_process_state() -> dict[str, Any]:
         version = watch.discovery.version if watch.discovery is not None else None
         endpoint_list = {"version": version or 0, "full": True, "servers": core.directory.discovery_rows()}
-        known = {"list": endpoint_list, "known": version is not None, "peers": core.peers is not None}
-        return known | ({"members": core.membership.export_state()} if core.membership is not None else {})
+        process_state = {"list": endpoint_list, "known": version is not None, "peers": core.peers is not None}
+        return process_state | (
+            {"members": core.membership.export_state()} if core.membership is not None else {}
+        )
 
     return Predecessor(
         path, core.gatekeeper, core.upstream, listener, lambda: core.peers, export_process_state
--- a/pepperrun/config.py
+++ b/pepperrun/config.py
@@ -1,4 +1,4 @@
-"""Reads the configuration, once, into the few values that the program uses. A bad one names its key."""
+"""Parses the configuration into the values that the program uses. An error names the key at fault."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class UnusableError(ValueError):
-    """What the platform or a file names can't be had; the text names the key."""
+    """A configured resource, such as an address or a socket, can't be used; the text names the key."""
 
 
 _REPEAT_MODES = {
@@ -25,24 +25,30 @@
 
 
 def get(table: Mapping[str, Any], key: str, kind: type, default: Any = None, required: bool = False) -> Any:
+    """Returns the key's value, or the default if it is missing or null.
+
+    Raises ValueError, which names the key, if the value is not of the type, is infinite or NaN, or is missing
+    though required.
+    """
     value = table.get(key)
     if value is None:
         if required:
             raise ValueError(f"{key}: missing")
         return default
     if kind is bool:
-        good = isinstance(value, bool)
+        valid = isinstance(value, bool)
     elif kind in (int, float):
-        good = isinstance(value, int | float) and not isinstance(value, bool) and value == value
-        good = good and abs(value) != float("inf")
+        valid = isinstance(value, int | float) and not isinstance(value, bool) and value == value
+        valid = valid and abs(value) != float("inf")
     else:
-        good = isinstance(value, kind)
-    if not good:
+        valid = isinstance(value, kind)
+    if not valid:
         raise ValueError(f"{key}: not a {kind.__name__}")
     return kind(value) if kind in (int, float) else value
 
 
 def _choice(table: Mapping[str, Any], key: str, choices: Mapping[str, Any], default: Any = None) -> Any:
+    """Returns the choice that the key's value names; without a default the key is required."""
     value = get(table, key, str, default=default, required=default is None)
     if value in choices:
         return choices[value]
@@ -50,7 +56,7 @@
 
 
 def read_settings(text: str) -> io.Settings:
-    """The settings in the wire's JSON. Unknown keys are skipped; ValueError names a bad one."""
+    """Returns the settings in the platform's JSON, without unknown keys; ValueError names an invalid one."""
     try:
         params = json.loads(text)
     except ValueError as error:
@@ -61,7 +67,7 @@
 
 
 def settings_of(params: Mapping[str, Any]) -> io.Settings:
-    """The settings in the object that the platform gives."""
+    """Returns the settings in the object that the platform provides."""
     limits = get(params, "Limits", dict, {})
     rules = get(params, "Rules", dict, {})
     domain = get(params, "Domain", dict, {})
@@ -127,7 +133,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Endpoint:
-    """A line of the list of workers, with its names."""
+    """A worker in the endpoint list, with its names for worker and zone."""
 
     name: str
     addr: Address | None
@@ -139,28 +145,28 @@
 
 @dataclass(slots=True, frozen=True)
 class EndpointList:
-    """What discovery tells: the whole list or what has changed."""
+    """A list from discovery: the complete one (`full`) or the entries that changed."""
 
     version: int
     full: bool
     endpoints: tuple[Endpoint, ...]
 
 
-_STATES = {
+_STATE_BY_NAME = {
     "Ready": io.BackendState.READY,
     "Terminating": io.BackendState.DRAINING,
     "Gone": io.BackendState.GONE,
 }
-STATE_NAMES = {state: name for name, state in _STATES.items()}
+STATE_NAMES = {state: name for name, state in _STATE_BY_NAME.items()}
 
 
 def read_endpoint_list(table: Mapping[str, Any]) -> EndpointList:
-    """A list in discovery's form; ValueError names what is wrong with it."""
+    """Returns the list in an object of discovery's format; raises ValueError, which names the fault."""
     endpoints = []
     for item in get(table, "servers", list, required=True):
         if not isinstance(item, dict):
             raise ValueError("servers: not a list of objects")
-        state = _choice(item, "state", _STATES)
+        state = _choice(item, "state", _STATE_BY_NAME)
         gone = state is io.BackendState.GONE
         endpoints.append(
             Endpoint(
@@ -178,12 +184,12 @@
 
 
 def address(table: Mapping[str, Any], key: str, default: str | None = None) -> Address:
-    """`host:port`, the host an IP address; an IPv6 one in brackets."""
+    """Returns the key's `host:port`; the host is an IP address, an IPv6 one in brackets."""
     return parse_address(get(table, key, str, default=default, required=default is None), key)
 
 
 def parse_address(text: str, key: str) -> Address:
-    """`host:port`; ValueError names the key."""
+    """Returns the host and port in `host:port`; raises ValueError, which names the key."""
     host, colon, port = text.rpartition(":")
     if not colon or not host or not port.isascii() or not port.isdigit() or int(port) > 65535:
         raise ValueError(f"{key}: {text!r} is not host:port")
@@ -192,7 +198,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Config:
-    """All that a gatekeeper is told at its start."""
+    """The configuration of a gatekeeper.
+
+    `changed_keys` in `pepperrun.serve` shows the field names to operators.
+    """
 
     name: str
     listen: Address
@@ -206,17 +215,21 @@
     zones: tuple[str, ...]
     keepalive_ns: int
     connect_timeout_ns: int
-    admin: Address | None = None  # where operators call
-    memory_mb: float = 192.0  # the limit on the process
-    members: Mapping[str, Any] | None = None  # `pepperrun.membership.config` reads it where it is there
+    admin: Address | None = None  # the address for operators' commands
+    memory_mb: float = 192.0  # memory limit of the process
+    members: Mapping[str, Any] | None = None  # parsed by `pepperrun.membership.config`
 
 
 def read_config(text: str, env: Mapping[str, str]) -> Config:
-    """The file named by `NODE_CONFIG`; `NODE_NAME`, `NODE_LISTEN` and `NODE_DISCOVERY` stand in for keys."""
+    """Returns the configuration in the text of the file that `NODE_CONFIG` names.
+
+    `NODE_NAME`, `NODE_LISTEN`, `NODE_DISCOVERY` and `NODE_ADMIN` are the defaults of missing keys.
+    """
     table = json_object(text, "NODE_CONFIG: ")
     params = get(table, "settings", dict, required=True)
-    watched = table.get("discovery") or env.get("NODE_DISCOVERY")  # else the known list stands
-    calls = table.get("admin") or env.get("NODE_ADMIN")
+    # Without discovery the list under `known` stays.
+    raw_discovery = table.get("discovery") or env.get("NODE_DISCOVERY")
+    raw_admin = table.get("admin") or env.get("NODE_ADMIN")
     limits = get(params, "Limits", dict, {})
     known = get(table, "known", dict, {"version": 0, "servers": []})
     peers = get(table, "peers", list, [])
@@ -230,15 +243,15 @@
         raise ValueError("limits.sockets: must be 64 or more")
     try:
         settings, endpoint_list = (
-            _within("settings", settings_of, params),
-            _within("known", read_endpoint_list, known),
+            _with_key_prefix("settings", settings_of, params),
+            _with_key_prefix("known", read_endpoint_list, known),
         )
     except RecursionError:
         raise ValueError("NODE_CONFIG: nested too deeply") from None
     return Config(
         name=get(table, "name", str, env.get("NODE_NAME", "pepperrun")),
         listen=address(table, "listen", env.get("NODE_LISTEN")),
-        discovery=address(table, "discovery", env.get("NODE_DISCOVERY")) if watched else None,
+        discovery=address(table, "discovery", env.get("NODE_DISCOVERY")) if raw_discovery else None,
         seed=_seed(get(table, "seed", str, "")),
         sockets=sockets,
         peer_listen=address(table, "peer_listen") if table.get("peer_listen") else None,
@@ -246,15 +259,15 @@
         known=endpoint_list,
         settings=settings,
         zones=tuple(str(zone) for zone in get(params, "Dcs", list, [])),
-        keepalive_ns=_above_0(limits, "KeepaliveNs", 15_000_000_000),
-        connect_timeout_ns=_above_0(limits, "ConnectTimeoutNs", 250_000_000),
+        keepalive_ns=_positive_limit(limits, "KeepaliveNs", 15_000_000_000),
+        connect_timeout_ns=_positive_limit(limits, "ConnectTimeoutNs", 250_000_000),
         memory_mb=memory,
-        admin=address(table, "admin", env.get("NODE_ADMIN")) if calls else None,
+        admin=address(table, "admin", env.get("NODE_ADMIN")) if raw_admin else None,
         members=get(table, "members", dict),
     )
 
 
-def _within(key: str, read: Any, table: Mapping[str, Any]) -> Any:
+def _with_key_prefix(key: str, read: Any, table: Mapping[str, Any]) -> Any:
     try:
         return read(table)
     except ValueError as error:
@@ -268,7 +281,7 @@
         raise ValueError(f"seed: {text!r} is not a number in hex digits") from None
 
 
-def _above_0(table: Mapping[str, Any], key: str, default: int) -> int:
+def _positive_limit(table: Mapping[str, Any], key: str, default: int) -> int:
     value: int = get(table, key, int, default)
     if value <= 0:
         raise ValueError(f"settings.Limits.{key}: must be above 0")
@@ -277,7 +290,10 @@
 
 @dataclass(slots=True, frozen=True)
 class AuthConfig:
-    """Forward authentication: where it listens, whom it asks and on what terms."""
+    """The configuration of forward authentication: its address, its servers and their limits.
+
+    `changed_keys` in `pepperrun.serve` shows the field names to operators.
+    """
 
     listen: Address | None
     servers: EndpointList
@@ -285,8 +301,8 @@
     host: str
     identity: tuple[str, ...]
     customer: str
-    prefixes: tuple[tuple[str, int], ...]  # longest first: path prefix and class
-    plans: Mapping[str, int]  # customer's name: its plan
+    prefixes: tuple[tuple[str, int], ...]  # path prefix and class number, the longest prefix first
+    plans: Mapping[str, int]  # customer's name: number of its plan
     default_plan: int
     asking: frozenset[str]
     settings: io.Settings
@@ -297,7 +313,7 @@
     peers: tuple[Address, ...]
 
 
-_MS = 1_000_000
+_NS_PER_MS = 1_000_000
 _AUTH_KEYS = {
     "": "listen servers path host identity_headers customer_header asking_classes classes plans max_attempts"
     " second_copies max_retry_after_ms keepalive_ms connect_timeout_ms sockets me peers peer_listen",
@@ -308,7 +324,7 @@
 
 
 def json_object(text: str, where: str = "") -> dict[str, Any]:
-    """A settings file's one JSON object; ValueError, which begins with `where`, for anything else."""
+    """Returns the JSON object in a settings file; other content raises ValueError, prefixed with `where`."""
     try:
         table = json.loads(text)
     except (ValueError, RecursionError) as error:
@@ -319,21 +335,24 @@
 
 
 def known_keys(table: Mapping[str, Any], allowed: str, where: str = "") -> None:
-    """In a file of our own a key that nothing reads is a slip, and may leave a door open."""
+    """Raises ValueError for a key that is not allowed.
+
+    In a file of this program an unknown key is a mistake; ignoring it may leave a restriction off.
+    """
     for key in table:
         if key not in allowed.split():
             raise ValueError(f"{where}{key}: no such key")
 
 
 def read_auth(text: str) -> AuthConfig:
-    """The forward authentication file; ValueError names a bad key."""
+    """Returns the configuration in a forward authentication file; raises ValueError, which names the key."""
     table = json_object(text, "forward-auth: ")
     known_keys(table, _AUTH_KEYS[""])
-    servers = _objects(table, "servers")
-    plans, classes = _objects(table, "plans"), _objects(table, "classes")
+    servers = _object_list(table, "servers")
+    plans, classes = _object_list(table, "plans"), _object_list(table, "classes")
     peers = tuple(parse_address(str(peer), "peers") for peer in get(table, "peers", list, []))
     prefixes = [(get(item, "prefix", str, "/"), number) for number, item in enumerate(classes)]
-    named = {
+    plan_by_customer = {
         str(name): number for number, item in enumerate(plans) for name in get(item, "customers", list, [])
     }
     defaults = [number for number, item in enumerate(plans) if "customers" not in item]
@@ -360,16 +379,16 @@
         path=path,
         host=get(table, "host", str, hosts[0]),
         identity=tuple(
-            _field_name(name, "identity_headers") for name in get(table, "identity_headers", list, [])
+            _header_name(name, "identity_headers") for name in get(table, "identity_headers", list, [])
         ),
-        customer=_field_name(get(table, "customer_header", str, "X-Forwarded-Host"), "customer_header"),
+        customer=_header_name(get(table, "customer_header", str, "X-Forwarded-Host"), "customer_header"),
         prefixes=tuple(sorted(prefixes, key=lambda pair: -len(pair[0]))),
-        plans=named,
+        plans=plan_by_customer,
         default_plan=defaults[0],
         asking=frozenset(str(name) for name in get(table, "asking_classes", list, [])),
         settings=_auth_settings(table, classes, plans, len(peers)),
-        keepalive_ns=_positive(table, "keepalive_ms", 5000) * _MS,
-        connect_timeout_ns=_positive(table, "connect_timeout_ms", 250) * _MS,
+        keepalive_ns=_positive(table, "keepalive_ms", 5000) * _NS_PER_MS,
+        connect_timeout_ns=_positive(table, "connect_timeout_ms", 250) * _NS_PER_MS,
         sockets=_positive(table, "sockets", 200),
         peer_listen=address(table, "peer_listen") if table.get("peer_listen") else None,
         peers=peers,
@@ -386,8 +405,8 @@
         classes=tuple(
             io.RequestClass(
                 name=get(item, "name", str, required=True),
-                target_ns=_positive(item, "wanted_ms") * _MS,
-                deadline_ns=_positive(item, "deadline_ms") * _MS,
+                target_ns=_positive(item, "wanted_ms") * _NS_PER_MS,
+                deadline_ns=_positive(item, "deadline_ms") * _NS_PER_MS,
                 repeat=io.Repeat.SAFE,
             )
             for item in classes
@@ -408,11 +427,11 @@
         peer_messages=peers > 1,
         peer_message_rate=100.0,
         retry_after=True,
-        max_retry_after_ns=_positive(table, "max_retry_after_ms", 60_000) * _MS,
+        max_retry_after_ns=_positive(table, "max_retry_after_ms", 60_000) * _NS_PER_MS,
     )
 
 
-def _objects(table: Mapping[str, Any], key: str) -> list[dict[str, Any]]:
+def _object_list(table: Mapping[str, Any], key: str) -> list[dict[str, Any]]:
     items: list[dict[str, Any]] = get(table, key, list, required=True)
     if not items or not all(isinstance(item, dict) for item in items):
         raise ValueError(f"{key}: at least one object is needed")
@@ -428,7 +447,7 @@
     return value
 
 
-def _field_name(name: Any, key: str) -> str:
+def _header_name(name: Any, key: str) -> str:
     if (
         not isinstance(name, str)
         or not name.replace("-", "").replace("_", "").isalnum()
--- a/pepperrun/handover/successor.py
+++ b/pepperrun/handover/successor.py
@@ -120,7 +120,7 @@
         return True
 
     def announce_ready(self, listener: Listener, peers: Peers | None) -> None:
-        """Reports that this process accepts clients; copies peers' messages to the predecessor from now on."""
+        """Reports that this process accepts clients; peers' messages are copied to the predecessor now."""
         self.listener = listener
         if self.channel is None:
             return
--- a/pepperrun/log.py
+++ b/pepperrun/log.py
@@ -1,4 +1,4 @@
-"""Lines for the people on call: plain print to standard error, a few of a kind in a while."""
+"""Log lines for operators: text or JSON on standard error, at most one line per kind and second."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 PRINT_INTERVAL_NS = SECOND
 
 _throttle = Throttle(PRINT_INTERVAL_NS)
-Sink = Callable[[str, str, int], None]  # the line's kind, its text, and how many more of its kind there were
+Sink = Callable[[str, str, int], None]  # kind, text, and number of suppressed lines of that kind
 _sink: Sink | None = None
 _suppressed: dict[str, int] = {}
 
 
 def set_sink(sink: Sink | None) -> None:
-    """Lines go there from now on; None: to standard error as text."""
+    """Sends further lines to a function; None: to standard error as text."""
     global _sink
     _sink = sink
 
 
 def enable_json() -> None:
-    """One JSON object a line on standard error, by structlog; ValueError where that is not installed."""
+    """Writes lines as JSON objects to standard error; raises ValueError if structlog is not installed."""
     try:
         import structlog
     except ImportError:
@@ -48,7 +48,7 @@
 
 
 def log_message(kind: str, text: str, clock: Callable[[], int] = time.monotonic_ns) -> None:
-    """Prints the line, or counts it where one of its kind was printed within the last second."""
+    """Writes a line, or only counts it if one of its kind was written within the last second."""
     if not _throttle.allows(kind, clock()):
         _suppressed[kind] = _suppressed.get(kind, 0) + 1
         return
--- a/pepperrun/serve.py
+++ b/pepperrun/serve.py
@@ -1,4 +1,4 @@
-"""The real gatekeeper: puts the parts together and runs until it is told to end."""
+"""Runs a gatekeeper process: reads its files, starts its components, reloads at SIGHUP, drains at SIGTERM."""
 
 from __future__ import annotations
 
@@ -46,28 +46,27 @@
     from pepperrun.parking.lot import Lot
 
 OPTIONS = ("--forward-auth", "--metrics", "--clients", "--log-format", "--capture", "--members")
-TEST_OPTIONS = (
-    "--clock-offset",
-)  # for the lab: a clock that is off, `S` or `S@T` for a step after T seconds
+# For the lab, a clock with an offset in seconds: `S`, or `S@T` for a step after T seconds.
+TEST_OPTIONS = ("--clock-offset",)
 USAGE = (
     "usage: pepperrun [--forward-auth FILE] [--metrics FILE] [--clients FILE] [--capture DIR]"
     " [--members FILE] [--log-format text|json], or pepperrun --help"
 )
-MAX_CAPTURE_FILES = 100  # files of a gatekeeper that are kept
-DRAIN_MARGIN_S = 1.0  # after the longest deadline: the last requests come a while after SIGTERM
+MAX_CAPTURE_FILES = 100  # the newest files that are kept of a gatekeeper
+DRAIN_MARGIN_S = 1.0  # added to the longest deadline: requests still arrive after SIGTERM
 
 
 def create_reporters(
     config: MetricsConfig, instance: str, parts: dict[str, CoreAndListener]
 ) -> list[Reporter]:
-    """Where the figures go."""
+    """Returns a reporter for each configured metrics sink."""
     from pepperrun.metrics import collectd, graphite, process_samples, samples
 
     def collect_samples() -> list[Sample]:
-        all_samples = process_samples()
+        collected = process_samples()
         for name, (core, listener) in parts.items():
-            all_samples += samples(name, core.gatekeeper, core.upstream, listener)
-        return all_samples
+            collected += samples(name, core.gatekeeper, core.upstream, listener)
+        return collected
 
     reporters = []
     if config.graphite is not None:
@@ -88,22 +87,23 @@
     watch: DiscoveryWatch,
     lot: Lot | None = None,
 ) -> tuple[Config | None, AuthConfig | None]:
-    """Reads the files anew and gives what is in force: where discovery is and whom to ask change at once.
+    """Reads the files again and returns the configuration in force after that.
 
-    A file that is no good changes nothing, nor does one for which another file is no good. What is in flight
-    is never touched.
+    The addresses of discovery and of the authentication servers, membership and some of the clients' limits
+    change at once; the log line names the keys that change at the next start. If any file is invalid, nothing
+    changes. Requests in flight are not affected.
     """
     try:
         new, new_auth, _, clients = files.read(metrics=False)
     except (OSError, ValueError) as error:
-        log_message("bad reload", f"the new configuration is no good, the old one stays in force: {error}")
+        log_message("bad reload", f"the new configuration is invalid, the old one stays in force: {error}")
         return config, auth_config
     deferred: list[str] = []
     if config is not None and new is not None:
         deferred += changed_keys(config, new, "seed", "known", "discovery")
         config = replace(config, discovery=new.discovery)
         core = parts["platform"][0]
-        # All gatekeepers are moved at once: with a list in hand none needs to be the first there.
+        # All gatekeepers move at once: one that has a list need not be the first to call the new address.
         watch.move(
             new.discovery,
             core.apply_endpoint_list,
@@ -122,23 +122,23 @@
     if lot is not None and clients is not None:
         deferred += [f"clients {key}" for key in lot.follow(clients)]
     deferred_note = f"; at the next start: {', '.join(deferred)}" if deferred else ""
-    log_message("reload", f"took in the new configuration{deferred_note}")
+    log_message("reload", f"applied the new configuration{deferred_note}")
     return config, auth_config
 
 
 def count_connections(listeners: list[Listener], lot: Lot | None) -> int:
-    """Connections that are up; fronts that park theirs share one count."""
+    """Returns the number of open client connections; listeners with a lot share its count."""
     return lot.total() if lot is not None else sum(listener.count() for listener in listeners)
 
 
 def changed_keys(old: Config | AuthConfig, new: Config | AuthConfig, *ignored: str) -> list[str]:
-    """The keys in which two configurations differ."""
+    """Returns the names of the fields in which two configurations differ, without the ignored ones."""
     names = [field.name for field in fields(old) if field.name not in ignored]
     return [name for name in names if getattr(old, name) != getattr(new, name)]
 
 
 async def run(files: ConfigFiles) -> None:
-    """Serves until SIGTERM or SIGINT, then drains."""
+    """Serves until SIGTERM or SIGINT, then drains or hands over, and returns."""
     config, auth_config, metrics, clients = files.initial
     loop = asyncio.get_running_loop()
     clock, stop = files.clock, asyncio.Event()
@@ -154,7 +154,7 @@
     lot, backends = None, 0
     if clients is not None:
         auth_sockets = auth_config.sockets if auth_config is not None else 0
-        # Forward authentication alone has no key for the process's limit: the system's is what there is.
+        # Forward authentication alone has no key for the limit on descriptors: the system's limit applies.
         sockets = config.sockets if config is not None else resource.getrlimit(resource.RLIMIT_NOFILE)[1]
         lot, backends = make_lot(clients, clock, sockets, auth_sockets)
     if auth_config is not None:
@@ -191,7 +191,7 @@
 
     def reload() -> None:
         nonlocal config, auth_config
-        if not stop.is_set():  # a drain goes on with what it has
+        if not stop.is_set():  # no reload during a drain
             config, auth_config = reload_config(files, config, auth_config, parts, watch, lot)
 
     recorders = []
@@ -207,7 +207,7 @@
 
     await stop.wait()
     listeners = [listener for _, listener in parts.values() if listener is not None]
-    log_message("stop", f"drains {count_connections(listeners, lot)} connections")
+    log_message("stop", f"draining {count_connections(listeners, lot)} connections")
     longest_s = max(kind.deadline_ns for kind in classes) / SECOND
     if predecessor is not None and await predecessor.finish(longest_s + DRAIN_MARGIN_S):
         listeners.remove(listener)
@@ -218,10 +218,10 @@
         async with asyncio.timeout(longest_s + DRAIN_MARGIN_S):
             await asyncio.gather(*(listener.drain() for listener in listeners))
             for listener in listeners:
-                while listener.clients:  # each closes once its request has its answer
+                while listener.clients:  # each closes after the response to its request
                     await listener.wait_for_change()
     except TimeoutError:
-        log_message("stop", "connections were still open at the end")
+        log_message("stop", "the drain timed out with open connections")
     watch.stop()
     for core, _ in parts.values():
         if core.membership is not None:
@@ -237,18 +237,18 @@
 
 
 def check_capture(folder: str) -> None:
-    """Captures can be written there; ValueError or OSError where not."""
+    """Checks that captures can be written to a folder; raises ValueError or OSError if not."""
     try:
         from pepperrun.capture.recorder import key_of
     except ImportError as error:
         raise ValueError(f"--capture: {error} (pip install 'pepperrun[capture]')") from None
     if not os.path.isdir(folder):
-        raise ValueError(f"--capture: {folder} is no folder")
+        raise ValueError(f"--capture: {folder} is not a folder")
     key_of(Path(folder))
 
 
 def create_recorder(folder: str, name: str, core: Core, clock: Clock) -> Recorder:
-    """Writes what a core takes into the folder; what is known of a worker is its name and zone."""
+    """Starts to record a core's requests in the folder; workers are recorded with their names and zones."""
     from pepperrun.capture.recorder import Recorder, files_in, key_of
 
     directory = core.directory
@@ -265,12 +265,12 @@
     return recorder
 
 
-# Of the platform, forward authentication, figures and clients' connections: what was given.
+# The configuration of the platform, forward authentication, metrics and client connections.
 ReadConfigs = tuple["Config | None", "AuthConfig | None", "MetricsConfig | None", "ClientsConfig | None"]
 
 
 def clock_with_offset(text: str | None) -> Clock:
-    """The clock, for the lab one that is off; ValueError on what is no offset."""
+    """Returns the clock, for the lab with an offset; raises ValueError if the text is not an offset."""
     clock = Clock()
     if text is not None:
         offset, _, after = text.partition("@")
@@ -282,7 +282,7 @@
 
 
 class ConfigFiles:
-    """Where the configuration is, and what it said at the start; ValueError on bad arguments or files."""
+    """The options, and the configuration at the start; raises ValueError for invalid arguments or files."""
 
     def __init__(self, arguments: list[str], env: Mapping[str, str]) -> None:
         options = dict(zip(arguments[::2], arguments[1::2], strict=False))
@@ -302,7 +302,7 @@
             check_capture(self.capture)
 
     def read(self, metrics: bool = True) -> ReadConfigs:
-        """The files as they are now."""
+        """Returns the current content of the files; without `metrics` the metrics file is not read."""
 
         def text(path: str) -> str:
             with open(path, encoding="utf-8") as file:
@@ -311,7 +311,8 @@
         auth = read_auth(text(self.auth)) if self.auth else None
         figures = None
         if self.metrics and metrics:
-            from pepperrun.metrics import read_metrics  # only where asked for: a start takes its time too
+            # Imported only where configured: imports slow the start down.
+            from pepperrun.metrics import read_metrics
 
             figures = read_metrics(text(self.metrics))
         clients = None
@@ -332,10 +333,13 @@
         return config, auth, figures, clients
 
     def membership(self, config: Config) -> MembershipConfig | None:
-        """What switches membership on; None where it is off. ValueError where it can't be."""
+        """Returns the membership configuration, None where membership is off.
+
+        Raises ValueError if the configuration is invalid or lacks what membership needs.
+        """
         if self.members is None and config.members is None:
             return None
-        from pepperrun.membership.config import (  # only where asked for
+        from pepperrun.membership.config import (  # imported only where configured
             membership_from_json,
             membership_from_table,
         )
@@ -350,13 +354,13 @@
             found = membership_from_table(config.members or {}, Path(self.config or "").parent)
         found.load_keys()
         if config.peer_listen is None or not config.settings.peer_messages:
-            raise ValueError("members: peer_listen is missing, or the settings allow no messages")
+            raise ValueError("members: peer_listen is missing, or the settings allow no peer messages")
         return found
 
 
 def serve(arguments: list[str]) -> int:
-    """Reads the configuration and runs a gatekeeper; the exit code."""
-    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # one that comes too early must not end the program
+    """Reads the configuration, runs a gatekeeper and returns the exit code."""
+    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # a SIGHUP during the start must not end the process
     try:
         files = ConfigFiles(arguments, os.environ)
     except (OSError, ValueError) as error:
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -134,7 +134,7 @@
         known = {"version": 3, "full": True, "servers": [line("w", worker.port), line("v", bad.port)]}
         seen: dict[int, int] = {}
         process, port = await start(tmp_path / "c.json", known=known, admin=f"{HOST}:0")
-        while "operators may call at" not in (text := (await process.stderr.readline()).decode()):
+        while "accepting operator commands at" not in (text := (await process.stderr.readline()).decode()):
             pass
         admin = int(text.rsplit(":", 1)[1])
         assert await call(admin, b"readyz\n") == b"done\n"
@@ -165,7 +165,7 @@
         worker = await StandIn(ok(b"answer")).start()
         known = {"version": 3, "full": True, "servers": [line("w", worker.port)]}
         process, port = await start(tmp_path / "c.json", known=known, admin=f"{HOST}:0")
-        while "operators may call at" not in (text := (await process.stderr.readline()).decode()):
+        while "accepting operator commands at" not in (text := (await process.stderr.readline()).decode()):
             pass
         admin, stop, seen = int(text.rsplit(":", 1)[1]), asyncio.Event(), {200: 0, 429: 0, 502: 0, 504: 0}
         silent = [await asyncio.open_connection(HOST, admin) for _ in range(MAX_CONNECTIONS)]
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -310,7 +310,7 @@
             assert process.stderr is not None
             while text := (await process.stderr.readline()).decode():
                 lines.append(text)
-                if "operators may call at" in text and not found.done():
+                if "accepting operator commands at" in text and not found.done():
                     found.set_result(int(text.rsplit(":", 1)[1]))
             if not found.done():
                 found.set_result(0)
@@ -594,7 +594,7 @@
         kept.ask()
         assert (await kept.answer())[0] == 200
         old.send_signal(signal.SIGTERM)
-        await node.until(old, "drains")
+        await node.until(old, "draining")
         kept.ask()
         status, fields, _ = await kept.answer()
         assert (status, fields["connection"]) == (200, "close")
@@ -613,7 +613,7 @@
         new, _ = await node.start()
         await node.until(old, "the successor is ready")
         old.send_signal(signal.SIGTERM)
-        await node.until(old, "drains")
+        await node.until(old, "draining")
         new.kill()
         await new.wait()
         worker.go.set()
--- a/tests/test_main.py
+++ b/tests/test_main.py
@@ -86,7 +86,7 @@
         client.ask()
         await worker.arrived.get()
         process.send_signal(signal.SIGTERM)
-        while "drains" not in (await process.stderr.readline()).decode():
+        while "draining" not in (await process.stderr.readline()).decode():
             pass
         late = await Client.to(port)  # new connections keep coming for a while
         late.ask()
@@ -266,7 +266,7 @@
             if number == 2:
                 write(server)
                 process.send_signal(signal.SIGHUP)
-                await line_with(process, "took in")
+                await line_with(process, "applied the new")
             forwarded = b"X-Forwarded-Method: GET\r\nX-Forwarded-Host: d\r\nX-Forwarded-Uri: /\r\n"
             client.writer.write(b"GET / HTTP/1.1\r\nHost: g\r\n" + forwarded + b"\r\n")
             assert (await client.answer())[1]["x-auth-user"] == str(number)
--- a/tests/test_parking.py
+++ b/tests/test_parking.py
@@ -454,7 +454,7 @@
         assert "idle_s" in await line_with(process, "no good")
         (tmp_path / "clients.json").write_text('{"first_byte_s": 0.05, "idle_s": 3600, "holders": 1}')
         process.send_signal(signal.SIGHUP)
-        assert "clients most_here" in await line_with(process, "took in")
+        assert "clients most_here" in await line_with(process, "applied the new")
         assert all(await asyncio.gather(*(client.ended() for client in clients[1:])))
         clients[0].writer.write(HEALTH)
         assert (await clients[0].answer())[0] == 200
