--- a/tests/test_parking.py
+++ b/tests/test_parking.py
@@ -288,7 +288,7 @@
         late.setblocking(False)
         soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
         errors: list[str] = []
-        monkeypatch.setattr("pepperrun.parking.listener.say", lambda kind, text: errors.append(text))
+        monkeypatch.setattr("pepperrun.parking.listener.log_message", lambda kind, text: errors.append(text))
         resource.setrlimit(resource.RLIMIT_NOFILE, (late.fileno() + 1, hard))
         try:
             spare = []
@@ -451,7 +451,7 @@
         # A file that is no good changes nothing; another one holds for those parked here and in the holder.
         (tmp_path / "clients.json").write_text('{"idle_s": -3}')
         process.send_signal(signal.SIGHUP)
-        assert "idle_s" in await line_with(process, "no good")
+        assert "idle_s" in await line_with(process, "configuration is invalid")
         (tmp_path / "clients.json").write_text('{"first_byte_s": 0.05, "idle_s": 3600, "holders": 1}')
         process.send_signal(signal.SIGHUP)
         assert "clients most_here" in await line_with(process, "applied the new")
