--- a/pepperrun/distribution/follower.py
+++ b/pepperrun/distribution/follower.py
@@ -331,7 +331,7 @@
     def _report_mismatch(self, link: Uplink, change: StateChange) -> None:
         peer = link.parent_name or "core"
         detail = f"change cannot be applied or its result has another checksum: version {change.version}"
-        log_error(RemoteProtocolError("change-unlike", "taking a change", detail, peer))
+        log_error(RemoteProtocolError("change-unlike", "applying a change", detail, peer))
 
     # Timed work.
 
--- a/pepperrun/distribution/local_record.py
+++ b/pepperrun/distribution/local_record.py
@@ -28,7 +28,7 @@
         """Return the record to send, and store it in `replicated`.
 
         Other nodes may have marked this gateway as lost. The wall clock, which numbers incarnations, may have
-        been set back since an earlier one.
+        been set back since an earlier incarnation.
         """
         record = self.own_record()
         known = replicated.gateways.get(self.name)
--- a/pepperrun/distribution/repair.py
+++ b/pepperrun/distribution/repair.py
@@ -7,10 +7,10 @@
 | digests | digests of partitions by range | ranges that differ and hold too many records |
 
 One side sends its digests by zone. The other answers with its records of the small ranges that differ, and
-with the digests of the partitions of the large ones, which the first compares and asks about. The receiver of
-the records `of` a range sends back its own records of that range that are newer or that the sender lacks, so
-both sides end with the newest of each. `a` requests an acknowledgement that the records are stored
-(`control.peer_messages`).
+with the digests of the partitions of the large ones. The first side compares those and requests the
+partitions that differ. The receiver of the records `of` a range sends back its own records of that range that
+are newer or that the sender lacks, so both sides end with the newest of each. `a` requests an acknowledgement
+that the records are stored (`control.peer_messages`).
 """
 
 from __future__ import annotations
