--- a/pepperrun/control/item_conversion.py
+++ b/pepperrun/control/item_conversion.py
@@ -21,12 +21,17 @@
 Items = dict[str, Item]  # by name
 T = TypeVar("T")
 
+# Types of the items, by table.
 ITEM_TYPES: dict[str, type] = {
     "routes": Route,
     "carrier_lines": ServiceConfig,
     "senders": TenantConfig,
-}  # by table
-ITEM_NAMES = {"routes": "route", "carrier_lines": "service", "senders": "sender"}  # in sentences, by table
+}
+ITEM_NAMES = {
+    "routes": "route",
+    "carrier_lines": "service",
+    "senders": "sender",
+}  # names of the types in error messages, by table
 MAX_EXACT_INT = 1 << 53  # integers below it are exact as floats
 DEFAULTED_COLUMNS = ("route_kind", "target_ms")  # of a route; `_with_defaults` supplies them
 
--- a/pepperrun/control/quota_placement.py
+++ b/pepperrun/control/quota_placement.py
@@ -22,16 +22,16 @@
 
 MS = 1_000_000  # ns
 SECOND = 1000 * MS
-QUIET_NS = SECOND  # wait until no gatekeeper joined for so long, so that the first lists have all that start
-JOIN_BATCH_NS = (
-    3 * SECOND
-)  # the same for later changes, so that gatekeepers that join together cause only one
+# The first lists wait until no gatekeeper joined for so long, so that they have all that start together.
+QUIET_NS = SECOND
+# Later changes wait in the same way, so that gatekeepers that join together cause only one change.
+JOIN_BATCH_NS = 3 * SECOND
 REPLACE_SILENT_NS = 9 * SECOND  # a killed process restarts within seconds, which should not cause a change
 PRESENT_NS = 3 * SECOND  # a gatekeeper seen within this time is present; control nodes report each second
 CHANGE_INTERVAL_NS = 10 * SECOND  # tenants moved by one change have their quota again before the next change
 RETRY_NS = SECOND // 2  # between two proposals, as one may still be in flight
 MIN_BUCKET = 2.0  # requests; a share with a smaller bucket is too small
-MAX_DOMAINS = 3  # more domains would make the shares of a quota too small for some requests each
+MAX_DOMAINS = 3  # so that each share of a quota is large enough for some requests
 
 Domains = dict[str, list[str]]  # names of gatekeepers by domain
 SilentFor = Callable[[str], int]  # returns the ns since the last message of a gatekeeper, by its name
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -120,14 +120,12 @@
     state, _ = apply(None, first)
     assert state is not None and apply(state, other)[1][0] == 412
     assert apply(state, first) == (None, Verdict(200, "Edition 3 has been taken already."))
-    assert (
-        apply(state, replace_op(configuration(3), on=3))[1][2] == "old-edition"
-    )  # the same configuration as a new order
+    # The same configuration on top of edition 3 is a new order.
+    assert apply(state, replace_op(configuration(3), on=3))[1][2] == "old-edition"
     frozen = copy.deepcopy(state)
     new, verdict = apply(state, up := amend_op({"edition": 9, "upsert": {"routes": ROUTES}}, 3))
-    assert (
-        verdict[0] == 200 and new is not None and apply(new, first)[1][0] == 200
-    )  # also after a later change
+    # A repeat of the first order is recognized also after a later change.
+    assert verdict[0] == 200 and new is not None and apply(new, first)[1][0] == 200
     assert apply(new, amend_op({"edition": 12, "withdraw": {"routes": ["a"]}}, 3))[1][0] == 412
     # Edition 9 as a complete configuration on top of 3 is another order, whichever of the two is first.
     over = replace_op(configuration(9, routes=ROUTES), on=3)
@@ -486,9 +484,8 @@
                 body = with_value(configuration(), kind, 0, column, value)
                 item = decode_table(kind, body[kind])[body[kind]["rows"][0][0]]
                 if item_conversion.conforms(ITEM_TYPES[kind], item):
-                    item_conversion.convert(
-                        ITEM_TYPES[kind], item, "item"
-                    )  # dacite converts every item that conforms
+                    # Dacite converts every item that conforms.
+                    item_conversion.convert(ITEM_TYPES[kind], item, "item")
 
 
 def test_a_complete_configuration_is_compacted_to_an_equivalent_amendment() -> None:
@@ -508,9 +505,8 @@
     assert (
         apply(other, compacted)[1] == apply(new, sent)[1] == Verdict(200, "Edition 7 has been taken already.")
     )
-    assert compact(other, sent) is sent and compact(None, replace_op(body)) == replace_op(
-        body
-    )  # on another edition there is nothing to compact
+    # On another edition there is nothing to compact.
+    assert compact(other, sent) is sent and compact(None, replace_op(body)) == replace_op(body)
     gone = replace_op(configuration(7, limits={}), 3)
     assert compact(state, gone) is gone  # an amendment can't remove limits
 
--- a/tests/test_endpoint_registry.py
+++ b/tests/test_endpoint_registry.py
@@ -84,9 +84,8 @@
     world.partition(B)
     token = world.registries[A].heartbeat(heartbeat("w1", 2, "unloading"), 2, world.now)
     world.deliver()
-    assert (
-        token is not None and world.registries[A].waits.take_completed() == []
-    )  # stored by one of two nodes
+    # The record is stored by one of the two nodes that are needed.
+    assert token is not None and world.registries[A].waits.take_completed() == []
     world.heal(B)
     token = world.registries[A].heartbeat(heartbeat("w1", 3, "unloading"), 2, world.now)
     world.deliver()
@@ -108,9 +107,8 @@
         world.registries[A if serial % 2 else C].heartbeat(heartbeat("w2", serial), 0, world.now)
         world.run(1.5)
         assert world.states("w1") == world.states("w2") == {"boarding"}
-    assert (
-        world.registries[B].heartbeat(heartbeat("w1", 10, "unloading"), 1, world.now) is not None
-    )  # on the side of the majority
+    # The heartbeat arrives on the side of the majority.
+    assert world.registries[B].heartbeat(heartbeat("w1", 10, "unloading"), 1, world.now) is not None
     world.registries[C].heartbeat(heartbeat("w2", 10, cold=3 * SECOND), 0, world.now)  # on the other side
     world.run(0.3)
     world.registries[C].heartbeat(heartbeat("w1", 9), 0, world.now)  # late
@@ -134,9 +132,8 @@
         for at, one in ((A, row), (B, gateway("g2", "z1"))):
             world.registries[at].gateway_heartbeat(one, world.now)
         for old in late:
-            world.registries[C].merge(
-                [], [old], world.now
-            )  # of the former incarnation, from a partitioned copy
+            # The record of the former incarnation, from a copy that was partitioned.
+            world.registries[C].merge([], [old], world.now)
         for registry in world.registries.values():
             assert gateway_count.next_operation(registry.gateways.values(), state, world.now) is None
 
@@ -167,9 +164,8 @@
         world.registries[A].heartbeat(heartbeat("w1", serial), 0, world.now)
         world.registries[A].heartbeat(heartbeat("w2", serial, zone="z1"), 0, world.now)
     world.deliver()
-    world.registries[A].mark_zone_maybe_cold(
-        "z0", world.now
-    )  # A receives the worker; B does not know yet that the evacuation has ended
+    # A receives the worker; B does not know yet that the evacuation has ended.
+    world.registries[A].mark_zone_maybe_cold("z0", world.now)
     world.run(1.2)  # and the record of B must not clear the flag
     assert [one.workers["w1"].maybe_cold for one in world.registries.values()] == [True, True]
     assert not world.registries[A].workers["w2"].maybe_cold
@@ -229,9 +225,8 @@
     answers = [choose_gateways(several, "z0", "r0", regions, seed).addresses for seed in range(40)]
     assert all(len(one) == 60 and len(set(one)) == 60 for one in answers)
     assert len({one[0] for one in answers}) > 10  # load spreads
-    assert choose_gateways(several[2:3], "z0", "", regions, 1).addresses == [
-        "g2:80"
-    ]  # a far gatekeeper is better than none
+    # A far gatekeeper is better than none.
+    assert choose_gateways(several[2:3], "z0", "", regions, 1).addresses == ["g2:80"]
 
 
 def test_in_a_rolling_restart_the_directory_keeps_clients_in_a_hosts_home_regions() -> None:
@@ -259,9 +254,8 @@
     world, regions = World(4), {"z0": "r0", "z1": "r0", "z2": "r0", "z3": "r1", "z4": "r0"}
     forward_to = world.registries[A].forward_to
     assert forward_to("w1", "z1", "z0", regions) == B and forward_to("w1", "z0", "z0", regions) is None
-    spread = [
-        forward_to(f"w{n}", "z4", "z0", regions) for n in range(300)
-    ]  # no node is in its zone, three are in its region
+    # No node is in its zone, three are in its region.
+    spread = [forward_to(f"w{n}", "z4", "z0", regions) for n in range(300)]
     assert {one: spread.count(one) > 60 for one in spread} == {None: True, B: True, C: True}
     world.registries[A].disconnected(B, world.now)
     after = [forward_to(f"w{n}", "z4", "z0", regions) for n in range(300)]
--- a/tests/test_order_deduplication.py
+++ b/tests/test_order_deduplication.py
@@ -223,9 +223,8 @@
     world = Cluster(8, 3)
     world.run(3000)
     ips = list(world.machines)
-    ops = [
-        replace_op(configuration(5, limits={"dwell_ms": 1 + at // 2})) for at in range(8)
-    ]  # each is sent twice
+    # Each configuration is sent twice.
+    ops = [replace_op(configuration(5, limits={"dwell_ms": 1 + at // 2})) for at in range(8)]
     answers = world.answers_to(ops, ips)
     assert sorted(answers) == [200, 200] + [412] * 6
     assert world.answers_to(ops, ips[3:] + ips[:3]) == answers
