--- a/pepperrun/exchange.py
+++ b/pepperrun/exchange.py
@@ -121,21 +121,21 @@
         self.trace: list[list[Any]] | None = None
 
     def begin_attempt(self, now: int) -> int:
-        """Add an attempt and return its number."""
+        """Adds an attempt and return its number."""
         self.attempt_times.append(now)
         number = len(self.attempt_times) - 1
         self.open_attempts.add(number)
         return number
 
     def end_attempt(self, attempt: int) -> bool:
-        """Record that an attempt has ended; False if that is recorded already."""
+        """Records that an attempt has ended; False if that is recorded already."""
         if attempt not in self.open_attempts:
             return False
         self.open_attempts.remove(attempt)
         return True
 
     def finish(self, final: Final[ResponseT]) -> bool:
-        """Give the final answer to the client; False, without effect, if the exchange has one already.
+        """Gives the final answer to the client; False, without effect, if the exchange has one already.
 
         A client that has left is not notified.
         """
--- a/pepperrun/gatekeeper.py
+++ b/pepperrun/gatekeeper.py
@@ -1,7 +1,7 @@
-"""Drives a `Gateway` in real time: batches events, owns its timer and carries out its actions.
+"""Drives a `Gateway` in real time: batches events, owns its timer and executes its actions.
 
-Decides nothing and knows no wire. Events are handed over at most once per tick, the first after a pause at
-once, as the simulator does it.
+Makes no decisions and knows no protocol. `Gateway.handle` is called at most once per tick. The first event
+after a pause is handled at once, as in the simulator.
 """
 
 from __future__ import annotations
@@ -46,49 +46,55 @@
 
 
 class Clock:
-    """One monotonic clock whose readings continue the Unix time at the program's start.
+    """A monotonic clock in ns whose readings continue the Unix time at the start of the program.
 
-    A worker's start, told in Unix time, needs no conversion beside its unit, and the readings grow from one
-    start of the program to the next, which the gateways' messages to each other rely on.
+    A worker reports its start in Unix time, which only needs a conversion of the unit. The readings also grow
+    from one start of the program to the next, and messages between gateways rely on that.
     """
 
     def __init__(self) -> None:
         self.offset = time.time_ns() - time.monotonic_ns()
-        self.steps_at = self.steps_by = 0
+        self.jump_at = self.jump_by_ns = 0
 
     def __call__(self) -> int:
-        if self.steps_at and time.monotonic_ns() >= self.steps_at:
-            self.offset, self.steps_at = self.offset + self.steps_by, 0
+        if self.jump_at and time.monotonic_ns() >= self.jump_at:
+            self.offset, self.jump_at = self.offset + self.jump_by_ns, 0
         return time.monotonic_ns() + self.offset
 
-    def step(self, seconds: float, after_s: float) -> None:
-        """Goes wrong by so much, from then on: for tests."""
-        self.steps_by = int(seconds * SECOND)
-        self.steps_at = time.monotonic_ns() + int(after_s * SECOND)
+    def schedule_jump(self, seconds: float, after_s: float) -> None:
+        """Makes the clock jump by `seconds` in `after_s`: a clock fault for tests."""
+        self.jump_by_ns = int(seconds * SECOND)
+        self.jump_at = time.monotonic_ns() + int(after_s * SECOND)
 
     def from_unix_ms(self, unix_ms: int) -> int:
-        """The reading at a moment given in Unix milliseconds; 0 stays 0 (long ago)."""
+        """Returns the reading at a Unix time in ms; 0 stays 0 and means long ago."""
         return unix_ms * 1_000_000
 
 
 class Backends(Protocol):
     """Sends attempts to backends. It calls `Gatekeeper.attempt_ended` once for each, but not within `send`.
 
-    `attempt_ended` may itself call `send` before it returns.
+    `Gatekeeper.attempt_ended` may call `send` before it returns.
     """
 
-    def send(self, exchange: AnyExchange, attempt: int, backend: int, timeout_ns: int) -> None: ...
+    def send(self, exchange: AnyExchange, attempt: int, backend: int, timeout_ns: int) -> None:
+        """Sends an attempt, with `timeout_ns` until its response."""
+        ...
 
-    def cancel(self, exchange: AnyExchange, attempt: int) -> None: ...
+    def cancel(self, exchange: AnyExchange, attempt: int) -> None:
+        """Cancels an attempt in flight; it ends as `Outcome.CANCELLED`."""
+        ...
 
     def withdraw(self, exchange: AnyExchange) -> None:
-        """End those of its attempts that have not been written to a backend, as `Outcome.MOOT`."""
+        """Ends those of its attempts that have not been written to a backend, as `Outcome.MOOT`."""
 
-    def close_idle(self, backend: int) -> None: ...
+    def close_idle(self, backend: int) -> None:
+        """Closes the idle connections to a backend."""
+        ...
 
 
 class Gatekeeper:
-    """The one owner of a `Gateway`."""
+    """Owns a `Gateway` and the exchanges it decides about."""
 
     def __init__(
         self,
@@ -106,50 +112,50 @@
         self.backends: Backends | None = None
         self.send_to_peer, self.watch, self.log = send_to_peer, watch, log
         self.exchanges: dict[int, AnyExchange] = {}
-        self._next = seed % 2**32
+        self._next_id = seed % 2**32
         self._events: list[Event | AnyExchange] = []
-        self._over: list[AnyExchange] = []  # ended, and the gateway is not yet told
-        self._last = -settings.tick_ns
-        self._flush: asyncio.TimerHandle | None = None
-        self._turning = False
-        self._due: int | None = None  # the gateway's timer
+        self._finished: list[AnyExchange] = []  # the gateway is not yet notified of their end
+        self._last_handled_at = -settings.tick_ns
+        self._batch_timer: asyncio.TimerHandle | None = None
+        self._handling = False
+        self._timer_due: int | None = None  # the gateway's timer
         self._timer: asyncio.TimerHandle | None = None
-        self._margin = 4 * settings.tick_ns
-        self.streaming_count = 0  # answers that clients are taking
-        self.sends_to_peers = True  # peers hear from this process
-        self.observer: Callable[[AnyExchange], None] | None = None  # told of each exchange that is over
-        # Told of a final answer of this side's own while an attempt is out.
+        self._deadline_margin = 4 * settings.tick_ns  # a failure this close to the deadline is a time-out
+        self.streaming_count = 0  # final answers whose body is still being streamed
+        self.sends_to_peers = True  # False while another process sends in its place
+        self.observer: Callable[[AnyExchange], None] | None = None  # called with each exchange that is closed
+        # Called when this gatekeeper gives a final answer of its own while an attempt is in flight.
         self.on_answered_with_open_attempts: Callable[[AnyExchange, End], None] = lambda exchange, end: None
-        # Told of a client that has left while an attempt of its request is out.
+        # Called when a client leaves while an attempt of its request is in flight.
         self.on_client_left: Callable[[AnyExchange], None] = lambda exchange: None
-        # Told when a request has its end and no attempt of it is out.
+        # Called when an exchange has its final answer and no attempt of it is in flight.
         self.on_exchange_closed: Callable[[], None] = lambda: None
         self.by_class = [dict.fromkeys(End, 0) for _ in settings.classes]
         self.outcomes = {outcome: 0 for outcome in Outcome}
 
     def update_settings(self, settings: Settings) -> None:
-        """Classes, plans and services that came to those known, another number of gateways: hold at once."""
+        """Applys settings at once: additional classes, plans or services, or another number of gateways."""
         self.flush_events()
-        self.settings, self._margin = settings, 4 * settings.tick_ns
+        self.settings, self._deadline_margin = settings, 4 * settings.tick_ns
         self.by_class += [dict.fromkeys(End, 0) for _ in settings.classes[len(self.by_class) :]]
         self.gateway.update_settings(settings)
 
     # Events.
 
     def submit(self, exchange: AnyExchange) -> None:
-        """A request has arrived."""
-        while self._next in self.exchanges:
-            self._next = (self._next + 1) % 2**32
-        exchange.id = self._next
-        self._next = (self._next + 1) % 2**32
+        """Accepts a request that has arrived: gives its exchange an id and passes it to the gateway."""
+        while self._next_id in self.exchanges:
+            self._next_id = (self._next_id + 1) % 2**32
+        exchange.id = self._next_id
+        self._next_id = (self._next_id + 1) % 2**32
         self.exchanges[exchange.id] = exchange
-        self._event(exchange)
+        self._add_event(exchange)
 
     def client_left(self, exchange: AnyExchange) -> None:
-        """The client has gone away."""
+        """Records that the client of an exchange has disconnected."""
         if self._finish(exchange, Final(End.CLIENT_LEFT)):
-            self._over.append(exchange)
-            self._event(ClientLeft(exchange.id))
+            self._finished.append(exchange)
+            self._add_event(ClientLeft(exchange.id))
 
     def attempt_ended(
         self,
@@ -160,7 +166,7 @@
         response: object = None,
         units: float = 0.0,
     ) -> None:
-        """An attempt has ended. The first good answer goes to the client at once."""
+        """Records the end of an attempt. The first successful response goes to the client at once."""
         if not exchange.end_attempt(attempt):
             return
         self.outcomes[outcome] += 1
@@ -171,112 +177,127 @@
             exchange.true_units = exchange.true_units or units
             self._finish(exchange, Final(End.SERVED, response))
         elapsed = self.clock() - exchange.attempt_times[attempt]
-        done = exchange.end is not None
-        if done:
-            self._over.append(exchange)
-        spent = exchange.body_consumed
-        self._event(
-            AttemptEnded(exchange.id, attempt, backend, outcome, elapsed, done, units, body_consumed=spent)
+        complete = exchange.end is not None
+        if complete:
+            self._finished.append(exchange)
+        consumed = exchange.body_consumed
+        self._add_event(
+            AttemptEnded(
+                exchange.id, attempt, backend, outcome, elapsed, complete, units, body_consumed=consumed
+            )
         )
 
     def is_safe_to_repeat(self, exchange: AnyExchange) -> bool:
-        """May its request run more than once?"""
+        """Returns whether the request may run more than once."""
         return self.settings.classes[exchange.cls].repeat is Repeat.SAFE
 
     def attempt_suspected(self, exchange: AnyExchange, attempt: int) -> None:
-        """An attempt's backend may hang. It stays out; the decisions may send another beside it."""
+        """Reports that the backend of an attempt may hang.
+
+        The attempt stays in flight; the gateway may send a hedged request. Ignored if the exchange has its
+        final answer or another attempt in flight.
+        """
         if exchange.end is None and exchange.open_attempts == {attempt}:
-            self._event(AttemptSuspected(exchange.id, attempt))
+            self._add_event(AttemptSuspected(exchange.id, attempt))
 
     def streaming_ended(self, exchange: AnyExchange, end: End) -> None:
-        """An answer that was on its way when it became the final one has arrived whole, or has not."""
+        """Counts the end of a final answer whose body was streamed: complete or broken off."""
         self.streaming_count -= 1
         self.by_class[exchange.cls][end] += 1
 
     def expire(self, exchange: AnyExchange) -> None:
-        """The client's time is up, which only its front knows, or this process's is."""
+        """Gives up a request from outside the gateway: its client's time is up, or this process stops.
+
+        The time of a client that sent a streamed body is known to the client's connection only.
+        """
         if self._finish(exchange, Final(End.TIMED_OUT, deadline_passed=True)):
-            self._over.append(exchange)
-            self._event(RequestExpired(exchange.id))
+            self._finished.append(exchange)
+            self._add_event(RequestExpired(exchange.id))
 
     def backend_list_received(self, backends: BackendList) -> None:
-        """Discovery has told something."""
-        self._event(backends)
+        """Passes a change of the backend list to the gateway."""
+        self._add_event(backends)
 
     def peer_message_received(self, peer: int, data: bytes) -> None:
-        """A peer has sent a message."""
-        self._event(PeerMessage(peer, data))
+        """Passes a message of another gateway to the gateway."""
+        self._add_event(PeerMessage(peer, data))
 
     @property
     def counts(self) -> dict[End, int]:
-        """Final answers by their kind, over all classes."""
+        """Numbers of final answers by kind, over all classes."""
         return {end: sum(counts[end] for counts in self.by_class) for end in End}
 
     def pending_count(self) -> int:
-        """How many requests have no answer yet."""
+        """Returns how many requests have no final answer yet, or one that is still being streamed."""
         return sum(exchange.end is None for exchange in self.exchanges.values()) + self.streaming_count
 
     def flush_events(self) -> None:
-        """Tells the gateway now what it is not told yet; not from within a turn."""
-        if self._events and not self._turning:
-            if self._flush is not None:
-                self._flush.cancel()
-            self._last = -self.settings.tick_ns
-            self._turn_or_wait()
+        """Passes all waiting events to the gateway now; no effect during a call of `Gateway.handle`."""
+        if self._events and not self._handling:
+            if self._batch_timer is not None:
+                self._batch_timer.cancel()
+            self._last_handled_at = -self.settings.tick_ns
+            self._handle_or_wait()
 
     # Time.
 
-    def _event(self, event: Event | AnyExchange) -> None:
+    def _add_event(self, event: Event | AnyExchange) -> None:
         self._events.append(event)
-        if self._flush is None and not self._turning:
-            self._turn_or_wait()
+        if self._batch_timer is None and not self._handling:
+            self._handle_or_wait()
+
+    def _handle_or_wait(self) -> None:
+        """Handles events now, or waits until a tick has passed since the last time.
 
-    def _turn_or_wait(self) -> None:
-        """A turn now, or a tick after the last one; a timer of the loop may fire a little early."""
+        A timer of the loop may fire a little early; then the wait starts again.
+        """
         now = self.clock()
-        wait = self._last + self.settings.tick_ns - now
+        wait = self._last_handled_at + self.settings.tick_ns - now
         if wait > 0:
-            self._flush = self.loop.call_later(wait / SECOND, self._turn_or_wait)
+            self._batch_timer = self.loop.call_later(wait / SECOND, self._handle_or_wait)
             return
-        self._flush, self._turning = None, True
+        self._batch_timer, self._handling = None, True
         try:
-            self._turn(now)
+            self._handle_events(now)
         finally:
-            self._turning = False
-        if self._events:  # what the turn itself brought about
-            self._turn_or_wait()
+            self._handling = False
+        if self._events:  # events caused by the actions just executed
+            self._handle_or_wait()
 
-    def _turn(self, now: int) -> None:
-        self._last = now
+    def _handle_events(self, now: int) -> None:
+        self._last_handled_at = now
         events = [
-            self._request(event, now) if isinstance(event, Exchange) else event for event in self._events
+            self._to_request(event, now) if isinstance(event, Exchange) else event for event in self._events
         ]
         self._events.clear()
-        over, self._over = self._over, []
+        finished, self._finished = self._finished, []
         try:
             actions = self.gateway.handle(now, events)
-        except Exception as error:  # one bad turn must not leave everybody without an answer
-            log_message("turn", f"the gateway failed: {type(error).__name__}: {error}")
+        except Exception as error:  # a fault in one batch must not leave all its requests without an answer
+            log_message(
+                "turn",
+                f"the gateway failed, and with it new requests: {type(error).__name__}: {error}",
+            )
             for event in events:
                 if isinstance(event, Request):
-                    self._give_up(event.id, Final(End.FAILED))
-            self._arm(now + self.settings.tick_ns)  # its own timer may have been lost with the turn
+                    self._finish_and_remove(event.id, Final(End.FAILED))
+            self._set_timer(now + self.settings.tick_ns)  # the failed call may have lost the gateway's timer
             actions = []
         for action in actions:
             try:
-                self._carry_out(action, now)
-            except Exception as error:  # nor must one action take those behind it along
+                self._execute(action, now)
+            except Exception as error:  # nor may one failed action stop those after it
                 log_message(
                     type(action).__name__, f"{type(action).__name__} failed: {type(error).__name__}: {error}"
                 )
-        # Not before: in the turn that told of the end the gateway may still have sent an attempt, of whose
-        # end it must hear, or it takes it for one that is out for good.
-        for exchange in over:
-            self._drop(exchange)
+        # Not earlier: in the call that notifies the gateway of the end, it may still send an attempt. It has
+        # to be notified of the end of that attempt too, or it counts the attempt as in flight forever.
+        for exchange in finished:
+            self._remove_if_closed(exchange)
 
     @staticmethod
-    def _request(exchange: AnyExchange, now: int) -> Request:
-        """The time left counts from the client's sending, not from this turn."""
+    def _to_request(exchange: AnyExchange, now: int) -> Request:
+        """Returns the gateway's request. Its time left counts from the arrival, not from this call."""
         return Request(
             exchange.id,
             exchange.customer,
@@ -293,41 +314,41 @@
             exchange.limits,
         )
 
-    def _arm(self, due: int) -> None:
-        """One timer, the earliest asked for: when it fires, the gateway asks for the next one."""
-        if self._due is not None and self._due <= due:
+    def _set_timer(self, due: int) -> None:
+        """Sets the one timer to the earliest time requested: when it fires, the gateway sets the next one."""
+        if self._timer_due is not None and self._timer_due <= due:
             return
         if self._timer is not None:
             self._timer.cancel()
-        self._due = due
-        self._timer = self.loop.call_later((due - self.clock()) / SECOND, self._fire)
+        self._timer_due = due
+        self._timer = self.loop.call_later((due - self.clock()) / SECOND, self._on_timer)
 
-    def _fire(self) -> None:
-        due, self._due, self._timer = self._due, None, None
+    def _on_timer(self) -> None:
+        due, self._timer_due, self._timer = self._timer_due, None, None
         if due is None:
             return
-        if self.clock() < due:  # never early
-            self._arm(due)
+        if self.clock() < due:  # the loop's timer fired early
+            self._set_timer(due)
             return
-        self._event(TimerFired(0))
+        self._add_event(TimerFired(0))
 
     # Actions.
 
-    def _carry_out(self, action: Action, now: int) -> None:
+    def _execute(self, action: Action, now: int) -> None:
         match action:
             case Send():
                 self._send(action, now)
             case Refuse():
-                late = self._late(action.request, now)
+                late = self._deadline_passed(action.request, now)
                 final = Final[Any](End.REFUSED, None, action.wait_ns, late, action.over_quota)
-                self._give_up(action.request, final)
+                self._finish_and_remove(action.request, final)
             case Fail():
-                late = self._late(action.request, now)
-                self._give_up(
+                late = self._deadline_passed(action.request, now)
+                self._finish_and_remove(
                     action.request, Final(End.TIMED_OUT if late else End.FAILED, deadline_passed=late)
                 )
             case SetTimer():
-                self._arm(now + action.delay_ns)
+                self._set_timer(now + action.delay_ns)
             case SendPeerMessage():
                 if self.sends_to_peers:
                     self.send_to_peer(action.peer, action.data)
@@ -345,12 +366,14 @@
             case FetchList():
                 self.watch(True)
             case _:
-                log_message("action", f"an action that the settings forbid: {action}")
+                log_message(
+                    "action", f"the gateway returned an action that its settings do not allow: {action}"
+                )
 
     def _send(self, action: Send, now: int) -> None:
         exchange = self.exchanges.get(action.request)
         if exchange is None:
-            log_message("action", "an attempt of a request that is over was not sent")
+            log_message("action", "an attempt was not sent: its request is finished")
             return
         attempt = exchange.begin_attempt(now)
         if self.observer is not None:
@@ -363,20 +386,20 @@
         else:
             self.backends.send(exchange, attempt, action.backend, action.timeout_ns)
 
-    def _late(self, request: int, now: int) -> bool:
+    def _deadline_passed(self, request: int, now: int) -> bool:
         exchange = self.exchanges.get(request)
-        return exchange is not None and now >= exchange.deadline - self._margin
+        return exchange is not None and now >= exchange.deadline - self._deadline_margin
 
-    def _give_up(self, request: int, final: Final[Any]) -> None:
+    def _finish_and_remove(self, request: int, final: Final[Any]) -> None:
         exchange = self.exchanges.get(request)
         if exchange is not None:
             self._finish(exchange, final)
-            self._drop(exchange)
+            self._remove_if_closed(exchange)
 
     def _finish(self, exchange: AnyExchange, final: Final[Any]) -> bool:
         first = exchange.finish(final)
         if first and exchange.open_attempts:
-            self._finished_over(exchange, final.end)
+            self._on_finished_early(exchange, final.end)
         if first and exchange.streaming and final.end is End.SERVED:
             self.streaming_count += 1
         else:
@@ -385,8 +408,8 @@
             exchange.finished = self.clock()
         return first
 
-    def _finished_over(self, exchange: AnyExchange, end: End) -> None:
-        """It has its end while attempts are out: those that wait for a connection would run for nobody."""
+    def _on_finished_early(self, exchange: AnyExchange, end: End) -> None:
+        """Withdraws attempts of a finished exchange that still wait for a connection: nobody needs them."""
         if end is End.CLIENT_LEFT:
             self.on_client_left(exchange)
         elif end is not End.SERVED:
@@ -394,9 +417,9 @@
         if self.backends is not None:
             self.backends.withdraw(exchange)
 
-    def _drop(self, exchange: AnyExchange) -> None:
+    def _remove_if_closed(self, exchange: AnyExchange) -> None:
         if exchange.end is not None and not exchange.open_attempts:
-            gone = self.exchanges.pop(exchange.id, None)
-            if gone is not None and self.observer is not None:
-                self.observer(gone)
+            removed = self.exchanges.pop(exchange.id, None)
+            if removed is not None and self.observer is not None:
+                self.observer(removed)
             self.on_exchange_closed()
--- a/pepperrun/serve.py
+++ b/pepperrun/serve.py
@@ -275,7 +275,7 @@
     if text is not None:
         offset, _, after = text.partition("@")
         try:
-            clock.step(float(offset), float(after or 0))
+            clock.schedule_jump(float(offset), float(after or 0))
         except (ValueError, OverflowError):
             raise ValueError(f"--clock-offset: {text!r} is not SECONDS or SECONDS@AFTER") from None
     return clock
