--- a/pepperrun/fronts/client_connection.py
+++ b/pepperrun/fronts/client_connection.py
@@ -1,7 +1,7 @@
-"""A client's connection as those see it who look after many: what it owes, when it ends, and how it moves on.
+"""A client's connection as the owners of many connections see it: its state, its end and its hand-over.
 
-The listener ends connections that are silent or stand still; a lot parks them as records; another process of
-the same gatekeeper may take them over.
+The listener ends connections that are silent or stalled. A parking lot replaces idle ones by records. Another
+process of the same gatekeeper may take them over.
 """
 
 from __future__ import annotations
@@ -25,17 +25,17 @@
 from pepperrun.net.listener import CROWDED_IDLE_TIMEOUT_NS, ConnectionSnapshot, Listener
 from pepperrun.net.stream import BodyStream, MemoryBudget
 
-WRITE_TIMEOUT_NS = 10 * SECOND  # for taking an answer
-LINGER_TIMEOUT_NS = 4 * SECOND  # for reading why a request can't be read, beside sending the rest of it
-BODY_PROGRESS_TIMEOUT_NS = SECOND  # a body of which nothing has come for so long is not under way
-MIN_BODY_BYTES_PER_S = 32 * 1024  # bytes a second: half of what slow clients send at
-NEW_CONNECTION_GRACE_NS = SECOND // 4  # a new connection has this long to ask before it gives way to others
-MAX_PARKED_BYTES = 2048  # bytes of a part of a request with which a connection can be parked
-Submission = tuple[Gatekeeper, Exchange[Any, Any]]  # an exchange and who is to take it
+WRITE_TIMEOUT_NS = 10 * SECOND  # for a client to take written output
+LINGER_TIMEOUT_NS = 4 * SECOND  # for a client to read why its request was rejected while it sends the rest
+BODY_PROGRESS_TIMEOUT_NS = SECOND  # a body without input for this long has stalled
+MIN_BODY_BYTES_PER_S = 32 * 1024  # half of what slow clients send at
+NEW_CONNECTION_GRACE_NS = SECOND // 4  # for a first request, before a new connection may be evicted
+MAX_PARKED_BYTES = 2048  # of a partial request with which a connection can be parked
+Submission = tuple[Gatekeeper, Exchange[Any, Any]]  # an exchange and the gatekeeper to submit it to
 
 
 class ClientConnection(asyncio.BufferedProtocol):
-    """What a client's connection is; `HttpConnection` adds what it does."""
+    """The state of a client's connection; `HttpConnection` adds the protocol. Times are in ns."""
 
     def __init__(
         self, listener: Listener, clock: Callable[[], int], budget: MemoryBudget | None = None
@@ -47,122 +47,139 @@
             self.parser = RequestParser(self.buffer)
         else:
             self.parser = RequestParser(self.buffer, MAX_STREAMED_BODY, MAX_REQUEST_BODY)
-        self.upload: BodyStream | None = None  # the rest of a request's body, which its backend takes
-        self.download: BodyStream | None = None  # the rest of an answer's body
-        self.chunked = self.last_one = False  # how it goes out, and whether the connection ends after it
-        self.answering: Submission | None = None  # whose answer it is
-        self.patience: asyncio.TimerHandle | None = None  # for a request whose time began with its last byte
+        self.upload: BodyStream | None = None  # the rest of a request's body, which a backend reads
+        self.download: BodyStream | None = None  # the rest of a response's body
+        self.chunked = self.close_after_body = False  # of the download: its framing, and what follows it
+        self.answering: Submission | None = None  # whose response is being written
+        self.deadline_timer: asyncio.TimerHandle | None = (
+            None  # from the last byte of a streamed request body
+        )
         self.paused_at = 0
-        self.head_at = 0  # when the head of a request whose body is coming was read
-        self.pending: Submission | None = None  # the exchange that has no answer yet
+        self.head_read_at = 0  # when the head of a request was read whose body is still arriving
+        self.pending: Submission | None = None  # the exchange without a final answer
         self.request: Request | None = None
-        self.made = self.since = 0  # when it was connected, when it was last used
-        self.write_blocked_at: int | None = None  # since when the client has not taken what was written
-        self.answers = self.asked = self.dropped = 0  # `asked`: requests that became exchanges
-        self.held = False  # what comes is not read now: another process is to take the connection
-        self.paused = self.closing = self.lingering = False
-        self.parked = False  # another keeps its connection
-        self.fd = -1  # for who keeps connections by descriptor
-        self.woken = 0  # when it spoke, for one that is taken up again; 0 once that is read
+        self.connected_at = self.last_used_at = 0
+        self.write_blocked_at: int | None = None  # since when output waits for the client
+        self.response_count = self.exchange_count = self.discarded_bytes = 0
+        self.requests_paused = False  # not reading: another process is to take the connection over
+        self.reading_paused = self.closing = self.lingering = False
+        self.parked = False  # the connection lives on without this object
+        self.fd = -1  # set by an owner that indexes connections by descriptor
+        # When a parked connection received input; 0 once that is read or for one that was not parked.
+        self.woken_at = 0
 
     # For the listener.
 
     def is_busy(self) -> bool:
-        """Is a request on it, whole or in part, or an answer not yet written?"""
+        """Whether a request, complete or partial, or an unwritten response is on the connection."""
         if self.lingering:
-            return self.unwritten()
-        owes = self.pending is not None or self.download is not None or self.unwritten()
-        return owes or self.has_partial_request() or self.woken > 0
+            return self.has_unwritten_output()
+        response_owed = self.pending is not None or self.download is not None or self.has_unwritten_output()
+        return response_owed or self.has_partial_request() or self.woken_at > 0
 
     def never_answered(self) -> bool:
-        """Has it had no answer yet?"""
-        return self.answers == 0
+        """Whether the connection has had no response yet."""
+        return self.response_count == 0
 
     def has_partial_request(self) -> bool:
-        """Has a part of a request come?"""
+        """Whether a part of a request has arrived."""
         return self.parser.request is not None or self.upload is not None or len(self.buffer) > 0
 
     def expires_at(self, crowded: bool) -> int | None:
-        """When the connection ends if nothing more happens on it; None while an answer is owed."""
+        """Returns when the connection ends if nothing more happens on it; None while a response is owed."""
         if self.lingering:
-            return self.since + (WRITE_TIMEOUT_NS if self.unwritten() else LINGER_TIMEOUT_NS)
+            return self.last_used_at + (
+                WRITE_TIMEOUT_NS if self.has_unwritten_output() else LINGER_TIMEOUT_NS
+            )
         if self.write_blocked_at is not None:
             return self.write_blocked_at + WRITE_TIMEOUT_NS
-        if self.upload is not None and not self.paused:
+        if self.upload is not None and not self.reading_paused:
             return self._body_stalled_at()
         if self.pending is not None or self.download is not None:
             return None
-        if self.unwritten():
-            return self.since + WRITE_TIMEOUT_NS
+        if self.has_unwritten_output():
+            return self.last_used_at + WRITE_TIMEOUT_NS
         times = self.listener.timeouts
-        if self.parser.request is not None:  # its body is on its way
-            begun = (
-                self.made
+        if self.parser.request is not None:  # its body is still arriving
+            started_at = (
+                self.connected_at
                 if self.never_answered() and times.request_from_connect
                 else self.buffer.first_byte_at
             )
-            return max(begun + times.request_ns, self._body_stalled_at())
+            return max(started_at + times.request_ns, self._body_stalled_at())
         if self.never_answered() and not self.has_partial_request():
-            return self.made + times.first_byte_ns
+            return self.connected_at + times.first_byte_ns
         if self.never_answered() and times.request_from_connect:
-            return self.made + times.request_ns
+            return self.connected_at + times.request_ns
         if self.has_partial_request():
             return self.buffer.first_byte_at + times.request_ns
-        return self.since + (times.crowded_idle_ns if crowded else times.idle_ns)
+        return self.last_used_at + (times.crowded_idle_ns if crowded else times.idle_ns)
 
     def _body_stalled_at(self) -> int:
-        """When a body that comes no further, or hardly, ends its connection."""
+        """Returns when a body that makes no progress, or too little, ends its connection."""
         body = self.parser.body
-        got = body.received if body is not None else 0
+        received = body.received if body is not None else 0
         return min(
             self.buffer.last_byte_at + BODY_PROGRESS_TIMEOUT_NS,
-            self.head_at + BODY_PROGRESS_TIMEOUT_NS + got * SECOND // MIN_BODY_BYTES_PER_S,
+            self.head_read_at + BODY_PROGRESS_TIMEOUT_NS + received * SECOND // MIN_BODY_BYTES_PER_S,
         )
 
     def eviction_rank(self, now: int) -> tuple[int, int] | None:
-        """How readily it gives way to a new connection; None: not at all.
+        """Returns the rank for eviction in favour of a new connection, smallest first; None: not at all.
 
-        Nobody misses one that has only asked whether this gatekeeper is ready, and stays. Of the others those
-        that have come back with a second request are the likeliest to come again.
+        The first number is 0 for a connection whose client would not notice its end, such as one that has
+        only asked for readiness. Clients that have sent a second request are the likeliest to send another,
+        so their connections are evicted last.
         """
         transport = self.transport
         if transport is None or transport.is_closing() or not self.lingering and self.is_busy():
             return None
-        if self.never_answered():  # a loop that is late has not read yet what has come long ago
-            silent = now - self.made >= NEW_CONNECTION_GRACE_NS and not has_unread_input(transport)
-            return (0, self.made) if silent else None
+        if self.never_answered():  # a late loop may not have read input that arrived long ago
+            silent = now - self.connected_at >= NEW_CONNECTION_GRACE_NS and not has_unread_input(transport)
+            return (0, self.connected_at) if silent else None
         if self.lingering:
-            return (0, self.since) if now - self.since >= NEW_CONNECTION_GRACE_NS else None
-        if not self.asked or now - self.since >= CROWDED_IDLE_TIMEOUT_NS:
-            return 0, self.since
-        return (1 if self.asked == 1 else 2), self.since
+            return (0, self.last_used_at) if now - self.last_used_at >= NEW_CONNECTION_GRACE_NS else None
+        if not self.exchange_count or now - self.last_used_at >= CROWDED_IDLE_TIMEOUT_NS:
+            return 0, self.last_used_at
+        return (1 if self.exchange_count == 1 else 2), self.last_used_at
 
-    def unwritten(self) -> bool:
-        """Is a part of an answer not yet taken?"""
+    def has_unwritten_output(self) -> bool:
+        """Whether a part of a response has not been taken by the client yet."""
         return self.transport is not None and self.transport.get_write_buffer_size() > 0
 
-    # For who parks connections.
+    # For parking and hand-over.
 
-    def idle_since(self, most_held: int = MAX_PARKED_BYTES) -> int | None:
-        """Since when it has said nothing; None where parking would lose more."""
+    def idle_since(self, max_buffered: int = MAX_PARKED_BYTES) -> int | None:
+        """Returns since when the connection is silent; None if it has state that a snapshot does not hold."""
         transport = self.transport
         if transport is None or transport.is_closing() or self.pending is not None or self.closing:
             return None
         if self.download is not None or self.upload is not None:
             return None
-        if self.woken or self.paused or self.write_blocked_at is not None or self.parser.request is not None:
+        if (
+            self.woken_at
+            or self.reading_paused
+            or self.write_blocked_at is not None
+            or self.parser.request is not None
+        ):
             return None
-        if self.unwritten() or len(self.buffer) > most_held:
+        if self.has_unwritten_output() or len(self.buffer) > max_buffered:
             return None
-        return self.buffer.last_byte_at if len(self.buffer) else self.since
+        return self.buffer.last_byte_at if len(self.buffer) else self.last_used_at
 
     def snapshot(self) -> ConnectionSnapshot:
-        """What outlasts the object: answers, exchanges, last use, a part of a request and when it began."""
-        held = self.buffer.peek(len(self.buffer))
-        return self.answers, self.asked, self.since, held, self.buffer.first_byte_at if held else 0
+        """Returns the state that outlives this object; `ConnectionSnapshot` lists its fields."""
+        buffered = self.buffer.peek(len(self.buffer))
+        return (
+            self.response_count,
+            self.exchange_count,
+            self.last_used_at,
+            buffered,
+            self.buffer.first_byte_at if buffered else 0,
+        )
 
     def park(self) -> None:
-        """Gives up the transport, whose connection lives on in a copy of its descriptor."""
+        """Closes the transport; the connection lives on in a copy of its descriptor."""
         transport, self.transport = self.transport, None
         self.parked = True
         self.listener.release(self)
@@ -170,21 +187,27 @@
             transport.abort()
 
     def pause_requests(self, on: bool) -> None:
-        """Reads no next request until another process has the connection, or reads on."""
+        """Stops reading further requests (`on`) until the connection is handed over, or starts again.
+
+        A request that has begun is not interrupted.
+        """
         transport = self.transport
-        if transport is None or transport.is_closing() or on == self.held:
+        if transport is None or transport.is_closing() or on == self.requests_paused:
             return
         if on and (self.pending is not None or self.parser.request is not None or self.download is not None):
-            return  # what has begun goes on
-        self.held = on
+            return
+        self.requests_paused = on
         if on:
             transport.pause_reading()
-        elif not self.paused:
+        elif not self.reading_paused:
             transport.resume_reading()
             self.resume()
 
     def hand_over(self, max_buffered: int) -> tuple[ConnectionSnapshot, int] | None:
-        """What it is and a copy of its descriptor, for another process; None while it owes an answer."""
+        """Parks the connection for another process; returns its state and a copy of its descriptor.
+
+        None, without effect, while a response is owed or the state does not fit a snapshot.
+        """
         if self.lingering or self.idle_since(max_buffered) is None or self.transport is None:
             return None
         try:
@@ -195,21 +218,21 @@
         self.park()
         return snapshot, fd
 
-    def restore(self, snapshot: ConnectionSnapshot, woken: int) -> None:
-        """Goes on as the connection was; it has spoken at `woken`."""
-        self.answers, self.asked, self.since, held, held_at = snapshot
-        self.made, self.woken = self.since, woken
-        if held:
-            self.buffer.add(held, held_at)
+    def restore(self, snapshot: ConnectionSnapshot, woken_at: int) -> None:
+        """Restores the state of a snapshot. Input has waited since `woken_at`, 0 for none."""
+        self.response_count, self.exchange_count, self.last_used_at, buffered, first_byte_at = snapshot
+        self.connected_at, self.woken_at = self.last_used_at, woken_at
+        if buffered:
+            self.buffer.add(buffered, first_byte_at)
 
     def resume(self) -> None:
-        """Reads what is held of it."""
+        """Handles the buffered input."""
         raise NotImplementedError
 
     def expire(self) -> None:
-        """Its time is up."""
+        """Ends a connection whose time-out has passed."""
         raise NotImplementedError
 
     def close(self) -> None:
-        """Closes; what is written still goes out, unless the client does not take it."""
+        """Closes the connection. Written output is still sent, unless the client does not take it."""
         raise NotImplementedError
--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -275,7 +275,7 @@
     """Pipelines requests behind the first until the gatekeeper pauses reading."""
     pipelined = b"GET /p/x HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: gone\r\nAuthorization: Token k1\r\n\r\n"
     client.writer.write(pipelined * (4 * MAX_PIPELINED_BYTES // len(pipelined)))
-    await until(lambda: any(kept.paused for kept in cluster.connections()))
+    await until(lambda: any(kept.reading_paused for kept in cluster.connections()))
 
 
 def close_has_reached_socket(cluster: DisconnectCluster) -> bool:
@@ -390,7 +390,7 @@
             client.writer.write(encode(b"x" * MAX_PIPELINED_BYTES))
             size += MAX_PIPELINED_BYTES
             await client.writer.drain()
-        unread = unread + 1 if any(kept.paused for kept in cluster.connections()) else 0
+        unread = unread + 1 if any(kept.reading_paused for kept in cluster.connections()) else 0
         await asyncio.sleep(0)
     return size
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -226,7 +226,7 @@
         await worker.arrived.get()
         client.writer.write(b"GET /ready HTTP/1.1\r\nHost: h\r\n\r\n" * 10_000)
         (connection,) = connections(front)
-        while not connection.paused:
+        while not connection.reading_paused:
             await asyncio.sleep(0)
         assert len(connection.buffer) <= REQUEST_BUFFER_SIZE  # what a client sends ahead does not fill memory
         worker.go.set()
