--- a/pepperrun/fronts/__init__.py
+++ b/pepperrun/fronts/__init__.py
@@ -1,1 +1,1 @@
-"""Client sides: each turns what clients send into exchanges and final answers into what clients read."""
+"""Fronts: each converts requests of clients to exchanges, and final answers to responses."""
--- a/tests/test_forward_auth.py
+++ b/tests/test_forward_auth.py
@@ -1,4 +1,4 @@
-"""Forward authentication on real sockets: a stand-in server that stalls, resets and restarts."""
+"""Forward authentication on real sockets: a simulated server that stalls, resets and restarts."""
 
 from __future__ import annotations
 
@@ -29,14 +29,14 @@
 from pepperrun.exchange import End
 from pepperrun.gatekeeper import Clock
 
-ASK = {
+FORWARDED_HEADERS = {
     "X-Forwarded-Method": "POST",
     "X-Forwarded-Proto": "https",
     "X-Forwarded-Host": "desk.example",
     "X-Forwarded-Uri": "/book?id=1",
     "X-Forwarded-For": "10.9.8.7",
 }
-IDLE = {"name": "identity", "prefix": "/", "wanted_ms": 60_000, "deadline_ms": 120_000}
+SLOW_CLASS = {"name": "identity", "prefix": "/", "wanted_ms": 60_000, "deadline_ms": 120_000}
 GRANT = ok(b"", b"X-Auth-User: nurse", b"X-Secret: s", b"Set-Cookie: no")
 
 
@@ -55,23 +55,23 @@
 
 
 class Proxy(Client):
-    """Another proxy that asks."""
+    """Another proxy that sends authentication requests."""
 
     def verify(self, method: str = "GET", **fields: str) -> None:
-        both = ASK | {name.replace("_", "-"): value for name, value in fields.items()}
+        both = FORWARDED_HEADERS | {name.replace("_", "-"): value for name, value in fields.items()}
         head = "".join(f"{name}: {value}\r\n" for name, value in both.items() if value)
         self.writer.write(f"{method} /auth HTTP/1.1\r\nHost: gate\r\n{head}\r\n".encode())
 
 
-async def answering(server: StandIn, **changes: Any) -> tuple[Any, Any, Proxy]:
+async def start_auth_server(server: StandIn, **changes: Any) -> tuple[Any, Any, Proxy]:
     _, service, listener = await start_auth(read_auth(auth_file(server.port, **changes)), Clock(), 1)
     return service, listener, await Proxy.to(listener.address[1])
 
 
-def test_a_grant_passes_the_configured_headers_and_nothing_a_client_claims():
+def test_grant_forwards_the_configured_headers_and_none_that_a_client_claims():
     async def test():
         server = await StandIn(GRANT).start()
-        _, _, proxy = await answering(server)
+        _, _, proxy = await start_auth_server(server)
         proxy.verify(
             Cookie="session=1", X_Auth_User="admin", X_Forwarded_Port="1", Connection="x-gone", X_Gone="1"
         )
@@ -81,7 +81,7 @@
         asked = (await server.arrived.get()).decode()
         assert asked.startswith("GET /verify HTTP/1.1\r\nHost: identity.example\r\n")
         assert "Cookie: session=1" in asked and "admin" not in asked and "X-Gone" not in asked
-        for name, value in ASK.items():
+        for name, value in FORWARDED_HEADERS.items():
             assert f"{name.lower()}: {value}" in asked
 
     going(test)
@@ -96,10 +96,10 @@
         (307, "Set-Cookie: a=b"),
     ],
 )
-def test_a_definite_no_is_passed_on_at_once(status, more):
+def test_denial_is_forwarded_at_once(status, more):
     async def test():
         server = await StandIn(answer(status, b"page", more.encode(), b"Connection: close")).start()
-        _, _, proxy = await answering(server)
+        _, _, proxy = await start_auth_server(server)
         proxy.verify()
         got, fields, body = await proxy.answer()
         name, value = more.lower().split(": ")
@@ -119,28 +119,28 @@
         (stall, 504),
     ],
 )
-def test_what_is_no_clear_answer_is_no_grant(step, status):
+def test_unclear_response_is_no_grant(step, status):
     async def test():
         server = await StandIn(step).start()
-        # Beyond the wanted time a failure is told as one; before it, trying again is said to be harmless.
+        # A failure after the latency target is reported as such; one before it as safe to retry.
         classes = [{"name": "identity", "wanted_ms": 1, "deadline_ms": 100}]
-        service, _, proxy = await answering(server, classes=classes)
+        service, _, proxy = await start_auth_server(server, classes=classes)
         start = service.clock()
         proxy.verify()
         assert (await proxy.answer())[0] == status
         assert service.clock() - start < SECOND
-        proxy.verify()  # the connection still serves
+        proxy.verify()  # the connection can still be used
         assert (await proxy.answer())[0] in (status, 502)
 
     going(test)
 
 
-def test_an_attempt_that_fails_is_made_again_elsewhere_within_the_budget():
+def test_failed_attempt_is_retried_at_another_server_within_the_budget():
     async def test():
         bad, good = await StandIn(reset).start(), await StandIn(GRANT).start()
         _, service, listener = await start_auth(read_auth(auth_file(bad.port, good.port)), Clock(), 1)
         proxies = [await Proxy.to(listener.address[1]) for _ in range(6)]
-        for proxy in proxies:  # together: each server gets some
+        for proxy in proxies:  # concurrently: each server gets some
             proxy.verify()  # type: ignore[attr-defined]
         assert [(await proxy.answer())[0] for proxy in proxies] == [200] * 6
         assert bad.heads and service.gatekeeper.counts[End.SERVED] == 6
@@ -148,14 +148,14 @@
     going(test)
 
 
-def test_a_quota_refuses_with_retry_after_and_customers_do_not_share_it():
+def test_quota_rejects_with_retry_after_for_each_customer_separately():
     async def test():
         server = await StandIn(GRANT).start()
         plans = [
             {"name": "desk", "rate": 0.1, "burst": 1},
             {"name": "big", "rate": 100, "customers": ["hub.example"]},
         ]
-        _, _, proxy = await answering(server, plans=plans)
+        _, _, proxy = await start_auth_server(server, plans=plans)
         proxy.verify()
         assert (await proxy.answer())[0] == 200
         proxy.verify()
@@ -174,18 +174,18 @@
     [({"X_Forwarded_Uri": ""}, 400), ({"X_Forwarded_Method": ""}, 400), ({"X_Forwarded_Host": ""}, 400)]
     + [({"method": "POST"}, 405), ({"X_Forwarded_Uri": "/open/x"}, 403)],
 )
-def test_a_question_that_is_none_is_no_grant(fields, status):
+def test_invalid_authentication_request_is_no_grant(fields, status):
     async def test():
         server = await StandIn(GRANT).start()
         classes = [{"name": "identity", "prefix": "/book", "wanted_ms": 400, "deadline_ms": 800}]
-        _, _, proxy = await answering(server, classes=classes)
+        _, _, proxy = await start_auth_server(server, classes=classes)
         proxy.verify(**fields)
         assert (await proxy.answer())[0] == status and not server.heads
 
     going(test)
 
 
-def test_a_quota_holds_over_two_gatekeepers_that_tell_each_other():
+def test_quota_holds_across_two_gatekeepers_that_exchange_messages():
     async def test():
         server = await StandIn(GRANT).start()
         plans = [{"name": "desk", "rate": 0.1, "burst": 6}]
@@ -210,66 +210,66 @@
     going(test)
 
 
-async def asking(auth: StandIn, worker: StandIn, **changes: Any) -> tuple[Any, Front]:
+async def start_auth_and_front(auth: StandIn, worker: StandIn, **changes: Any) -> tuple[Any, Front]:
     _, service, _ = await start_auth(read_auth(auth_file(auth.port, listen=None, **changes)), Clock(), 1)
     front = Front(auth=service)
     front.list(line("w", worker.port))
     return service, front
 
 
-def test_a_request_is_booked_only_when_granted_and_only_where_configured():
+def test_request_is_forwarded_only_after_a_grant_in_configured_classes():
     async def test():
         auth, worker = (
             await StandIn(GRANT, answer(401, b"who"), GRANT).start(),
             await StandIn(ok(b"booked")).start(),
         )
-        service, front = await asking(auth, worker)
+        service, front = await start_auth_and_front(auth, worker)
         client = await front.client()
         client.ask("confirm", X_Auth_User="admin", Authorization="t")
         assert (await client.answer())[::2] == (200, b"booked")
-        booking, question = (await worker.arrived.get()).decode(), (await auth.arrived.get()).decode()
-        assert "X-Auth-User: nurse" in booking and "admin" not in booking + question
-        assert "x-forwarded-method: POST" in question and "x-forwarded-for: 127.0.0.1" in question
+        forwarded, auth_request = (await worker.arrived.get()).decode(), (await auth.arrived.get()).decode()
+        assert "X-Auth-User: nurse" in forwarded and "admin" not in forwarded + auth_request
+        assert "x-forwarded-method: POST" in auth_request and "x-forwarded-for: 127.0.0.1" in auth_request
         assert (
-            "x-forwarded-uri: /confirm?customer=0000000000000007" in question
-            and "Authorization: t" in question
+            "x-forwarded-uri: /confirm?customer=0000000000000007" in auth_request
+            and "Authorization: t" in auth_request
         )
         client.ask("confirm")
         assert (await client.answer())[::2] == (401, b"who")
         assert len(worker.heads) == 1
         client.ask(
             "search", X_Auth_User="admin"
-        )  # a class that does not ask; the claim is dropped all the same
+        )  # a class without authentication; the claimed header is dropped all the same
         assert (await client.answer())[0] == 200
         await worker.arrived.get()
         assert len(auth.heads) == 2 and b"admin" not in worker.heads[-1]
-        # Both steps count as taken.
+        # Both steps are counted as served.
         assert front.gatekeeper.counts[End.SERVED] == 2 and service.gatekeeper.counts[End.SERVED] == 2
 
     going(test)
 
 
-def test_one_budget_holds_for_both_steps():
+def test_one_time_budget_covers_both_steps():
     async def test():
         auth, worker = await StandIn(wait_then(GRANT)).start(), await StandIn(ok()).start()
-        service, front = await asking(auth, worker)
+        service, front = await start_auth_and_front(auth, worker)
         client = await front.client()
         client.ask("confirm", budget="600m")
         await auth.arrived.get()
-        (question,) = service.gatekeeper.exchanges.values()
+        (auth_request,) = service.gatekeeper.exchanges.values()
         auth.go.set()
         await worker.arrived.get()
-        (booking,) = front.gatekeeper.exchanges.values()
-        assert booking.deadline == question.deadline == question.started + 600_000_000
+        (forwarded,) = front.gatekeeper.exchanges.values()
+        assert forwarded.deadline == auth_request.deadline == auth_request.started + 600_000_000
         assert (await client.answer())[0] == 200
 
     going(test)
 
 
-def test_clients_that_give_up_while_the_server_stalls_leave_nothing_behind():
+def test_disconnects_during_a_server_stall_leak_nothing():
     async def test():
         auth, worker = await StandIn(wait_then(GRANT)).start(), await StandIn(ok()).start()
-        service, front = await asking(auth, worker)
+        service, front = await start_auth_and_front(auth, worker)
         clients = [await front.client() for _ in range(8)]
         for client in clients:
             client.ask("confirm")
@@ -278,7 +278,7 @@
             client.writer.close()
         while service.gatekeeper.counts[End.CLIENT_LEFT] < len(clients):
             await asyncio.sleep(0)
-        auth.go.set()  # it answers after they have given up
+        auth.go.set()  # it responds after they have disconnected
         while service.gatekeeper.exchanges or service.gatekeeper.gateway.pending:
             await asyncio.sleep(0)
         assert not worker.heads and not front.gatekeeper.exchanges and not front.listener.clients
@@ -286,12 +286,12 @@
     going(test)
 
 
-def test_a_question_ends_with_the_proxy_that_asked_it():
-    """Nobody waits for the server's word: its work ends, long before the time is up."""
+def test_authentication_request_ends_when_its_proxy_disconnects():
+    """No client waits for the server's response, so the attempt is cancelled long before its deadline."""
 
     async def test():
         server = await StandIn(stall).start()
-        _, _, proxy = await answering(server, classes=[IDLE])
+        _, _, proxy = await start_auth_server(server, classes=[SLOW_CLASS])
         proxy.verify()
         await server.arrived.get()
         proxy.writer.close()
@@ -300,11 +300,11 @@
     going(test)
 
 
-def test_through_stalls_resets_and_a_restart_each_request_gets_exactly_one_answer():
+def test_each_request_gets_one_response_through_stalls_resets_and_a_restart():
     async def test():
         auth = await StandIn(GRANT, reset, stall, answer(500), GRANT, reset, GRANT).start()
         worker = await StandIn(ok(b"booked")).start()
-        service, front = await asking(auth, worker)
+        service, front = await start_auth_and_front(auth, worker)
         counts: Counter[int] = Counter()
 
         async def desk(number: int) -> None:
@@ -326,7 +326,7 @@
         await asyncio.gather(restart(), *(desk(number) for number in range(10)))
         assert sum(counts.values()) == 60 and counts[200] > 0
         assert set(counts) <= {200, 429, 502, 503, 504}
-        # Whoever was told 200 was booked; nobody was booked without a grant.
+        # Each request with status 200 has been forwarded; none was forwarded without a grant.
         assert counts[200] <= len(worker.heads) <= service.gatekeeper.counts[End.SERVED]
         while service.gatekeeper.exchanges or front.gatekeeper.exchanges or front.listener.clients:
             await asyncio.sleep(0)
@@ -334,13 +334,13 @@
     going(test)
 
 
-def test_a_drain_waits_for_both_steps():
+def test_drain_waits_for_both_steps():
     async def test():
         auth, worker = (
             await StandIn(wait_then(GRANT)).start(),
             await StandIn(wait_then(ok(b"booked"))).start(),
         )
-        _, front = await asking(auth, worker)
+        _, front = await start_auth_and_front(auth, worker)
         client = await front.client()
         client.ask("confirm")
         await auth.arrived.get()
@@ -366,11 +366,14 @@
         ({"identity_headers": ["a b"]}, "identity_headers"),
         ({"classes": [{"name": "c", "wanted_ms": 0, "deadline_ms": 5}]}, "wanted_ms"),
         ({"plans": [{"name": "p", "customers": []}]}, "plans"),
-        ({"identity_header": ["X-Auth-User"]}, "identity_header"),  # a slip that would trust a client's claim
+        (
+            {"identity_header": ["X-Auth-User"]},
+            "identity_header",
+        ),  # a typing error that would trust a client's claim
         ({"classes": [{"name": "c", "wanted_ms": 1, "deadline_ms": 5, "path": "/"}]}, "classes.path"),
         ({"me": 2, "peers": [f"{HOST}:1", f"{HOST}:2"]}, "me"),
     ],
 )
-def test_a_bad_file_names_its_key(changes, key):
+def test_error_of_an_invalid_file_names_the_key(changes, key):
     with pytest.raises(ValueError, match=f"^{key}: "):
         read_auth(auth_file(1, **changes))
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""The platform's front and the whole gatekeeper, on real sockets with stand-in workers."""
+"""The platform's front with a complete gatekeeper, on real sockets with simulated workers."""
 
 from __future__ import annotations
 
@@ -31,11 +31,11 @@
 
 
 def connections(front: Front) -> list[HttpConnection]:
-    """Clients' connections at a front."""
+    """Returns the client connections of a front."""
     return [client for client in front.listener.clients if isinstance(client, HttpConnection)]
 
 
-def test_a_request_is_passed_on_unchanged_and_answered_with_the_workers_body():
+def test_request_is_forwarded_unchanged_and_answered_with_the_workers_body():
     async def test():
         front, worker = Front(), await StandIn(ok(b"\0body\r\n", b"Content-Type: a/b")).start()
         front.list(line("w", worker.port))
@@ -53,7 +53,7 @@
     going(test)
 
 
-def test_a_refusal_comes_at_once_with_retry_after():
+def test_rejection_over_quota_is_immediate_with_retry_after():
     async def test():
         front, worker = (
             Front(dataclasses.replace(SETTINGS, max_retry_after_ns=SECOND)),
@@ -72,7 +72,7 @@
 
 
 @pytest.mark.parametrize(("step", "status"), [(answer(500), 502), (reset, 502)])
-def test_what_may_have_run_fails_and_is_not_refused(step, status):
+def test_request_that_may_have_run_fails_and_is_not_rejected(step, status):
     async def test():
         front, worker = Front(dataclasses.replace(SETTINGS, max_attempts=1)), await StandIn(step).start()
         front.list(line("w", worker.port))
@@ -84,7 +84,7 @@
     going(test)
 
 
-def test_the_budget_counts_from_the_last_byte_and_its_end_is_answered_in_time():
+def test_budget_counts_from_the_last_byte_and_its_end_is_answered():
     async def test():
         front, worker = Front(), await StandIn(stall).start()
         front.list(line("w", worker.port))
@@ -97,7 +97,7 @@
         client.writer.write(b"X-Budget: 60m\r\nIdempotency-Key: k\r\n\r\n")
         await worker.arrived.get()
         (exchange,) = front.gatekeeper.exchanges.values()
-        # A client that takes long to send has not waited yet (PROTOCOL, "Figures").
+        # The time in which a client sends its request does not count (PROTOCOL, "Figures").
         assert first + 60 * MS <= exchange.deadline <= front.clock() + 60 * MS
         assert (await client.answer())[0] == 504
         assert exchange.end is End.TIMED_OUT
@@ -105,7 +105,7 @@
     going(test)
 
 
-def test_a_client_that_closes_while_waiting_has_left_and_nothing_leaks():
+def test_disconnect_of_a_waiting_client_is_recorded_and_leaks_nothing():
     async def test():
         front, worker = Front(), await StandIn(wait_then(ok())).start()
         front.list(line("w", worker.port))
@@ -117,7 +117,7 @@
         while exchange.end is None:
             await asyncio.sleep(0)
         assert exchange.end is End.CLIENT_LEFT
-        worker.go.set()  # the late answer finds nobody
+        worker.go.set()  # the late response has no client
         while front.gatekeeper.exchanges:
             await asyncio.sleep(0)
         assert not front.side.attempts and front.gatekeeper.counts[End.SERVED] == 0
@@ -127,7 +127,7 @@
     going(test)
 
 
-def test_two_copies_that_both_answer_give_one_answer():
+def test_hedged_requests_that_both_succeed_give_one_response():
     async def test():
         settings = dataclasses.replace(SETTINGS, hedging=True, max_attempts=2)
         front = Front(settings)
@@ -135,7 +135,7 @@
         front.gatekeeper.gateway.fleet.unit_latency_ns = [
             MS * 5.0,
             MS * 5.0,
-        ]  # overdue soon: a second copy goes out
+        ]  # an attempt is overdue soon, and a hedged request is sent
         front.list(*(line(f"w{n}", worker.port) for n, worker in enumerate(workers)))
         client = await front.client()
         client.ask()
@@ -164,7 +164,7 @@
         (b"POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\nContent-Length: 1\r\n\r\n", 400),
     ],
 )
-def test_bad_http_is_answered_and_the_connection_ends(data, status):
+def test_malformed_http_is_answered_and_closes_the_connection(data, status):
     async def test():
         front = Front()
         client = await front.client()
@@ -191,19 +191,19 @@
         ({"cls": "nothing"}, 404),
     ],
 )
-def test_a_request_that_means_nothing_is_answered_and_not_taken(change, status):
+def test_invalid_request_is_answered_and_not_submitted(change, status):
     async def test():
         front = Front()
         client = await front.client()
         client.ask(**change)
-        client.ask()  # the same connection: nothing is served behind what can't be used
+        client.ask()  # on the same connection: nothing is served after an invalid request
         assert (await client.answer())[0] == status and await client.ended()
         assert not front.gatekeeper.exchanges
 
     going(test)
 
 
-def test_ready_does_not_wait_for_discovery_and_ends_with_the_drain():
+def test_readiness_does_not_depend_on_discovery_and_ends_with_the_drain():
     async def test():
         front = Front()
         client = await front.client()
@@ -228,7 +228,7 @@
         (connection,) = connections(front)
         while not connection.reading_paused:
             await asyncio.sleep(0)
-        assert len(connection.buffer) <= REQUEST_BUFFER_SIZE  # what a client sends ahead does not fill memory
+        assert len(connection.buffer) <= REQUEST_BUFFER_SIZE  # pipelined requests do not fill the memory
         worker.go.set()
         assert [(await client.answer())[2] for _ in range(2)] == [b"1", b"2"]
         for _ in range(10_000):
@@ -237,7 +237,7 @@
     going(test)
 
 
-def test_connections_stay_within_the_limit_and_a_served_idle_one_gives_way():
+def test_connections_stay_within_the_limit_and_a_served_idle_one_is_evicted():
     async def test():
         front, worker = Front(most=2), await StandIn(stall).start()
         front.list(line("w", worker.port))
@@ -250,7 +250,7 @@
         third.ask()
         await worker.arrived.get()
         assert await idle.ended()
-        fourth = await front.client()  # connects, and waits to be accepted
+        fourth = await front.client()  # connected, and waits to be accepted
         fourth.writer.write(b"GET /ready HTTP/1.1\r\nHost: h\r\n\r\n")
         busy.writer.close()
         assert (await fourth.answer())[0] == 200
@@ -259,7 +259,7 @@
     going(test)
 
 
-def test_slow_requests_and_answers_that_are_not_taken_end(monkeypatch):
+def test_slow_requests_and_unread_responses_time_out(monkeypatch):
     monkeypatch.setattr(client_connection, "WRITE_TIMEOUT_NS", 10 * MS)
     times = listener_module.ClientTimeouts(first_byte_ns=10 * MS, request_ns=10 * MS)
     monkeypatch.setattr(listener_module, "PLATFORM_TIMEOUTS", times)
@@ -270,10 +270,10 @@
         client = await front.client()
         client.writer.write(b"GET /search HTTP/1.1\r\nHost: h\r\nX-")
         assert (await client.answer())[0] == 408 and await client.ended()
-        assert await (await front.client()).ended()  # it has said nothing at all
-        deaf = await front.client()
-        deaf.writer.transport.pause_reading()  # type: ignore[attr-defined]
-        deaf.writer.write(b"GET /ready HTTP/1.1\r\nHost: h\r\n\r\n" * 200_000)
+        assert await (await front.client()).ended()  # it has sent nothing at all
+        non_reading = await front.client()
+        non_reading.writer.transport.pause_reading()  # type: ignore[attr-defined]
+        non_reading.writer.write(b"GET /ready HTTP/1.1\r\nHost: h\r\n\r\n" * 200_000)
         while not front.listener.clients:
             await asyncio.sleep(0)
         while front.listener.clients:
@@ -283,18 +283,19 @@
     going(test)
 
 
-def test_silent_connections_do_not_keep_others_out(monkeypatch):
-    # New connections never gave way: silent ones by the hundred held every place, for 75 s.
+def test_silent_connections_do_not_block_others(monkeypatch):
+    # Guards against new connections that are never evicted: hundreds of silent ones took all capacity for
+    # 75 s.
     monkeypatch.setattr(client_connection, "NEW_CONNECTION_GRACE_NS", 20 * MS)
 
     async def test():
         front, worker = Front(most=4), await StandIn(ok()).start()
         front.list(line("w", worker.port))
-        usual = await front.client()
-        usual.ask()
-        assert (await usual.answer())[0] == 200
+        regular = await front.client()
+        regular.ask()
+        assert (await regular.answer())[0] == 200
         silent = [await front.client() for _ in range(40)]
-        late = await front.client()  # behind all of them
+        late = await front.client()  # connects after all of them
         late.ask()
         assert (await late.answer())[0] == 200
         assert len(front.listener.clients) <= 4 and await silent[0].ended()
@@ -303,7 +304,7 @@
 
 
 def test_idle_connections_end_after_2_s_and_sooner_where_many_are_open(monkeypatch):
-    # Clients that ask once and keep their connection for good held all that clients may open, 15 s each.
+    # Guards against clients that send one request and stay connected: they used up the limit, for 15 s each.
     monkeypatch.setattr(listener_module, "SWEEP_S", 0.01)
 
     async def test():
@@ -333,28 +334,28 @@
     going(test)
 
 
-def test_who_has_only_asked_for_readiness_gives_way_before_who_has_asked_for_more():
-    # Clients by the thousand asked GET /ready once and stayed: at the limit each that had asked once was as
-    # good as another, and the usual clients' connections went with theirs.
+def test_connections_with_only_readiness_checks_are_evicted_first():
+    # Thousands of clients sent one GET /ready and stayed connected. At the limit, all connections with one
+    # request ranked alike, so those of regular clients were evicted with them.
     async def test():
         front, worker = Front(most=8), await StandIn(ok()).start()
         front.list(line("w", worker.port))
-        usual = await front.client()
-        usual.ask()
-        assert (await usual.answer())[0] == 200
+        regular = await front.client()
+        regular.ask()
+        assert (await regular.answer())[0] == 200
         for _ in range(30):
             other = await front.client()
             other.writer.write(b"GET /ready HTTP/1.1\r\nHost: h\r\n\r\n")
             assert (await other.answer())[0] == 200
-        usual.ask()
-        assert (await usual.answer())[0] == 200
+        regular.ask()
+        assert (await regular.answer())[0] == 200
         assert len(front.listener.clients) <= 8
 
     going(test)
 
 
-def test_no_more_connections_give_way_than_are_needed():
-    # While those told to give way were closing, each look for room told as many more.
+def test_no_more_connections_are_evicted_than_needed():
+    # While evicted connections were still closing, each check for capacity evicted as many more.
     class Idle:
         closed = 0
 
@@ -371,17 +372,17 @@
             listener.add(client)
         for _ in range(10):
             assert not listener._has_capacity()
-        gone = [client for client in clients if client.closed]
-        assert len(gone) == 8 and all(client.closed == 1 for client in gone)
-        for client in gone:
+        evicted = [client for client in clients if client.closed]
+        assert len(evicted) == 8 and all(client.closed == 1 for client in evicted)
+        for client in evicted:
             listener.remove(client)
         assert listener._has_capacity()
 
     going(test)
 
 
-def test_a_request_that_waits_unread_in_its_socket_is_not_taken_for_silence(monkeypatch):
-    # A loop that is late finds new connections old before it has read from them.
+def test_connection_with_an_unread_request_is_not_evicted(monkeypatch):
+    # A late event loop finds new connections past their grace period before it has read from them.
     monkeypatch.setattr(client_connection, "NEW_CONNECTION_GRACE_NS", 0)
 
     async def test():
@@ -396,13 +397,15 @@
         await asyncio.sleep(0)
         assert connection.eviction_rank(front.clock()) is None
         connection.transport.resume_reading()
-        assert (await client.answer())[0] == 429  # no worker is listed: refused, and taken all the same
+        assert (await client.answer())[
+            0
+        ] == 429  # no worker is listed: rejected, but it was read and submitted
 
     going(test)
 
 
-def test_a_client_that_sends_60_mb_reads_why_it_is_turned_away():
-    # The connection closed on unread bytes after a second: a reset, and the answer was lost with it.
+def test_client_that_sends_60_mb_reads_the_rejection():
+    # Guards against a close with unread bytes after a second: it reset the connection and lost the response.
     async def test():
         front = Front()
         client = await front.client()
@@ -417,7 +420,7 @@
     going(test)
 
 
-def test_a_drain_answers_what_was_taken_and_closes_each_connection():
+def test_drain_answers_accepted_requests_and_closes_each_connection():
     async def test():
         front, worker = Front(), await StandIn(wait_then(ok(b"done"))).start()
         front.list(line("w", worker.port))
@@ -427,7 +430,7 @@
         waiting.ask()
         await worker.arrived.get()
         drain = asyncio.get_running_loop().create_task(front.listener.drain(0.05, 0.01))
-        assert await idle.ended()  # between requests a connection may close
+        assert await idle.ended()  # between requests a connection may be closed
         late = await front.client()  # still accepted
         late.ask()
         await worker.arrived.get()
@@ -444,8 +447,9 @@
     going(test)
 
 
-def test_a_turn_that_fails_leaves_nobody_without_an_answer(capsys):
-    # Should a decision ever raise, its requests fail at once and the gateway's timer is armed again.
+def test_gateway_failure_leaves_no_request_without_an_answer(capsys):
+    # If `Gateway.handle` raises, the new requests of the call fail at once, and the gateway's timer is set
+    # again.
     async def test():
         front, worker = Front(), await StandIn(ok()).start()
         front.list(line("w", worker.port))
