--- a/pepperrun/fronts/client_connection.py
+++ b/pepperrun/fronts/client_connection.py
@@ -1,6 +1,6 @@
 """A client's connection as the owners of many connections see it: its state, its end and its hand-over.
 
-The listener ends connections that are silent or stalled. A parking lot replaces idle ones by records. Another
+The listener ends connections that are silent or stalled. Parking replaces idle ones by records. Another
 process of the same gatekeeper may take them over.
 """
 
@@ -61,6 +61,7 @@
         self.connected_at = self.last_used_at = 0
         self.write_blocked_at: int | None = None  # since when output waits for the client
         self.response_count = self.exchange_count = self.discarded_bytes = 0
+        # `exchange_count` leaves out requests that were answered without an exchange.
         self.requests_paused = False  # not reading: another process is to take the connection over
         self.reading_paused = self.closing = self.lingering = False
         self.parked = False  # the connection lives on without this object
--- a/pepperrun/fronts/http_connection.py
+++ b/pepperrun/fronts/http_connection.py
@@ -446,11 +446,13 @@
             stream.pause(True)
 
     def write_body(self, data: bytes) -> None:
+        """Writes a part of a streamed response body, as a chunk if its length is not known."""
         if self.transport is not None:
             self.last_used_at = self.clock()
             self.transport.write(encode_chunk(data) if self.chunked else data)
 
     def finish_body(self) -> None:
+        """Ends a streamed response body; closes the connection or reads the next request."""
         if self.chunked and self.transport is not None:
             self.transport.write(LAST_CHUNK)
         self._end_streaming(End.SERVED)
--- a/pepperrun/fronts/platform.py
+++ b/pepperrun/fronts/platform.py
@@ -46,11 +46,15 @@
     ) -> None:
         self.budget = budget  # for streamed bodies; None: only buffered ones are accepted
         self.settings, self.gatekeeper, self.clock, self.auth = settings, gatekeeper, clock, auth
-        asking = auth.config.asking if auth is not None else ()
-        self.auth_required = [kind.name in asking for kind in settings.classes]
-        self.classes = {kind.name.encode(): number for number, kind in enumerate(settings.classes)}
+        classes_with_auth = auth.config.asking if auth is not None else ()
+        self.auth_required = [request_class.name in classes_with_auth for request_class in settings.classes]
+        self.classes = {
+            request_class.name.encode(): number for number, request_class in enumerate(settings.classes)
+        }
         self.plans = {plan.name.encode(): number for number, plan in enumerate(settings.plans)}
-        self.methods = [b"GET" if kind.repeat is Repeat.SAFE else b"POST" for kind in settings.classes]
+        self.methods = [
+            b"GET" if request_class.repeat is Repeat.SAFE else b"POST" for request_class in settings.classes
+        ]
 
     def new_connection(self, listener: Listener) -> PlatformConnection:
         """Returns the protocol object of a new connection."""
--- a/tests/test_forward_auth.py
+++ b/tests/test_forward_auth.py
@@ -78,11 +78,11 @@
         status, fields, _ = await proxy.answer()
         assert status == 200 and fields["x-auth-user"] == "nurse"
         assert "x-secret" not in fields and "set-cookie" not in fields
-        asked = (await server.arrived.get()).decode()
-        assert asked.startswith("GET /verify HTTP/1.1\r\nHost: identity.example\r\n")
-        assert "Cookie: session=1" in asked and "admin" not in asked and "X-Gone" not in asked
+        sent = (await server.arrived.get()).decode()
+        assert sent.startswith("GET /verify HTTP/1.1\r\nHost: identity.example\r\n")
+        assert "Cookie: session=1" in sent and "admin" not in sent and "X-Gone" not in sent
         for name, value in FORWARDED_HEADERS.items():
-            assert f"{name.lower()}: {value}" in asked
+            assert f"{name.lower()}: {value}" in sent
 
     going(test)
 
--- a/tests/test_gatekeeper.py
+++ b/tests/test_gatekeeper.py
@@ -101,7 +101,7 @@
         self.gatekeeper.gateway = self.fake_gateway = FakeGateway()  # type: ignore[assignment]
         self.gatekeeper.backends = self.backends
 
-    def ask(self, left_ns: int = 100 * MS) -> Exchange[Any, Any]:
+    def submit(self, left_ns: int = 100 * MS) -> Exchange[Any, Any]:
         now = self.loop.now
         exchange: Exchange[Any, Any] = Exchange(
             None, self.finals.append, cls=0, plan=0, customer=1, started=now, deadline=now + left_ns
@@ -143,7 +143,7 @@
     driver.loop.run(10 * MS)
     driver.gatekeeper.peer_message_received(0, b"")
     driver.loop.run(10 * MS + MS // 4)
-    driver.ask(left_ns=100 * MS)
+    driver.submit(left_ns=100 * MS)
     driver.loop.run(20 * MS)
     (request,) = (
         event for _, events in driver.fake_gateway.calls for event in events if isinstance(event, Request)
@@ -165,7 +165,7 @@
         [Send(event.id, 1, MS)] * 2 if isinstance(event, Request) else []
     )
     driver.loop.run(10 * MS)
-    exchange = driver.ask()
+    exchange = driver.submit()
     actions: dict[str, Action] = {
         "refuse": Refuse(exchange.id, 5),
         "fail": Fail(exchange.id),
@@ -219,7 +219,7 @@
         [Send(event.id, 1, MS)] * 5 if isinstance(event, Request) else []
     )
     driver.loop.run(10 * MS)
-    exchange = driver.ask()
+    exchange = driver.submit()
     driver.loop.run(20 * MS)
     assert len(driver.backends.sent) == SETTINGS.max_attempts == 3
     driver.gatekeeper.attempt_ended(exchange, 0, 1, Outcome.OK, "served")
@@ -243,7 +243,7 @@
         driver = Driver()
         driver.fake_gateway.actions_for = lambda event: [Fail(event.id)] if isinstance(event, Request) else []
         driver.loop.run(10 * MS)
-        assert driver.ask(left_ns).end is end
+        assert driver.submit(left_ns).end is end
 
 
 def test_failed_action_does_not_stop_the_others(capsys):
@@ -258,7 +258,7 @@
         [SendPeerMessage(0, b""), Refuse(event.id)] if isinstance(event, Request) else []
     )
     driver.loop.run(10 * MS)
-    assert driver.ask().end is End.REFUSED
+    assert driver.submit().end is End.REFUSED
     assert "no buffers" in capsys.readouterr().err
 
 
@@ -268,7 +268,7 @@
     driver = Driver()
     driver.loop.run(10 * MS)
     driver.gatekeeper.peer_message_received(0, b"")  # a call now, so that the next call has both events
-    exchange = driver.ask()
+    exchange = driver.submit()
     driver.fake_gateway.actions_for = lambda event: (
         [Send(exchange.id, 5, 50 * MS)] if isinstance(event, Request) else []
     )
