--- a/pepperrun/dataplane/front.py
+++ b/pepperrun/dataplane/front.py
@@ -53,11 +53,11 @@
 class FrontListener(Listener):
     """Accepts clients' connections, with the time-outs of the configuration."""
 
-    limits_of: Callable[[], ClientTimeouts] | None = None
+    get_timeouts: Callable[[], ClientTimeouts] | None = None
 
     @property
     def timeouts(self) -> ClientTimeouts:
-        return self.limits_of() if self.limits_of is not None else super().timeouts
+        return self.get_timeouts() if self.get_timeouts is not None else super().timeouts
 
 
 class RequestLog(Protocol):
@@ -110,7 +110,7 @@
             request_from_connect=False,
         )
 
-    def timeouts_of(self) -> ClientTimeouts:
+    def client_timeouts(self) -> ClientTimeouts:
         """Returns the time-outs of client connections."""
         return self._timeouts
 
--- a/pepperrun/dataplane/outcome_sharing.py
+++ b/pepperrun/dataplane/outcome_sharing.py
@@ -30,7 +30,7 @@
 
 SECOND = 1_000_000_000
 MAX_RECEIVERS = 16  # gatekeepers that one reports to; in larger zones those next to it by hash
-# Outcomes within this time share a report: short against the time between two requests of one gatekeeper.
+# Outcomes within this time share a report: short against the time between two of a gatekeeper's requests.
 REPORT_S = 0.05
 CHECK_S = 0.25  # between checks for late attempts
 FAILURES = (Outcome.ERROR, Outcome.RESET, Outcome.TIMEOUT, Outcome.CONNECT_FAILED)
--- a/pepperrun/dataplane/plane.py
+++ b/pepperrun/dataplane/plane.py
@@ -42,7 +42,7 @@
 
 
 class DataPlane:
-    """The traffic of one gatekeeper.
+    """All parts that serve the requests of one gatekeeper: front, core, gate and connections to workers.
 
     `confirmed_at` and `records_confirmed_at` return the fields of the same name of the replicated state.
     """
@@ -119,7 +119,7 @@
         max_age_ns = int(max(bounds.edition_ms - ANSWER_NS / MS, bounds.edition_ms / 2) * MS)
         self.front = Front(self.numbering, self.gate, self.gatekeeper, clock, budget, seed, max_age_ns)
         self.listener = FrontListener(loop, clock, sockets // 2, self.front.make_client)
-        self.listener.limits_of = self.front.timeouts_of
+        self.listener.get_timeouts = self.front.client_timeouts
         self.gatekeeper.on_exchange_closed = self.listener.notify_change
         self.table: RoutingTable | None = None
 
