--- a/pepperrun/control/item_conversion.py
+++ b/pepperrun/control/item_conversion.py
@@ -27,11 +27,8 @@
     "carrier_lines": ServiceConfig,
     "senders": TenantConfig,
 }
-ITEM_NAMES = {
-    "routes": "route",
-    "carrier_lines": "service",
-    "senders": "sender",
-}  # names of the types in error messages, by table
+# Names of the types in error messages, by table.
+ITEM_NAMES = {"routes": "route", "carrier_lines": "service", "senders": "sender"}
 MAX_EXACT_INT = 1 << 53  # integers below it are exact as floats
 DEFAULTED_COLUMNS = ("route_kind", "target_ms")  # of a route; `_with_defaults` supplies them
 
