--- a/pepperrun/assembly.py
+++ b/pepperrun/assembly.py
@@ -155,7 +155,7 @@
     return (limit - RESERVED_DESCRIPTORS) // 2, (limit - RESERVED_DESCRIPTORS) // 2
 
 
-def make_lot(config: ClientsConfig, clock: Clock, sockets: int, auth_sockets: int) -> tuple[Lot, int]:
+def create_lot(config: ClientsConfig, clock: Clock, sockets: int, auth_sockets: int) -> tuple[Lot, int]:
     """Returns the lot that parks client connections and the limit on connections to workers.
 
     The limit is a sixth of the descriptors. Raises the process's soft limit on descriptors to the hard one.
@@ -239,13 +239,13 @@
     await core.open_peers(config.peer_listen, config.peers, fd, retry=inherited is not None)
     if watch is not None:
         # The agent's list counts as received from the start on: no request is sent before the first call.
-        known = config.known.version if config.known.endpoints else None
+        known_version = config.known.version if config.known.endpoints else None
         if successor is not None and successor.process_state is not None:
-            known = successor.list_version()
-        watch.move(config.discovery, core.apply_endpoint_list, discovery_backoff(config), known)
+            known_version = successor.list_version()
+        watch.move(config.discovery, core.apply_endpoint_list, discovery_backoff(config), known_version)
         if successor is None or successor.process_state is None:
-            # A drain must take effect this long after its notification: a longer wait would gain nothing and
-            # serve no client.
+            # A drain must take effect within this time of its notification: a longer wait would gain nothing
+            # and serve no client.
             await watch.wait_for_first_list(config.settings.drain_grace_ns / SECOND)
     front = Platform(config.settings, core.gatekeeper, clock, auth, budget)
     return core, open_listener(
--- a/pepperrun/serve.py
+++ b/pepperrun/serve.py
@@ -20,10 +20,10 @@
     CoreAndListener,
     DiscoveryWatch,
     await_successor,
+    create_lot,
     discovery_backoff,
     handover_path,
     inherited_socket,
-    make_lot,
     open_admin,
     request_handover,
     start_auth,
@@ -57,14 +57,14 @@
 
 
 def create_reporters(
-    config: MetricsConfig, instance: str, parts: dict[str, CoreAndListener]
+    config: MetricsConfig, instance: str, cores: dict[str, CoreAndListener]
 ) -> list[Reporter]:
     """Returns a reporter for each configured metrics sink."""
     from pepperrun.metrics import collectd, graphite, process_samples, samples
 
     def collect_samples() -> list[Sample]:
         collected = process_samples()
-        for name, (core, listener) in parts.items():
+        for name, (core, listener) in cores.items():
             collected += samples(name, core.gatekeeper, core.upstream, listener)
         return collected
 
@@ -83,15 +83,15 @@
     files: ConfigFiles,
     config: Config | None,
     auth_config: AuthConfig | None,
-    parts: dict[str, CoreAndListener],
+    cores: dict[str, CoreAndListener],
     watch: DiscoveryWatch,
     lot: Lot | None = None,
 ) -> tuple[Config | None, AuthConfig | None]:
     """Reads the files again and returns the configuration in force after that.
 
-    The addresses of discovery and of the authentication servers, membership and some of the clients' limits
-    change at once; the log line names the keys that change at the next start. If any file is invalid, nothing
-    changes. Requests in flight are not affected.
+    The addresses of discovery and of the authentication servers, the membership keys and some of the clients'
+    limits change at once; the log line names the keys that change at the next start. If any file is invalid,
+    nothing changes. Requests in flight are not affected.
     """
     try:
         new, new_auth, _, clients = files.read(metrics=False)
@@ -102,7 +102,7 @@
     if config is not None and new is not None:
         deferred += changed_keys(config, new, "seed", "known", "discovery")
         config = replace(config, discovery=new.discovery)
-        core = parts["platform"][0]
+        core = cores["platform"][0]
         # All gatekeepers move at once: one that has a list need not be the first to call the new address.
         watch.move(
             new.discovery,
@@ -113,9 +113,9 @@
     if auth_config is not None and new_auth is not None:
         deferred += [f"forward-auth {key}" for key in changed_keys(auth_config, new_auth, "servers")]
         if new_auth.servers != auth_config.servers:
-            parts["auth"][0].apply_endpoint_list(new_auth.servers, ListKind.FULL)
+            cores["auth"][0].apply_endpoint_list(new_auth.servers, ListKind.FULL)
         auth_config = replace(auth_config, servers=new_auth.servers)
-    if config is not None and (service := parts["platform"][0].membership) is not None:
+    if config is not None and (service := cores["platform"][0].membership) is not None:
         membership = files.membership(config)
         if membership is not None:
             service.reload(membership)
@@ -144,7 +144,7 @@
     clock, stop = files.clock, asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop.set)
-    parts: dict[str, CoreAndListener] = {}
+    cores: dict[str, CoreAndListener] = {}
     tasks: list[asyncio.Task[None]] = []
     auth = None
     classes: list[RequestClass] = []
@@ -156,10 +156,10 @@
         auth_sockets = auth_config.sockets if auth_config is not None else 0
         # Forward authentication alone has no key for the limit on descriptors: the system's limit applies.
         sockets = config.sockets if config is not None else resource.getrlimit(resource.RLIMIT_NOFILE)[1]
-        lot, backends = make_lot(clients, clock, sockets, auth_sockets)
+        lot, backends = create_lot(clients, clock, sockets, auth_sockets)
     if auth_config is not None:
         core, auth, auth_listener = await start_auth(auth_config, clock, secrets.randbits(64), lot)
-        parts["auth"] = core, auth_listener
+        cores["auth"] = core, auth_listener
         classes += auth_config.settings.classes
     if config is not None:
         sockets = config.sockets - (auth_config.sockets if auth_config is not None else 0)
@@ -170,7 +170,7 @@
         core, listener = await start_platform(
             config, clock, sockets, auth, lot, backends, inherited, successor, watch
         )
-        parts["platform"] = core, listener
+        cores["platform"] = core, listener
         classes += config.settings.classes
         if (membership := files.membership(config)) is not None:
             member_state = (
@@ -187,35 +187,35 @@
             admin = await open_admin(config.admin, core, listener)
     if metrics is not None:
         instance = config.name if config is not None else "auth"
-        tasks += [loop.create_task(reporter.run()) for reporter in create_reporters(metrics, instance, parts)]
+        tasks += [loop.create_task(reporter.run()) for reporter in create_reporters(metrics, instance, cores)]
 
     def reload() -> None:
         nonlocal config, auth_config
         if not stop.is_set():  # no reload during a drain
-            config, auth_config = reload_config(files, config, auth_config, parts, watch, lot)
+            config, auth_config = reload_config(files, config, auth_config, cores, watch, lot)
 
     recorders = []
-    if files.capture is not None:
+    if files.capture_folder is not None:
         name = config.name if config is not None else "auth"
-        for part, (core, _) in parts.items():
-            label = name if part == "platform" else f"{name}-auth"
-            recorders.append(create_recorder(files.capture, label, core, clock))
+        for core_name, (core, _) in cores.items():
+            label = name if core_name == "platform" else f"{name}-auth"
+            recorders.append(create_recorder(files.capture_folder, label, core, clock))
 
     loop.add_signal_handler(signal.SIGHUP, reload)
     gc.collect()
     gc.freeze()
 
     await stop.wait()
-    listeners = [listener for _, listener in parts.values() if listener is not None]
+    listeners = [listener for _, listener in cores.values() if listener is not None]
     log_message("stop", f"draining {count_connections(listeners, lot)} connections")
-    longest_s = max(kind.deadline_ns for kind in classes) / SECOND
-    if predecessor is not None and await predecessor.finish(longest_s + DRAIN_MARGIN_S):
+    max_deadline_s = max(request_class.deadline_ns for request_class in classes) / SECOND
+    if predecessor is not None and await predecessor.finish(max_deadline_s + DRAIN_MARGIN_S):
         listeners.remove(listener)
-    for core, _ in parts.values():
+    for core, _ in cores.values():
         if core.membership is not None:
             core.membership.leave()
     try:
-        async with asyncio.timeout(longest_s + DRAIN_MARGIN_S):
+        async with asyncio.timeout(max_deadline_s + DRAIN_MARGIN_S):
             await asyncio.gather(*(listener.drain() for listener in listeners))
             for listener in listeners:
                 while listener.clients:  # each closes after the response to its request
@@ -223,7 +223,7 @@
     except TimeoutError:
         log_message("stop", "the drain timed out with open connections")
     watch.stop()
-    for core, _ in parts.values():
+    for core, _ in cores.values():
         if core.membership is not None:
             core.membership.close()
     if admin is not None:
@@ -288,18 +288,23 @@
         options = dict(zip(arguments[::2], arguments[1::2], strict=False))
         if len(arguments) != 2 * len(options) or not options.keys() <= {*OPTIONS, *TEST_OPTIONS}:
             raise ValueError(USAGE)
-        self.env, self.config = env, env.get("NODE_CONFIG")
-        self.auth, self.metrics, self.clients, log_format, self.capture, self.members = map(
-            options.get, OPTIONS
-        )
+        self.env, self.config_path = env, env.get("NODE_CONFIG")
+        (
+            self.auth_path,
+            self.metrics_path,
+            self.clients_path,
+            log_format,
+            self.capture_folder,
+            self.membership_path,
+        ) = map(options.get, OPTIONS)
         self.clock = clock_with_offset(options.get("--clock-offset"))
         if log_format not in (None, "text", "json"):
             raise ValueError(f"--log-format: {log_format!r} is neither text nor json")
         if log_format == "json":
             enable_json()
         self.initial = self.read()
-        if self.capture is not None:
-            check_capture(self.capture)
+        if self.capture_folder is not None:
+            check_capture(self.capture_folder)
 
     def read(self, metrics: bool = True) -> ReadConfigs:
         """Returns the current content of the files; without `metrics` the metrics file is not read."""
@@ -308,54 +313,54 @@
             with open(path, encoding="utf-8") as file:
                 return file.read()
 
-        auth = read_auth(text(self.auth)) if self.auth else None
-        figures = None
-        if self.metrics and metrics:
+        auth = read_auth(text(self.auth_path)) if self.auth_path else None
+        metrics_config = None
+        if self.metrics_path and metrics:
             # Imported only where configured: imports slow the start down.
             from pepperrun.metrics import read_metrics
 
-            figures = read_metrics(text(self.metrics))
+            metrics_config = read_metrics(text(self.metrics_path))
         clients = None
-        if self.clients:
+        if self.clients_path:
             from pepperrun.parking.config import read_clients
 
             try:
-                clients = read_clients(text(self.clients))
+                clients = read_clients(text(self.clients_path))
             except ValueError as error:
-                raise ValueError(f"{self.clients}: {error}") from None
-        config = read_config(text(self.config), self.env) if self.config else None
+                raise ValueError(f"{self.clients_path}: {error}") from None
+        config = read_config(text(self.config_path), self.env) if self.config_path else None
         if config is not None:
             self.membership(config)
         if config is None and auth is None:
             raise ValueError("NODE_CONFIG: not set")
         if config is None and auth is not None and auth.listen is None:
             raise ValueError("listen: missing, and NODE_CONFIG is not set")
-        return config, auth, figures, clients
+        return config, auth, metrics_config, clients
 
     def membership(self, config: Config) -> MembershipConfig | None:
         """Returns the membership configuration, None where membership is off.
 
         Raises ValueError if the configuration is invalid or lacks what membership needs.
         """
-        if self.members is None and config.members is None:
+        if self.membership_path is None and config.members is None:
             return None
         from pepperrun.membership.config import (  # imported only where configured
             membership_from_json,
             membership_from_table,
         )
 
-        if self.members is not None:
-            path = Path(self.members)
+        if self.membership_path is not None:
+            path = Path(self.membership_path)
             try:
-                found = membership_from_json(path.read_text(encoding="utf-8"), path.parent)
+                membership = membership_from_json(path.read_text(encoding="utf-8"), path.parent)
             except ValueError as error:
                 raise ValueError(f"{path}: {error}") from None
         else:
-            found = membership_from_table(config.members or {}, Path(self.config or "").parent)
-        found.load_keys()
+            membership = membership_from_table(config.members or {}, Path(self.config_path or "").parent)
+        membership.load_keys()
         if config.peer_listen is None or not config.settings.peer_messages:
             raise ValueError("members: peer_listen is missing, or the settings allow no peer messages")
-        return found
+        return membership
 
 
 def serve(arguments: list[str]) -> int:
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -1,4 +1,4 @@
-"""One gatekeeper, two processes: what passes on, what is never spent twice, and who goes away when."""
+"""Handover between two processes of a gatekeeper: state, quotas, connections and failures of either one."""
 
 from __future__ import annotations
 
@@ -29,59 +29,59 @@
 # The state, without I/O.
 
 
-def pair(**changes: Any) -> tuple[Driver, Driver]:
+def driver_pair(**changes: Any) -> tuple[Driver, Driver]:
     return Driver(**changes), Driver(seed=2, **changes)
 
 
-def passed(old: Driver, new: Driver) -> list[state.RetainedAccount]:
-    """What travels does so as JSON."""
+def hand_over(old: Driver, new: Driver) -> list[state.RetainedAccount]:
+    """Hands the state over, encoded and decoded as on the wire; returns the retained accounts."""
     new.now = old.now
     table, kept = state.export(old.gateway, old.now)
     state.restore(new.gateway, wire.unpack(wire.pack(table)), new.now)
     return kept
 
 
-def sent(driver: Driver, count: int, **more: Any) -> int:
-    """How many of so many requests at once are sent on; each is answered at once."""
-    gone = 0
+def count_sent(driver: Driver, count: int, **more: Any) -> int:
+    """Returns how many of `count` requests at the same moment are sent; each is answered at once."""
+    sent_count = 0
     for _ in range(count):
         for send in only(driver.ask(**more), Send):
-            gone += 1
+            sent_count += 1
             driver.end(send, Outcome.OK)
-    return gone
+    return sent_count
 
 
 @pytest.mark.parametrize("spread", [1, 3])
-def test_a_quota_that_is_spent_stays_spent(spread):
-    # With the stores copied or new, both processes together would let twice the burst go.
-    old, new = pair(peer_message_rate=1000.0)
+def test_spent_quota_units_stay_spent_after_a_handover(spread):
+    # If buckets were copied or started full, both processes together would send twice the burst.
+    old, new = driver_pair(peer_message_rate=1000.0)
     alone = Driver(peer_message_rate=1000.0)
-    most = sent(alone, 40, plan=RATE, spread=spread)
-    first = sent(old, 5, plan=RATE, spread=spread)
-    kept = passed(old, new)
+    most = count_sent(alone, 40, plan=RATE, spread=spread)
+    first = count_sent(old, 5, plan=RATE, spread=spread)
+    kept = hand_over(old, new)
     assert kept
-    rest = sent(new, 40, plan=RATE, spread=spread) + sent(old, 40, plan=RATE, spread=spread)
+    rest = count_sent(new, 40, plan=RATE, spread=spread) + count_sent(old, 40, plan=RATE, spread=spread)
     assert 0 < first + rest <= most
 
 
-def test_a_ceiling_holds_over_the_two_and_after_it():
-    old, new = pair(gateways=1, peer_messages=False)
+def test_the_hard_rate_limit_holds_over_both_processes_and_afterwards():
+    old, new = driver_pair(gateways=1, peer_messages=False)
     old.run(10 * SECOND)
-    first = sent(old, 3, plan=CEILED)
-    passed(old, new)
-    gone = first + sent(new, 60, plan=CEILED) + sent(old, 60, plan=CEILED)
+    first = count_sent(old, 3, plan=CEILED)
+    hand_over(old, new)
+    sent_count = first + count_sent(new, 60, plan=CEILED) + count_sent(old, 60, plan=CEILED)
     plan = old.settings.plans[CEILED]
-    assert gone <= plan.ceiling_depth
+    assert sent_count <= plan.ceiling_depth
     new.run(2 * SECOND)
     old.run(2 * SECOND)
-    more = sent(new, 60, plan=CEILED) + sent(old, 60, plan=CEILED)
-    assert gone + more <= plan.ceiling_depth + 2.1 * plan.ceiling_rate + plan.ceiling_slack
+    more = count_sent(new, 60, plan=CEILED) + count_sent(old, 60, plan=CEILED)
+    assert sent_count + more <= plan.ceiling_depth + 2.1 * plan.ceiling_rate + plan.ceiling_slack
 
 
-def test_what_the_old_process_did_not_use_comes_back_once():
-    old, new = pair(gateways=1, peer_messages=False)
+def test_retained_units_that_were_not_used_are_returned_once():
+    old, new = driver_pair(gateways=1, peer_messages=False)
     old.ask(plan=RATE)
-    kept = passed(old, new)
+    kept = hand_over(old, new)
     before = new.gateway.quotas.accounts[1].global_bucket.fill(new.now)
     state.add_remainder(new.gateway, json.loads(json.dumps(state.export_remainder(kept, old.now))), new.now)
     account = new.gateway.quotas.accounts[1]
@@ -89,64 +89,64 @@
     assert account.global_bucket.level > before
 
 
-def test_peers_take_the_new_process_for_the_same_gatekeeper():
-    old, new = pair()
+def test_the_successor_continues_the_incarnation_and_the_sequence():
+    old, new = driver_pair()
     old.run(3 * SECOND)
-    passed(old, new)
+    hand_over(old, new)
     assert new.gateway.quotas.outbox.incarnation == old.gateway.quotas.outbox.incarnation
     assert new.gateway.quotas.outbox.sequence >= old.gateway.quotas.outbox.sequence > 0
     old_rates = [a.global_bucket.rate for a in old.gateway.quotas.accounts.values()]
     assert not any(old_rates)
 
 
-def test_requests_that_wait_in_the_old_process_still_go_out():
-    old, new = pair(backends=1, gateways=1, peer_messages=False)
+def test_requests_waiting_in_the_predecessor_are_still_sent():
+    old, new = driver_pair(backends=1, gateways=1, peer_messages=False)
     actions = [action for _ in range(20) for action in old.ask(plan=FREE)]
     sends = only(actions, Send)
     assert len(sends) < 20
-    passed(old, new)
+    hand_over(old, new)
     while sends:
         sends = only(old.end(sends.pop(0), Outcome.OK) + old.run(5 * MS), Send) + sends
     assert not old.gateway.scheduler.waiting and not only(old.actions, Refuse)
 
 
-def test_a_process_whose_successor_is_gone_fills_again_and_takes_a_new_incarnation():
-    old, new = pair(gateways=1, peer_messages=False)
-    sent(old, 40, plan=RATE)
-    kept = passed(old, new)
+def test_after_the_successor_ended_buckets_refill_under_a_new_incarnation():
+    old, new = driver_pair(gateways=1, peer_messages=False)
+    count_sent(old, 40, plan=RATE)
+    kept = hand_over(old, new)
     old.run(2 * SECOND)
-    assert sent(old, 5, plan=RATE) == 0  # nothing fills while another decides
+    assert count_sent(old, 5, plan=RATE) == 0  # buckets do not refill while the successor decides
     state.resume(old.gateway, kept, old.now)
     old.run(SECOND)
-    assert 1 <= sent(old, 40, plan=RATE) <= 11
+    assert 1 <= count_sent(old, 40, plan=RATE) <= 11
     assert old.gateway.quotas.outbox.incarnation > new.gateway.quotas.outbox.incarnation
 
 
-def to_backend(driver: Driver, count: int, backend: int) -> int:
-    """How many of so many requests, each answered at once, go to one backend."""
-    gone = 0
+def count_sent_to(driver: Driver, count: int, backend: int) -> int:
+    """Returns how many of `count` requests, each answered at once, are sent to one backend."""
+    sent_count = 0
     for _ in range(count):
         for send in only(driver.ask(), Send):
-            gone += send.backend == backend
+            sent_count += send.backend == backend
             driver.end(send, Outcome.OK)
-    return gone
+    return sent_count
 
 
-def test_a_worker_that_was_seen_to_restart_is_as_cold_for_the_new_process():
-    # The list does not tell yet: what the old process saw of it is all there is.
-    old, new = pair(backends=3, gateways=1, peer_messages=False)
+def test_a_restarted_worker_stays_in_slow_start_for_the_successor():
+    # The endpoint list does not show the restart yet: only the predecessor has observed it.
+    old, new = driver_pair(backends=3, gateways=1, peer_messages=False)
     send = only(old.ask(), Send)[0]
     old.end(send, Outcome.CONNECT_FAILED)
-    cold = send.backend
-    old.run(9 * SECOND)  # its badness fades, and it is tried
+    restarted = send.backend
+    old.run(9 * SECOND)  # its failure score decays, and it gets requests again
     for _ in range(200):
         for one in only(old.ask(), Send):
             old.end(one, Outcome.OK)
-    assert old.gateway.fleet.capacity_share(old.gateway.fleet.servers[cold], old.now) < 1
-    kept = passed(old, new)
-    assert kept and new.gateway.fleet.capacity_share(new.gateway.fleet.servers[cold], new.now) < 1
+    assert old.gateway.fleet.capacity_share(old.gateway.fleet.servers[restarted], old.now) < 1
+    kept = hand_over(old, new)
+    assert kept and new.gateway.fleet.capacity_share(new.gateway.fleet.servers[restarted], new.now) < 1
     fresh = Driver(seed=2, backends=3, gateways=1, peer_messages=False)
-    assert to_backend(new, 300, cold) < 0.9 * to_backend(fresh, 300, cold)
+    assert count_sent_to(new, 300, restarted) < 0.9 * count_sent_to(fresh, 300, restarted)
 
 
 @pytest.mark.parametrize(
@@ -168,8 +168,8 @@
         ("peers", [[77, 1, 1, 0]]),
     ],
 )
-def test_a_state_that_is_no_good_changes_nothing(key, value):
-    old, new = pair()
+def test_an_invalid_state_changes_nothing(key, value):
+    old, new = driver_pair()
     old.ask(plan=RATE)
     new.now = old.now
     table, _ = state.export(old.gateway, old.now)
@@ -182,21 +182,21 @@
     assert before == after and not new.gateway.quotas.accounts
 
 
-def test_a_state_that_lies_grants_no_more_than_full_stores():
-    old, new = pair(gateways=1, peer_messages=False)
+def test_a_state_with_excessive_levels_grants_no_more_than_full_buckets():
+    old, new = driver_pair(gateways=1, peer_messages=False)
     old.ask(plan=CEILED)
     table, _ = state.export(old.gateway, old.now)
     table["accounts"][0]["stores"] = [1e9, 1e9, 1e9]
     new.now = old.now
     state.restore(new.gateway, table, new.now)
-    assert sent(new, 60, plan=CEILED) <= old.settings.plans[CEILED].ceiling_depth
+    assert count_sent(new, 60, plan=CEILED) <= old.settings.plans[CEILED].ceiling_depth
 
 
 # Messages.
 
 
 @given(st.binary(max_size=200))
-def test_garbage_is_refused_by_each_reader(data):
+def test_each_decoder_rejects_malformed_data(data):
     for reader in (wire.decode, wire.decode_client, wire.unpack):
         try:
             reader(data)
@@ -206,38 +206,38 @@
 
 
 @given(st.integers(0, 2**40), st.binary(max_size=500))
-def test_a_connections_state_survives_the_way(since, held):
+def test_a_connection_snapshot_survives_encoding_and_decoding(since, held):
     kind, body = wire.decode(wire.encode_client((3, 2, since, held, since if held else 0)))
     assert kind is wire.MessageKind.CLIENT_CONNECTION
     assert wire.decode_client(body) == (3, 2, since, held, since if held else 0)
 
 
 @given(st.integers(0, 200_000), st.integers(0, 2**32))
-def test_a_state_is_put_together_whole_or_not_at_all(size, seed):
+def test_a_state_is_assembled_completely_or_not_at_all(size, seed):
     table = {"text": random.Random(seed).randbytes(size).hex()}
     messages = [wire.decode(message) for message in wire.state_messages(table)]
-    assembly = wire.StateAssembler()
+    assembler = wire.StateAssembler()
     for _, body in messages[:-1]:
-        assembly.add(body)
-    assert assembly.finish(messages[-1][1]) == table
-    torn = wire.StateAssembler()
+        assembler.add(body)
+    assert assembler.finish(messages[-1][1]) == table
+    incomplete = wire.StateAssembler()
     for _, body in messages[:-2]:
-        torn.add(body)
+        incomplete.add(body)
     with pytest.raises(ValueError):
-        torn.finish(messages[-1][1])
+        incomplete.finish(messages[-1][1])
 
 
-def test_a_channel_carries_descriptors_and_closes_what_it_can_not_send(tmp_path):
+def test_a_channel_carries_descriptors_and_closes_those_it_can_not_send(tmp_path):
     async def test():
         loop = asyncio.get_running_loop()
         near, far = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-        heard: asyncio.Queue[tuple[bytes, int | None]] = asyncio.Queue()
+        received: asyncio.Queue[tuple[bytes, int | None]] = asyncio.Queue()
         lost = asyncio.Event()
         one = Channel(loop, near, lambda *what: None, lambda: None)
-        other = Channel(loop, far, lambda data, fd: heard.put_nowait((data, fd)), lost.set)
+        other = Channel(loop, far, lambda data, fd: received.put_nowait((data, fd)), lost.set)
         reader, writer = os.pipe()
         one.send(b"here", os.dup(writer))
-        data, fd = await heard.get()
+        data, fd = await received.get()
         assert data == b"here" and fd is not None
         os.write(fd, b"x")
         assert os.read(reader, 1) == b"x"
@@ -255,10 +255,10 @@
     going(test)
 
 
-def test_a_door_left_by_a_process_that_was_killed_is_replaced(tmp_path):
+def test_a_socket_file_left_by_a_killed_process_is_replaced(tmp_path):
     path = socket_path(str(tmp_path), "n/../0")
     assert path.parent == tmp_path
-    bind_socket(path).close()  # the file stays, as after SIGKILL
+    bind_socket(path).close()  # the socket file stays, as after SIGKILL
     assert connect(path) is None
     sock = bind_socket(path)
     link = connect(path)
@@ -269,14 +269,14 @@
         socket_path("/" + "x" * 100, "n0")
 
 
-# The real program.
+# Real processes.
 
-TIGHT = SETTINGS | {"Tariffs": [{"Name": "wide", "Refill": 0.001, "StoreSize": 10.0}]}
-AMPLE = SETTINGS | {"Tariffs": [{"Name": "wide", "Refill": 1e6, "StoreSize": 1e6}]}
+SMALL_QUOTA = SETTINGS | {"Tariffs": [{"Name": "wide", "Refill": 0.001, "StoreSize": 10.0}]}
+LARGE_QUOTA = SETTINGS | {"Tariffs": [{"Name": "wide", "Refill": 1e6, "StoreSize": 1e6}]}
 
 
 class Node:
-    """Processes of one gatekeeper that share the clients' socket and a folder."""
+    """Processes of one gatekeeper that share the clients' listening socket and the handover folder."""
 
     def __init__(self, folder: Path, **changes: Any) -> None:
         self.folder, self.changes = folder, changes
@@ -291,7 +291,7 @@
         self.tasks: list[asyncio.Task[None]] = []
 
     async def start(self, fd: str | None = None) -> tuple[asyncio.subprocess.Process, int]:
-        """One more process, and the port at which operators call it."""
+        """Starts another process; returns the process and the port of its admin address."""
         run = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["run"]
         self.count += 1
         path = self.folder / f"{self.count}.json"
@@ -318,16 +318,16 @@
         self.tasks.append(asyncio.create_task(read()))
         return process, await found
 
-    def said(self, process: asyncio.subprocess.Process, text: str) -> bool:
+    def has_logged(self, process: asyncio.subprocess.Process, text: str) -> bool:
         return any(text in one for one in self.logs[process.pid])
 
-    async def until(self, process: asyncio.subprocess.Process, text: str) -> None:
-        while not self.said(process, text):
+    async def wait_for_log(self, process: asyncio.subprocess.Process, text: str) -> None:
+        while not self.has_logged(process, text):
             await asyncio.sleep(0.01)
 
 
-async def before_a_worker(folder: Path, step: Any, **changes: Any) -> tuple[StandIn, Node]:
-    """A stand-in worker, and a gatekeeper whose list has it alone."""
+async def start_worker_and_node(folder: Path, step: Any, **changes: Any) -> tuple[StandIn, Node]:
+    """Returns a stand-in worker and a gatekeeper whose endpoint list has only this worker."""
     worker = await StandIn(step).start()
     known = {"version": 3, "full": True, "servers": [line("w", worker.port)]}
     return worker, Node(folder, known=known, **changes)
@@ -341,8 +341,8 @@
     return answer
 
 
-def echoing(count: dict[bytes, int]) -> Any:
-    """A worker that counts how often each id arrives and answers with it."""
+def echo_call_id(count: dict[bytes, int]) -> Any:
+    """Returns a worker's handler that counts how often each call id arrives and answers with the id."""
 
     async def step(server: StandIn, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         head = server.heads[-1]
@@ -354,11 +354,11 @@
     return step
 
 
-def test_a_replacement_under_load_refuses_resets_and_doubles_nothing(tmp_path):
-    # Kept connections go over with what was read of them; what is out is answered where it was taken.
+def test_a_handover_under_load_rejects_resets_and_repeats_no_request(tmp_path):
+    # Persistent connections are handed over with the bytes read; who accepted a request answers it.
     async def test():
         count: dict[bytes, int] = {}
-        _, node = await before_a_worker(tmp_path, echoing(count), settings=AMPLE)
+        _, node = await start_worker_and_node(tmp_path, echo_call_id(count), settings=LARGE_QUOTA)
         old, admin = await node.start()
         assert await readyz(admin) == b"done\n"
         stop, asked = asyncio.Event(), [0]
@@ -370,7 +370,7 @@
                 turn += 1
                 name = f"{number}-{turn}"
                 link.ask(X_Call_Id=name)
-                if turn % 5 == 0:  # a request that comes in two pieces, one of them before the change
+                if turn % 5 == 0:  # a request in two parts, the first of which may arrive before the handover
                     await asyncio.sleep(0.001)
                 status, fields, body = await link.answer()
                 assert (status, body) == (200, name.encode())
@@ -385,7 +385,7 @@
             assert await readyz(admin) == b"done\n"
             old.send_signal(signal.SIGTERM)
             assert await old.wait() == 0
-            assert node.said(new, "took over")
+            assert node.has_logged(new, "took over")
             old = new
         stop.set()
         await asyncio.gather(*clients)
@@ -396,9 +396,9 @@
     going(test)
 
 
-def test_a_connection_goes_over_with_half_a_request(tmp_path):
+def test_a_connection_is_handed_over_with_a_partial_request(tmp_path):
     async def test():
-        _, node = await before_a_worker(tmp_path, ok(b"answer"))
+        _, node = await start_worker_and_node(tmp_path, ok(b"answer"))
         old, _ = await node.start()
         half = await Client.to(node.port)
         half.writer.write(b"GET /search?customer=0000000000000007 HTTP/1.1\r\nHost: h\r\nX-Call-")
@@ -418,9 +418,9 @@
     going(test)
 
 
-def test_a_customers_quota_is_not_passed_over_the_two_processes(tmp_path):
+def test_a_customers_quota_is_not_exceeded_over_the_two_processes(tmp_path):
     async def test():
-        _, node = await before_a_worker(tmp_path, ok(b"answer"), settings=TIGHT)
+        _, node = await start_worker_and_node(tmp_path, ok(b"answer"), settings=SMALL_QUOTA)
         old, _ = await node.start()
         statuses = []
 
@@ -443,21 +443,21 @@
     going(test)
 
 
-def test_the_old_process_serves_on_when_the_new_one_is_killed_after_its_yes(tmp_path):
+def test_the_predecessor_resumes_when_the_successor_is_killed_after_reporting_ready(tmp_path):
     async def test():
-        _, node = await before_a_worker(tmp_path, ok(b"answer"))
+        _, node = await start_worker_and_node(tmp_path, ok(b"answer"))
         old, admin = await node.start()
         new, second = await node.start()
         assert await readyz(second) == b"done\n" and (await readyz(admin)).startswith(b"error")
         new.kill()
         await new.wait()
-        await node.until(old, "resumed serving")
+        await node.wait_for_log(old, "resumed serving")
         assert await readyz(admin) == b"done\n"
         client = await Client.to(node.port)
         client.ask()
         assert (await client.answer())[0] == 200
-        third, _ = await node.start()  # and it can be replaced again
-        await node.until(third, "took over")
+        third, _ = await node.start()  # the predecessor can be replaced again
+        await node.wait_for_log(third, "took over")
         old.send_signal(signal.SIGTERM)
         assert await old.wait() == 0
         third.send_signal(signal.SIGTERM)
@@ -466,16 +466,16 @@
     going(test)
 
 
-def test_the_old_process_serves_on_when_the_new_one_goes_before_its_yes(tmp_path):
+def test_the_predecessor_resumes_when_the_successor_ends_before_reporting_ready(tmp_path):
     async def test():
-        _, node = await before_a_worker(tmp_path, ok(b"answer"))
+        _, node = await start_worker_and_node(tmp_path, ok(b"answer"))
         old, admin = await node.start()
         link = connect(socket_path(str(tmp_path), "n0"))
         assert link is not None
         link.send(wire.encode(wire.MessageKind.REQUEST_STATE))
-        await node.until(old, "sent the state")
+        await node.wait_for_log(old, "sent the state")
         assert (await readyz(admin)).startswith(b"error")
-        client = await Client.to(node.port)  # waits in the socket that is shared
+        client = await Client.to(node.port)  # waits in the backlog of the shared socket
         client.ask()
         link.close()
         assert (await client.answer())[0] == 200
@@ -486,7 +486,7 @@
     going(test)
 
 
-def test_garbage_at_the_door_changes_nothing(tmp_path):
+def test_malformed_messages_at_the_handover_socket_change_nothing(tmp_path):
     async def test():
         node = Node(tmp_path)
         old, admin = await node.start()
@@ -503,13 +503,13 @@
 
 
 @pytest.mark.parametrize("answer", [None, b"\x03\x01" + bytes(32), b"\x02\x01garbage", b"\x02\x63x"])
-def test_a_predecessor_that_hangs_or_lies_does_not_keep_the_new_one_from_starting(tmp_path, answer):
+def test_a_predecessor_that_hangs_or_sends_invalid_messages_does_not_prevent_the_start(tmp_path, answer):
     async def test():
         path = socket_path(str(tmp_path), "n0")
         sock = bind_socket(path)
         node = Node(tmp_path)
         loop = asyncio.get_running_loop()
-        other = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)  # it has the peers' address still
+        other = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)  # still has the peers' address in use
         other.bind((HOST, int(node.peers.rsplit(":", 1)[1])))
         task = asyncio.create_task(node.start())
         link, _ = await loop.sock_accept(sock)
@@ -527,7 +527,7 @@
 
 
 @pytest.mark.parametrize("fd", ["four", "-1", "99", "0x4", "2"])
-def test_a_socket_that_is_none_is_told_with_exit_code_2(tmp_path, fd):
+def test_an_invalid_inherited_descriptor_ends_the_start_with_exit_code_2(tmp_path, fd):
     async def test():
         node = Node(tmp_path)
         process, _ = await node.start(fd)
@@ -538,10 +538,11 @@
     going(test)
 
 
-def test_a_yes_that_comes_late_still_takes_over_and_with_a_state_that_is_new(tmp_path):
-    # A start that is short of processor time: the clients are served meanwhile, and nobody is closed on.
+def test_a_successor_that_reports_ready_late_takes_over_with_a_new_state(tmp_path):
+    # A successor may be short of processor time at its start. Meanwhile clients are served and no connection
+    # is closed.
     async def test():
-        _, node = await before_a_worker(tmp_path, ok(b"answer"), settings=TIGHT)
+        _, node = await start_worker_and_node(tmp_path, ok(b"answer"), settings=SMALL_QUOTA)
         old, admin = await node.start()
         idle = await Client.to(node.port)
         idle.ask()
@@ -549,36 +550,36 @@
         loop = asyncio.get_running_loop()
         link = connect(socket_path(str(tmp_path), "n0"))
         assert link is not None
-        heard: asyncio.Queue[tuple[bytes, int | None]] = asyncio.Queue()
+        received: asyncio.Queue[tuple[bytes, int | None]] = asyncio.Queue()
         lost = asyncio.Event()
-        late = Channel(loop, link, lambda data, fd: heard.put_nowait((data, fd)), lost.set)
+        late = Channel(loop, link, lambda data, fd: received.put_nowait((data, fd)), lost.set)
 
-        async def state_of() -> list[float]:
-            assembly = wire.StateAssembler()
+        async def receive_state() -> list[float]:
+            assembler = wire.StateAssembler()
             while True:
-                data, fd = await heard.get()
+                data, fd = await received.get()
                 if fd is not None:
                     os.close(fd)
                 kind, body = wire.decode(data)
                 if kind is wire.MessageKind.STATE_CHUNK:
-                    assembly.add(body)
+                    assembler.add(body)
                 elif kind is wire.MessageKind.STATE_END:
-                    return assembly.finish(body)["gateway"]["accounts"][0]["stores"]
+                    return assembler.finish(body)["gateway"]["accounts"][0]["stores"]
 
         late.send(wire.encode(wire.MessageKind.REQUEST_STATE))
-        first = await state_of()
-        await node.until(old, "resumed serving until it is")
+        first = await receive_state()
+        await node.wait_for_log(old, "resumed serving until it is")
         assert await readyz(admin) == b"done\n"
-        idle.ask()  # on the connection that was held
+        idle.ask()  # on the connection that was paused
         assert (await idle.answer())[0] == 200
         late.send(wire.encode(wire.MessageKind.READY))
-        second = await state_of()
+        second = await receive_state()
         assert sum(first) > 0 and second[0] < first[0]
-        while wire.decode((got := await heard.get())[0])[0] is not wire.MessageKind.CLIENT_CONNECTION:
-            if got[1] is not None:
-                os.close(got[1])
-        assert got[1] is not None
-        os.close(got[1])
+        while wire.decode((message := await received.get())[0])[0] is not wire.MessageKind.CLIENT_CONNECTION:
+            if message[1] is not None:
+                os.close(message[1])
+        assert message[1] is not None
+        os.close(message[1])
         old.send_signal(signal.SIGTERM)
         assert await old.wait() == 0
         late.close()
@@ -586,15 +587,15 @@
     going(test)
 
 
-def test_a_process_that_ends_without_a_successor_closes_no_connection_before_its_next_answer(tmp_path):
+def test_without_a_successor_a_connection_closes_only_after_its_next_response(tmp_path):
     async def test():
-        _, node = await before_a_worker(tmp_path, ok(b"answer"))
+        _, node = await start_worker_and_node(tmp_path, ok(b"answer"))
         old, _ = await node.start()
         kept = await Client.to(node.port)
         kept.ask()
         assert (await kept.answer())[0] == 200
         old.send_signal(signal.SIGTERM)
-        await node.until(old, "draining")
+        await node.wait_for_log(old, "draining")
         kept.ask()
         status, fields, _ = await kept.answer()
         assert (status, fields["connection"]) == (200, "close")
@@ -603,21 +604,21 @@
     going(test)
 
 
-def test_the_old_process_ends_though_the_new_one_dies_while_it_waits_for_it(tmp_path):
+def test_the_predecessor_ends_when_the_successor_dies_during_the_handover(tmp_path):
     async def test():
-        worker, node = await before_a_worker(tmp_path, wait_then(ok(b"answer")))
+        worker, node = await start_worker_and_node(tmp_path, wait_then(ok(b"answer")))
         old, _ = await node.start()
         client = await Client.to(node.port)
         client.ask()
         await worker.arrived.get()
         new, _ = await node.start()
-        await node.until(old, "the successor is ready")
+        await node.wait_for_log(old, "the successor is ready")
         old.send_signal(signal.SIGTERM)
-        await node.until(old, "draining")
+        await node.wait_for_log(old, "draining")
         new.kill()
         await new.wait()
         worker.go.set()
-        status, _, body = await client.answer()  # what it had taken, whoever is left
+        status, _, body = await client.answer()  # the predecessor answers the request it had accepted
         assert (status, body) == (200, b"answer")
         assert await old.wait() == 0
 
--- a/tests/test_main.py
+++ b/tests/test_main.py
@@ -1,4 +1,4 @@
-"""The real program as the platform starts it: its command, its configuration, its end."""
+"""The program as the platform starts it: command line, configuration, reload and graceful shutdown."""
 
 from __future__ import annotations
 
@@ -53,7 +53,7 @@
 
 @pytest.fixture(scope="module", autouse=True)
 def built() -> None:
-    """What the deploy file's `build` leaves."""
+    """Runs the deploy file's `build` command."""
     build = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["build"]
     subprocess.run(["/bin/sh", "-c", build], cwd=ROOT, check=True)
 
@@ -65,7 +65,7 @@
 
 
 async def start(path: Path, **changes: object) -> tuple[asyncio.subprocess.Process, int]:
-    """The program by the deploy file's `run`, and the port on which it is ready."""
+    """Starts the program with the deploy file's `run` command; returns the process and its port."""
     run = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["run"]
     path.write_text(json.dumps(config(**changes)))
     process = await asyncio.create_subprocess_exec(
@@ -75,7 +75,7 @@
 
 
 def test_it_serves_from_the_known_list_and_drains_at_sigterm(tmp_path):
-    # Discovery is dead all along: the last list stands and readiness does not wait.
+    # Discovery is unreachable all the time: the known list stays in use, and readiness does not wait for it.
     async def test():
         worker = await StandIn(wait_then(ok(b"answer"))).start()
         known = {"version": 3, "full": True, "servers": [line("w", worker.port)]}
@@ -88,7 +88,7 @@
         process.send_signal(signal.SIGTERM)
         while "draining" not in (await process.stderr.readline()).decode():
             pass
-        late = await Client.to(port)  # new connections keep coming for a while
+        late = await Client.to(port)  # new connections are still accepted for a while
         late.ask()
         await worker.arrived.get()
         worker.go.set()
@@ -100,8 +100,8 @@
     going(test)
 
 
-def test_nothing_is_sent_after_a_restart_before_discovery_has_been_asked(tmp_path):
-    # The list of the life before may name a worker that has begun to drain since.
+def test_after_a_restart_nothing_is_sent_before_discovery_has_answered(tmp_path):
+    # The list of the previous process may contain a worker that has begun to drain since.
     async def test():
         draining, ready = await StandIn(ok(b"draining")).start(), await StandIn(ok(b"ready")).start()
         news = json.dumps(
@@ -141,13 +141,13 @@
         ({"settings": None}, "settings"),
     ],
 )
-def test_a_bad_configuration_names_its_key(changes, key):
+def test_the_error_for_an_invalid_configuration_names_its_key(changes, key):
     with pytest.raises(ValueError, match=f"^{key}: ") as caught:
         read_config(json.dumps(config(**changes)), {})
     assert "\n" not in str(caught.value)
 
 
-def test_a_bad_configuration_ends_the_program_with_one_line_and_2(tmp_path):
+def test_an_invalid_configuration_ends_the_program_with_one_line_and_exit_code_2(tmp_path):
     for text, key in (
         ("{", "NODE_CONFIG"),
         (json.dumps(config(listen="x")), "listen"),
@@ -167,7 +167,7 @@
         assert done.returncode == 2 and done.stderr.count("\n") == 1 and key in done.stderr
 
 
-def test_the_environment_stands_in_for_missing_keys():
+def test_environment_variables_replace_missing_keys():
     table = config()
     for key in ("name", "listen", "discovery"):
         del table[key]
@@ -206,8 +206,8 @@
     going(test)
 
 
-def test_sighup_moves_discovery_and_disturbs_nothing(tmp_path):
-    # Nothing handled SIGHUP: it ended the program, and all that was in flight was lost.
+def test_sighup_changes_the_discovery_address_and_disturbs_no_request(tmp_path):
+    # An unhandled SIGHUP ends the program and loses all requests in flight.
     async def test():
         first, second = await StandIn(wait_then(ok(b"first"))).start(), await StandIn(ok(b"second")).start()
         agents = []
@@ -217,7 +217,7 @@
         path = tmp_path / "config.json"
         process, port = await start(path, discovery=f"{HOST}:{agents[0].port}")
         await agents[0].arrived.get()
-        await agents[0].arrived.get()  # the list has been taken in: this is the watch
+        await agents[0].arrived.get()  # the list has been applied: this is the long poll
         waiting = await Client.to(port)
         waiting.ask()
         await first.arrived.get()
@@ -238,13 +238,13 @@
         first.go.set()
         assert (await waiting.answer())[2] == b"first"
         process.send_signal(signal.SIGTERM)
-        process.send_signal(signal.SIGHUP)  # nor does one cut a drain short
+        process.send_signal(signal.SIGHUP)  # a SIGHUP during the drain must not end it early
         assert await process.wait() == 0
 
     going(test)
 
 
-def test_sighup_takes_in_other_authentication_servers(tmp_path):
+def test_sighup_applies_other_authentication_servers(tmp_path):
     async def test():
         servers = [await StandIn(ok(b"", b"X-Auth-User: %d" % number)).start() for number in (1, 2)]
         path = tmp_path / "auth.json"
