--- a/pepperrun/assembly.py
+++ b/pepperrun/assembly.py
@@ -246,7 +246,7 @@
         if successor is None or successor.process_state is None:
             # A drain must take effect within this time of its notification: a longer wait would gain nothing
             # and serve no client.
-            await watch.wait_for_first_list(config.settings.drain_grace_ns / SECOND)
+            await watch.wait_for_first_call(config.settings.drain_grace_ns / SECOND)
     front = Platform(config.settings, core.gatekeeper, clock, auth, budget)
     return core, open_listener(
         config.name, config.listen, clock, max_clients, front.new_connection, lot, inherited
@@ -351,7 +351,7 @@
             self.discovery = Discovery(address, on_list, backoff, known_version, moved)
             self.task = asyncio.get_running_loop().create_task(self.discovery.run())
 
-    async def wait_for_first_list(self, timeout_s: float) -> None:
+    async def wait_for_first_call(self, timeout_s: float) -> None:
         """Waits until the first call is answered or has failed, at most `timeout_s`."""
         if self.discovery is not None:
             try:
--- a/pepperrun/handover/state.py
+++ b/pepperrun/handover/state.py
@@ -30,7 +30,7 @@
 
     account: Account
     total: float  # the account's total units when the state was exported
-    rates: tuple[float, ...] = field(default=())
+    rates: tuple[float, ...] = field(default=())  # of its buckets before the export, units/s
 
 
 def _pending_units(gateway: Gateway) -> dict[int, float]:
@@ -155,7 +155,7 @@
 
 
 def export_remainder(kept: list[RetainedAccount], now: int) -> list[list[float]]:
-    """Returns a row per account: its customer, the unused units per bucket, units used since, units owed."""
+    """Returns a row per account: customer, unused units per bucket, units used since the export, and owed."""
     return [
         [retained.account.customer, *(getattr(retained.account, name).fill(now) for name in _BUCKETS)]
         + [retained.account.total_units - retained.total, retained.account.owed]
@@ -170,6 +170,7 @@
         self.now = now
 
     def finite(self, value: Any, minimum: float = -1e15, maximum: float = 1e15) -> float:
+        """Returns a finite number within bounds."""
         if isinstance(value, bool) or not isinstance(value, int | float) or not math.isfinite(value):
             raise ValueError(f"{value!r} is not a finite number")
         if not minimum <= value <= maximum:
@@ -177,6 +178,7 @@
         return float(value)
 
     def integer(self, value: Any, minimum: int = 0, maximum: int = 2**63) -> int:
+        """Returns an integer within bounds."""
         if not isinstance(value, int) or isinstance(value, bool) or not minimum <= value <= maximum:
             raise ValueError(f"{value!r} is not an integer in the permitted range")
         return int(value)
@@ -186,6 +188,7 @@
         return self.integer(value, -(2**62), self.now + 60 * SECOND)
 
     def rows(self, value: Any, maximum: int, width: int) -> list[list[Any]]:
+        """Returns a list of at most `maximum` rows, each of `width` columns."""
         if not isinstance(value, list) or len(value) > maximum:
             raise ValueError("a list of rows is missing or too long")
         if not all(isinstance(row, list) and len(row) == width for row in value):
--- a/pepperrun/lab/processes.py
+++ b/pepperrun/lab/processes.py
@@ -171,7 +171,7 @@
         return after
 
     def ask(self, words: str) -> dict[str, Any] | None:
-        """A call of its second address; None where it gives no answer."""
+        """The answer to a command at its admin address; None where it gives no answer."""
         if not self.up() or self.paused:
             return None
         try:
