--- a/pepperrun/handover/channel.py
+++ b/pepperrun/handover/channel.py
@@ -1,4 +1,4 @@
-"""A Unix socket between the two processes of a gatekeeper: messages in order, some with a descriptor."""
+"""Ordered messages, some with a file descriptor, over a Unix socket between two processes of a gatekeeper."""
 
 from __future__ import annotations
 
@@ -10,29 +10,37 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from pepperrun.handover.wire import MOST_MESSAGE
+from pepperrun.handover.wire import MAX_MESSAGE_BYTES
 
-BATCH = 64  # messages read before others have a turn
-LONGEST_PATH = 100  # of a Unix socket; the system's bound is 107
+MAX_READS_PER_WAKEUP = 64  # messages read before the event loop runs other callbacks
+MAX_PATH_BYTES = 100  # of a Unix socket; the system's limit is 107
 _CREDENTIALS = struct.Struct("3i")
 
-Heard = Callable[[bytes, int | None], None]
+MessageCallback = Callable[[bytes, int | None], None]
 
 
 class Channel:
-    """Messages both ways. `heard` is given each and owns its descriptor; `lost` is called once at the end."""
+    """Sends and receives messages; each may carry a descriptor.
+
+    `on_message` gets each received message and owns its descriptor. `on_closed` is called once, when the
+    connection has ended.
+    """
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, sock: socket.socket, heard: Heard, lost: Callable[[], None]
+        self,
+        loop: asyncio.AbstractEventLoop,
+        sock: socket.socket,
+        on_message: MessageCallback,
+        on_closed: Callable[[], None],
     ) -> None:
-        self.loop, self.heard, self.lost = loop, heard, lost
+        self.loop, self.on_message, self.on_closed = loop, on_message, on_closed
         self.sock: socket.socket | None = sock
-        self.queue: deque[tuple[bytes, int | None]] = deque()  # not yet sent, with descriptors owned here
+        self.queue: deque[tuple[bytes, int | None]] = deque()  # not yet sent; owns the descriptors
         sock.setblocking(False)
         loop.add_reader(sock, self._read)
 
     def send(self, data: bytes, fd: int | None = None) -> None:
-        """Sends a message in its turn; the descriptor is closed here once it has gone, or can't go."""
+        """Queues a message. Closes the descriptor once it has been sent, or if it can't be sent."""
         if self.sock is None:
             if fd is not None:
                 os.close(fd)
@@ -62,11 +70,11 @@
             self.loop.remove_writer(self.sock)
 
     def _read(self) -> None:
-        for _ in range(BATCH):
+        for _ in range(MAX_READS_PER_WAKEUP):
             if self.sock is None:
                 return
             try:
-                data, fds, _, _ = socket.recv_fds(self.sock, MOST_MESSAGE, 4)
+                data, fds, _, _ = socket.recv_fds(self.sock, MAX_MESSAGE_BYTES, 4)
             except (BlockingIOError, InterruptedError):
                 return
             except OSError:
@@ -76,10 +84,10 @@
                 return
             for extra in fds[1:]:
                 os.close(extra)
-            self.heard(data, fds[0] if fds else None)
+            self.on_message(data, fds[0] if fds else None)
 
     def close(self) -> None:
-        """Ends it; what was not sent is dropped."""
+        """Closes the connection, drops messages that were not sent and calls `on_closed`."""
         sock, self.sock = self.sock, None
         if sock is None:
             return
@@ -90,56 +98,63 @@
             if fd is not None:
                 os.close(fd)
         self.queue.clear()
-        self.lost()
+        self.on_closed()
 
-    async def flushed(self) -> None:
-        """Until all is sent, or can't be."""
+    async def wait_until_sent(self) -> None:
+        """Waits until all messages are sent or the connection has ended."""
         while self.sock is not None and self.queue:
             await asyncio.sleep(0.005)
 
 
-def path_of(folder: str, name: str) -> Path:
-    """Where a gatekeeper's processes meet; ValueError where the system takes no such path."""
-    safe = "".join(char if char.isalnum() and char.isascii() or char in "._-" else "_" for char in name)
-    path = Path(folder) / f"pepperrun-{safe}.sock"
-    if len(os.fsencode(path)) + 12 > LONGEST_PATH:
+def socket_path(folder: str, name: str) -> Path:
+    """Returns the path of a gatekeeper's handover socket.
+
+    Raises ValueError if the path is too long for a Unix socket.
+    """
+    safe_name = "".join(char if char.isalnum() and char.isascii() or char in "._-" else "_" for char in name)
+    path = Path(folder) / f"pepperrun-{safe_name}.sock"
+    if len(os.fsencode(path)) + 12 > MAX_PATH_BYTES:
         raise ValueError(f"{path}: too long for a Unix socket")
     return path
 
 
-def door(path: Path) -> socket.socket:
-    """Listens at a path; another process's socket there is replaced, so that one can always be reached."""
-    own = path.with_name(f"{path.name}.{os.getpid()}")
-    own.unlink(missing_ok=True)  # of a process long gone that had this id
+def bind_socket(path: Path) -> socket.socket:
+    """Returns a socket that listens at a path, for processes of this user only.
+
+    Binds to a temporary path and renames it, which replaces another process's socket at the path: at any time
+    some process can be reached there.
+    """
+    temporary_path = path.with_name(f"{path.name}.{os.getpid()}")
+    temporary_path.unlink(missing_ok=True)  # left by an ended process that had this process id
     sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     try:
-        before = os.umask(0o177)
+        old_umask = os.umask(0o177)
         try:
-            sock.bind(str(own))
+            sock.bind(str(temporary_path))
         finally:
-            os.umask(before)
+            os.umask(old_umask)
         sock.listen(4)
         sock.setblocking(False)
-        os.rename(own, path)
+        os.rename(temporary_path, path)
     except OSError:
         sock.close()
         raise
     return sock
 
 
-def same_user(sock: socket.socket) -> bool:
-    """Is the other end a process of this user?"""
+def is_same_user(sock: socket.socket) -> bool:
+    """Whether the process at the other end runs as this user."""
     raw = sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, _CREDENTIALS.size)
     return int(_CREDENTIALS.unpack(raw)[1]) == os.geteuid()
 
 
-def knock(path: Path) -> socket.socket | None:
-    """A connection to the process that listens there; None where there is none."""
+def connect(path: Path) -> socket.socket | None:
+    """Returns a connection to the process that listens at a path; None if there is none of this user."""
     sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     try:
         sock.settimeout(0.5)
         sock.connect(str(path))
-        if same_user(sock):
+        if is_same_user(sock):
             return sock
     except OSError:
         pass
--- a/pepperrun/handover/successor.py
+++ b/pepperrun/handover/successor.py
@@ -1,4 +1,4 @@
-"""The process that takes the place of one that serves: it asks for the state, then for connections."""
+"""The new process's side of a handover: it requests the state, then adopts the client connections."""
 
 from __future__ import annotations
 
@@ -8,131 +8,137 @@
 from pathlib import Path
 from typing import TYPE_CHECKING, Any
 
-from pepperrun.config import Listing, read_listing
+from pepperrun.config import EndpointList, read_endpoint_list
 from pepperrun.handover import state, wire
-from pepperrun.handover.channel import Channel, knock
-from pepperrun.handover.wire import Kind
-from pepperrun.log import say
+from pepperrun.handover.channel import Channel, connect
+from pepperrun.handover.wire import MessageKind
+from pepperrun.log import log_message
 
 if TYPE_CHECKING:
     from pepperrun.gatekeeper import Gatekeeper
     from pepperrun.net.listener import Listener
     from pepperrun.net.peers import Peers
 
-STATE_S = 2.0  # for the state: the platform gives a start 6 s
+STATE_TIMEOUT_S = 2.0  # for the state; the platform allows 6 s for a start
 
 
 class Successor:
-    """The link to the process that served until now."""
+    """The connection to the predecessor, and what was received on it."""
 
     def __init__(self) -> None:
         self.channel: Channel | None = None
-        self.assembly = wire.Assembly()
-        self.table: dict[str, Any] | None = None
-        self.peers_fd: int | None = None
-        self.whole = asyncio.Event()
+        self.assembler = wire.StateAssembler()
+        self.process_state: dict[str, Any] | None = None
+        self.peer_socket_fd: int | None = None
+        self.state_done = asyncio.Event()
         self.gatekeeper: Gatekeeper | None = None
         self.listener: Listener | None = None
-        self.taken = 0
+        self.adopted_count = 0
         self._tasks: set[asyncio.Task[None]] = set()
 
-    async def ask(self, path: Path) -> None:
-        """Asks whoever serves for what it knows; no good answer in time means a start from nothing."""
-        sock = knock(path)
+    async def request_state(self, path: Path) -> None:
+        """Requests the serving process's state; this process starts without it if none arrives in time."""
+        sock = connect(path)
         if sock is None:
             return
-        self.channel = Channel(asyncio.get_running_loop(), sock, self._heard, self.whole.set)
-        self.channel.send(wire.plain(Kind.TAKE))
+        self.channel = Channel(asyncio.get_running_loop(), sock, self._on_message, self.state_done.set)
+        self.channel.send(wire.encode(MessageKind.REQUEST_STATE))
         try:
-            async with asyncio.timeout(STATE_S):
-                await self.whole.wait()
+            async with asyncio.timeout(STATE_TIMEOUT_S):
+                await self.state_done.wait()
         except TimeoutError:
-            say("hand-over", f"the process that serves gave no state within {STATE_S:.0f} s")
-        # The peers' socket follows the state at once.
+            log_message("hand-over", f"the serving process sent no state within {STATE_TIMEOUT_S:.0f} s")
+        # The peers' socket is sent right after the state.
         for _ in range(20):
-            if self.table is None or self.peers_fd is not None or not self.table.get("peers"):
+            if (
+                self.process_state is None
+                or self.peer_socket_fd is not None
+                or not self.process_state.get("peers")
+            ):
                 break
             await asyncio.sleep(0.01)
 
-    def _heard(self, data: bytes, fd: int | None) -> None:
+    def _on_message(self, data: bytes, fd: int | None) -> None:
         try:
-            kind, body = wire.read(data)
-            if kind is Kind.CLIENT and fd is not None:
-                given, fd = fd, None
-                self._client(wire.read_client(body), given)
-            elif kind is Kind.STATE:
-                self.assembly.add(body)
-            elif kind is Kind.WHOLE:
-                assembly, self.assembly = self.assembly, wire.Assembly()
-                table = assembly.whole(body)
-                if not isinstance(table, dict):
-                    raise ValueError("the state is no object")
-                self.table = table
-                self.whole.set()
-                if self.gatekeeper is not None:  # the yes was late, and the first one is old by now
-                    self.take_in(self.gatekeeper)
-            elif kind is Kind.PEERS and fd is not None and self.peers_fd is None:
-                self.peers_fd, fd = fd, None
-            elif kind is Kind.LEFT and self.gatekeeper is not None:
+            kind, body = wire.decode(data)
+            if kind is MessageKind.CLIENT_CONNECTION and fd is not None:
+                client_fd, fd = fd, None
+                self._adopt_client(wire.decode_client(body), client_fd)
+            elif kind is MessageKind.STATE_CHUNK:
+                self.assembler.add(body)
+            elif kind is MessageKind.STATE_END:
+                assembler, self.assembler = self.assembler, wire.StateAssembler()
+                received_state = assembler.finish(body)
+                if not isinstance(received_state, dict):
+                    raise ValueError("the state is not a JSON object")
+                self.process_state = received_state
+                self.state_done.set()
+                if self.gatekeeper is not None:  # reported ready late: the earlier state is out of date
+                    self.restore(self.gatekeeper)
+            elif kind is MessageKind.PEER_SOCKET and fd is not None and self.peer_socket_fd is None:
+                self.peer_socket_fd, fd = fd, None
+            elif kind is MessageKind.REMAINDER and self.gatekeeper is not None:
                 now = self.gatekeeper.clock()
-                state.take_left(self.gatekeeper.gateway, wire.unpacked(body), now)
+                state.add_remainder(self.gatekeeper.gateway, wire.unpack(body), now)
         except (ValueError, TypeError) as error:
-            say("hand-over", f"a message of the hand-over is no good: {error}")
-            self.whole.set()
+            log_message("hand-over", f"invalid handover message: {error}")
+            self.state_done.set()
         finally:
             if fd is not None:
                 os.close(fd)
 
-    def listing(self) -> Listing | None:
-        """The list of workers that the predecessor had; None where there is no good one."""
-        if self.table is None:
+    def endpoint_list(self) -> EndpointList | None:
+        """Returns the predecessor's endpoint list; None if it is missing or invalid."""
+        if self.process_state is None:
             return None
         try:
-            return read_listing(self.table["list"])
+            return read_endpoint_list(self.process_state["list"])
         except (KeyError, TypeError, ValueError) as error:
-            say("hand-over", f"the list is no good: {error}")
+            log_message("hand-over", f"the predecessor's endpoint list is invalid: {error}")
             return None
 
-    def version(self) -> int | None:
-        """The list's version as discovery told it; None where it is to be asked for whole."""
-        listing = self.listing()
-        if listing is None or self.table is None or self.table.get("known") is not True:
+    def list_version(self) -> int | None:
+        """Returns discovery's version of the list; None if the complete list must be requested."""
+        endpoint_list = self.endpoint_list()
+        if endpoint_list is None or self.process_state is None or self.process_state.get("known") is not True:
             return None
-        return listing.version
+        return endpoint_list.version
 
-    def take_in(self, gatekeeper: Gatekeeper) -> bool:
-        """Goes on from the state, if there is a good one."""
+    def restore(self, gatekeeper: Gatekeeper) -> bool:
+        """Restores the gateway from the state; returns whether there is a valid one."""
         self.gatekeeper = gatekeeper
-        if self.table is None:
+        if self.process_state is None:
             return False
         try:
-            state.take_in(gatekeeper.gateway, self.table.get("gateway"), gatekeeper.clock())
+            state.restore(gatekeeper.gateway, self.process_state.get("gateway"), gatekeeper.clock())
         except ValueError as error:
-            say("hand-over", f"the state is no good, starting without it: {error}")
+            log_message("hand-over", f"starting without the predecessor's state, which is invalid: {error}")
             return False
-        say("hand-over", f"took over {len(gatekeeper.gateway.quotas.accounts)} customers")
+        log_message(
+            "hand-over", f"took over the state of {len(gatekeeper.gateway.quotas.accounts)} customers"
+        )
         return True
 
-    def yes(self, listener: Listener, peers: Peers | None) -> None:
-        """Clients are taken here now."""
+    def announce_ready(self, listener: Listener, peers: Peers | None) -> None:
+        """Reports that this process accepts clients; peers' messages are copied to the predecessor now."""
         self.listener = listener
         if self.channel is None:
             return
         if self.channel.sock is None:
-            if self.table is not None and self.gatekeeper is not None:
-                say("hand-over", "the process that served decides again: going on without its state")
-                state.forget(self.gatekeeper.gateway, self.gatekeeper.clock())
+            if self.process_state is not None and self.gatekeeper is not None:
+                log_message("hand-over", "the predecessor resumed serving; dropping its state")
+                state.reset(self.gatekeeper.gateway, self.gatekeeper.clock())
             return
-        self.channel.send(wire.plain(Kind.YES))
+        self.channel.send(wire.encode(MessageKind.READY))
         if peers is not None:
-            peers.on_message_copy = self._also
+            peers.on_message_copy = self._forward_peer_message
 
-    def _also(self, peer: int, data: bytes) -> None:
-        """What peers answer may be for a request that the predecessor has taken."""
+    def _forward_peer_message(self, peer: int, data: bytes) -> None:
+        """Copies a peer's message to the predecessor: the message may answer a request accepted there."""
         if self.channel is not None and self.channel.sock is not None:
-            self.channel.send(wire.plain(Kind.HEARD, peer.to_bytes(4, "little") + data))
+            self.channel.send(wire.encode(MessageKind.PEER_MESSAGE, peer.to_bytes(4, "little") + data))
 
-    def _client(self, given: wire.ClientState, fd: int) -> None:
+    def _adopt_client(self, snapshot: wire.ConnectionSnapshot, fd: int) -> None:
         try:
             sock = socket.socket(fileno=fd)
         except OSError:
@@ -142,12 +148,12 @@
             sock.close()
             return
         sock.setblocking(False)
-        self.taken += 1
-        task = asyncio.get_running_loop().create_task(self.listener.adopt(sock, given))
+        self.adopted_count += 1
+        task = asyncio.get_running_loop().create_task(self.listener.adopt(sock, snapshot))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     def close(self) -> None:
-        """Ends the link."""
+        """Closes the connection to the predecessor."""
         if self.channel is not None:
             self.channel.close()
--- a/pepperrun/membership/service.py
+++ b/pepperrun/membership/service.py
@@ -11,11 +11,11 @@
 from collections.abc import Callable, Iterable, Sequence
 from typing import Any
 
-from pepperrun.admin.calls import Figure
+from pepperrun.admin.commands import Metric
 from pepperrun.core.clock import SECOND
 from pepperrun.core.gossip import INCARNATION_TICK_NS
 from pepperrun.gatekeeper import Gatekeeper
-from pepperrun.log import say
+from pepperrun.log import log_message
 from pepperrun.membership.config import MembershipConfig
 from pepperrun.membership.member import Member
 from pepperrun.membership.report import events_since, figures, json_line, membership_report
@@ -72,7 +72,7 @@
         try:
             restore_state(self.member, saved_state, now)
         except (KeyError, TypeError, ValueError) as error:
-            say(
+            log_message(
                 "members",
                 f"membership starts without the state of the previous process: invalid state: {error}",
             )
@@ -81,7 +81,7 @@
 
     def on_datagram(self, peer: int, data: bytes) -> None:
         """Handles a datagram from the configured address of a peer."""
-        if self.closed or self.inactive or not self.gatekeeper.telling:
+        if self.closed or self.inactive or not self.gatekeeper.sends_to_peers:
             return
         self.member.receive(peer, data, self.clock())
         self._flush()
@@ -91,7 +91,7 @@
         self.timer = None
         if self.closed:
             return
-        if not self.gatekeeper.telling:
+        if not self.gatekeeper.sends_to_peers:
             self.inactive = True
         elif self.inactive:  # the next process did not start: this process is the member again
             self.inactive = False
@@ -136,7 +136,9 @@
         self.status_inputs, self.next_step_change_at = state, next_step_change(member, now)
         status, step = membership_status_of(self.member, now), step_of(self.member, now)
         if step is not self.step:
-            say(f"members step {step.value}", f"members: step {step.value}, side {self.member.side().value}")
+            log_message(
+                f"members step {step.value}", f"members: step {step.value}, side {self.member.side().value}"
+            )
             self.member.record_step(step.value, now)
             self.step = step
         if status != quotas.membership_status:
@@ -149,7 +151,9 @@
             if happened.member < len(self.member_names)
             else str(happened.member)
         )
-        say(f"members {happened.what}", f"members: {name}: {happened.what} {happened.detail}".rstrip())
+        log_message(
+            f"members {happened.what}", f"members: {name}: {happened.what} {happened.detail}".rstrip()
+        )
 
     # Calls of the gatekeeper.
 
@@ -175,7 +179,7 @@
             return json_line({"now": now, "events": events_since(self.member, int(words[2]))})
         return b"error members, or members since NANOSECONDS\n"
 
-    def figures(self) -> Iterable[Figure]:
+    def figures(self) -> Iterable[Metric]:
         """The membership metrics of the admin call `telemetry`."""
         return figures(self.member)
 
--- a/pepperrun/net/upstream.py
+++ b/pepperrun/net/upstream.py
@@ -15,7 +15,7 @@
 from pepperrun.core.clock import SECOND
 from pepperrun.core.interface import Outcome
 from pepperrun.exchange import End, Exchange
-from pepperrun.log import say
+from pepperrun.log import log_message
 from pepperrun.net.buffer import has_unread_input
 from pepperrun.net.connection import AbandonReason, Attempt, Connection, Pool, ResponseClassifier, Wire
 from pepperrun.net.http1 import Response
@@ -138,7 +138,7 @@
     def cancel(self, exchange: Exchange[Any, Any], number: int, reason: AbandonReason | None = None) -> None:
         """Abandons an attempt and closes its connection: HTTP/1.1 has no other way to stop its worker."""
         if reason is None:
-            reason = AbandonReason.CLIENT_LEFT if exchange.end is End.LEFT else AbandonReason.DECISION
+            reason = AbandonReason.CLIENT_LEFT if exchange.end is End.CLIENT_LEFT else AbandonReason.DECISION
         if (attempt := self.attempts.get((exchange.id, number))) is not None:
             self._abandon(attempt, Outcome.CANCELLED, reason)
 
@@ -174,7 +174,7 @@
 
     def attempts_of(self, exchange: Exchange[Any, Any]) -> list[Attempt]:
         """Returns the request's attempts in flight, in the order in which they began."""
-        found = (self.attempts.get((exchange.id, number)) for number in sorted(exchange.open))
+        found = (self.attempts.get((exchange.id, number)) for number in sorted(exchange.open_attempts))
         return [attempt for attempt in found if attempt is not None]
 
     # Attempts.
@@ -196,8 +196,8 @@
     def on_request_sent(self, attempt: Attempt) -> None:
         """Restarts the attempt's time at the last byte of a streamed request, with the client's patience."""
         now, exchange = self.clock(), attempt.exchange
-        exchange.attempts[attempt.number] = now
-        attempt.deadline = min(attempt.deadline, now + exchange.patience)
+        exchange.attempt_times[attempt.number] = now
+        attempt.deadline = min(attempt.deadline, now + exchange.wait_after_body_ns)
         if attempt.timer is not None:
             attempt.timer.cancel()
         attempt.timer = self.loop.call_later((attempt.deadline - now) / SECOND, self._on_deadline, attempt)
@@ -292,7 +292,7 @@
                 len(self.connections) + len(self.connecting) >= self.max_connections
                 and not self._evict_idle()
             ):
-                say("limit", f"all {self.max_connections} connections to backends are in use")
+                log_message("limit", f"all {self.max_connections} connections to backends are in use")
                 self.loop.call_later(
                     self.connect_timeout_s, self._on_connection_limit, pool, pool.waiting[-1]
                 )
@@ -349,7 +349,7 @@
         now = self.clock()
         self.stale_rates.decay()
         for connection in [one for one in self.connections if one.is_stalled(now)]:
-            say("stands still", "a streamed body stalled; closing its connection")
+            log_message("stands still", "a streamed body stalled; closing its connection")
             connection.close()
         for pool in self.pools.values():
             for connection in [c for c in pool.idle if not self._is_reusable(c, now)]:
--- a/pepperrun/parking/listener.py
+++ b/pepperrun/parking/listener.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 
 from pepperrun.config import Address
-from pepperrun.log import say
+from pepperrun.log import log_message
 from pepperrun.net.listener import (
     DRAIN_ACCEPT_S,
     DRAIN_LINGER_S,
@@ -88,7 +88,7 @@
         except (BlockingIOError, InterruptedError, ConnectionAbortedError):
             return False
         except OSError as error:  # no descriptor or memory for it now
-            say("accept", f"accept: {error}")
+            log_message("accept", f"accept: {error}")
             self.lot.short()
             self._wait()
             return False
@@ -106,7 +106,7 @@
     def revive(self, snapshot: ConnectionSnapshot, woken: int) -> asyncio.BufferedProtocol:
         """The protocol of a connection that is taken up, as it was."""
         client = self.client_factory(self)
-        client.revive(snapshot, woken)  # type: ignore[attr-defined]
+        client.restore(snapshot, woken)  # type: ignore[attr-defined]
         return client
 
     def resume(self) -> None:
--- a/pepperrun/simulation/conversations/bugs.py
+++ b/pepperrun/simulation/conversations/bugs.py
@@ -13,7 +13,7 @@
 from pepperrun.dataplane.front import Front
 from pepperrun.dataplane.wire import WorkerWire
 from pepperrun.exchange import End
-from pepperrun.fronts.http_client import HttpClient
+from pepperrun.fronts.http_connection import HttpConnection
 from pepperrun.net import connection, upstream
 from pepperrun.net.connection import Connection
 from pepperrun.net.hangup import HangupWatch
@@ -43,7 +43,7 @@
 
     def foreign(self: WorkerWire, attempt: Any, response: Any) -> bool:
         given = response.headers.get(b"attempt-id")
-        return given is not None and bool(given != attempt.exchange.asked.headers[b"attempt-id"])
+        return given is not None and bool(given != attempt.exchange.request.headers[b"attempt-id"])
 
     return [
         mock.patch.object(Connection, "_release", release),
@@ -88,13 +88,13 @@
     ]
 
 
-def _awaits(client: HttpClient) -> bool:
-    return client.step is not None
+def _awaits(client: HttpConnection) -> bool:
+    return client.pending is not None
 
 
 def _next_inside_answer() -> Patches:
     """The next request is read while a long answer is on its way, and answered in the middle of it."""
-    return [mock.patch.object(HttpClient, "_owes", _awaits)]
+    return [mock.patch.object(HttpConnection, "_has_pending_answer", _awaits)]
 
 
 def _any_no_is_believed() -> Patches:
@@ -104,7 +104,7 @@
         given = response.headers.get(b"attempt-id")
         if given is None:
             return not wire.is_rejected(response)
-        return bool(given != attempt.exchange.asked.headers[b"attempt-id"])
+        return bool(given != attempt.exchange.request.headers[b"attempt-id"])
 
     return [mock.patch.object(WorkerWire, "is_foreign", foreign)]
 
@@ -124,7 +124,7 @@
     answer = Front.answer
 
     def refuse(self: Front, exchange: Any, final: Any) -> Any:
-        return self.retry_later() if final.end is End.OUT_OF_TIME else answer(self, exchange, final)
+        return self.retry_later() if final.end is End.TIMED_OUT else answer(self, exchange, final)
 
     return [mock.patch.object(Front, "answer", refuse)]
 
--- a/pepperrun/simulation/distribution_world.py
+++ b/pepperrun/simulation/distribution_world.py
@@ -17,7 +17,7 @@
 from pepperrun.control.records import GatewayRecord, GatewayState, Worker, WorkerState
 from pepperrun.distribution.follower import Follower
 from pepperrun.distribution.publisher import Publisher
-from pepperrun.distribution.relay import ReplicatedSource, publish, relay
+from pepperrun.distribution.relay import ReplicatedSource, create_publisher, create_relay
 from pepperrun.distribution.replicated_state import AppliedChange, ReplicatedState
 from pepperrun.foundation.netstring import Decoder, Message
 from pepperrun.foundation.settings import Address
@@ -76,13 +76,13 @@
         self.world.at(due - self.skew, self, lambda: self.publisher.tick(self.clock()))
 
     def joined(self, port: Port) -> None:
-        self.publisher.joined(port, {"k": "hello", "room": port.other.room}, self.clock())
+        self.publisher.opened(port, {"k": "hello", "room": port.other.room}, self.clock())
 
     def left(self, port: Port) -> None:
-        self.publisher.left(port, self.clock())
+        self.publisher.closed(port, self.clock())
 
     def take(self, port: Port, message: Message) -> None:
-        self.publisher.heard(port, message, self.clock())
+        self.publisher.received(port, message, self.clock())
 
 
 class ControlNode(Node, ReplicatedSource):
@@ -93,7 +93,7 @@
         self.replicated = ReplicatedState()
         self.control_nodes = world.cores
         self.known_at: int | None = None
-        self.publisher = publish(self, self.replicated, self.flush_at, self.clock)
+        self.publisher = create_publisher(self, self.replicated, self.flush_at, self.clock)
 
     def age_ms(self, now: int) -> float | None:
         return None if self.known_at is None else (self.world.now - self.known_at) / MS
@@ -115,9 +115,9 @@
         )
         contacts = [(core, PORT) for core, _ in world.cores[:3]]
         self.follower = Follower(
-            station, zone, PORT, world.zones, contacts, row=lambda: row, apply=apply, now=self.clock()
+            station, zone, PORT, world.zones, contacts, own_record=lambda: row, apply=apply, now=self.clock()
         )
-        self.publisher = relay(self.follower, self.flush_at, self.clock)
+        self.publisher = create_relay(self.follower, self.flush_at, self.clock)
         self.replicated = self.follower.replicated
         self.alarm = 0
         self.up: dict[Address, Port] = {}
@@ -174,7 +174,7 @@
         if port.address is None:
             super().take(port, message)
         else:
-            self.follower.heard(port, message, self.clock())
+            self.follower.received(port, message, self.clock())
             self.settle()
 
     def age_ms(self) -> float:
--- a/pepperrun/simulation/nodes.py
+++ b/pepperrun/simulation/nodes.py
@@ -99,7 +99,7 @@
         self.node = ControlNode(self.settings, memory, self.disk, memory.starts, loop.clock)
         control_bugs.put_in(self.bug, self.node)
         self.tree = ControlApi(self.node).control_tree()
-        spawn(loop, link.listen(self.settings.internal_port, self.node, self.node.hello))
+        spawn(loop, link.listen(self.settings.internal_address, self.node, self.node.hello))
         self.node.start()
 
     def stop(self, power: bool = False, wipe: bool = False) -> None:
@@ -177,7 +177,7 @@
             clock=loop.clock,
         )
         peer_messages.handlers[MAGIC] = self.probes.on_datagram
-        self.news.follower.parents.is_present = self.probes.is_present
+        self.news.follower.parent_selection.is_present = self.probes.is_present
         loop.datagrams(PORT, peer_messages)
         spawn(loop, self.news.start())
         self._look()
@@ -243,7 +243,7 @@
             done(status)
 
         exchange = Exchange(asked, final, **what[1])
-        self.plane.gatekeeper.take(exchange)
+        self.plane.gatekeeper.submit(exchange)
 
 
 class Backends:
@@ -298,7 +298,7 @@
 
     def withdraw(self, exchange: Any) -> None:
         """What waits for a connection ends."""
-        for number in sorted(exchange.open):
+        for number in sorted(exchange.open_attempts):
             attempt = self.attempts.get((exchange.id, number))
             if attempt is not None and attempt.connection is None:
                 self._end(attempt, Outcome.MOOT)
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -7,7 +7,7 @@
 from collections.abc import Awaitable, Callable
 from typing import Any
 
-from pepperrun.config import read_listing
+from pepperrun.config import read_endpoint_list
 from pepperrun.core.interface import Group, ListKind, Outcome, Plan, Repeat, RequestClass, Settings
 from pepperrun.exchange import Exchange
 from pepperrun.fronts.forward_auth import AuthService
@@ -143,7 +143,9 @@
 
 
 def listing(*lines: dict[str, Any], version: int = 1, full: bool = True) -> Any:
-    return read_listing(json.loads(json.dumps({"version": version, "full": full, "servers": list(lines)})))
+    return read_endpoint_list(
+        json.loads(json.dumps({"version": version, "full": full, "servers": list(lines)}))
+    )
 
 
 class Backends:
@@ -151,7 +153,7 @@
 
     def __init__(self, most: int = 8, keepalive_ns: int = 15 * SECOND, connect_ns: int = SECOND) -> None:
         self.clock = Clock()
-        self.directory = Directory(("a",), self.clock.of_unix_ms)
+        self.directory = Directory(("a",), self.clock.from_unix_ms)
         self.outcomes: asyncio.Queue[tuple[int, Outcome, Any, float]] = asyncio.Queue()
         loop = asyncio.get_running_loop()
         self.side = UpstreamClient(
@@ -184,7 +186,7 @@
         exchange: Any = Exchange(asked, print, cls=0, plan=0, customer=1, started=0, deadline=0)
         self.sent += 1
         exchange.id = self.sent
-        exchange.begin(self.clock())
+        exchange.begin_attempt(self.clock())
         self.side.send(exchange, 0, self.directory.id_of(name), timeout_ns)
         return exchange
 
@@ -205,12 +207,12 @@
         loop = asyncio.get_running_loop()
         self.clock = Clock()
         self.gatekeeper = Gatekeeper(settings, 1, self.clock, loop)
-        self.directory = Directory(("a",), self.clock.of_unix_ms)
+        self.directory = Directory(("a",), self.clock.from_unix_ms)
         self.side = UpstreamClient(
             loop,
             self.clock,
             self.directory,
-            self.gatekeeper.ended,
+            self.gatekeeper.attempt_ended,
             platform_classifier(6.0),
             20,
             15 * SECOND,
@@ -219,11 +221,11 @@
         )
         self.gatekeeper.backends = self.side
         self.platform = Platform(settings, self.gatekeeper, self.clock, auth, budget)
-        self.listener = Listener(loop, self.clock, most, self.platform.make)
+        self.listener = Listener(loop, self.clock, most, self.platform.new_connection)
         self.listener.open((HOST, 0))
 
     def list(self, *lines: dict[str, Any]) -> None:
-        self.gatekeeper.listed(self.directory.apply(listing(*lines), ListKind.FULL))
+        self.gatekeeper.backend_list_received(self.directory.apply(listing(*lines), ListKind.FULL))
         self.side.on_endpoints_changed()
 
     async def client(self) -> Client:
--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -36,8 +36,8 @@
 from pepperrun.dataplane.attempt_reports import ABANDONED, CLIENT_LEFT, OUTLIVED, AttemptReports
 from pepperrun.dataplane.draining import drain
 from pepperrun.exchange import End, Exchange
-from pepperrun.fronts.http_client import AHEAD
-from pepperrun.fronts.kept import KeptClient
+from pepperrun.fronts.client_connection import ClientConnection
+from pepperrun.fronts.http_connection import MAX_PIPELINED_BYTES
 from pepperrun.net.connection import AbandonReason, Attempt
 from pepperrun.net.hangup import HangupWatch
 from pepperrun.net.http1 import LAST_CHUNK, encode_chunk
@@ -84,13 +84,13 @@
         client: Client = await self.ask(Attempt_Id=id, Deadline_Ms="12000", **more)
         return client
 
-    def connections(self) -> list[KeptClient]:
+    def connections(self) -> list[ClientConnection]:
         """Returns the open client connections."""
-        return cast(list[KeptClient], list(self.plane.listener.clients))
+        return cast(list[ClientConnection], list(self.plane.listener.clients))
 
     def has_noticed_disconnects(self, count: int = 1) -> bool:
         """Whether the gatekeeper has noticed this number of disconnects."""
-        return self.gatekeeper.counts[End.LEFT] == count
+        return self.gatekeeper.counts[End.CLIENT_LEFT] == count
 
     def is_idle(self) -> bool:
         """Whether neither a request nor an attempt is left."""
@@ -121,14 +121,14 @@
 
     async def test() -> None:
         cluster, worker = DisconnectCluster(), await StandIn(stall).start()
-        cluster.work("w1", worker.port)
+        cluster.add_worker("w1", worker.port)
         client = await cluster.ask_with_long_deadline()
         await request_reached(worker)
         cluster.plane.listener.draining = draining
         disconnect(client)
         await worker.closed.get()  # the connection closes long before the deadline of 12 s
         await until(cluster.is_idle)
-        assert cluster.gatekeeper.counts[End.LEFT] == 1 and len(worker.heads) == 1
+        assert cluster.gatekeeper.counts[End.CLIENT_LEFT] == 1 and len(worker.heads) == 1
         assert cluster.gatekeeper.outcomes[Outcome.CANCELLED] == 1 and cluster.blames_no_worker()
         assert not any(known.answers for known in cluster.plane.outcome_sharing.answer_times.values())
         reports = cluster.plane.reports
@@ -144,7 +144,7 @@
 
     async def test() -> None:
         cluster, worker = DisconnectCluster("unsafe"), await StandIn(wait_then(ok())).start()
-        cluster.work("w1", worker.port)
+        cluster.add_worker("w1", worker.port)
         client = await cluster.ask_with_long_deadline()
         await request_reached(worker)
         disconnect(client)
@@ -162,7 +162,7 @@
 
     async def test() -> None:
         cluster, worker = DisconnectCluster("unsafe"), await StandIn(wait_then(ok())).start()
-        cluster.work("w1", worker.port)
+        cluster.add_worker("w1", worker.port)
         client = await cluster.ask_with_long_deadline()
         await request_reached(worker)
         client.writer.close()
@@ -185,7 +185,7 @@
 def test_client_that_reconnects_at_once_is_served() -> None:
     async def test() -> None:
         cluster, worker = DisconnectCluster(), await StandIn(stall, ok()).start()
-        cluster.work("w1", worker.port)
+        cluster.add_worker("w1", worker.port)
         client = await cluster.ask_with_long_deadline()
         await request_reached(worker)
         client.writer.close()
@@ -204,7 +204,7 @@
     async def test() -> None:
         count = 60
         cluster, worker = DisconnectCluster(), await StandIn(*[stall] * count, ok()).start()
-        cluster.work("w1", worker.port)
+        cluster.add_worker("w1", worker.port)
         clients = [await cluster.ask_with_long_deadline(f"i{number}") for number in range(count)]
         (cls,) = {exchange.cls for exchange in cluster.gatekeeper.exchanges.values()} or {0}
         known = cluster.plane.outcome_sharing.answer_times[cls]
@@ -237,7 +237,7 @@
         await until(lambda: cluster.gatekeeper.exchanges)
         client.writer.close()
         await until(lambda: cluster.has_noticed_disconnects() and not cluster.gatekeeper.gateway.pending)
-        cluster.work("w1", worker.port)
+        cluster.add_worker("w1", worker.port)
         assert (await (await cluster.ask_with_long_deadline()).answer())[0] == 200
         assert len(worker.heads) == 1 and b"gone" not in worker.heads[0]
 
@@ -251,7 +251,7 @@
     async def test() -> None:
         cluster, worker = DisconnectCluster(kind), await StandIn(wait_then(ok(id=b"first")), ok()).start()
         cluster.servers.max_per_backend = 1
-        cluster.work("w1", worker.port)
+        cluster.add_worker("w1", worker.port)
         first = await cluster.ask_with_long_deadline("first")
         await request_reached(worker)
         second = await cluster.ask_with_long_deadline("gone")
@@ -274,8 +274,8 @@
 async def pipeline_requests(cluster: DisconnectCluster, client: Client) -> None:
     """Pipelines requests behind the first until the gatekeeper pauses reading."""
     pipelined = b"GET /p/x HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: gone\r\nAuthorization: Token k1\r\n\r\n"
-    client.writer.write(pipelined * (4 * AHEAD // len(pipelined)))
-    await until(lambda: any(kept.paused for kept in cluster.connections()))
+    client.writer.write(pipelined * (4 * MAX_PIPELINED_BYTES // len(pipelined)))
+    await until(lambda: any(kept.reading_paused for kept in cluster.connections()))
 
 
 def close_has_reached_socket(cluster: DisconnectCluster) -> bool:
@@ -292,7 +292,7 @@
 
     async def test() -> None:
         cluster, worker = DisconnectCluster(), await StandIn(stall).start()
-        cluster.work("w1", worker.port)
+        cluster.add_worker("w1", worker.port)
         client = await cluster.ask_with_long_deadline()
         await request_reached(worker)
         await pipeline_requests(cluster, client)
@@ -312,7 +312,7 @@
 
     async def test() -> None:
         cluster, worker = DisconnectCluster("unsafe"), await StandIn(wait_then(ok()), ok()).start()
-        cluster.work("w1", worker.port)
+        cluster.add_worker("w1", worker.port)
         client = await cluster.ask_with_long_deadline()
         await request_reached(worker)
         await pipeline_requests(cluster, client)
@@ -332,7 +332,7 @@
 
     async def test() -> None:
         cluster, worker = DisconnectCluster(), await StandIn(stall).start()
-        cluster.work("w1", worker.port)
+        cluster.add_worker("w1", worker.port)
         for _ in range(3):
             client = await cluster.ask_with_long_deadline()
             await request_reached(worker)
@@ -387,10 +387,10 @@
     unread = size = 0
     while unread < 500:
         if not unread:
-            client.writer.write(encode(b"x" * AHEAD))
-            size += AHEAD
+            client.writer.write(encode(b"x" * MAX_PIPELINED_BYTES))
+            size += MAX_PIPELINED_BYTES
             await client.writer.drain()
-        unread = unread + 1 if any(kept.paused for kept in cluster.connections()) else 0
+        unread = unread + 1 if any(kept.reading_paused for kept in cluster.connections()) else 0
         await asyncio.sleep(0)
     return size
 
@@ -402,7 +402,7 @@
     async def test() -> None:
         cluster, worker = DisconnectCluster(), PausedWorker()
         server = await asyncio.get_running_loop().create_server(lambda: worker, HOST, 0)
-        cluster.work("w1", server.sockets[0].getsockname()[1])
+        cluster.add_worker("w1", server.sockets[0].getsockname()[1])
         client = await cluster.ask_with_long_deadline(method="POST", Content_Length=str(64 * LONG))
         await upload_until_blocked(cluster, client)
         disconnect(client)
@@ -419,7 +419,7 @@
     async def test() -> None:
         cluster, worker, size = DisconnectCluster("unsafe"), PausedWorker(), 0
         server = await asyncio.get_running_loop().create_server(lambda: worker, HOST, 0)
-        cluster.work("w1", server.sockets[0].getsockname()[1])
+        cluster.add_worker("w1", server.sockets[0].getsockname()[1])
         client = await cluster.ask_with_long_deadline(method="POST", Transfer_Encoding="chunked")
         size = await upload_until_blocked(cluster, client, encode_chunk)
         client.writer.write(LAST_CHUNK)
@@ -444,9 +444,9 @@
 
     async def test() -> None:
         cluster, worker = DisconnectCluster(), await StandIn(ok(b"x" * (64 * LONG))).start()
-        cluster.work("w1", worker.port)
+        cluster.add_worker("w1", worker.port)
         client = await cluster.ask_with_long_deadline()
-        await until(lambda: any(kept.stuck is not None for kept in cluster.connections()))
+        await until(lambda: any(kept.write_blocked_at is not None for kept in cluster.connections()))
         await pipeline_requests(cluster, client)
         disconnect(client)
         await worker.closed.get()
@@ -460,8 +460,8 @@
     async def test() -> None:
         before, after = DisconnectCluster(), DisconnectCluster()
         worker = await StandIn(ok(), stall).start()
-        before.work("w1", worker.port)
-        after.work("w1", worker.port)
+        before.add_worker("w1", worker.port)
+        after.add_worker("w1", worker.port)
         client = await before.ask_with_long_deadline()
         assert (await client.answer())[0] == 200
         (kept,) = before.connections()
@@ -553,7 +553,7 @@
     asked = HttpRequest([], {b"attempt-id": b"i1"}, True)
     exchange: Any = Exchange(asked, print, cls=0, plan=0, customer=1, started=0, deadline=12000 * MS)
     for number, after_ms in ((0, 400), (1, 600)):
-        exchange.begin(now[0])
+        exchange.begin_attempt(now[0])
         reports.client_left([Attempt(exchange, number, 7, 12000 * MS)])
         now[0] += after_ms * MS
         reports.ended(exchange, number, 7, Outcome.OK)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -28,8 +28,8 @@
     wait_then,
 )
 
-from pepperrun.assembly import calls_of
-from pepperrun.config import parse_address, read_listing
+from pepperrun.assembly import discovery_backoff
+from pepperrun.config import parse_address, read_endpoint_list
 from pepperrun.core.interface import BackendState, ListKind
 from pepperrun.net import discovery
 from pepperrun.net.backoff import MAX_MEAN_DELAY_S, Backoff
@@ -73,7 +73,7 @@
         watching = Watching(agent)
         first, second = await watching.lists.get(), await watching.lists.get()
         assert (first.full, second.full) == (True, False)
-        assert second.lines[0].state is BackendState.DRAINING
+        assert second.endpoints[0].state is BackendState.DRAINING
         targets = [await watching.target() for _ in range(3)]
         wait = discovery.LONG_POLL_MS
         assert targets == [
@@ -203,7 +203,7 @@
 @given(st.dictionaries(st.sampled_from(["version", "full", "servers"]), JSON))
 def test_garbage_list_raises_only_value_errors(table):
     try:
-        Directory(("a",), int).apply(read_listing(table), ListKind.FULL)
+        Directory(("a",), int).apply(read_endpoint_list(table), ListKind.FULL)
     except ValueError as error:
         assert str(error)
 
@@ -348,7 +348,7 @@
 def backoff_of_220(must_ask: bool) -> Backoff:
     """The backoff that the program creates in a large fleet."""
     settings = replace(SETTINGS, gateways=220, drain_grace_ns=250 * MS, must_ask_for_list=must_ask)
-    return calls_of(SimpleNamespace(settings=settings, seed=1))  # type: ignore[arg-type]
+    return discovery_backoff(SimpleNamespace(settings=settings, seed=1))  # type: ignore[arg-type]
 
 
 def test_only_callers_of_a_shared_service_use_long_delays():
