--- a/pepperrun/dataplane/front.py
+++ b/pepperrun/dataplane/front.py
@@ -9,7 +9,7 @@
 
 from pepperrun.dataplane.gate import RETRY_NS, Gate
 from pepperrun.dataplane.numbering import MAX_RETRY_AFTER_NS, MS, name_hash
-from pepperrun.dataplane.routes import GateContext, RoutingTable, Way
+from pepperrun.dataplane.routes import GateContext, RouteEntry, RoutingTable
 from pepperrun.exchange import End, Exchange, Final
 from pepperrun.foundation.hosts import host_of
 from pepperrun.fronts.client_connection import Submission
@@ -149,7 +149,7 @@
         self,
         request: Request,
         table: RoutingTable,
-        route: Way,
+        route: RouteEntry,
         host: bytes,
         path: bytes,
         remaining_ns: int,
--- a/pepperrun/dataplane/routes.py
+++ b/pepperrun/dataplane/routes.py
@@ -18,7 +18,7 @@
 
 Item = dict[str, Any]
 Converted = TypeVar("Converted")
-Entry = TypeVar("Entry", "Way", "Tenant")
+Entry = TypeVar("Entry", "RouteEntry", "Tenant")
 
 
 def read_item(kind: type[Converted], item: Item) -> Converted:
@@ -66,7 +66,7 @@
     return one & other
 
 
-class Way:
+class RouteEntry:
     """A route, ready for use. `services` has the numbers of its services, `classes` its class at each."""
 
     __slots__ = (
@@ -85,7 +85,7 @@
         "home_regions",
     )
 
-    def __init__(self, item: Item, numbering: Numbering, before: Way | None = None) -> None:
+    def __init__(self, item: Item, numbering: Numbering, before: RouteEntry | None = None) -> None:
         self.item = item
         self.config: Route = read_item(Route, item)
         config = self.config
@@ -154,12 +154,12 @@
             service = convert_or_log(item, lambda one: read_item(ServiceConfig, one))
             if service is not None:
                 self.services[numbering.service_number(service.name)] = service
-        self.routes: dict[str, Way] = _reuse_or_convert(
+        self.routes: dict[str, RouteEntry] = _reuse_or_convert(
             state.get("routes"),
             before.routes if before else {},
-            lambda former, one: Way(one, numbering, former),
+            lambda former, one: RouteEntry(one, numbering, former),
         )
-        self.hosts: dict[bytes, dict[bytes, Way]] = {}
+        self.hosts: dict[bytes, dict[bytes, RouteEntry]] = {}
         for route in self.routes.values():
             prefixes = self.hosts.setdefault(host_of(route.config.depot.encode()), {})
             prefixes.setdefault(route.config.prefix.encode(), route)
@@ -169,7 +169,7 @@
         )
         self.keys = {key: tenant for tenant in self.tenants.values() for key in tenant.keys}
 
-    def find(self, host: bytes, path: bytes) -> Way | None:
+    def find(self, host: bytes, path: bytes) -> RouteEntry | None:
         """Returns the route of a host with the longest prefix of the path; None where there is none."""
         prefixes = self.hosts.get(host)
         if prefixes is None:
@@ -182,7 +182,7 @@
             end = at
         return None
 
-    def requires_key(self, route: Way) -> bool:
+    def requires_key(self, route: RouteEntry) -> bool:
         """Returns whether a request on this route needs a key."""
         return self.keys_required and not route.keyless
 
@@ -209,7 +209,7 @@
     def __init__(
         self,
         table: RoutingTable,
-        route: Way,
+        route: RouteEntry,
         host: bytes,
         path: bytes,
         key: bytes | None,
