--- a/features/steps/operators.py
+++ b/features/steps/operators.py
@@ -219,7 +219,9 @@
 
 @then("the check of the file tells the same sentence")
 def same_sentence(context):
-    assert context.detail in problems.of_timetable(context.body), problems.of_timetable(context.body)
+    assert context.detail in problems.configuration_problems(context.body), problems.configuration_problems(
+        context.body
+    )
 
 
 @when("a file has three problems in three items")
@@ -228,7 +230,7 @@
     _cell(data, *WRONG["a deadline is 0"])
     _cell(data, "routes", 1, "splits", [{"line": "wasp", "share": 1}])
     _cell(data, *WRONG["two tenants share a key"])
-    context.found = problems.of_timetable(playing.body(data))
+    context.found = problems.configuration_problems(playing.body(data))
 
 
 @then("the check tells three sentences, one for each item")
--- a/features/steps/versions.py
+++ b/features/steps/versions.py
@@ -310,7 +310,7 @@
 
 @when("an operator of this version is shown what its processes hold")
 def old_shown(context):
-    context.texts = [inspection.text(one) for one in context.said["shown"]]
+    context.texts = [inspection.format_reply(one) for one in context.said["shown"]]
 
 
 @then("the text names each process, its number and its workers")
--- a/pepperrun/operator/calls.py
+++ b/pepperrun/operator/core_client.py
@@ -15,58 +15,58 @@
 PER_KB_S = 0.004  # and for each KB of a body
 PAUSE_S = (0.1, 1.0)  # between two rounds of the addresses: at first, and at most
 REDIRECTS = 2
-PATIENCE_S = 20.0
+TIMEOUT_S = 20.0
 
 
-class Told(NamedTuple):
+class CoreResponse(NamedTuple):
     """The clear answer, and who gave it."""
 
     status: int
     body: bytes
-    by: str
+    address: str
 
 
-def addresses(text: str) -> list[Address]:
+def parse_addresses(text: str) -> list[Address]:
     """`HOST:PORT[,HOST:PORT...]`; PepperrunError where one is none."""
     return [parse_address(one.strip()) for one in text.split(",") if one.strip()]
 
 
-class Caller:
+class CoreClient:
     """Calls the core machines at these control addresses. `clock` in s, `sleep` by s."""
 
     def __init__(
         self,
-        at: list[Address],
-        patience_s: float = PATIENCE_S,
+        addresses: list[Address],
+        timeout_s: float = TIMEOUT_S,
         clock: Callable[[], float] = time.monotonic,
         sleep: Callable[[float], None] = time.sleep,
     ) -> None:
-        if not at:
+        if not addresses:
             raise PepperrunError("bad-address", "calling the core", "no control address is given")
-        self.at, self.patience_s, self.clock, self.sleep = at, patience_s, clock, sleep
-        self.first = 0
+        self.addresses, self.timeout_s, self.clock, self.sleep = addresses, timeout_s, clock, sleep
+        self.preferred = 0
 
     def call(
         self, method: str, path: str, body: bytes = b"", headers: Mapping[str, str] | None = None
-    ) -> Told:
+    ) -> CoreResponse:
         """Until one answers clearly: 2xx or 4xx but 408 and 429. Raises `no-answer` after `patience_s`.
 
         What is sent is the same each time, so that a change that was taken without the answer coming through
         is told as taken when it is repeated.
         """
-        end, pause, last = self.clock() + self.patience_s, PAUSE_S[0], "nobody was asked"
+        end, pause, last = self.clock() + self.timeout_s, PAUSE_S[0], "nobody was asked"
         while True:
-            for step in range(len(self.at)):
-                number = (self.first + step) % len(self.at)
+            for step in range(len(self.addresses)):
+                number = (self.preferred + step) % len(self.addresses)
                 try:
-                    told = self._follow(self.at[number], method, path, body, headers or {})
+                    told = self._follow(self.addresses[number], method, path, body, headers or {})
                 except (OSError, http.client.HTTPException) as error:
-                    last = f"{_text(self.at[number])}: {type(error).__name__} {error}".strip()
+                    last = f"{_text(self.addresses[number])}: {type(error).__name__} {error}".strip()
                     continue
                 if told.status < 500 and told.status not in (408, 429) and not 300 <= told.status < 400:
-                    self.first = number
+                    self.preferred = number
                     return told
-                last = f"{told.by}: {told.status} {told.body[:200].decode('utf-8', 'replace')}".strip()
+                last = f"{told.address}: {told.status} {told.body[:200].decode('utf-8', 'replace')}".strip()
             if self.clock() + pause > end:
                 raise PepperrunError("no-answer", f"{method} {path}", f"nothing is certain; last {last}")
             self.sleep(pause)
@@ -74,7 +74,7 @@
 
     def _follow(
         self, where: Address, method: str, path: str, body: bytes, headers: Mapping[str, str]
-    ) -> Told:
+    ) -> CoreResponse:
         for _ in range(REDIRECTS + 1):
             answer, location = self._once(where, method, path, body, headers)
             if answer.status != 307 or not location:
@@ -87,14 +87,16 @@
 
     def _once(
         self, where: Address, method: str, path: str, body: bytes, headers: Mapping[str, str]
-    ) -> tuple[Told, str]:
+    ) -> tuple[CoreResponse, str]:
         timeout = ANSWER_S + PER_KB_S * len(body) / 1024
         connection = http.client.HTTPConnection(*where, timeout=timeout)
         try:
             more = {"Content-Type": "application/json"} if body else {}
             connection.request(method, path, body or None, {"Connection": "close", **more, **headers})
             response = connection.getresponse()
-            return Told(response.status, response.read(), _text(where)), response.getheader("Location") or ""
+            return CoreResponse(response.status, response.read(), _text(where)), response.getheader(
+                "Location"
+            ) or ""
         finally:
             connection.close()
 
--- a/pepperrun/operator/event_log.py
+++ b/pepperrun/operator/event_log.py
@@ -23,15 +23,15 @@
 LEAP_YEAR = 2000  # absl's head names no year
 
 
-class Line(NamedTuple):
+class LogEvent(NamedTuple):
     """One event: when (s, by the writer's time of day), whose log, and its pairs."""
 
-    at: float
+    time_s: float
     source: str
     pairs: dict[str, str]
 
 
-def pairs_of(text: str) -> dict[str, str]:
+def parse_pairs(text: str) -> dict[str, str]:
     """The pairs of one line, as `foundation.logs.format_event` writes them."""
     out = {}
     for name, value in _PAIR.findall(text):
@@ -42,13 +42,13 @@
     return out
 
 
-def read(paths: Iterable[Path]) -> list[Line]:
+def read_events(paths: Iterable[Path]) -> list[LogEvent]:
     """All events of these logs in the order of their times; other lines are passed over. Raises `no-file`.
 
     A log is its process's: named by the station that a line of it tells, else by the file. In a gathered one
     each line names its process and its time.
     """
-    lines: list[Line] = []
+    lines: list[LogEvent] = []
     for path in paths:
         try:
             texts = path.read_text(errors="replace").splitlines()
@@ -63,13 +63,13 @@
                 when = datetime.strptime(f"{LEAP_YEAR} {match[1]}", "%Y %m%d %H:%M:%S.%f")
             except ValueError:
                 continue
-            pairs = pairs_of(match[2])
+            pairs = parse_pairs(match[2])
             gathered = _GATHERED.match(text[: match.start()])
             if gathered is not None:
-                lines.append(Line(float(gathered[1]), gathered[2], pairs))
+                lines.append(LogEvent(float(gathered[1]), gathered[2], pairs))
                 continue
             if "station" in pairs and pairs["event"] in ("starting", "gateway", "agreed"):
                 source = pairs["station"]
             mine.append(((when - datetime(LEAP_YEAR, 1, 1)).total_seconds(), source, pairs))
-        lines += [Line(at, source, pairs) for at, _, pairs in mine]
-    return sorted(lines, key=lambda one: one.at)
+        lines += [LogEvent(at, source, pairs) for at, _, pairs in mine]
+    return sorted(lines, key=lambda one: one.time_s)
--- a/pepperrun/operator/explain.py
+++ b/pepperrun/operator/explain.py
@@ -8,7 +8,7 @@
 from collections import defaultdict
 from typing import NamedTuple
 
-from pepperrun.operator.event_log import Line
+from pepperrun.operator.event_log import LogEvent
 
 SLACK_S = 0.01  # `ms` of a call is rounded
 
@@ -34,7 +34,7 @@
 }
 
 
-def attempt(id: str, lines: list[Line]) -> list[str]:
+def explain_attempt(id: str, lines: list[LogEvent]) -> list[str]:
     """What became of one attempt id."""
     out = []
     for line in lines:
@@ -65,13 +65,13 @@
 class Change(NamedTuple):
     """One number of the agreed state. `what`: in words. `called`: the core's order line, if there is one."""
 
-    number: int
+    version: int
     edition: int
-    what: str
-    called: Line | None
-    first: float
-    core: dict[str, float]
-    gateways: dict[str, float]
+    description: str
+    order: LogEvent | None
+    first_time_s: float
+    core_times_s: dict[str, float]
+    gateway_times_s: dict[str, float]
 
 
 def _what(pairs: dict[str, str]) -> str:
@@ -82,7 +82,7 @@
     return f"zone {pairs.get('zone')} is {'evacuated' if began else 'taken back'}"
 
 
-def changes(lines: list[Line]) -> dict[int, Change]:
+def find_changes(lines: list[LogEvent]) -> dict[int, Change]:
     """By number: who held it when for the first time.
 
     An order is the one of the number that its core machine agreed on within the call: with its edition, or,
@@ -92,8 +92,8 @@
     gateways: dict[int, dict[str, float]] = defaultdict(dict)
     editions: dict[int, int] = {}
     what: dict[int, str] = {}
-    orders: dict[int, Line] = {}
-    calls: dict[int, Line] = {}
+    orders: dict[int, LogEvent] = {}
+    calls: dict[int, LogEvent] = {}
     for line in lines:
         pairs = line.pairs
         if pairs["event"] == "agreed" and pairs.get("number", "").isdigit():
@@ -101,7 +101,7 @@
             editions.setdefault(number, int(pairs.get("edition", 0)))
             if "do" in pairs:
                 what.setdefault(number, _what(pairs))
-            (gateways if "station" in pairs else core)[number].setdefault(line.source, line.at)
+            (gateways if "station" in pairs else core)[number].setdefault(line.source, line.time_s)
         elif pairs["event"] == "order" and pairs.get("status") == "200":
             if pairs.get("do") == "evacuate":
                 number = _evacuated(line, core, what)
@@ -119,35 +119,39 @@
     return out
 
 
-def _evacuated(order: Line, core: dict[int, dict[str, float]], what: dict[int, str]) -> int:
+def _evacuated(order: LogEvent, core: dict[int, dict[str, float]], what: dict[int, str]) -> int:
     """The number that this call of an evacuation made, 0 where none was: the zone was so already."""
-    begun = order.at - float(order.pairs.get("ms", 0)) / 1000 - SLACK_S
-    made = [number for number, held in core.items() if begun <= held.get(order.source, begun - 1) <= order.at]
+    begun = order.time_s - float(order.pairs.get("ms", 0)) / 1000 - SLACK_S
+    made = [
+        number for number, held in core.items() if begun <= held.get(order.source, begun - 1) <= order.time_s
+    ]
     return max((number for number in made if what.get(number, "") in ("", _what(order.pairs))), default=0)
 
 
-def change(number: int, lines: list[Line]) -> list[str]:
+def explain_change(number: int, lines: list[LogEvent]) -> list[str]:
     """From the operator's call until it was in force at each gatekeeper."""
-    found = changes(lines).get(number)
+    found = find_changes(lines).get(number)
     if found is None:
         return [f"No line tells of number {number}."]
-    out = [f"number {number}, edition {found.edition}" + (f": {found.what}" if found.what else "")]
-    order = found.called
+    out = [
+        f"number {number}, edition {found.edition}" + (f": {found.description}" if found.description else "")
+    ]
+    order = found.order
     if order is not None and "ms" in order.pairs:
-        start = order.at - float(order.pairs["ms"]) / 1000
+        start = order.time_s - float(order.pairs["ms"]) / 1000
         out.append(
             f"called at {order.source} ({order.pairs.get('do')}), answered after {order.pairs['ms']} ms"
         )
     else:
-        start = found.first
+        start = found.first_time_s
         out.append("times count from the first line that tells of it")
-    for name, held in (("core", found.core), ("gatekeeper", found.gateways)):
+    for name, held in (("core", found.core_times_s), ("gatekeeper", found.gateway_times_s)):
         for source, at in sorted(held.items(), key=lambda one: one[1]):
             out.append(f"  {name} {source}: {(at - start) * 1000:.0f} ms")
     known = {line.source for line in lines if line.pairs["event"] == "agreed" and "station" in line.pairs}
-    for source in sorted(known - found.gateways.keys()):
+    for source in sorted(known - found.gateway_times_s.keys()):
         out.append(f"  gatekeeper {source}: no line of it, it went on to a later one or never had it")
-    if found.gateways:
-        source, at = max(found.gateways.items(), key=lambda one: one[1])
+    if found.gateway_times_s:
+        source, at = max(found.gateway_times_s.items(), key=lambda one: one[1])
         out.append(f"slowest: {source}, {(at - start) * 1000:.0f} ms")
     return out
--- a/pepperrun/operator/files.py
+++ b/pepperrun/operator/files.py
@@ -13,7 +13,7 @@
 STEP = "reading a file"
 
 
-def read(path: str) -> bytes:
+def read_as_json(path: str) -> bytes:
     """A configuration or a change as a call's body: JSON as it is, YAML as JSON. PepperrunError `no-file`."""
     try:
         data = Path(path).read_bytes()
@@ -22,11 +22,11 @@
     try:
         json.loads(data)
     except ValueError:
-        return json.dumps(load(path)).encode()
+        return json.dumps(load_yaml(path)).encode()
     return data
 
 
-def load(path: str) -> Any:
+def load_yaml(path: str) -> Any:
     """What a file holds; JSON is YAML, too."""
     try:
         return yaml.safe_load(Path(path).read_text())
--- a/pepperrun/operator/inspection.py
+++ b/pepperrun/operator/inspection.py
@@ -13,7 +13,7 @@
 from pepperrun.foundation.settings import Address
 
 STEP = "asking what it holds"
-ANSWER_S = 3.0
+TIMEOUT_S = 3.0
 
 
 class Asker:
@@ -35,7 +35,7 @@
             self.answer.set_exception(error)
 
 
-async def ask(where: Address, patience_s: float = ANSWER_S) -> Message:
+async def query_process(where: Address, patience_s: float = TIMEOUT_S) -> Message:
     """What the process at that internal_port address holds; PepperrunError where it does not say."""
     peer, asker = f"{where[0]}:{where[1]}", Asker()
     hello = {
@@ -60,7 +60,7 @@
         raise PepperrunError("no-answer", STEP, str(error), peer) from None
 
 
-def text(shown: Message) -> str:
+def format_reply(shown: Message) -> str:
     """As lines. What is not known here is told as JSON, so that a later version's fields are seen, too."""
     lines = [f"{shown.get('station', '?')} ({shown.get('class', '?')}, zone {shown.get('zone', '?')})"]
     for name, value in shown.items():
--- a/pepperrun/operator/local_cluster.py
+++ b/pepperrun/operator/local_cluster.py
@@ -27,7 +27,7 @@
 
 from pepperrun.foundation.errors import PepperrunError
 from pepperrun.foundation.settings import Address
-from pepperrun.operator.calls import Caller
+from pepperrun.operator.core_client import CoreClient
 
 STEP = "starting the local cluster"
 FIRST_HOST = 2  # 127.0.0.2: the first core machine
@@ -70,7 +70,7 @@
     zone: str
     command: list[str]
     process: subprocess.Popen[bytes] | None = None
-    ended: bool = field(default=False)
+    exit_reported: bool = field(default=False)
 
 
 def free_ports(hosts: list[str]) -> dict[str, int]:
@@ -108,13 +108,13 @@
         self.ports = free_ports(hosts)
         self.cores, rest = hosts[: sizes.cores], hosts[sizes.cores :]
         self.gateways, self.worker_hosts = rest[: sizes.gateways], rest[sizes.gateways :]
-        self.control = [(ip, self.ports["control_port"]) for ip in self.cores]
+        self.control_addresses = [(ip, self.ports["control_port"]) for ip in self.cores]
         self.key = ""
         self.first_run = not any(folder.glob("disks/*/data.mdb"))  # only empty disks may begin anything
 
     # What the processes are told.
 
-    def settings(self, station: str, role: str, ip: str, zone: str) -> Path:
+    def write_settings(self, station: str, role: str, ip: str, zone: str) -> Path:
         """Writes a settings file."""
         core, ports = role == "control_node", self.ports
         names = ("control_port", "directory_port") if core else ("counter", "ready_port")
@@ -122,7 +122,7 @@
         me |= {"ip": ip, "zone": zone, "region": ZONES[zone], "counted": core, "first_run": self.first_run}
         if core:
             me["store_dir"] = str(self.folder / "disks" / station)
-        contacts = [f"{host}:{port}" for host, port in self.control[:3]]
+        contacts = [f"{host}:{port}" for host, port in self.control_addresses[:3]]
         network = {
             "postboxes": {name: f"{ip}:{ports[name]}" for name in names},
             "sidings": [ports["siding"], ports["last_internal_port"]],
@@ -135,7 +135,7 @@
         file.write_text(yaml.safe_dump(data, sort_keys=False))
         return file
 
-    def plan(self) -> None:
+    def prepare_children(self) -> None:
         """Who is to run, with files and folders."""
         for name in ("settings", "disks", "logs"):
             (self.folder / name).mkdir(parents=True, exist_ok=True)
@@ -145,11 +145,11 @@
                 zone, name = zones[at % len(zones)], f"{role}-{at + 1}"
                 if role == "control_node":
                     (self.folder / "disks" / name).mkdir(exist_ok=True)
-                file = self.settings(name, role, ip, zone)
+                file = self.write_settings(name, role, ip, zone)
                 command = [sys.executable, "-m", f"pepperrun.{role}", "--settings", str(file)]
                 command += ["--trace", "20"] if role == "gateway_node" else []
                 self.children.append(Child(name, role, ip, zone, command))
-        control = ",".join(f"{host}:{port}" for host, port in self.control)
+        control = ",".join(f"{host}:{port}" for host, port in self.control_addresses)
         for at, ip in enumerate(self.worker_hosts):
             line, number = self.sizes.services[at % len(self.sizes.services)], at // len(self.sizes.services)
             zone = zones[number % len(zones)]
@@ -160,7 +160,7 @@
             command += [option.format(name=name) for option in self.worker_options]
             self.children.append(Child(name, "worker", ip, zone, command))
 
-    def timetable(self) -> dict[str, Any]:
+    def first_configuration(self) -> dict[str, Any]:
         """The first configuration: a route for each service, one tenant with a new key."""
         columns = ["name", "depot", "prefix", "route_kind", "deadline_ms", "target_ms", "tries", "line"]
         routes = [[f"r-{one}", HOST, f"/{one}/", "safe", 3000, 1000, 2, one] for one in self.sizes.services]
@@ -178,16 +178,16 @@
 
     def start(self) -> None:
         """Starts all, puts the configuration where there is none, waits until each gatekeeper serves."""
-        self.plan()
+        self.prepare_children()
         for child in self.children:
             self.launch(child)
-        caller = Caller(self.control, READY_S, sleep=self._pause)
+        caller = CoreClient(self.control_addresses, READY_S, sleep=self._pause)
         held = json.loads(caller.call("GET", "/timetable/read").body)
         if not held["edition"]:
-            held = self.timetable()
+            held = self.first_configuration()
             told = caller.call("POST", "/timetable/replace", json.dumps(held).encode(), {"Based-On": "0"})
             if told.status != 200:
-                raise PepperrunError("not-taken", STEP, told.body.decode("utf-8", "replace"), told.by)
+                raise PepperrunError("not-taken", STEP, told.body.decode("utf-8", "replace"), told.address)
             (self.folder / "timetable.json").write_text(json.dumps(held, indent=1))
         columns, rows = held["senders"]["columns"], held["senders"]["rows"]
         self.key = rows[0][columns.index("stamps")][0] if rows else ""
@@ -196,7 +196,7 @@
         self.first_run = False  # whoever is started again, on whatever disk, begins nothing
         for child in self.children:
             if child.role != "worker":
-                self.settings(child.name, child.role, child.ip, child.zone)
+                self.write_settings(child.name, child.role, child.ip, child.zone)
 
     def launch(self, child: Child) -> None:
         """Starts a process, or starts it again once it has ended."""
@@ -227,14 +227,14 @@
         """Until a gatekeeper answers on each service's route."""
         end = time.monotonic() + READY_S
         for service in self.sizes.services:
-            while not self.try_out(counter, service):
+            while not self.is_serving(counter, service):
                 if time.monotonic() > end:
                     raise PepperrunError(
                         "not-ready", STEP, f"no 200 for /{service}/", f"{counter[0]}:{counter[1]}"
                     )
                 self._pause(AGAIN_S)
 
-    def try_out(self, counter: Address, service: str) -> bool:
+    def is_serving(self, counter: Address, service: str) -> bool:
         """One request, as a client sends it: was it served?"""
         connection = http.client.HTTPConnection(*counter, timeout=3)
         fields = {"Host": HOST, "Attempt-Id": secrets.token_hex(8), "Authorization": f"Token {self.key}"}
@@ -248,9 +248,9 @@
         finally:
             connection.close()
 
-    def told(self) -> str:
+    def usage(self) -> str:
         """Addresses, process ids and calls that work."""
-        ports, at = self.ports, ",".join(f"{host}:{port}" for host, port in self.control)
+        ports, at = self.ports, ",".join(f"{host}:{port}" for host, port in self.control_addresses)
         counter, internal_port = f"{self.gateways[0]}:{ports['counter']}", ports["siding"]
         rows = [f"{'':10} {'process':>8}  {'address':14} {'zone':9} serves"]
         for child in self.children:
@@ -277,7 +277,7 @@
             ]
         )
 
-    def watch(self, duration_s: float | None) -> None:
+    def wait_and_report_exits(self, duration_s: float | None) -> None:
         """Until it is to stop; says who has ended meanwhile."""
         end = time.monotonic() + duration_s if duration_s is not None else None
         while end is None or time.monotonic() < end:
@@ -285,11 +285,11 @@
             if self.stop.wait(left):
                 return
             for child in self.children:
-                if not child.ended and child.process is not None and child.process.poll() is not None:
-                    child.ended = True
+                if not child.exit_reported and child.process is not None and child.process.poll() is not None:
+                    child.exit_reported = True
                     print(f"{child.name} has ended with {child.process.returncode}", flush=True)
 
-    def end(self) -> None:
+    def shut_down(self) -> None:
         """Ends what runs, one kind after the other; who does not end in its time is killed."""
         for role in ("gateway_node", "worker", "control_node"):
             group = [one.process for one in self.children if one.role == role and one.process is not None]
@@ -313,11 +313,11 @@
         signal.signal(number, lambda *_: cluster.stop.set())
     try:
         cluster.start()
-        print(cluster.told(), "", "It runs until Ctrl-C.", sep="\n", flush=True)
-        cluster.watch(duration_s)
+        print(cluster.usage(), "", "It runs until Ctrl-C.", sep="\n", flush=True)
+        cluster.wait_and_report_exits(duration_s)
     except PepperrunError as error:
         if error.code != "stopped":
             raise
     finally:
-        cluster.end()
+        cluster.shut_down()
     return 0
--- a/pepperrun/operator/log_commands.py
+++ b/pepperrun/operator/log_commands.py
@@ -6,24 +6,24 @@
 from pathlib import Path
 from typing import Any
 
-from pepperrun.operator import explain, loss_accounting, page
-from pepperrun.operator.event_log import read
+from pepperrun.operator import explain, loss_accounting, report
+from pepperrun.operator.event_log import read_events
 
 
 def _explain(options: argparse.Namespace) -> int:
-    lines = read(options.logs)
+    lines = read_events(options.logs)
     if options.kind == "attempt":
-        told = explain.attempt(options.id, lines)
+        told = explain.explain_attempt(options.id, lines)
     else:
-        told = explain.change(options.number, lines)
+        told = explain.explain_change(options.number, lines)
     print("\n".join(told))
     return 0
 
 
 def _report(options: argparse.Namespace) -> int:
-    lines = read(options.logs)
-    page.write(lines, options.out)
-    print("\n".join(loss_accounting.table(lines)))
+    lines = read_events(options.logs)
+    report.write_report(lines, options.out)
+    print("\n".join(loss_accounting.format_table(lines)))
     print(options.out)
     return 0
 
--- a/pepperrun/operator/loss_accounting.py
+++ b/pepperrun/operator/loss_accounting.py
@@ -18,7 +18,7 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-from pepperrun.operator.event_log import Line
+from pepperrun.operator.event_log import LogEvent
 
 LATE, AGAIN = 0.5, 0.25
 SOON = 0.25  # of the aim: a refusal that comes by then leaves time for another try
@@ -29,11 +29,11 @@
 class Loss(NamedTuple):
     """One line: when (s), why, how many requests, what they lost; `aimed`: its aim is known."""
 
-    at: float
+    time_s: float
     cause: str
     requests: int
-    worth: float
-    aimed: bool
+    value: float
+    has_target: bool
 
 
 def _number(text: str | None) -> float | None:
@@ -43,7 +43,7 @@
         return None
 
 
-def worth(pairs: dict[str, str]) -> float:
+def lost_value(pairs: dict[str, str]) -> float:
     """What the request of one line has lost. Without an aim answers count as late, refusals as soon."""
     cause, aim, took = pairs.get("reason", ""), _number(pairs.get("aim")), _number(pairs.get("ms"))
     if cause in NOT_OWED:
@@ -56,42 +56,42 @@
     return 1.0
 
 
-def found(lines: Iterable[Line]) -> list[Loss]:
+def find_losses(lines: Iterable[LogEvent]) -> list[Loss]:
     """One for each line that tells of requests."""
     out = []
     for line in lines:
         pairs = line.pairs
         if pairs["event"] == "request":
             aimed = _number(pairs.get("aim")) is not None
-            out.append(Loss(line.at, pairs.get("reason", "-"), 1, worth(pairs), aimed))
+            out.append(Loss(line.time_s, pairs.get("reason", "-"), 1, lost_value(pairs), aimed))
         elif pairs["event"] == "requests-left-out":
-            out.append(Loss(line.at, LEFT_OUT, int(pairs.get("count", 0)), 0.0, False))
+            out.append(Loss(line.time_s, LEFT_OUT, int(pairs.get("count", 0)), 0.0, False))
     return out
 
 
-def by_second(losses: Iterable[Loss], start: float) -> dict[str, Counter[int]]:
+def lost_by_second(losses: Iterable[Loss], start: float) -> dict[str, Counter[int]]:
     """By cause: what each second since `start` has lost, in hundredths of a request."""
     out: dict[str, Counter[int]] = defaultdict(Counter)
     for loss in losses:
-        out[loss.cause][int(loss.at - start)] += round(100 * loss.worth)
+        out[loss.cause][int(loss.time_s - start)] += round(100 * loss.value)
     return out
 
 
-def table(lines: list[Line]) -> list[str]:
+def format_table(lines: list[LogEvent]) -> list[str]:
     """Causes, the dearest first, and the seconds that cost most; a line each."""
-    losses = found(lines)
+    losses = find_losses(lines)
     if not losses:
         return ["No line tells of a request that was not served in time: are they logged (--trace)?"]
     counts, worths = Counter[str](), Counter[str]()
     for loss in losses:
         counts[loss.cause] += loss.requests
-        worths[loss.cause] += round(100 * loss.worth)
+        worths[loss.cause] += round(100 * loss.value)
     out = ["worth lost (estimated, in requests)   requests   cause"]
     for cause in sorted(counts, key=lambda one: (-worths[one], one)):
         out.append(f"{worths[cause] / 100:35.2f} {counts[cause]:10}   {cause}")
-    start = lines[0].at
+    start = lines[0].time_s
     seconds: dict[int, Counter[str]] = defaultdict(Counter)
-    for cause, lost in by_second(losses, start).items():
+    for cause, lost in lost_by_second(losses, start).items():
         for second, hundredths in lost.items():
             seconds[second][cause] += hundredths
     dearest = sorted(seconds, key=lambda one: (-seconds[one].total(), one))[:5]
@@ -99,7 +99,7 @@
         if seconds[second].total():
             parts = ", ".join(f"{cause} {lost / 100:g}" for cause, lost in seconds[second].most_common(3))
             out.append(f"second {second} since the first line: {seconds[second].total() / 100:g} ({parts})")
-    unknown = sum(not loss.aimed and loss.worth > 0 for loss in losses)
+    unknown = sum(not loss.has_target and loss.value > 0 for loss in losses)
     if unknown:
         out.append(
             f"{unknown} of these tell no aim: an earlier version's lines, or refused before their route"
--- a/pepperrun/operator/problems.py
+++ b/pepperrun/operator/problems.py
@@ -19,7 +19,7 @@
 from pepperrun.foundation.settings import Settings, parse, parse_address
 
 
-def of_timetable(body: bytes) -> list[str]:
+def configuration_problems(body: bytes) -> list[str]:
     """Of a whole configuration; empty where it would be taken on top of a lower edition."""
     try:
         read_replace(body, 0)
@@ -95,7 +95,7 @@
                 _good(found, check_keys_distinct, {other: senders[other], name: senders[name]})
 
 
-def of_settings(data: Any) -> list[str]:
+def settings_problems(data: Any) -> list[str]:
     """Of a settings file's tables; empty where a process can run by them."""
     try:
         settings = parse(data)
--- a/pepperrun/operator/state.py
+++ b/pepperrun/operator/state.py
@@ -55,7 +55,7 @@
         raise PepperrunError("disk-doubtful", STEP, f"{folder}: {type(error).__name__}: {error}") from None
 
 
-def look(folder: Path) -> tuple[dict[bytes, bytes], list[str]]:
+def read_and_check(folder: Path) -> tuple[dict[bytes, bytes], list[str]]:
     """Records and faults. One that is in use may change under the look: faults count when they stay."""
     for _ in range(TRIES):
         raw = raw_records(folder)
@@ -65,7 +65,7 @@
     return raw, found
 
 
-def in_use(folder: Path) -> list[int]:
+def processes_using(folder: Path) -> list[int]:
     """Processes of this machine that have the file open, as far as this user may see them."""
     wanted, found = (folder / DATA_FILE).resolve(), []
     for one in Path("/proc").glob("[0-9]*"):
@@ -77,7 +77,7 @@
 
 def summary(folder: Path) -> list[str]:
     """What `show` prints."""
-    raw, found = look(folder)
+    raw, found = read_and_check(folder)
     size = (folder / DATA_FILE).stat().st_size
     lines = [f"file: {size} bytes, {len(raw)} records of {sum(map(len, raw.values()))} bytes"]
     if found:
@@ -117,7 +117,7 @@
     return hashlib.blake2b(text.encode(), digest_size=16).hexdigest()
 
 
-def write_file(path: Path, memory: DurableState, owner: str, final: bool) -> None:
+def write_export(path: Path, memory: DurableState, owner: str, final: bool) -> None:
     """The export, synced, in the place of what was there; never half of it."""
     records, bodies = to_records(memory, owner)
     content = {"kind": KIND, "final": final, "records": records, "bodies": bodies}
@@ -132,7 +132,7 @@
     _sync_folder(path.parent)
 
 
-def read_file(path: Path) -> tuple[DurableState, str, bool]:
+def read_export(path: Path) -> tuple[DurableState, str, bool]:
     """The memory, its machine's ip, whether its life was ended there. Raises `bad-export`, `no-file`."""
     try:
         content = json.loads(path.read_text())
@@ -157,10 +157,10 @@
 
 def export(folder: Path, path: Path, retire: bool) -> None:
     """Copies a memory; `retire` then ends its life in the folder, and marks the file as the only one."""
-    users = in_use(folder)
+    users = processes_using(folder)
     if users and retire:
         raise PepperrunError("in-use", STEP, f"{folder} is open in process {users[0]}: stop it first")
-    raw, found = look(folder)
+    raw, found = read_and_check(folder)
     if found:
         raise PepperrunError("disk-doubtful", STEP, f"{folder}: {found[0]}")
     memory, owner = read_state(raw), owner_of(decode_record(raw[b"life"], "life"))
@@ -168,16 +168,16 @@
         raise PepperrunError(
             "no-owner", STEP, f"{folder}: it names no machine yet; start it once with this version"
         )
-    write_file(path, memory, owner, False)
+    write_export(path, memory, owner, False)
     if retire:
         # A power cut between any two of these steps leaves one life in one place, or none.
         _fill(folder, DurableState(new_disk_id(str(folder)), 0), owner)
-        write_file(path, memory, owner, True)
+        write_export(path, memory, owner, True)
 
 
 def restore(folder: Path, path: Path, same_life: bool) -> str:
     """A folder from an export; says what it holds. PepperrunError `not-empty`, `not-safe`."""
-    memory, owner, final = read_file(path)
+    memory, owner, final = read_export(path)
     if folder.exists() and any(folder.iterdir()):
         raise PepperrunError(
             "not-empty", STEP, f"{folder} is not empty: nothing that was promised is overwritten"
@@ -188,7 +188,7 @@
         raise PepperrunError("not-safe", STEP, f"{path}: {detail}")
     folder.mkdir(parents=True, exist_ok=True)
     if same_life:
-        write_file(path, memory, owner, False)  # first: twice the same life must never be
+        write_export(path, memory, owner, False)  # first: twice the same life must never be
         _fill(folder, memory, owner)
         return f"{folder}: life {memory.disk_id} goes on here, in the machine {owner} only"
     life = new_disk_id(str(path))
@@ -222,7 +222,7 @@
 
 def _check(options: argparse.Namespace) -> int:
     try:
-        _, found = look(options.folder)
+        _, found = read_and_check(options.folder)
     except PepperrunError as error:
         if error.code != "disk-doubtful":
             raise
--- a/pepperrun/operator/toy_workers.py
+++ b/pepperrun/operator/toy_workers.py
@@ -22,7 +22,7 @@
 
 from pepperrun.foundation.errors import PepperrunError
 from pepperrun.foundation.settings import Address, parse_address
-from pepperrun.operator.calls import Caller, addresses
+from pepperrun.operator.core_client import CoreClient, parse_addresses
 
 BEAT_PATIENCE_S = 1.5  # for one beat, over all addresses
 MOST_HEAD = 64 * 1024
@@ -58,7 +58,7 @@
         """One call, repeated for a moment; in a thread of its own."""
         for at in filter(None, (self.nearest, self.control)):
             try:
-                told = Caller(at, BEAT_PATIENCE_S).call("POST", path, body)
+                told = CoreClient(at, BEAT_PATIENCE_S).call("POST", path, body)
             except PepperrunError:
                 self.nearest = []
                 continue
@@ -218,7 +218,7 @@
     parser.add_argument("--drain", type=float, default=500, metavar="MS", help="served on when leaving (500)")
     options = parser.parse_args(arguments)
     try:
-        where, control = parse_address(options.listen), addresses(options.control)
+        where, control = parse_address(options.listen), parse_addresses(options.control)
     except PepperrunError as error:
         print(error, file=sys.stderr)
         return 2
--- a/pepperrun/operatorctl.py
+++ b/pepperrun/operatorctl.py
@@ -11,7 +11,7 @@
 from pepperrun.foundation.errors import PepperrunError
 from pepperrun.foundation.settings import parse_address
 from pepperrun.operator import files, inspection, local_cluster, log_commands, problems, state
-from pepperrun.operator.calls import PATIENCE_S, Caller, Told, addresses
+from pepperrun.operator.core_client import TIMEOUT_S, CoreClient, CoreResponse, parse_addresses
 from pepperrun.soak import command as soak
 
 GOOD, REFUSED, BAD, UNCERTAIN = 0, 1, 2, 3
@@ -25,9 +25,9 @@
     for path in options.files:
         try:
             if options.what == "timetable":
-                found = problems.of_timetable(files.read(path))
+                found = problems.configuration_problems(files.read_as_json(path))
             else:
-                found = problems.of_settings(files.load(path))
+                found = problems.settings_problems(files.load_yaml(path))
         except PepperrunError as error:
             print(error.detail, file=sys.stderr)
             worst = BAD
@@ -40,11 +40,11 @@
     return worst
 
 
-def _caller(options: argparse.Namespace) -> Caller:
-    return Caller(addresses(options.at), options.patience)
+def _caller(options: argparse.Namespace) -> CoreClient:
+    return CoreClient(parse_addresses(options.at), options.patience)
 
 
-def _tell(told: Told) -> int:
+def _tell(told: CoreResponse) -> int:
     """The core's sentence; the exit code."""
     try:
         data = json.loads(told.body) if told.body else {}
@@ -58,7 +58,7 @@
 
 def change(options: argparse.Namespace) -> int:
     """Puts a whole configuration, or changes named items."""
-    body, caller = files.read(options.file), _caller(options)
+    body, caller = files.read_as_json(options.file), _caller(options)
     on = options.based_on
     if on is None:
         now = caller.call("GET", "/timetable/read")
@@ -87,8 +87,8 @@
 
 def show(options: argparse.Namespace) -> int:
     """What one process holds."""
-    shown = asyncio.run(inspection.ask(parse_address(options.where), options.patience))
-    print(json.dumps(shown, indent=1) if options.json else inspection.text(shown))
+    shown = asyncio.run(inspection.query_process(parse_address(options.where), options.patience))
+    print(json.dumps(shown, indent=1) if options.json else inspection.format_reply(shown))
     return GOOD
 
 
@@ -133,7 +133,7 @@
         "where", metavar="HOST:PORT", help="its own address: its ip and the first of the sidings"
     )
     one.add_argument("--json", action="store_true", help="as JSON, with all fields")
-    one.add_argument("--patience", type=float, default=inspection.ANSWER_S, metavar="SECONDS")
+    one.add_argument("--patience", type=float, default=inspection.TIMEOUT_S, metavar="SECONDS")
     one = command("local-cluster", start_local_cluster, "start a small system on this machine, until Ctrl-C")
     one.add_argument("--cores", type=int, default=3, metavar="N", help="core machines (3)")
     one.add_argument("--gateways", type=int, default=3, metavar="N", help="gatekeepers (3)")
@@ -156,9 +156,9 @@
     one.add_argument(
         "--patience",
         type=float,
-        default=PATIENCE_S,
+        default=TIMEOUT_S,
         metavar="SECONDS",
-        help=f"for an answer ({PATIENCE_S:g})",
+        help=f"for an answer ({TIMEOUT_S:g})",
     )
 
 
--- a/pepperrun/soak/run.py
+++ b/pepperrun/soak/run.py
@@ -102,7 +102,7 @@
         cluster.start()
         report = asyncio.run(_play(options, cluster, records))
     finally:
-        cluster.end()
+        cluster.shut_down()
     (where / "report.json").write_text(json.dumps(asdict(report), indent=1))
     return report
 
--- a/pepperrun/soak/series.py
+++ b/pepperrun/soak/series.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 
 from pepperrun.foundation.errors import PepperrunError
-from pepperrun.operator.calls import Caller
+from pepperrun.operator.core_client import CoreClient
 from pepperrun.operator.local_cluster import Child, LocalCluster
 from pepperrun.soak.records import Stop
 
@@ -34,7 +34,7 @@
         self.stops: list[Stop] = []
         self.late: list[str] = []
         self.counts: Counter[str] = Counter()
-        self.caller, self.edition = Caller(cluster.control, CALL_S), 1
+        self.caller, self.edition = CoreClient(cluster.control_addresses, CALL_S), 1
 
     async def run(self, until: asyncio.Event, routes: Callable[[int], dict[str, object]]) -> None:
         """All series until told to stop; a roll that is under way is ended. `routes(n)`: the n-th change."""
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -16,7 +16,7 @@
 from pepperrun import operatorctl
 from pepperrun.foundation.errors import PepperrunError
 from pepperrun.operator import inspection, problems
-from pepperrun.operator.calls import Caller
+from pepperrun.operator.core_client import CoreClient
 from pepperrun.operator.local_cluster import LocalCluster, Sizes
 
 
@@ -54,14 +54,14 @@
         server.server_close()
 
 
-def caller(*at: tuple[str, int]) -> Caller:
+def caller(*at: tuple[str, int]) -> CoreClient:
     """Pauses cost no time."""
     now = [0.0]
 
     def sleep(seconds: float) -> None:
         now[0] += seconds
 
-    return Caller(list(at), 5, lambda: now[0], sleep)
+    return CoreClient(list(at), 5, lambda: now[0], sleep)
 
 
 def test_a_call_goes_on_and_is_repeated_unchanged_until_it_is_clear():
@@ -113,11 +113,11 @@
 
 def test_each_problem_of_settings_has_its_sentence(tmp_path, capsys):
     good, bad = settings(), settings()
-    assert problems.of_settings(good) == []
+    assert problems.settings_problems(good) == []
     bad["self"] |= {"zone": "b", "ip": "10.0.0.2", "store_dir": None}
     bad["network"]["postboxes"]["directory_port"] = "10.0.0.2:80"
     bad["tariffs"]["bounds"]["grace_s"] = -1
-    found = problems.of_settings(bad)
+    found = problems.settings_problems(bad)
     for name, sentence in zip(
         ("self.zone", "self.store_dir", "postboxes.control_port", "postboxes.directory_port", "grace_s"),
         found,
@@ -125,7 +125,7 @@
     ):
         assert name in sentence and sentence.endswith(".")
     del bad["self"]["station"]
-    assert len(problems.of_settings(bad)) == 1 and "station" in problems.of_settings(bad)[0]
+    assert len(problems.settings_problems(bad)) == 1 and "station" in problems.settings_problems(bad)[0]
     files = []
     for name, data in (("good.yaml", good), ("bad.yaml", bad)):
         files.append(tmp_path / name)
@@ -142,7 +142,7 @@
         local_cluster.start()  # each gatekeeper has answered 200 on each route
         internal_port = local_cluster.ports["siding"]
         core, gateway = (
-            asyncio.run(inspection.ask((ip, internal_port)))
+            asyncio.run(inspection.query_process((ip, internal_port)))
             for ip in (local_cluster.cores[0], local_cluster.gateways[0])
         )
         assert (core["class"], core["edition"], core["majority"]) == ("sorting", 1, True)
@@ -154,8 +154,10 @@
         assert gateway["answers"]["served"] >= 1 and gateway["core"]["linked"]
         assert [one["tenant"] for one in gateway["shares"]] == ["newcomer"]
         for shown in (core, gateway):
-            assert local_cluster.key not in json.dumps(shown) and shown["station"] in inspection.text(shown)
+            assert local_cluster.key not in json.dumps(shown) and shown["station"] in inspection.format_reply(
+                shown
+            )
     finally:
-        local_cluster.end()
+        local_cluster.shut_down()
     codes = {one.role: one.process.returncode for one in local_cluster.children if one.process is not None}
     assert codes == {"control_node": 0, "gateway_node": 0, "worker": 0}
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -19,8 +19,8 @@
 from pepperrun.dataplane.trace import LogRateLimit, RequestTrace
 from pepperrun.foundation import logs
 from pepperrun.foundation.errors import PepperrunError
-from pepperrun.operator import explain, loss_accounting, page, state
-from pepperrun.operator.event_log import pairs_of, read
+from pepperrun.operator import explain, loss_accounting, report, state
+from pepperrun.operator.event_log import parse_pairs, read_events
 from pepperrun.simulation import crashes, replays
 from pepperrun.storage import formats, records
 from pepperrun.storage.store import DiskStore
@@ -184,10 +184,10 @@
     assert (first["status"], first["reason"], first["tenant"]) == (503, "tries", "ann")
     assert first["tries"].startswith("w1/") and f"/{Outcome.FULL.value}/" in first["tries"]
     assert (second["status"], second["reason"]) == (401, "key") and third["reason"] == "fence"
-    lines = read([log(tmp_path / "g1.log", *told)])
-    text = "\n".join(explain.attempt("i1", lines))
+    lines = read_events([log(tmp_path / "g1.log", *told)])
+    text = "\n".join(explain.explain_attempt("i1", lines))
     assert "g1: answered 503" in text and "to w1: full" in text and "no such key" in text
-    assert "No line tells of i2" in explain.attempt("i2", lines)[0]
+    assert "No line tells of i2" in explain.explain_attempt("i2", lines)[0]
 
 
 def test_lines_are_bounded_and_what_is_left_out_is_counted() -> None:
@@ -210,16 +210,16 @@
         log(tmp_path / "h.log", (2.5, "agreed", agreed | {"station": "g2", "depth": 2})),
         log(tmp_path / "i.log", (1.5, "agreed", {"number": 6, "edition": 30, "station": "g3"})),
     ]
-    lines = read(paths)
-    text = explain.change(7, lines)
+    lines = read_events(paths)
+    text = explain.explain_change(7, lines)
     assert "called at core 1 (replace), answered after 100 ms" in text
     assert "  core core 1: 50 ms" in text and text[-1] == "slowest: g2, 500 ms"
     assert "  gatekeeper g3: no line of it, it went on to a later one or never had it" in text
     out = tmp_path / "page.html"
     assert operatorctl.main(["report", *map(str, paths), "--out", str(out)]) == 0
     assert out.read_text().count("data:image/png") == 4
-    assert [round(ms) for _, number, ms in page.in_force(lines) if number == 7] == [200, 500]
-    assert json.dumps(pairs_of(logs.format_event("x", {"a": 'q "1" \\', "b": ""}))) == json.dumps(
+    assert [round(ms) for _, number, ms in report.change_delays(lines) if number == 7] == [200, 500]
+    assert json.dumps(parse_pairs(logs.format_event("x", {"a": 'q "1" \\', "b": ""}))) == json.dumps(
         {"event": "x", "a": 'q "1" \\', "b": ""}
     )
 
@@ -251,14 +251,14 @@
             ]
         )
     )
-    lines = read([path])
-    assert explain.change(4, lines)[:2] == [
+    lines = read_events([path])
+    assert explain.explain_change(4, lines)[:2] == [
         "number 4, edition 9: zone z1 is evacuated",
         "called at s1 (evacuate), answered after 30 ms",
     ]
-    assert "slowest: gate-1, 110 ms" in explain.change(4, lines)
-    assert "number 5, edition 9: zone z1 is taken back" in explain.change(5, lines)
-    assert "called at s2 (evacuate), answered after 20 ms" in explain.change(5, lines)
+    assert "slowest: gate-1, 110 ms" in explain.explain_change(4, lines)
+    assert "number 5, edition 9: zone z1 is taken back" in explain.explain_change(5, lines)
+    assert "called at s2 (evacuate), answered after 20 ms" in explain.explain_change(5, lines)
 
 
 @pytest.mark.parametrize(
@@ -278,12 +278,12 @@
 ) -> None:
     pairs = {"id": "i", "aim": 400, "ms": ms, "status": status, "reason": reason}
     told = [(at, "request", pairs) for at in (1.0, 1.2, 3.0)]
-    lines = read([log(tmp_path / "g.log", *told, (3.5, "requests-left-out", {"count": 7}))])
-    text = loss_accounting.table(lines)
+    lines = read_events([log(tmp_path / "g.log", *told, (3.5, "requests-left-out", {"count": 7}))])
+    text = loss_accounting.format_table(lines)
     rows = [row.split() for row in text[1:3]]
     assert [f"{3 * lost:.2f}", "3", reason] in rows and ["0.00", "7", "left", "out"] in rows
-    found = loss_accounting.found(lines)
-    assert loss_accounting.by_second(found, lines[0].at)[reason] == {
+    found = loss_accounting.find_losses(lines)
+    assert loss_accounting.lost_by_second(found, lines[0].time_s)[reason] == {
         0: 200 * lost,
         2: 100 * lost,
     }
