--- a/benchmarks/planner_days.py
+++ b/benchmarks/planner_days.py
@@ -18,11 +18,11 @@
 from pepperrun.bench.replay import replay  # noqa: E402
 from pepperrun.capture.edit import merge, scale  # noqa: E402
 from pepperrun.capture.format import Class, Plan, read, write  # noqa: E402
-from pepperrun.model.day import Fault, load_of  # noqa: E402
-from pepperrun.model.fleet import Fleet, read_fleet, resized  # noqa: E402
-from pepperrun.model.load import LoadSpec, draw  # noqa: E402
-from pepperrun.planner.fit import fit  # noqa: E402
-from pepperrun.planner.plan import Question, interval, play  # noqa: E402
+from pepperrun.model.day import Fault, requests_from_entries  # noqa: E402
+from pepperrun.model.fleet import Fleet, parse_fleet, resized  # noqa: E402
+from pepperrun.model.load import LoadSpec, draw_load  # noqa: E402
+from pepperrun.planner.fit import fit_capture  # noqa: E402
+from pepperrun.planner.plan import SimulationTask, confidence_interval, simulate_task  # noqa: E402
 
 CLASSES = (
     Class("slot-search", 600, 2400, "safe", 1),
@@ -55,9 +55,11 @@
 
 def inside_work(entries: list, fleet: Fleet) -> float:
     """What one gatekeeper would let in, as a share of what the nodes can do."""
-    from pepperrun.model.service import Ask, inside_quota
+    from pepperrun.model.service_level import RequestResult, inside_quota
 
-    asks = [Ask(one.at_us * 1000, one.cls, one.plan, one.customer, one.units, None) for one in entries]
+    asks = [
+        RequestResult(one.at_us * 1000, one.cls, one.plan, one.customer, one.units, None) for one in entries
+    ]
     work = 0.0
     for entry, good in zip(entries, inside_quota(asks, PLANS), strict=True):
         if good:
@@ -74,14 +76,16 @@
     parser.add_argument("--lanes", type=int, default=2)
     parser.add_argument("--json", type=Path)
     options = parser.parse_args()
-    fleet = read_fleet(FLEET.read_text())
+    fleet = parse_fleet(FLEET.read_text())
     spec = LoadSpec(options.seconds, 55.0, gatekeepers=fleet.gatekeepers.count)
-    drawn = draw(spec, CLASSES, SHARES, PLANS, seed=5)
+    drawn = draw_load(spec, CLASSES, SHARES, PLANS, seed=5)
     with tempfile.TemporaryDirectory() as folder:
-        base = replay(load_of(drawn, CLASSES, fleet, 1), CLASSES, PLANS, fleet, 1, capture=Path(folder))
+        base = replay(
+            requests_from_entries(drawn, CLASSES, fleet, 1), CLASSES, PLANS, fleet, 1, capture=Path(folder)
+        )
         captured = merge([read(path.read_bytes()) for path in sorted(Path(folder).glob("*.prcap"))])
     print(f"captured {len(captured.entries)} of {base['requests']} requests; remarks: {captured.remarks}")
-    fitted = fit(captured)
+    fitted = fit_capture(captured)
     for name, work in fitted["work"].items():
         true, got = fleet.work[name], work["mean_ms"]
         print(
@@ -98,7 +102,7 @@
         some = scale(captured, factor, seed=number)
         sized = resized(fleet, nodes)
         for attempt in range(3):
-            load = load_of(some.entries, CLASSES, sized, 100 + number)
+            load = requests_from_entries(some.entries, CLASSES, sized, 100 + number)
             got = replay(load, CLASSES, PLANS, sized, 100 + number + attempt, faults, lane=number)
             if not got["busy"]:
                 break
@@ -109,16 +113,16 @@
         results = list(threads.map(measured, todo))
     with ProcessPoolExecutor() as pool:
         questions = [
-            Question(write(scale(captured, factor, seed=number)), resized(fleet, nodes), seed, faults)
+            SimulationTask(write(scale(captured, factor, seed=number)), resized(fleet, nodes), seed, faults)
             for number, (_, factor, nodes, faults) in todo
             for seed in SEEDS
         ]
-        answers = list(pool.map(play, questions))
+        answers = list(pool.map(simulate_task, questions))
     for number, (name, factor, _, _) in todo:
         some = answers[number * len(SEEDS) : (number + 1) * len(SEEDS)]
         row = {"day": name, "load": round(factor / at_full, 3), "measured": results[number]}
         row["model"] = {
-            part: interval([one[part] for one in some])
+            part: confidence_interval([one[part] for one in some])
             for part in ("service", "whole", "worst_10_s", "worst_plan")
         }
         row["off"] = round(row["model"]["service"]["mean"] / max(1e-9, results[number]["service"]) - 1, 4)
--- a/benchmarks/planner_goal.py
+++ b/benchmarks/planner_goal.py
@@ -17,9 +17,9 @@
 
 from pepperrun.bench.replay import replay  # noqa: E402
 from pepperrun.capture.format import Capture, Header  # noqa: E402
-from pepperrun.model.day import load_of  # noqa: E402
-from pepperrun.model.fleet import read_fleet, resized  # noqa: E402
-from pepperrun.model.load import LoadSpec, draw  # noqa: E402
+from pepperrun.model.day import requests_from_entries  # noqa: E402
+from pepperrun.model.fleet import parse_fleet, resized  # noqa: E402
+from pepperrun.model.load import LoadSpec, draw_load  # noqa: E402
 from pepperrun.planner.plan import Planner  # noqa: E402
 
 UNDER = 0.05  # the goal, under what plenty of nodes reach
@@ -30,11 +30,11 @@
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seconds", type=float, default=15.0)
     options = parser.parse_args()
-    base = read_fleet(FLEET.read_text())
+    base = parse_fleet(FLEET.read_text())
     todo = []
     for seed, inside in ((21, 190.0), (22, 260.0)):
         capture = Capture(Header(1, "drawn", 0, 2, 0, "id", CLASSES, PLANS))
-        capture.entries = draw(LoadSpec(options.seconds, inside), CLASSES, SHARES, PLANS, seed)
+        capture.entries = draw_load(LoadSpec(options.seconds, inside), CLASSES, SHARES, PLANS, seed)
         planner = Planner(capture, resized(base, PLENTY), range(1, 6), 8, lambda text: None)
         goal = round(planner.today()["service"]["mean"] - UNDER, 3)
         answer = planner.fewest_nodes(goal, PLENTY)
@@ -47,7 +47,12 @@
         lane, (seed, _, _, capture, count) = item
         fleet = resized(base, count)
         return replay(
-            load_of(capture.entries, CLASSES, fleet, 200 + seed), CLASSES, PLANS, fleet, 200, lane=lane
+            requests_from_entries(capture.entries, CLASSES, fleet, 200 + seed),
+            CLASSES,
+            PLANS,
+            fleet,
+            200,
+            lane=lane,
         )
 
     with ThreadPoolExecutor(2) as threads:
--- a/pepperrun/bench/fleet_process.py
+++ b/pepperrun/bench/fleet_process.py
@@ -20,7 +20,7 @@
 import msgspec
 
 from pepperrun.model.fleet import Fleet
-from pepperrun.model.node import Node, Taken
+from pepperrun.model.node import Admission, Node
 from pepperrun.net.buffered import BufferedConnection
 from pepperrun.net.http1 import REQUEST_BUFFER_SIZE, HttpError, Request, RequestParser, encode_response
 
@@ -110,7 +110,7 @@
         self.step()
         key = connection.key
         assert key is not None
-        if self.node.arrive(now, key, work) is Taken.FULL:
+        if self.node.arrive(now, key, work) is Admission.REJECTED:
             self.turned_away += 1
             return False
         self.working[key] = connection
@@ -135,7 +135,7 @@
     def _arm(self) -> None:
         if self.timer is not None:
             self.timer.cancel()
-        due = self.node.due()
+        due = self.node.next_event_at()
         if due is not None:
             wait = max(0, due - time.monotonic_ns()) / 1e9
             self.timer = asyncio.get_running_loop().call_later(wait, self._due)
@@ -160,7 +160,7 @@
     async def start_cold(self) -> None:
         """Starts again at the same port."""
         now = time.monotonic_ns()
-        self.node = Node(self.node.kind, self.node.speed, now, warm=False)
+        self.node = Node(self.node.spec, self.node.speed, now, warm=False)
         self.state, self.started_ms = "Ready", int(time.time() * 1000)
         await self.open()
 
@@ -184,7 +184,7 @@
         self.fleet, self.random = fleet, random.Random(seed)
         self.nodes: list[StandInNode] = []
         for group in fleet.nodes:
-            kind = fleet.kind[group.kind].kind(group.kind)
+            kind = fleet.kind[group.kind].to_spec(group.kind)
             for _ in range(group.count):
                 number = len(self.nodes)
                 node = Node(kind, node_speeds[number], time.monotonic_ns())
--- a/pepperrun/bench/replay.py
+++ b/pepperrun/bench/replay.py
@@ -20,9 +20,9 @@
 
 from pepperrun.bench.rig import HOST, ROOT, Child, RigError, pin
 from pepperrun.capture.format import Class, Plan
-from pepperrun.model.day import Fault, Request, settings_of
-from pepperrun.model.fleet import Fleet, speeds
-from pepperrun.model.service import Ask, service
+from pepperrun.model.day import Fault, Request, gatekeeper_settings
+from pepperrun.model.fleet import Fleet, draw_speeds
+from pepperrun.model.service_level import RequestResult, service_level
 
 LEAD_S = 1.0  # between the last process's start and the day's
 BUSY_MS = 250.0  # the players were so late at worst: the machine was too busy, and the day says little
@@ -41,7 +41,7 @@
 ) -> dict[str, Any]:
     """What one gatekeeper is told: the same settings as the model's."""
     zones = fleet.zones()
-    own = settings_of(number, fleet, classes, plans, zones, zones[number % len(zones)])
+    own = gatekeeper_settings(number, fleet, classes, plans, zones, zones[number % len(zones)])
     repeats = {"safe": "read_like", "keyed": "idempotency_key", "unsafe": "non_idempotent"}
     settings = {
         "Me": own.me,
@@ -140,7 +140,7 @@
     node_speeds = [
         speed
         for group in fleet.nodes
-        for speed in speeds(fleet.kind[group.kind].kind(group.kind), group.count, random)
+        for speed in draw_speeds(fleet.kind[group.kind].to_spec(group.kind), group.count, random)
     ]
     try:
         with tempfile.TemporaryDirectory(prefix="pepperrun-replay-") as folder:
@@ -174,17 +174,17 @@
                 ports=ports,
                 load=[
                     [
-                        one.at,
+                        one.arrival_ns,
                         one.gatekeeper,
                         one.cls,
                         one.plan,
                         one.customer,
                         one.units,
                         one.true_units,
-                        one.budget,
+                        one.budget_ns,
                         one.spread,
                         one.first,
-                        one.work,
+                        one.work_ns,
                     ]
                     for one in load
                 ],
@@ -201,7 +201,7 @@
             player.say(start=start)
             for fault in sorted(faults, key=lambda one: one.at_s):
                 time.sleep(max(0.0, (start - time.monotonic_ns()) / 1e9 + fault.at_s))
-                nodes.say(what=fault.what, for_s=fault.for_s, zone=fault.zone, share=fault.share)
+                nodes.say(what=fault.kind, for_s=fault.duration_s, zone=fault.zone, share=fault.node_share)
             answer = player.answer()
             for gatekeeper in gatekeepers:
                 gatekeeper.send_signal(signal.SIGTERM)
@@ -215,13 +215,13 @@
                 gatekeeper.kill()
                 gatekeeper.wait()
     asks = [
-        Ask(one.at, one.cls, one.plan, one.customer, one.true_units, took)
+        RequestResult(one.arrival_ns, one.cls, one.plan, one.customer, one.true_units, took)
         for one, (took, _, _) in zip(load, answer["results"], strict=True)
     ]
-    found = service(asks, classes, plans)
+    found = service_level(asks, classes, plans)
     return {
-        "service": round(found.figure, 4),
-        "whole": round(found.whole, 4),
+        "service": round(found.combined, 4),
+        "whole": round(found.overall, 4),
         "worst_10_s": round(found.worst_window, 4),
         "worst_plan": round(found.worst_plan, 4),
         "by_plan": {name: round(value, 4) for name, value in found.by_plan.items()},
--- a/pepperrun/cli/bench.py
+++ b/pepperrun/cli/bench.py
@@ -123,21 +123,21 @@
     from pepperrun.bench.replay import replay as played
     from pepperrun.bench.rig import RigError
     from pepperrun.cli.capture import load
-    from pepperrun.model.day import load_of, read_fault
-    from pepperrun.model.fleet import read_fleet
-    from pepperrun.model.simulate import Run
+    from pepperrun.model.day import parse_fault, requests_from_entries
+    from pepperrun.model.fleet import parse_fleet
+    from pepperrun.model.simulate import Simulation
 
     captured = load(capture)
     try:
-        fleet = read_fleet(fleet_path.read_text(encoding="utf-8"))
+        fleet = parse_fleet(fleet_path.read_text(encoding="utf-8"))
     except (OSError, ValueError) as error:
         raise click.ClickException(f"{fleet_path}: {error}") from None
     classes, plans = captured.header.classes, captured.header.plans
     try:
-        hits = [read_fault(text) for text in faults]
-        load_ = load_of(captured.entries, classes, fleet, seed)
-        day = Run(load_, classes, plans, fleet, seed, hits).run().summary()
-        load_ = load_of(captured.entries, classes, fleet, seed)
+        hits = [parse_fault(text) for text in faults]
+        load_ = requests_from_entries(captured.entries, classes, fleet, seed)
+        day = Simulation(load_, classes, plans, fleet, seed, hits).run().summary()
+        load_ = requests_from_entries(captured.entries, classes, fleet, seed)
         found = with_progress(lambda say: played(load_, classes, plans, fleet, seed, hits, say=say))
     except (RigError, OSError, ValueError) as error:
         raise click.ClickException(str(error)) from None
--- a/pepperrun/cli/plan.py
+++ b/pepperrun/cli/plan.py
@@ -30,10 +30,10 @@
 @click.option("--json", "as_json", is_flag=True, help="One JSON object on standard output.")
 def fit(capture: Path, as_json: bool) -> int:
     """Estimate work, speeds and what a node holds from a CAPTURE, with intervals."""
-    from pepperrun.planner.fit import fit as fitted
+    from pepperrun.planner.fit import fit_capture
 
     try:
-        found = fitted(load(capture))
+        found = fit_capture(load(capture))
     except ValueError as error:
         raise click.ClickException(f"{capture}: {error}") from None
     if as_json:
@@ -77,12 +77,12 @@
 
     Exits with 1 if the fleet as it is misses the goal.
     """
-    from pepperrun.model.fleet import read_fleet
+    from pepperrun.model.fleet import parse_fleet
     from pepperrun.planner.plan import Planner
 
     captured = load(capture)
     try:
-        fleet = read_fleet(fleet_path.read_text(encoding="utf-8"))
+        fleet = parse_fleet(fleet_path.read_text(encoding="utf-8"))
     except (OSError, ValueError) as error:
         raise click.ClickException(f"{fleet_path}: {error}") from None
 
@@ -93,13 +93,13 @@
             found: dict[str, Any] = {
                 "nodes": fleet.size(),
                 "goal": goal,
-                "work_share": round(planner.quota_share(), 4),
+                "work_share": round(planner.work_share(), 4),
                 "today": planner.today(),
             }
             if only != "today":
                 found["fewest"] = planner.fewest_nodes(goal, most or 2 * fleet.size())
             if only is None:
-                found["breaks"] = planner.breaks_first(goal, FACTORS)
+                found["breaks"] = planner.find_bottleneck(goal, FACTORS)
                 found["losses"] = planner.losses()
                 found["sensitivity"] = planner.sensitivity()
             found["days"], found["seconds"] = planner.days, round(time.monotonic() - start, 1)
--- a/pepperrun/lab/verdict.py
+++ b/pepperrun/lab/verdict.py
@@ -13,7 +13,7 @@
 from pepperrun.lab.run import Seen
 from pepperrun.lab.scenario import Plan, zone_of
 from pepperrun.membership.steps import Quota, quota_error_bound, restart_error_bound
-from pepperrun.model.service import Ask, Service, inside_quota, service
+from pepperrun.model.service_level import RequestResult, ServiceLevel, inside_quota, service_level
 
 WORTHS = (1.0, 5.0)
 # Plays of one seed with nothing broken differ by so much of a burst: seen, 0.65 in 18 plays of 6 shapes.
@@ -21,13 +21,16 @@
 FOUND_S = 2.5  # a cut is found, and acted on, within this: the stated error counts with it
 
 
-def asks_of(seen: Seen) -> list[Ask]:
+def asks_of(seen: Seen) -> list[RequestResult]:
     """Each call with the time that its first good answer took."""
     took: dict[int, int] = {}
     for call, _, _, _, ended, status in seen.tries:
         if status == 200:
             took.setdefault(call, ended - seen.load[call][0])
-    return [Ask(row[0], row[2], row[3], row[4], 1.0, took.get(call)) for call, row in enumerate(seen.load)]
+    return [
+        RequestResult(row[0], row[2], row[3], row[4], 1.0, took.get(call))
+        for call, row in enumerate(seen.load)
+    ]
 
 
 def _classes(seen: Seen) -> list[Class]:
@@ -42,8 +45,8 @@
     return [CapturePlan(one.name, one.rate, one.burst, one.ceiling_rate, one.ceiling_burst) for one in plans]
 
 
-def _service(seen: Seen) -> Service:
-    return service(asks_of(seen), _classes(seen), _plans(seen.scenario.plan))
+def _service(seen: Seen) -> ServiceLevel:
+    return service_level(asks_of(seen), _classes(seen), _plans(seen.scenario.plan))
 
 
 def by_second(seen: Seen) -> dict[str, list[float | None]]:
@@ -55,9 +58,9 @@
     for ask, row, wanted_in in zip(asks, seen.load, inside, strict=True):
         if not wanted_in:
             continue
-        counts = good[zone_of(f"n{row[1]}", fleet)].setdefault(ask.at // S, [0, 0])
+        counts = good[zone_of(f"n{row[1]}", fleet)].setdefault(ask.sent_at // S, [0, 0])
         counts[1] += 1
-        counts[0] += ask.took is not None and ask.took <= wanted
+        counts[0] += ask.latency_ns is not None and ask.latency_ns <= wanted
     seconds = range(int(seen.scenario.seconds))
     return {
         zone: [counts[at][0] / counts[at][1] if at in counts else None for at in seconds]
@@ -122,9 +125,9 @@
     seconds = max(1.0, seen.ends_at / S)
     members = len(checkers.up_at_the_end(seen)) or 1
     return {
-        "service": round(found.figure, 4),
-        "less_than_calm": round(before.whole - found.whole, 4) if before is not None else None,
-        "whole": round(found.whole, 4),
+        "service": round(found.combined, 4),
+        "less_than_calm": round(before.overall - found.overall, 4) if before is not None else None,
+        "whole": round(found.overall, 4),
         "worst_10_s": round(found.worst_window, 4),
         "calls": len(seen.load),
         "tries": len(seen.tries),
--- a/pepperrun/lab/workers.py
+++ b/pepperrun/lab/workers.py
@@ -17,7 +17,7 @@
 
 from pepperrun.bench.fleet_process import HOST, REJECTED, Connection, StandInNode
 from pepperrun.lab.relay import gatekeeper_of
-from pepperrun.model.node import Kind, Node
+from pepperrun.model.node import Node, NodeSpec
 from pepperrun.net.http1 import Request
 
 _CALL = re.compile(rb"[?&]call=([0-9]+)-([0-9]+)")
@@ -69,8 +69,15 @@
 
     def __init__(self, given: dict[str, Any]) -> None:
         cold_ns = int(given["cold_s"] * 1e9)
-        kind = Kind(
-            "lab", given["cores"], 1.0, 0.0, given["slots"], 64, cold_from=given["cold_from"], cold_ns=cold_ns
+        kind = NodeSpec(
+            "lab",
+            given["cores"],
+            1.0,
+            0.0,
+            given["slots"],
+            64,
+            warmup_min_speed=given["cold_from"],
+            warmup_ns=cold_ns,
         )
         self.late_s: float = given["late_s"]
         zones = given["zones"]
--- a/pepperrun/model/day.py
+++ b/pepperrun/model/day.py
@@ -11,9 +11,9 @@
 from pepperrun.capture.format import Class, Entry, Plan
 from pepperrun.core.interface import Group, Repeat, RequestClass, Settings
 from pepperrun.core.interface import Plan as ModulePlan
-from pepperrun.model.fleet import Fleet, lognormal
-from pepperrun.model.service import Service
-from pepperrun.model.world import SECOND
+from pepperrun.model.fleet import Fleet, draw_lognormal
+from pepperrun.model.scheduler import SECOND
+from pepperrun.model.service_level import ServiceLevel
 
 MS = 1_000_000
 
@@ -26,14 +26,14 @@
     cold at once. drain: they finish what they have and go for good.
     """
 
-    what: Literal["lost", "restart", "drain"]
+    kind: Literal["lost", "restart", "drain"]
     at_s: float
-    for_s: float = 0.0
+    duration_s: float = 0.0
     zone: str = ""
-    share: float = 1.0
+    node_share: float = 1.0
 
 
-def read_fault(text: str) -> Fault:
+def parse_fault(text: str) -> Fault:
     """`what:at_s[:for_s[:zone[:share]]]`; ValueError where it is no fault."""
     what, *rest = text.split(":")
     try:
@@ -43,7 +43,7 @@
         raise ValueError(f"--fault: {text!r} is not WHAT:AT_S[:FOR_S[:ZONE[:SHARE]]]") from None
     if what not in ("lost", "restart", "drain"):
         raise ValueError(f"--fault: {what!r} is not one of lost, restart, drain")
-    if not (0 <= fault.at_s < 1e6 and 0 <= fault.for_s < 1e6 and 0 < fault.share <= 1):
+    if not (0 <= fault.at_s < 1e6 and 0 <= fault.duration_s < 1e6 and 0 < fault.node_share <= 1):
         raise ValueError(f"--fault: {text!r} is out of range")
     return fault
 
@@ -52,57 +52,57 @@
 class Request:
     """One request of the load. Times in ns from the day's start; work in ns of a core at speed 1."""
 
-    at: int
+    arrival_ns: int
     gatekeeper: int
     cls: int
     plan: int
     customer: int
     units: float
     true_units: float
-    budget: int
+    budget_ns: int
     spread: int
     first: int
-    work: float
-    tries: int = 0
-    sent: int = 0  # attempts that reached a node
-    took: int | None = None
+    work_ns: float
+    submissions: int = 0
+    admitted_attempts: int = 0  # attempts that reached a node
+    latency_ns: int | None = None
     end: str = ""
 
 
 @dataclass(slots=True)
-class Day:
+class DayResult:
     """What a day came to."""
 
     requests: list[Request]
-    service: Service
+    service_level: ServiceLevel
     seconds: float
-    ends: dict[str, int]
-    outcomes: dict[str, int]
-    utilisation: list[float]  # of each node, over the day
-    busiest: dict[str, float] = field(default_factory=dict)
-    times: dict[str, dict[str, float]] = field(default_factory=dict)  # by class, ms
-    steps: int = 0
+    end_counts: dict[str, int]
+    outcome_counts: dict[str, int]
+    node_utilisation: list[float]  # of each node, over the day
+    peak_usage: dict[str, float] = field(default_factory=dict)
+    latency_ms: dict[str, dict[str, float]] = field(default_factory=dict)  # by class, ms
+    event_count: int = 0
 
     def summary(self) -> dict[str, Any]:
         """For JSON."""
-        one = self.service
+        one = self.service_level
         return {
-            "service": round(one.figure, 4),
-            "whole": round(one.whole, 4),
+            "service": round(one.combined, 4),
+            "whole": round(one.overall, 4),
             "worst_10_s": round(one.worst_window, 4),
             "worst_plan": round(one.worst_plan, 4),
             "by_plan": {name: round(value, 4) for name, value in one.by_plan.items()},
             "by_class": {name: round(value, 4) for name, value in one.by_class.items()},
-            "times_ms": self.times,
+            "times_ms": self.latency_ms,
             "requests": len(self.requests),
-            "ends": self.ends,
-            "attempts": self.outcomes,
-            "node_utilisation": round(sum(self.utilisation) / max(1, len(self.utilisation)), 4),
-            "busiest": {name: round(value, 4) for name, value in self.busiest.items()},
+            "ends": self.end_counts,
+            "attempts": self.outcome_counts,
+            "node_utilisation": round(sum(self.node_utilisation) / max(1, len(self.node_utilisation)), 4),
+            "busiest": {name: round(value, 4) for name, value in self.peak_usage.items()},
         }
 
 
-def settings_of(
+def gatekeeper_settings(
     me: int, fleet: Fleet, classes: Sequence[Class], plans: Sequence[Plan], zones: Sequence[str], zone: str
 ) -> Settings:
     """What a gatekeeper of the fleet is told, as the configuration tool would write it."""
@@ -156,7 +156,9 @@
     )
 
 
-def load_of(entries: Sequence[Entry], classes: Sequence[Class], fleet: Fleet, seed: int) -> list[Request]:
+def requests_from_entries(
+    entries: Sequence[Entry], classes: Sequence[Class], fleet: Fleet, seed: int
+) -> list[Request]:
     """The load of a capture, with work drawn for each request from the fleet's `[work.CLASS]`."""
     random = numpy.random.default_rng([seed, 1])
     works = []
@@ -164,7 +166,7 @@
         work = fleet.work.get(kind.name)
         if work is None:
             raise ValueError(f"work.{kind.name}: missing (`pepperrun plan fit` estimates it)")
-        works.append((work, lognormal(work.mean_ms * MS, work.cv, len(entries), random)))
+        works.append((work, draw_lognormal(work.mean_ms * MS, work.cv, len(entries), random)))
     out = []
     for position, entry in enumerate(entries):
         work, drawn = works[entry.cls]
@@ -187,11 +189,11 @@
     return out
 
 
-def times_of(load: Sequence[Request], classes: Sequence[Class]) -> dict[str, dict[str, float]]:
+def latency_by_class(load: Sequence[Request], classes: Sequence[Class]) -> dict[str, dict[str, float]]:
     """Median and 99th percentile of what was served, by class, in ms."""
     found = {}
     for number, kind in enumerate(classes):
-        took = sorted(one.took / MS for one in load if one.cls == number and one.took is not None)
+        took = sorted(one.latency_ns / MS for one in load if one.cls == number and one.latency_ns is not None)
         if took:
             found[kind.name] = {
                 "p50": round(took[len(took) // 2], 2),
--- a/pepperrun/model/fleet.py
+++ b/pepperrun/model/fleet.py
@@ -10,7 +10,7 @@
 import numpy
 from msgspec import Meta
 
-from pepperrun.model.node import Kind
+from pepperrun.model.node import NodeSpec
 
 Positive = Annotated[float, Meta(gt=0, le=1e9)]
 Share = Annotated[float, Meta(ge=0, le=1)]
@@ -34,9 +34,9 @@
     warm_by: Literal["time", "work"] = "time"
     cold_work_s: AtLeast0 = 0.0
 
-    def kind(self, name: str) -> Kind:
+    def to_spec(self, name: str) -> NodeSpec:
         """As the model takes it."""
-        return Kind(
+        return NodeSpec(
             name,
             self.cores,
             self.speed,
@@ -125,7 +125,7 @@
         return sum(group.count for group in self.nodes)
 
 
-def read_fleet(text: str) -> Fleet:
+def parse_fleet(text: str) -> Fleet:
     """A fleet's file; ValueError names the key that is no good."""
     try:
         table = tomllib.loads(text)
@@ -160,12 +160,12 @@
     return msgspec.structs.replace(fleet, nodes=groups)
 
 
-def speeds(kind: Kind, count: int, random: numpy.random.Generator) -> list[float]:
+def draw_speeds(kind: NodeSpec, count: int, random: numpy.random.Generator) -> list[float]:
     """Speeds of some nodes: log-normal around the kind's."""
-    return [kind.speed * one for one in lognormal(1.0, kind.speed_cv, count, random)]
+    return [kind.speed * one for one in draw_lognormal(1.0, kind.speed_cv, count, random)]
 
 
-def lognormal(mean: float, cv: float, count: int, random: numpy.random.Generator) -> list[float]:
+def draw_lognormal(mean: float, cv: float, count: int, random: numpy.random.Generator) -> list[float]:
     """Draws with that mean and coefficient of variation."""
     if cv <= 0:
         return [mean] * count
--- a/pepperrun/model/load.py
+++ b/pepperrun/model/load.py
@@ -14,24 +14,26 @@
 
 @dataclass(slots=True, frozen=True)
 class LoadSpec:
-    """A day. `inside`: units a second asked inside quotas, over all customers; shares are of customers.
+    """Description of the load of a simulated day.
 
-    Most customers use a part of their quota; `full` of them nearly all, `heavy` of them `heavy_times` as much
-    for the whole day. The rate swings by `swing` around its mean, once in the day.
+    `inside_rate`: units per second requested inside the quotas, summed over all customers. The shares count
+    customers: most use a part of their quota, `full_share` of them nearly all of it, and `heavy_share` of
+    them `heavy_factor` times their quota for the whole day. The rate varies by `rate_swing` around its mean,
+    with one period per day.
     """
 
     seconds: float
-    inside: float
-    full: float = 0.2
-    heavy: float = 0.1
-    heavy_times: float = 3.0
-    swing: float = 0.15
+    inside_rate: float
+    full_share: float = 0.2
+    heavy_share: float = 0.1
+    heavy_factor: float = 3.0
+    rate_swing: float = 0.15
     gatekeepers: int = 2
     mean_units: float = 1.5
-    most_units: int = 6
+    max_units: int = 6
 
 
-def draw(
+def draw_load(
     spec: LoadSpec, classes: Sequence[Class], shares: Sequence[float], plans: Sequence[Plan], seed: int
 ) -> list[Entry]:
     """The day's requests, each plan taking as many units inside the quotas as the next."""
@@ -39,22 +41,22 @@
     entries: list[Entry] = []
     customer = 0
     for number, plan in enumerate(plans):
-        wanted = spec.inside / len(plans)
+        wanted = spec.inside_rate / len(plans)
         while wanted > 0:
             customer += 1
             kind = random.random()
-            use = 0.95 if kind < spec.full else float(random.uniform(0.15, 0.6))
+            use = 0.95 if kind < spec.full_share else float(random.uniform(0.15, 0.6))
             rate = min(plan.rate * use, wanted)
             wanted -= rate
-            if spec.full <= kind < spec.full + spec.heavy:
-                rate = plan.rate * spec.heavy_times
+            if spec.full_share <= kind < spec.full_share + spec.heavy_share:
+                rate = plan.rate * spec.heavy_factor
             weights = random.dirichlet([2.0] * spec.gatekeepers)
             count = int(random.poisson(rate / spec.mean_units * spec.seconds))
             base = random.random(count)
             # The swing: times are moved so that the middle of the day is denser.
-            times = base - spec.swing / (2 * numpy.pi) * numpy.sin(2 * numpy.pi * base) * -1.0
+            times = base - spec.rate_swing / (2 * numpy.pi) * numpy.sin(2 * numpy.pi * base) * -1.0
             kinds = random.choice(len(classes), size=count, p=shares)
-            units = numpy.clip(random.geometric(1 / spec.mean_units, count), 1, spec.most_units)
+            units = numpy.clip(random.geometric(1 / spec.mean_units, count), 1, spec.max_units)
             gatekeepers = random.choice(spec.gatekeepers, size=count, p=weights)
             for at, cls, unit, gatekeeper in zip(times, kinds, units, gatekeepers, strict=True):
                 entries.append(
--- a/pepperrun/model/world.py
+++ b/pepperrun/model/scheduler.py
@@ -22,7 +22,7 @@
         self.cancelled = True
 
 
-class World:
+class Scheduler:
     """The clock and the queue. Times are integer nanoseconds; of two events at one time the first asked for
     comes first."""
 
@@ -30,7 +30,7 @@
         self.now = self.start = start
         self._queue: list[tuple[int, int, Handle]] = []
         self._count = 0
-        self.steps = 0
+        self.event_count = 0
 
     def clock(self) -> int:
         """The time, as the gatekeeper's clock gives it."""
@@ -54,21 +54,21 @@
             when, _, handle = heapq.heappop(queue)
             if not handle.cancelled:
                 self.now = when
-                self.steps += 1
+                self.event_count += 1
                 handle.call(*handle.arguments)
         self.now = max(self.now, until)
 
 
-class Loop:
-    """What the gatekeeper asks of an event loop, on a world's clock."""
+class SchedulerLoop:
+    """What the gatekeeper asks of an event loop, on a scheduler's clock."""
 
-    def __init__(self, world: World) -> None:
-        self.world = world
+    def __init__(self, scheduler: Scheduler) -> None:
+        self.scheduler = scheduler
 
     def call_later(self, delay: float, call: Callable[..., object], *arguments: Any) -> Handle:
         """As asyncio's; the delay is in seconds and rounded up to a nanosecond."""
-        return self.world.after(max(0, -int(-delay * SECOND // 1)), call, *arguments)
+        return self.scheduler.after(max(0, -int(-delay * SECOND // 1)), call, *arguments)
 
     def call_soon(self, call: Callable[..., object], *arguments: Any) -> Handle:
         """As asyncio's."""
-        return self.world.after(0, call, *arguments)
+        return self.scheduler.after(0, call, *arguments)
--- a/pepperrun/model/service.py
+++ b/pepperrun/model/service_level.py
@@ -1,4 +1,4 @@
-"""Service as the operators count it: worth answered in time over worth asked for inside the quotas."""
+"""Service level as the operators count it: worth answered in time over worth asked for inside the quotas."""
 
 from __future__ import annotations
 
@@ -8,27 +8,27 @@
 from pepperrun.capture.format import Class, Plan
 
 WINDOW_S = 10
-PARTS = (0.6, 0.25, 0.15)  # the whole day, its worst 10 s, the worst-served plan
+COMPONENT_WEIGHTS = (0.6, 0.25, 0.15)  # the whole day, its worst 10 s, the worst-served plan
 
 
 @dataclass(slots=True, frozen=True)
-class Ask:
+class RequestResult:
     """A client's first try, and what became of the request with its further tries. Times in ns."""
 
-    at: int
+    sent_at: int
     cls: int
     plan: int
     customer: int
     units: float
-    took: int | None  # until the good answer; None where there was none
-    beyond: float = 0.0  # worth of tries that were sent on beyond the quota
+    latency_ns: int | None  # until the good answer; None where there was none
+    over_quota_value: float = 0.0  # worth of tries that were sent on beyond the quota
 
 
 @dataclass(slots=True, frozen=True)
-class Service:
+class ServiceLevel:
     """Shares from 0 to 1, and the three of them weighed."""
 
-    whole: float
+    overall: float
     worst_window: float
     worst_plan: float
     by_plan: dict[str, float]
@@ -36,13 +36,13 @@
     offered: float
 
     @property
-    def figure(self) -> float:
+    def combined(self) -> float:
         """One figure for a day."""
-        parts = self.whole, self.worst_window, self.worst_plan
-        return sum(weight * part for weight, part in zip(PARTS, parts, strict=True))
+        parts = self.overall, self.worst_window, self.worst_plan
+        return sum(weight * part for weight, part in zip(COMPONENT_WEIGHTS, parts, strict=True))
 
 
-def inside_quota(asks: Sequence[Ask], plans: Sequence[Plan]) -> list[bool]:
+def inside_quota(asks: Sequence[RequestResult], plans: Sequence[Plan]) -> list[bool]:
     """Which first tries one gatekeeper that saw all of them would let in; `asks` in the order of time."""
     stores: dict[tuple[int, int], tuple[float, int]] = {}
     verdicts = []
@@ -51,10 +51,10 @@
         if plan.rate <= 0:
             verdicts.append(True)
             continue
-        level, at = stores.get((ask.plan, ask.customer), (plan.burst, ask.at))
-        level = min(plan.burst, level + plan.rate * (ask.at - at) / 1e9)
+        level, at = stores.get((ask.plan, ask.customer), (plan.burst, ask.sent_at))
+        level = min(plan.burst, level + plan.rate * (ask.sent_at - at) / 1e9)
         good = level >= ask.units
-        stores[ask.plan, ask.customer] = (level - ask.units if good else level, ask.at)
+        stores[ask.plan, ask.customer] = (level - ask.units if good else level, ask.sent_at)
         verdicts.append(good)
     return verdicts
 
@@ -64,25 +64,27 @@
     return max(0.0, min(1.0, earned / offered)) if offered > 0 else 1.0
 
 
-def service(asks: Iterable[Ask], classes: Sequence[Class], plans: Sequence[Plan]) -> Service:
+def service_level(
+    asks: Iterable[RequestResult], classes: Sequence[Class], plans: Sequence[Plan]
+) -> ServiceLevel:
     """A day's service. The first second does not count, as the clients' first connections fall into it."""
-    ordered = sorted(asks, key=lambda ask: ask.at)
+    ordered = sorted(asks, key=lambda ask: ask.sent_at)
     if not ordered:
-        return Service(1.0, 1.0, 1.0, {}, {}, 0.0)
-    start = ordered[0].at
+        return ServiceLevel(1.0, 1.0, 1.0, {}, {}, 0.0)
+    start = ordered[0].sent_at
     inside = inside_quota(ordered, plans)
     seconds: dict[int, list[float]] = {}
     by_plan = [[0.0, 0.0] for _ in plans]
     by_class = [[0.0, 0.0] for _ in classes]
     for ask, good in zip(ordered, inside, strict=True):
-        second = (ask.at - start) // 1_000_000_000
+        second = (ask.sent_at - start) // 1_000_000_000
         if second < 1:
             continue
         kind, plan = classes[ask.cls], plans[ask.plan]
         worth = kind.worth * plan.price * ask.units
         value = 0.0
-        if ask.took is not None:
-            value = worth if ask.took <= kind.wanted_ms * 1e6 else worth * kind.late_worth
+        if ask.latency_ns is not None:
+            value = worth if ask.latency_ns <= kind.wanted_ms * 1e6 else worth * kind.late_worth
         offered, earned = (worth, value) if good else (plan.over_worth * worth, plan.over_worth * value)
         cell = seconds.setdefault(second, [0.0, 0.0])
         cell[0] += offered
@@ -102,7 +104,7 @@
     plan_shares = {plan.name: share(e, o) for plan, (o, e) in zip(plans, by_plan, strict=True) if o > 0}
     class_shares = {kind.name: share(e, o) for kind, (o, e) in zip(classes, by_class, strict=True) if o > 0}
     whole = share(sum(cell[1] for cell in seconds.values()), offered)
-    return Service(
+    return ServiceLevel(
         whole,
         min(windows, default=whole),
         min(plan_shares.values(), default=whole),
--- a/pepperrun/planner/fit.py
+++ b/pepperrun/planner/fit.py
@@ -49,7 +49,7 @@
     return math.sqrt(math.expm1(float(numpy.var(numpy.log(values)))))
 
 
-def fit(capture: Capture, network_ms: float = 0.2, seed: int = 0) -> dict[str, Any]:
+def fit_capture(capture: Capture, network_ms: float = 0.2, seed: int = 0) -> dict[str, Any]:
     """Estimates with their intervals. ValueError where the capture holds too little to tell.
 
     Work is in ms of a core at the mean speed of the nodes: the capture can't tell a slow node with little
--- a/pepperrun/planner/plan.py
+++ b/pepperrun/planner/plan.py
@@ -13,9 +13,9 @@
 
 from pepperrun.capture.edit import scale
 from pepperrun.capture.format import Capture
-from pepperrun.model.day import Fault, load_of
+from pepperrun.model.day import Fault, requests_from_entries
 from pepperrun.model.fleet import Fleet, Work, resized
-from pepperrun.model.simulate import Run
+from pepperrun.model.simulate import Simulation
 
 LIMITS = {  # from where on a resource counts as exhausted
     "node_work": 0.92,
@@ -37,7 +37,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Question:
+class SimulationTask:
     """One day to play."""
 
     capture: bytes  # a packed capture: sent to the processes once a question
@@ -46,18 +46,18 @@
     faults: tuple[Fault, ...] = ()
 
 
-def play(question: Question) -> dict[str, Any]:
+def simulate_task(question: SimulationTask) -> dict[str, Any]:
     """One day's summary."""
     from pepperrun.capture.format import read
 
     capture = read(question.capture)
     header = capture.header
-    load = load_of(capture.entries, header.classes, question.fleet, question.seed)
-    run = Run(load, header.classes, header.plans, question.fleet, question.seed, question.faults)
+    load = requests_from_entries(capture.entries, header.classes, question.fleet, question.seed)
+    run = Simulation(load, header.classes, header.plans, question.fleet, question.seed, question.faults)
     return run.run().summary()
 
 
-def interval(values: Sequence[float]) -> dict[str, float]:
+def confidence_interval(values: Sequence[float]) -> dict[str, float]:
     """Mean and 95% interval (Student's t) over seeds."""
     mean = statistics.fmean(values)
     half = 0.0
@@ -88,37 +88,41 @@
         """Ends the processes."""
         self.pool.shutdown(cancel_futures=True)
 
-    def ask(self, variants: Sequence[tuple[bytes, Fleet, tuple[Fault, ...]]]) -> list[list[dict[str, Any]]]:
+    def run_variants(
+        self, variants: Sequence[tuple[bytes, Fleet, tuple[Fault, ...]]]
+    ) -> list[list[dict[str, Any]]]:
         """Each variant with each seed; the summaries by variant."""
         questions = [
-            Question(packed, fleet, seed, faults) for packed, fleet, faults in variants for seed in self.seeds
+            SimulationTask(packed, fleet, seed, faults)
+            for packed, fleet, faults in variants
+            for seed in self.seeds
         ]
         self.days += len(questions)
-        answers = list(self.pool.map(play, questions))
+        answers = list(self.pool.map(simulate_task, questions))
         each = len(self.seeds)
         return [answers[at : at + each] for at in range(0, len(answers), each)]
 
     def today(self) -> dict[str, Any]:
         """The fleet as it is, under the load as it is."""
-        (days,) = self.ask([(self.packed, self.fleet, ())])
-        return digest(days)
+        (days,) = self.run_variants([(self.packed, self.fleet, ())])
+        return aggregate(days)
 
-    def scaled(self, factor: float) -> bytes:
+    def scaled_capture(self, factor: float) -> bytes:
         """The load times a factor, packed."""
         from pepperrun.capture.format import write
 
         return self.packed if factor == 1.0 else write(scale(self.capture, factor, seed=1))
 
-    def breaks_first(self, goal: float, factors: Sequence[float]) -> dict[str, Any]:
+    def find_bottleneck(self, goal: float, factors: Sequence[float]) -> dict[str, Any]:
         """The load at which service falls below the goal, and what was exhausted first on the way."""
         self.say("what breaks first")
-        answers = self.ask([(self.scaled(factor), self.fleet, ()) for factor in factors])
+        answers = self.run_variants([(self.scaled_capture(factor), self.fleet, ()) for factor in factors])
         steps: list[dict[str, Any]] = []
         first, broken = None, None
         for factor, days in zip(factors, answers, strict=True):
-            step = {"load": factor, **digest(days)}
+            step = {"load": factor, **aggregate(days)}
             worn = [name for name, limit in LIMITS.items() if step["busiest"][name] >= limit]
-            if self.quota_share(factor) >= 1.0:
+            if self.work_share(factor) >= 1.0:
                 worn.append("quotas")
             step["exhausted"] = worn
             steps.append(step)
@@ -128,7 +132,7 @@
                 broken = factor
         return {"steps": steps, "first": first, "misses_goal_at": broken}
 
-    def quota_share(self, factor: float = 1.0) -> float:
+    def work_share(self, factor: float = 1.0) -> float:
         """What is asked, as a share of the work that the nodes can do."""
         entries, header = self.capture.entries, self.capture.header
         if len(entries) < 2:
@@ -152,8 +156,8 @@
         def meets(count: int) -> bool:
             if count not in tried:
                 self.say(f"{count} nodes")
-                (days,) = self.ask([(self.packed, resized(self.fleet, count), faults)])
-                tried[count] = digest(days)
+                (days,) = self.run_variants([(self.packed, resized(self.fleet, count), faults)])
+                tried[count] = aggregate(days)
             return bool(tried[count]["service"]["low"] >= goal)
 
         if not meets(most):
@@ -176,7 +180,7 @@
             "tried": {str(count): tried[count] for count in sorted(tried)},
         }
 
-    def worst_moment(self, window_s: float = 5.0) -> float:
+    def busiest_window_start(self, window_s: float = 5.0) -> float:
         """When the most work is asked for within a window, in seconds."""
         entries = self.capture.entries
         end = entries[-1].at_us / 1e6
@@ -190,7 +194,7 @@
     def losses(self) -> dict[str, Any]:
         """The loss of each zone at its worst moment, and all nodes cold at once."""
         self.say("losses")
-        at = self.worst_moment()
+        at = self.busiest_window_start()
         zones = self.fleet.zones()
         variants: list[tuple[str, tuple[Fault, ...]]] = [
             (f"zone {zone} lost", (Fault("lost", at, 0.0, zone),)) for zone in zones if len(zones) > 1
@@ -203,10 +207,10 @@
                     (Fault("restart", at, 0.0, zones[1]), Fault("lost", at + 1.0, 0.0, zones[0])),
                 )
             )
-        answers = self.ask([(self.packed, self.fleet, faults) for _, faults in variants])
+        answers = self.run_variants([(self.packed, self.fleet, faults) for _, faults in variants])
         return {
             "at_s": at,
-            "losses": {name: digest(days) for (name, _), days in zip(variants, answers, strict=True)},
+            "losses": {name: aggregate(days) for (name, _), days in zip(variants, answers, strict=True)},
         }
 
     def sensitivity(self) -> dict[str, Any]:
@@ -214,7 +218,7 @@
         self.say("sensitivity")
         variants: dict[str, tuple[bytes, Fleet]] = {}
         for name, factor in (("load -10%", 0.9), ("load +10%", 1.1)):
-            variants[name] = self.scaled(factor), self.fleet
+            variants[name] = self.scaled_capture(factor), self.fleet
         for name, factor in (("work -10%", 0.9), ("work +10%", 1.1)):
             work = {
                 kind: Work(mean_ms=one.mean_ms * factor, cv=one.cv, by_units=one.by_units)
@@ -228,15 +232,15 @@
                 write(scale(self.capture, 1.0, {kind.name: 1.2}, seed=1)),
                 self.fleet,
             )
-        answers = self.ask([(packed, fleet, ()) for packed, fleet in variants.values()])
-        return {name: digest(days)["service"] for name, days in zip(variants, answers, strict=True)}
+        answers = self.run_variants([(packed, fleet, ()) for packed, fleet in variants.values()])
+        return {name: aggregate(days)["service"] for name, days in zip(variants, answers, strict=True)}
 
 
-def digest(days: Sequence[dict[str, Any]]) -> dict[str, Any]:
+def aggregate(days: Sequence[dict[str, Any]]) -> dict[str, Any]:
     """Several seeds' days as one."""
     names = days[0]["busiest"]
     parts = ("service", "whole", "worst_10_s", "worst_plan")
-    return {part: interval([day[part] for day in days]) for part in parts} | {
+    return {part: confidence_interval([day[part] for day in days]) for part in parts} | {
         "busiest": {name: round(statistics.fmean(day["busiest"][name] for day in days), 4) for name in names},
         "by_plan": {
             name: round(statistics.fmean(day["by_plan"].get(name, 1.0) for day in days), 4)
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -12,13 +12,13 @@
 
 from pepperrun.__main__ import main
 from pepperrun.capture.format import Capture, Class, Header, Plan, Worker, write
-from pepperrun.model.day import Fault, load_of, read_fault
-from pepperrun.model.fleet import read_fleet, resized
-from pepperrun.model.load import LoadSpec, draw
-from pepperrun.model.node import Kind, Node, Taken
-from pepperrun.model.service import Ask, inside_quota, service
-from pepperrun.model.simulate import Run
-from pepperrun.planner.fit import fit
+from pepperrun.model.day import Fault, parse_fault, requests_from_entries
+from pepperrun.model.fleet import parse_fleet, resized
+from pepperrun.model.load import LoadSpec, draw_load
+from pepperrun.model.node import Admission, Node, NodeSpec
+from pepperrun.model.service_level import RequestResult, inside_quota, service_level
+from pepperrun.model.simulate import Simulation
+from pepperrun.planner.fit import fit_capture
 from pepperrun.planner.result import PlanResult
 
 MS = 1_000_000
@@ -31,15 +31,15 @@
 def finish(node: Node, until: int) -> list[tuple[int, object]]:
     """Steps a node as its owner would; when each was done."""
     done = []
-    while (due := node.due()) is not None and due <= until:
+    while (due := node.next_event_at()) is not None and due <= until:
         done += [(due, key) for key in node.advance(due)]
     return done + [(until, key) for key in node.advance(until)]
 
 
 def test_cores_are_shared_evenly():
-    node = Node(Kind(cores=2, slots=10), 1.0, 0)
+    node = Node(NodeSpec(cores=2, slots=10), 1.0, 0)
     for key, work in (("a", 10 * MS), ("b", 10 * MS), ("c", 10 * MS), ("d", 20 * MS)):
-        assert node.arrive(0, key, work) is Taken.WORK
+        assert node.arrive(0, key, work) is Admission.RUNNING
     # Four on two cores run at half speed; the last goes on alone at full speed from 20 ms on.
     assert [(round(at / MS), key) for at, key in finish(node, S)] == [
         (20, "a"),
@@ -51,93 +51,103 @@
 
 
 def test_a_cold_node_warms_up_and_slots_queue_and_cancel_hold():
-    kind = Kind(cores=1, slots=1, queue=1, cold_from=0.5, cold_ns=S)
+    kind = NodeSpec(cores=1, slots=1, queue=1, warmup_min_speed=0.5, warmup_ns=S)
     node = Node(kind, 1.0, 0, warm=False)
-    assert [node.arrive(0, key, 100 * MS) for key in "abc"] == [Taken.WORK, Taken.WAITS, Taken.FULL]
+    assert [node.arrive(0, key, 100 * MS) for key in "abc"] == [
+        Admission.RUNNING,
+        Admission.QUEUED,
+        Admission.REJECTED,
+    ]
     assert not node.cancel(0, "a") and node.cancel(0, "b")  # running work goes on, waiting work does not
-    assert node.arrive(0, "d", 100 * MS) is Taken.WAITS
+    assert node.arrive(0, "d", 100 * MS) is Admission.QUEUED
     ((first, _), (second, _)) = finish(node, S)
     assert 150 * MS < first < 200 * MS and 100 * MS < second - first < first
-    stops = Node(Kind(cores=1, slots=1, queue=1, cancel_running=True), 1.0, 0)
+    stops = Node(NodeSpec(cores=1, slots=1, queue=1, cancel_running=True), 1.0, 0)
     stops.arrive(0, "a", 100 * MS), stops.arrive(0, "b", 10 * MS)
     assert stops.cancel(0, "a") and finish(stops, S) == [(10 * MS + 1, "b")]
 
 
 def test_a_node_that_warms_by_work_does_so_by_what_it_has_done_and_never_slower_than_by_time():
-    kind = Kind(cores=1, slots=1, queue=9, cold_from=0.5, cold_ns=10 * S, cold_work_ns=S)
+    kind = NodeSpec(cores=1, slots=1, queue=9, warmup_min_speed=0.5, warmup_ns=10 * S, warmup_work_ns=S)
     idle, busy = Node(kind, 1.0, 0, warm=False), Node(kind, 1.0, 0, warm=False)
     for key in range(8):
         busy.arrive(0, key, 250 * MS)
     finish(busy, 2 * S), finish(idle, 2 * S)
-    assert idle.warmth(2 * S) == pytest.approx(0.6) and busy.warmth(2 * S) == 1.0
+    assert idle.speed_fraction(2 * S) == pytest.approx(0.6) and busy.speed_fraction(2 * S) == 1.0
     # Half of the work done, half of the way; steps of 100 ms make it a little late.
     half = Node(kind, 1.0, 0, warm=False)
     half.arrive(0, "a", 500 * MS)
-    assert finish(half, 2 * S)[0][0] < S and half.warmth(S) == pytest.approx(0.75, abs=0.01)
-    assert half.warmth(10 * S) == 1.0
+    assert finish(half, 2 * S)[0][0] < S and half.speed_fraction(S) == pytest.approx(0.75, abs=0.01)
+    assert half.speed_fraction(10 * S) == 1.0
 
 
 @given(
     st.lists(st.tuples(st.integers(0, 50), st.integers(1, 80)), min_size=1, max_size=25), st.integers(1, 4)
 )
 def test_a_node_does_the_work_that_it_took_and_no_more(arrivals, cores):
-    node, now, took, done = Node(Kind(cores=cores, slots=5, queue=6), 1.0, 0), 0, 0, []
+    node, now, took, done = Node(NodeSpec(cores=cores, slots=5, queue=6), 1.0, 0), 0, 0, []
     for number, (gap, work) in enumerate(arrivals):
         done += [key for _, key in finish(node, now + gap * MS)]
         now += gap * MS
-        if node.arrive(now, number, work * MS) is not Taken.FULL:
+        if node.arrive(now, number, work * MS) is not Admission.REJECTED:
             took += 1
     done += [key for _, key in finish(node, now + 10 * S)]
-    assert len(done) == len(set(done)) == took and node.held() == 0
+    assert len(done) == len(set(done)) == took and node.pending() == 0
     assert node.busy_ns <= cores * (now + 10 * S)
 
 
 def test_service_counts_worth_in_time_inside_the_quotas():
     plans = (Plan("p", 1.0, 2.0, 0, 0, 1.0, 0.0, 0.0),)
-    asks = [Ask(at * S // 2, 0, 0, 1, 1.0, 100 * MS) for at in range(20)]
+    asks = [RequestResult(at * S // 2, 0, 0, 1, 1.0, 100 * MS) for at in range(20)]
     good = inside_quota(asks, plans)
     assert good[:2] == [True, True] and sum(good) == 2 + 9  # the burst, and one a second after it
-    late = [Ask(one.at, 0, 0, one.customer, 1.0, 700 * MS) for one in asks]
-    assert service(asks, CLASSES, plans).figure == 1.0 and service(late, CLASSES, plans).figure == 0.0
-    half = [Ask(one.at, 0, 0, number, 1.0, None if number % 2 else MS) for number, one in enumerate(asks)]
-    assert service(half, CLASSES, plans).whole == 0.5
+    late = [RequestResult(one.sent_at, 0, 0, one.customer, 1.0, 700 * MS) for one in asks]
+    assert (
+        service_level(asks, CLASSES, plans).combined == 1.0
+        and service_level(late, CLASSES, plans).combined == 0.0
+    )
+    half = [
+        RequestResult(one.sent_at, 0, 0, number, 1.0, None if number % 2 else MS)
+        for number, one in enumerate(asks)
+    ]
+    assert service_level(half, CLASSES, plans).overall == 0.5
 
 
 def entries(seconds: float = 4.0, inside: float = 60.0, seed: int = 1) -> list:
-    return draw(LoadSpec(seconds, inside), CLASSES, (0.8, 0.2), PLANS, seed)
+    return draw_load(LoadSpec(seconds, inside), CLASSES, (0.8, 0.2), PLANS, seed)
 
 
 def day(faults: tuple[Fault, ...] = (), nodes: int = 4, inside: float = 60.0, seed: int = 1):
-    fleet = resized(read_fleet(FLEET), nodes)
-    load = load_of(entries(inside=inside), CLASSES, fleet, seed)
-    return Run(load, CLASSES, PLANS, fleet, seed, faults).run()
+    fleet = resized(parse_fleet(FLEET), nodes)
+    load = requests_from_entries(entries(inside=inside), CLASSES, fleet, seed)
+    return Simulation(load, CLASSES, PLANS, fleet, seed, faults).run()
 
 
 def test_the_same_seed_gives_the_same_day_and_another_gives_another():
     one, two, other = day(), day(), day(seed=2)
-    assert [(r.end, r.took) for r in one.requests] == [(r.end, r.took) for r in two.requests]
-    assert [r.took for r in one.requests] != [r.took for r in other.requests]
-    assert all(r.end for r in one.requests) and one.service.figure > 0.8
+    assert [(r.end, r.latency_ns) for r in one.requests] == [(r.end, r.latency_ns) for r in two.requests]
+    assert [r.latency_ns for r in one.requests] != [r.latency_ns for r in other.requests]
+    assert all(r.end for r in one.requests) and one.service_level.combined > 0.8
 
 
 def test_faults_and_want_of_nodes_cost_service_and_every_request_has_one_end():
     seeds = (1, 2, 3)  # a day of four seconds tells little alone
-    calm = sum(day(seed=seed).service.figure for seed in seeds) / len(seeds)
+    calm = sum(day(seed=seed).service_level.combined for seed in seeds) / len(seeds)
     for faults in (
         (Fault("lost", 1.0, 0.0, "a"),),
         (Fault("restart", 1.0),),
         (Fault("drain", 1.0, 0.0, "", 0.5), Fault("lost", 2.0, 1.0, "b", 0.5)),
     ):
         hit = [day(faults, seed=seed) for seed in seeds]
-        assert sum(one.service.figure for one in hit) / len(seeds) < calm + 0.02
+        assert sum(one.service_level.combined for one in hit) / len(seeds) < calm + 0.02
         assert all(request.end for one in hit for request in one.requests)
-    assert day(nodes=1, inside=200.0).service.figure < calm - 0.2
+    assert day(nodes=1, inside=200.0).service_level.combined < calm - 0.2
 
 
 @pytest.mark.parametrize("text", ["gone:1", "lost", "lost:x", "lost:1:2:a:7", "restart:-1", "drain:nan"])
 def test_a_fault_that_cannot_be_is_refused(text):
     with pytest.raises(ValueError, match="--fault"):
-        read_fault(text)
+        parse_fault(text)
 
 
 @pytest.mark.parametrize(
@@ -158,7 +168,7 @@
 )
 def test_a_fleet_that_cannot_be_names_its_key(old, new, key):
     with pytest.raises(ValueError, match=key):
-        read_fleet(FLEET.replace(old, new))
+        parse_fleet(FLEET.replace(old, new))
 
 
 def captured(tmp_path: Path, seconds: float = 3.0, inside: float = 40.0) -> Path:
@@ -209,7 +219,7 @@
         capture.entries.append(
             Entry(number * 400_000, 0, 0, 1, units, units, 0, "served", 0, 1, 0, (attempt,))
         )
-    found = fit(capture)
+    found = fit_capture(capture)
     work = found["work"]["slot-search"]
     true_mean = 80 * float(numpy.exp(0.125)) / 1.0
     assert work["mean_ms"]["low"] * 0.95 <= true_mean <= work["mean_ms"]["high"] * 1.05
