--- a/pepperrun/operator/__init__.py
+++ b/pepperrun/operator/__init__.py
@@ -1,1 +1,1 @@
-"""Operators' tools: checks of files, calls to the core, what a process holds, a local cluster."""
+"""Operators' tools: file checks, calls to control nodes, state of processes and disks, a local cluster."""
--- a/pepperrun/operator/core_client.py
+++ b/pepperrun/operator/core_client.py
@@ -1,4 +1,4 @@
-"""An operator's calls to the core: one address after the other, the same bytes each time."""
+"""Client for the control API: tries the control addresses in turn and repeats a call with the same bytes."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 from pepperrun.foundation.errors import PepperrunError
 from pepperrun.foundation.settings import Address, parse_address
 
-ANSWER_S = 1.5  # a machine that says nothing for so long is passed over
-PER_KB_S = 0.004  # and for each KB of a body
-PAUSE_S = (0.1, 1.0)  # between two rounds of the addresses: at first, and at most
-REDIRECTS = 2
-TIMEOUT_S = 20.0
+RESPONSE_TIMEOUT_S = 1.5  # for each node; after it the next address is tried
+TIMEOUT_PER_KB_S = 0.004  # added for each KB of a request body
+RETRY_PAUSE_S = (0.1, 1.0)  # between two passes over the addresses: first and maximum
+MAX_REDIRECTS = 2
+TIMEOUT_S = 20.0  # for one call, over all attempts
 
 
 class CoreResponse(NamedTuple):
-    """The clear answer, and who gave it."""
+    """The final response to a call, and the `HOST:PORT` of the node that sent it."""
 
     status: int
     body: bytes
@@ -27,12 +27,12 @@
 
 
 def parse_addresses(text: str) -> list[Address]:
-    """`HOST:PORT[,HOST:PORT...]`; PepperrunError where one is none."""
+    """Parses `HOST:PORT[,HOST:PORT...]`. Raises PepperrunError if one of them is not an address."""
     return [parse_address(one.strip()) for one in text.split(",") if one.strip()]
 
 
 class CoreClient:
-    """Calls the core machines at these control addresses. `clock` in s, `sleep` by s."""
+    """Calls the control nodes at these addresses. `clock` returns s, `sleep` takes s."""
 
     def __init__(
         self,
@@ -49,57 +49,66 @@
     def call(
         self, method: str, path: str, body: bytes = b"", headers: Mapping[str, str] | None = None
     ) -> CoreResponse:
-        """Until one answers clearly: 2xx or 4xx but 408 and 429. Raises `no-answer` after `patience_s`.
+        """Repeats a call until a node gives a final response: 2xx, or 4xx except 408 and 429.
 
-        What is sent is the same each time, so that a change that was taken without the answer coming through
-        is told as taken when it is repeated.
+        Each attempt sends the same bytes. If a change was applied but its response was lost, the repeated
+        call therefore still reports that the change was applied. Raises `no-answer` after `timeout_s`.
         """
-        end, pause, last = self.clock() + self.timeout_s, PAUSE_S[0], "nobody was asked"
+        deadline, pause, last = self.clock() + self.timeout_s, RETRY_PAUSE_S[0], "no address was tried"
         while True:
             for step in range(len(self.addresses)):
-                number = (self.preferred + step) % len(self.addresses)
+                index = (self.preferred + step) % len(self.addresses)
                 try:
-                    told = self._follow(self.addresses[number], method, path, body, headers or {})
+                    response = self._call_with_redirects(
+                        self.addresses[index], method, path, body, headers or {}
+                    )
                 except (OSError, http.client.HTTPException) as error:
-                    last = f"{_text(self.addresses[number])}: {type(error).__name__} {error}".strip()
+                    last = f"{_host_port(self.addresses[index])}: {type(error).__name__} {error}".strip()
                     continue
-                if told.status < 500 and told.status not in (408, 429) and not 300 <= told.status < 400:
-                    self.preferred = number
-                    return told
-                last = f"{told.address}: {told.status} {told.body[:200].decode('utf-8', 'replace')}".strip()
-            if self.clock() + pause > end:
+                if (
+                    response.status < 500
+                    and response.status not in (408, 429)
+                    and not 300 <= response.status < 400
+                ):
+                    self.preferred = index
+                    return response
+                last = (
+                    f"{response.address}: {response.status} {response.body[:200].decode('utf-8', 'replace')}"
+                ).strip()
+            if self.clock() + pause > deadline:
                 raise PepperrunError("no-answer", f"{method} {path}", f"nothing is certain; last {last}")
             self.sleep(pause)
-            pause = min(PAUSE_S[1], 2 * pause)
+            pause = min(RETRY_PAUSE_S[1], 2 * pause)
 
-    def _follow(
-        self, where: Address, method: str, path: str, body: bytes, headers: Mapping[str, str]
+    def _call_with_redirects(
+        self, address: Address, method: str, path: str, body: bytes, headers: Mapping[str, str]
     ) -> CoreResponse:
-        for _ in range(REDIRECTS + 1):
-            answer, location = self._once(where, method, path, body, headers)
-            if answer.status != 307 or not location:
+        for _ in range(MAX_REDIRECTS + 1):
+            response, location = self._call_once(address, method, path, body, headers)
+            if response.status != 307 or not location:
                 break
             parts = urlsplit(location)
             if parts.hostname is None or parts.port is None:
                 break
-            where, path = (parts.hostname, parts.port), parts.path or path
-        return answer
+            address, path = (parts.hostname, parts.port), parts.path or path
+        return response
 
-    def _once(
-        self, where: Address, method: str, path: str, body: bytes, headers: Mapping[str, str]
+    def _call_once(
+        self, address: Address, method: str, path: str, body: bytes, headers: Mapping[str, str]
     ) -> tuple[CoreResponse, str]:
-        timeout = ANSWER_S + PER_KB_S * len(body) / 1024
-        connection = http.client.HTTPConnection(*where, timeout=timeout)
+        timeout = RESPONSE_TIMEOUT_S + TIMEOUT_PER_KB_S * len(body) / 1024
+        connection = http.client.HTTPConnection(*address, timeout=timeout)
         try:
             more = {"Content-Type": "application/json"} if body else {}
             connection.request(method, path, body or None, {"Connection": "close", **more, **headers})
-            response = connection.getresponse()
-            return CoreResponse(response.status, response.read(), _text(where)), response.getheader(
-                "Location"
-            ) or ""
+            reply = connection.getresponse()
+            return (
+                CoreResponse(reply.status, reply.read(), _host_port(address)),
+                reply.getheader("Location") or "",
+            )
         finally:
             connection.close()
 
 
-def _text(where: Address) -> str:
-    return f"{where[0]}:{where[1]}"
+def _host_port(address: Address) -> str:
+    return f"{address[0]}:{address[1]}"
--- a/pepperrun/operator/files.py
+++ b/pepperrun/operator/files.py
@@ -1,4 +1,4 @@
-"""Files that operators hand over: JSON or YAML, by what they hold and not by their names."""
+"""Reads operators' files as JSON or YAML. The content decides which of the two, not the file's name."""
 
 from __future__ import annotations
 
@@ -14,7 +14,10 @@
 
 
 def read_as_json(path: str) -> bytes:
-    """A configuration or a change as a call's body: JSON as it is, YAML as JSON. PepperrunError `no-file`."""
+    """Returns a configuration or a change as a request body: JSON unchanged, YAML converted to JSON.
+
+    Raises PepperrunError `no-file`.
+    """
     try:
         data = Path(path).read_bytes()
     except OSError as error:
@@ -27,13 +30,13 @@
 
 
 def load_yaml(path: str) -> Any:
-    """What a file holds; JSON is YAML, too."""
+    """Returns the content of a YAML or JSON file (JSON is valid YAML). Raises PepperrunError `no-file`."""
     try:
         return yaml.safe_load(Path(path).read_text())
     except (OSError, UnicodeDecodeError) as error:
         raise PepperrunError("no-file", STEP, f"{path}: {error}") from None
     except yaml.YAMLError as error:
-        where = getattr(error, "problem_mark", None)
-        place = f", line {where.line + 1}" if where is not None else ""
-        what = str(getattr(error, "problem", None) or error).splitlines()[0]
-        raise PepperrunError("no-file", STEP, f"{path}{place}: {what}") from None
+        mark = getattr(error, "problem_mark", None)
+        position = f", line {mark.line + 1}" if mark is not None else ""
+        problem = str(getattr(error, "problem", None) or error).splitlines()[0]
+        raise PepperrunError("no-file", STEP, f"{path}{position}: {problem}") from None
--- a/pepperrun/operator/problems.py
+++ b/pepperrun/operator/problems.py
@@ -1,7 +1,8 @@
-"""All that is wrong with a settings file or a configuration, each in one sentence that names the item.
+"""Lists all problems of a settings file or a configuration, each in one sentence that names the item.
 
-The core stops at the first problem; whoever writes a file wants to know them all. The sentences are those of
-`control.order_codec`, so what passes here is refused by the core only for what it builds on.
+The core reports only the first problem; the author of a file needs all of them. The checks and sentences are
+those of `control.order_codec`, so the core rejects a configuration that passes here only because of the
+edition that the configuration is based on.
 """
 
 from __future__ import annotations
@@ -20,7 +21,7 @@
 
 
 def configuration_problems(body: bytes) -> list[str]:
-    """Of a whole configuration; empty where it would be taken on top of a lower edition."""
+    """Returns the problems of a complete configuration; empty if it is valid on top of a lower edition."""
     try:
         read_replace(body, 0)
         return []
@@ -33,124 +34,133 @@
     if not isinstance(data, dict):
         return [first]
     found: list[str] = []
-    held: dict[str, Items] = {kind: _rows(found, kind, data.get(kind)) for kind in ITEM_TYPES}
-    whole = {kind: all(isinstance(item, dict) for item in rows.values()) for kind, rows in held.items()}
-    for kind, rows in held.items():
+    items_by_kind: dict[str, Items] = {kind: _decode_rows(found, kind, data.get(kind)) for kind in ITEM_TYPES}
+    well_formed = {
+        kind: all(isinstance(item, dict) for item in rows.values()) for kind, rows in items_by_kind.items()
+    }
+    for kind, rows in items_by_kind.items():
         for name, item in list(rows.items()):
-            if not _good(found, check_items, kind, {name: item}):
-                del held[kind][name]
-    if whole["carrier_lines"] and isinstance(data.get("carrier_lines"), dict):
-        for item in held["routes"].values():
-            _good(found, check_services_known, [item], _names(data["carrier_lines"]))
-    _shared(found, held["senders"])
+            if not _passes(found, check_items, kind, {name: item}):
+                del items_by_kind[kind][name]
+    if well_formed["carrier_lines"] and isinstance(data.get("carrier_lines"), dict):
+        for item in items_by_kind["routes"].values():
+            _passes(found, check_services_known, [item], _row_names(data["carrier_lines"]))
+    _check_shared_keys(found, items_by_kind["senders"])
     return list(dict.fromkeys(found if first in found else [first, *found]))
 
 
-def _good(found: list[str], check: Callable[..., object], *what: Any) -> bool:
-    """Does it pass? Else the sentence is noted."""
+def _passes(found: list[str], check: Callable[..., object], *arguments: Any) -> bool:
+    """Returns whether a check passes; otherwise appends its sentence to `found`."""
     try:
-        check(*what)
+        check(*arguments)
         return True
     except PepperrunError as error:
         found.append(error.detail)
         return False
 
 
-def _rows(found: list[str], kind: str, table: Any) -> Items:
-    """The items of a table that can be read, each row for itself."""
+def _decode_rows(found: list[str], kind: str, table: Any) -> Items:
+    """Returns the items of a table that can be decoded, each row by itself."""
     if not isinstance(table, dict):
         return {}
     columns, rows = table.get("columns"), table.get("rows")
-    if not isinstance(rows, list) or not _good(found, decode_table, kind, {"columns": columns, "rows": []}):
+    if not isinstance(rows, list) or not _passes(found, decode_table, kind, {"columns": columns, "rows": []}):
         return {}
-    out: Items = {}
+    items: Items = {}
     for row in rows:
         try:
-            one = decode_table(kind, {"columns": columns, "rows": [row]})
+            decoded_row = decode_table(kind, {"columns": columns, "rows": [row]})
         except PepperrunError as error:
             found.append(error.detail)
             continue
-        for name in one:
-            if name in out:
-                _good(found, decode_table, kind, {"columns": columns, "rows": [row, row]})
-        out |= one
-    return out
+        for name in decoded_row:
+            if name in items:
+                _passes(found, decode_table, kind, {"columns": columns, "rows": [row, row]})
+        items |= decoded_row
+    return items
 
 
-def _names(table: dict[str, Any]) -> set[str]:
-    """Names of a table's rows, also of those that are no good: one sentence is enough for these."""
+def _row_names(table: dict[str, Any]) -> set[str]:
+    """Returns the names of all rows of a table.
+
+    Invalid rows are included: their own sentence is enough, so references to them are not reported, too.
+    """
     columns, rows = table.get("columns"), table.get("rows")
     if not isinstance(columns, list) or not isinstance(rows, list) or "name" not in columns:
         return set()
-    at = columns.index("name")
-    return {row[at] for row in rows if isinstance(row, list) and len(row) > at and isinstance(row[at], str)}
+    index = columns.index("name")
+    return {
+        row[index]
+        for row in rows
+        if isinstance(row, list) and len(row) > index and isinstance(row[index], str)
+    }
 
 
-def _shared(found: list[str], senders: Items) -> None:
-    """Each pair of senders that share a key."""
+def _check_shared_keys(found: list[str], senders: Items) -> None:
+    """Reports each pair of senders that share a key."""
     names = list(senders)
-    for at, name in enumerate(names):
-        for other in names[:at]:
+    for index, name in enumerate(names):
+        for other in names[:index]:
             if set(senders[other].get("stamps", ())) & set(senders[name].get("stamps", ())):
-                _good(found, check_keys_distinct, {other: senders[other], name: senders[name]})
+                _passes(found, check_keys_distinct, {other: senders[other], name: senders[name]})
 
 
 def settings_problems(data: Any) -> list[str]:
-    """Of a settings file's tables; empty where a process can run by them."""
+    """Returns the problems of a settings file's content; empty if a process can run with it."""
     try:
         settings = parse(data)
     except PepperrunError as error:
         return [f"{error.detail.rstrip('.')}."]
-    return _of_machine(settings) + _of_network(settings) + _of_bounds(settings)
+    return _node_problems(settings) + _network_problems(settings) + _bounds_problems(settings)
 
 
-def _of_machine(settings: Settings) -> list[str]:
+def _node_problems(settings: Settings) -> list[str]:
     me, zones, found = settings.me, settings.network.zones, []
     try:
         ipaddress.IPv4Address(me.ip)
     except ValueError:
-        found.append(f"self.ip is no IPv4 address: {me.ip!r}.")
+        found.append(f"self.ip is not an IPv4 address: {me.ip!r}.")
     if not me.station:
         found.append("self.station is empty.")
     if zones and me.zone not in zones:
         found.append(f"self.zone {me.zone!r} is not among network.zones.")
     elif zones and zones[me.zone] != me.region:
         found.append(f"self.region is {me.region!r}, network.zones says {zones[me.zone]!r} for {me.zone}.")
-    serves_core = "control_port" in settings.network.postboxes
-    if serves_core and me.store_dir is None:
+    serves_control = "control_port" in settings.network.postboxes
+    if serves_control and me.store_dir is None:
         found.append(
-            "self.store_dir is missing: what a core machine agreed to would not outlive its process."
+            "self.store_dir is missing: the state of a control node would be lost when its process ends."
         )
     return found
 
 
-def _of_network(settings: Settings) -> list[str]:
+def _network_problems(settings: Settings) -> list[str]:
     network, found = settings.network, []
     first, last = network.sidings
     if not 0 < first <= last < 65536:
-        found.append(f"network.sidings is no range of ports: {first} to {last}.")
+        found.append(f"network.sidings is not a valid range of ports: {first} to {last}.")
     if not network.first_contacts:
-        found.append("network.first_contacts is empty: no core machine can be found.")
+        found.append("network.first_contacts is empty: no control node can be found.")
     if not network.postboxes:
-        found.append("network.postboxes is empty: the process would serve nobody.")
+        found.append("network.postboxes is empty: the process would serve no requests.")
     ports: dict[int, str] = {}
     for name, text in network.postboxes.items():
         host, port = parse_address(text)
         if host != settings.me.ip:
             found.append(f"network.postboxes.{name} is at {host}, not at self.ip {settings.me.ip}.")
         if port in ports:
-            found.append(f"network.postboxes.{name} has the port of {ports[port]}, {port}.")
+            found.append(f"network.postboxes.{name} has the same port as {ports[port]}: {port}.")
         elif first <= port <= last:
-            found.append(f"network.postboxes.{name} has port {port}, which is one of network.sidings.")
+            found.append(f"network.postboxes.{name} has port {port}, which is in network.sidings.")
         ports[port] = name
     return found
 
 
-def _of_bounds(settings: Settings) -> list[str]:
+def _bounds_problems(settings: Settings) -> list[str]:
     bounds, found = settings.tariffs.bounds, []
     for name, value in vars(bounds).items():
         if not isinstance(value, bool) and value < 0:
-            found.append(f"tariffs.bounds.{name} is {value:g}, below 0.")
+            found.append(f"tariffs.bounds.{name} is {value:g}; it must not be below 0.")
     if settings.carrier.beat_ms <= 0:
-        found.append(f"carrier.beat_ms is {settings.carrier.beat_ms:g}, not above 0.")
+        found.append(f"carrier.beat_ms is {settings.carrier.beat_ms:g}; it must be above 0.")
     return found
--- a/pepperrun/operatorctl.py
+++ b/pepperrun/operatorctl.py
@@ -1,4 +1,4 @@
-"""The operator's command that checks files, changes the configuration, and looks at what runs."""
+"""The operators' command: checks files, changes the configuration, and inspects running processes."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 from pepperrun.operator.core_client import TIMEOUT_S, CoreClient, CoreResponse, parse_addresses
 from pepperrun.soak import command as soak
 
-GOOD, REFUSED, BAD, UNCERTAIN = 0, 1, 2, 3
-EXITS = "exit codes: 0 good, 1 refused or problems found, 2 a file, an address or the command is no good, "
-EXITS += "3 no clear answer: a change may be taken or not, repeat it unchanged"
+EXIT_OK, EXIT_REJECTED, EXIT_INVALID, EXIT_UNCERTAIN = 0, 1, 2, 3
+EXIT_CODES_HELP = "exit codes: 0 good, 1 rejected or problems found, 2 invalid file, address or command, "
+EXIT_CODES_HELP += "3 no final response: a change may be applied or not, repeat it unchanged"
 
 
 def check(options: argparse.Namespace) -> int:
-    """Tells each problem of each file."""
-    worst = GOOD
+    """Prints each problem of each file. Returns the highest exit code."""
+    exit_code = EXIT_OK
     for path in options.files:
         try:
             if options.what == "timetable":
@@ -30,147 +30,157 @@
                 found = problems.settings_problems(files.load_yaml(path))
         except PepperrunError as error:
             print(error.detail, file=sys.stderr)
-            worst = BAD
+            exit_code = EXIT_INVALID
             continue
-        for sentence in found:
-            print(f"{path}: {sentence}")
+        for problem in found:
+            print(f"{path}: {problem}")
         if not found:
             print(f"{path}: good")
-        worst = max(worst, REFUSED if found else GOOD)
-    return worst
+        exit_code = max(exit_code, EXIT_REJECTED if found else EXIT_OK)
+    return exit_code
 
 
-def _caller(options: argparse.Namespace) -> CoreClient:
+def _client(options: argparse.Namespace) -> CoreClient:
     return CoreClient(parse_addresses(options.at), options.patience)
 
 
-def _tell(told: CoreResponse) -> int:
-    """The core's sentence; the exit code."""
+def _print_response(response: CoreResponse) -> int:
+    """Prints the status and the sentence of a response. Returns the exit code."""
     try:
-        data = json.loads(told.body) if told.body else {}
-        said = data.get("detail") or data.get("code") or ""
+        data = json.loads(response.body) if response.body else {}
+        detail = data.get("detail") or data.get("code") or ""
     except (ValueError, AttributeError):
-        said = told.body[:200].decode("utf-8", "replace")
-    good = 200 <= told.status < 300
-    print(f"{told.status} {said}".strip(), file=sys.stdout if good else sys.stderr)
-    return GOOD if good else REFUSED
+        detail = response.body[:200].decode("utf-8", "replace")
+    is_success = 200 <= response.status < 300
+    print(f"{response.status} {detail}".strip(), file=sys.stdout if is_success else sys.stderr)
+    return EXIT_OK if is_success else EXIT_REJECTED
 
 
 def change(options: argparse.Namespace) -> int:
-    """Puts a whole configuration, or changes named items."""
-    body, caller = files.read_as_json(options.file), _caller(options)
-    on = options.based_on
-    if on is None:
-        now = caller.call("GET", "/timetable/read")
-        if now.status != 200:
-            return _tell(now)
-        on = int(json.loads(now.body)["edition"])
-        print(f"based on edition {on}")
+    """Puts a complete configuration, or changes named items of the current one."""
+    body, client = files.read_as_json(options.file), _client(options)
+    base_edition = options.based_on
+    if base_edition is None:
+        current = client.call("GET", "/timetable/read")
+        if current.status != 200:
+            return _print_response(current)
+        base_edition = int(json.loads(current.body)["edition"])
+        print(f"based on edition {base_edition}")
     path = "/timetable/replace" if options.command == "put" else "/timetable/amend"
-    return _tell(caller.call("POST", path, body, {"Based-On": str(on)}))
+    return _print_response(client.call("POST", path, body, {"Based-On": str(base_edition)}))
 
 
 def read(options: argparse.Namespace) -> int:
-    """Prints the newest configuration."""
-    told = _caller(options).call("GET", "/timetable/read")
-    if told.status != 200:
-        return _tell(told)
-    print(json.dumps(json.loads(told.body), indent=None if options.compact else 1, ensure_ascii=False))
-    return GOOD
+    """Prints the newest configuration as JSON."""
+    response = _client(options).call("GET", "/timetable/read")
+    if response.status != 200:
+        return _print_response(response)
+    print(json.dumps(json.loads(response.body), indent=None if options.compact else 1, ensure_ascii=False))
+    return EXIT_OK
 
 
 def evacuate(options: argparse.Namespace) -> int:
-    """Empties a zone, or takes it back."""
-    word = "begin" if options.command == "evacuate" else "finish"
-    return _tell(_caller(options).call("POST", f"/evacuate/{options.zone}/{word}"))
+    """Begins or finishes the evacuation of a zone."""
+    action = "begin" if options.command == "evacuate" else "finish"
+    return _print_response(_client(options).call("POST", f"/evacuate/{options.zone}/{action}"))
 
 
 def show(options: argparse.Namespace) -> int:
-    """What one process holds."""
+    """Prints the state of one running process."""
     shown = asyncio.run(inspection.query_process(parse_address(options.where), options.patience))
     print(json.dumps(shown, indent=1) if options.json else inspection.format_reply(shown))
-    return GOOD
+    return EXIT_OK
 
 
 def start_local_cluster(options: argparse.Namespace) -> int:
-    """A small system on this machine."""
+    """Runs a small system on this machine until Ctrl-C or for a duration."""
     sizes = local_cluster.Sizes(options.cores, options.gateways, options.workers, tuple(options.services))
     return local_cluster.run(sizes, options.folder, options.duration)
 
 
-def parser() -> argparse.ArgumentParser:
-    """The command line."""
-    top = argparse.ArgumentParser(prog="python3 -m pepperrun.operatorctl", description=__doc__, epilog=EXITS)
+def build_parser() -> argparse.ArgumentParser:
+    """Returns the parser of the command line, with the handler of each command as `does`."""
+    top = argparse.ArgumentParser(
+        prog="python3 -m pepperrun.operatorctl", description=__doc__, epilog=EXIT_CODES_HELP
+    )
     commands = top.add_subparsers(dest="command", required=True, metavar="COMMAND")
 
-    def command(name: str, does: Callable[[argparse.Namespace], int], text: str) -> argparse.ArgumentParser:
-        one = commands.add_parser(name, help=text, description=text, epilog=EXITS)
-        one.set_defaults(does=does)
-        return one
-
-    one = command("check", check, "tell all that is wrong with settings files or whole configurations")
-    one.add_argument("what", choices=("settings", "timetable"))
-    one.add_argument("files", nargs="+", metavar="FILE", help="JSON or YAML")
-    for name, text in (("put", "put a whole configuration"), ("amend", "change named items of it")):
-        one = command(name, change, text)
-        one.add_argument("file", metavar="FILE", help="JSON or YAML, as the core reads it")
-        one.add_argument(
+    def add_command(
+        name: str, handler: Callable[[argparse.Namespace], int], text: str
+    ) -> argparse.ArgumentParser:
+        parser = commands.add_parser(name, help=text, description=text, epilog=EXIT_CODES_HELP)
+        parser.set_defaults(does=handler)
+        return parser
+
+    parser = add_command("check", check, "print all problems of settings files or complete configurations")
+    parser.add_argument("what", choices=("settings", "timetable"))
+    parser.add_argument("files", nargs="+", metavar="FILE", help="JSON or YAML")
+    for name, text in (("put", "put a complete configuration"), ("amend", "change named items of it")):
+        parser = add_command(name, change, text)
+        parser.add_argument("file", metavar="FILE", help="JSON or YAML, in the form that the core reads")
+        parser.add_argument(
             "--based-on",
             type=int,
             metavar="EDITION",
-            help="what it builds on (else the edition that is read)",
+            help="the edition that the change is based on (default: the current one)",
         )
-        _core(one)
-    one = command("read", read, "print the newest configuration")
-    one.add_argument("--compact", action="store_true", help="on one line")
-    _core(one)
-    for name, text in (("evacuate", "send nothing more to a zone"), ("restore", "use a zone again")):
-        one = command(name, evacuate, text)
-        one.add_argument("zone", metavar="ZONE")
-        _core(one)
-    one = command("show", show, "show what a running process holds")
-    one.add_argument(
-        "where", metavar="HOST:PORT", help="its own address: its ip and the first of the sidings"
+        _add_core_options(parser)
+    parser = add_command("read", read, "print the newest configuration")
+    parser.add_argument("--compact", action="store_true", help="on one line")
+    _add_core_options(parser)
+    for name, text in (("evacuate", "send no more requests to a zone"), ("restore", "use a zone again")):
+        parser = add_command(name, evacuate, text)
+        parser.add_argument("zone", metavar="ZONE")
+        _add_core_options(parser)
+    parser = add_command("show", show, "show the state of a running process")
+    parser.add_argument(
+        "where",
+        metavar="HOST:PORT",
+        help="its internal address: its ip and the first port of network.sidings",
+    )
+    parser.add_argument("--json", action="store_true", help="as JSON, with all fields")
+    parser.add_argument("--patience", type=float, default=inspection.TIMEOUT_S, metavar="SECONDS")
+    parser = add_command(
+        "local-cluster", start_local_cluster, "run a small system on this machine until Ctrl-C"
     )
-    one.add_argument("--json", action="store_true", help="as JSON, with all fields")
-    one.add_argument("--patience", type=float, default=inspection.TIMEOUT_S, metavar="SECONDS")
-    one = command("local-cluster", start_local_cluster, "start a small system on this machine, until Ctrl-C")
-    one.add_argument("--cores", type=int, default=3, metavar="N", help="core machines (3)")
-    one.add_argument("--gateways", type=int, default=3, metavar="N", help="gatekeepers (3)")
-    one.add_argument("--workers", type=int, default=2, metavar="N", help="toy workers of each service (2)")
-    one.add_argument(
+    parser.add_argument("--cores", type=int, default=3, metavar="N", help="control nodes (3)")
+    parser.add_argument("--gateways", type=int, default=3, metavar="N", help="gatekeepers (3)")
+    parser.add_argument("--workers", type=int, default=2, metavar="N", help="toy workers of each service (2)")
+    parser.add_argument(
         "--services", nargs="+", default=["search", "booking"], metavar="NAME", help="(search booking)"
     )
-    one.add_argument("--folder", metavar="DIR", help="settings, disks and logs go there (else a new one)")
-    one.add_argument("--for", dest="duration", type=float, metavar="SECONDS", help="end by itself")
+    parser.add_argument(
+        "--folder", metavar="DIR", help="for settings, disks and logs (default: a new temporary folder)"
+    )
+    parser.add_argument("--for", dest="duration", type=float, metavar="SECONDS", help="stop after this time")
     state.register(commands)
     log_commands.register(commands)
     soak.register(commands)
     return top
 
 
-def _core(one: argparse.ArgumentParser) -> None:
-    one.add_argument(
-        "--at", required=True, metavar="HOST:PORT[,...]", help="control addresses of core machines"
+def _add_core_options(parser: argparse.ArgumentParser) -> None:
+    parser.add_argument(
+        "--at", required=True, metavar="HOST:PORT[,...]", help="control addresses of control nodes"
     )
-    one.add_argument(
+    parser.add_argument(
         "--patience",
         type=float,
         default=TIMEOUT_S,
         metavar="SECONDS",
-        help=f"for an answer ({TIMEOUT_S:g})",
+        help=f"time-out for a final response ({TIMEOUT_S:g})",
     )
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """The command; its exit code."""
-    options = parser().parse_args(arguments)
-    does: Callable[[argparse.Namespace], int] = options.does
+    """Runs a command and returns its exit code."""
+    options = build_parser().parse_args(arguments)
+    handler: Callable[[argparse.Namespace], int] = options.does
     try:
-        return does(options)
+        return handler(options)
     except PepperrunError as error:
         print(f"{options.command}: {error}", file=sys.stderr)
-        return UNCERTAIN if error.code == "no-answer" else BAD
+        return EXIT_UNCERTAIN if error.code == "no-answer" else EXIT_INVALID
 
 
 if __name__ == "__main__":
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -1,4 +1,4 @@
-"""Operators' tools: calls to a clear answer, checks of files, and a small system of real processes."""
+"""Operators' tools: calls until a final response, checks of files, and a local cluster of processes."""
 
 from __future__ import annotations
 
@@ -22,15 +22,15 @@
 
 @contextmanager
 def core(*answers: tuple[int, dict[str, Any], str]) -> Iterator[tuple[tuple[str, int], list[Any]]]:
-    """A machine that gives these answers in turn, the last one for ever; what it was asked."""
-    asked: list[Any] = []
+    """Serves these answers in turn, then always the last one. Yields the address and the list of requests."""
+    requests: list[Any] = []
 
     class Handler(BaseHTTPRequestHandler):
         def answer(self) -> None:
             body = self.rfile.read(int(self.headers.get("Content-Length") or 0))
-            asked.append((self.command, self.path, self.headers.get("Based-On"), body))
-            status, told, location = answers[min(len(asked), len(answers)) - 1]
-            data = json.dumps(told).encode()
+            requests.append((self.command, self.path, self.headers.get("Based-On"), body))
+            status, content, location = answers[min(len(requests), len(answers)) - 1]
+            data = json.dumps(content).encode()
             self.send_response(status)
             self.send_header("Content-Length", str(len(data)))
             if location:
@@ -47,54 +47,57 @@
     thread = threading.Thread(target=server.serve_forever, args=(0.01,))
     thread.start()
     try:
-        yield ("127.0.0.1", server.server_port), asked
+        yield ("127.0.0.1", server.server_port), requests
     finally:
         server.shutdown()
         thread.join()
         server.server_close()
 
 
-def caller(*at: tuple[str, int]) -> CoreClient:
-    """Pauses cost no time."""
+def client(*addresses: tuple[str, int]) -> CoreClient:
+    """Returns a client whose pauses take no real time."""
     now = [0.0]
 
     def sleep(seconds: float) -> None:
         now[0] += seconds
 
-    return CoreClient(list(at), 5, lambda: now[0], sleep)
+    return CoreClient(list(addresses), 5, lambda: now[0], sleep)
 
 
-def test_a_call_goes_on_and_is_repeated_unchanged_until_it_is_clear():
+def test_a_call_is_repeated_unchanged_until_a_final_response():
     busy, full, good = (503, {}, ""), (429, {}, ""), (200, {"detail": "taken"}, "")
-    with core(busy, full, good) as (one, asked), core(busy) as (two, others):
-        told = caller(("127.0.0.1", 1), two, one).call("POST", "/x", b"{}", {"Based-On": "5"})
-    assert told.status == 200 and len(asked) == 3 and len(others) == 3
-    assert set(asked + others) == {("POST", "/x", "5", b"{}")}
-    with core((412, {}, ""), good) as (one, asked):
-        assert caller(one).call("POST", "/x").status == 412 and len(asked) == 1
+    with core(busy, full, good) as (one, requests), core(busy) as (two, other_requests):
+        response = client(("127.0.0.1", 1), two, one).call("POST", "/x", b"{}", {"Based-On": "5"})
+    assert response.status == 200 and len(requests) == 3 and len(other_requests) == 3
+    assert set(requests + other_requests) == {("POST", "/x", "5", b"{}")}
+    with core((412, {}, ""), good) as (one, requests):
+        assert client(one).call("POST", "/x").status == 412 and len(requests) == 1
     with core(busy) as (one, _), pytest.raises(PepperrunError, match="nothing is certain") as error:
-        caller(one).call("POST", "/x")
+        client(one).call("POST", "/x")
     assert error.value.code == "no-answer"
 
 
 def test_redirects_are_followed_twice():
-    with core((200, {"detail": "here"}, "")) as (last, asked):
-        on = f"http://127.0.0.1:{last[1]}/y"
-        with core((307, {}, on)) as (two, _), core((307, {}, f"http://127.0.0.1:{two[1]}/x")) as (one, _):
-            assert caller(one).call("POST", "/x", b"b").status == 200
-            assert asked == [("POST", "/y", None, b"b")]
-    with core((307, {}, "")) as (one, hops), pytest.raises(PepperrunError):
-        caller(one).call("GET", "/x")
-    assert hops
-
-
-def test_a_change_names_what_was_read(capsys, tmp_path):
+    with core((200, {"detail": "here"}, "")) as (last, requests):
+        redirect = f"http://127.0.0.1:{last[1]}/y"
+        with (
+            core((307, {}, redirect)) as (two, _),
+            core((307, {}, f"http://127.0.0.1:{two[1]}/x")) as (one, _),
+        ):
+            assert client(one).call("POST", "/x", b"b").status == 200
+            assert requests == [("POST", "/y", None, b"b")]
+    with core((307, {}, "")) as (one, requests), pytest.raises(PepperrunError):
+        client(one).call("GET", "/x")
+    assert requests
+
+
+def test_a_change_is_based_on_the_edition_that_was_read(capsys, tmp_path):
     file = tmp_path / "change.yaml"
     file.write_text("edition: 9\nwithdraw: {routes: [r-old]}\n")
-    with core((200, {"edition": 7}, ""), (200, {"detail": "Edition 9 is taken."}, "")) as (one, asked):
+    with core((200, {"edition": 7}, ""), (200, {"detail": "Edition 9 is taken."}, "")) as (one, requests):
         assert operatorctl.main(["amend", str(file), "--at", f"{one[0]}:{one[1]}"]) == 0
-    assert asked[1][:3] == ("POST", "/timetable/amend", "7")
-    assert json.loads(asked[1][3]) == {"edition": 9, "withdraw": {"routes": ["r-old"]}}
+    assert requests[1][:3] == ("POST", "/timetable/amend", "7")
+    assert json.loads(requests[1][3]) == {"edition": 9, "withdraw": {"routes": ["r-old"]}}
     assert "Edition 9 is taken." in capsys.readouterr().out
     with core((400, {"code": "bare-prefix", "detail": "Route r is bad."}, "")) as (one, _):
         assert operatorctl.main(["put", str(file), "--based-on", "7", "--at", f"{one[0]}:{one[1]}"]) == 1
@@ -111,7 +114,7 @@
     return {"self": me | {"store_dir": "/disk"}, "network": network, "tariffs": {"bounds": {"grace_s": 6}}}
 
 
-def test_each_problem_of_settings_has_its_sentence(tmp_path, capsys):
+def test_each_settings_problem_is_reported_in_one_sentence(tmp_path, capsys):
     good, bad = settings(), settings()
     assert problems.settings_problems(good) == []
     bad["self"] |= {"zone": "b", "ip": "10.0.0.2", "store_dir": None}
@@ -136,28 +139,30 @@
     assert "good.yaml, line 1" in capsys.readouterr().err
 
 
-def test_a_small_system_of_real_processes_serves_and_shows(tmp_path):
-    local_cluster = LocalCluster(Sizes(1, 1, 1, ("search",)), tmp_path)
+def test_a_local_cluster_serves_requests_and_reports_its_state(tmp_path):
+    cluster = LocalCluster(Sizes(1, 1, 1, ("search",)), tmp_path)
     try:
-        local_cluster.start()  # each gatekeeper has answered 200 on each route
-        internal_port = local_cluster.ports["siding"]
-        core, gateway = (
+        cluster.start()  # returns after each gatekeeper has answered 200 on each route
+        internal_port = cluster.ports["siding"]
+        core_state, gateway_state = (
             asyncio.run(inspection.query_process((ip, internal_port)))
-            for ip in (local_cluster.cores[0], local_cluster.gateways[0])
+            for ip in (cluster.cores[0], cluster.gateways[0])
         )
-        assert (core["class"], core["edition"], core["majority"]) == ("sorting", 1, True)
+        assert (core_state["class"], core_state["edition"], core_state["majority"]) == ("sorting", 1, True)
         assert (
-            core["voters"] == [[local_cluster.cores[0], "first"]] and core["keeper"] == local_cluster.cores[0]
+            core_state["voters"] == [[cluster.cores[0], "first"]] and core_state["keeper"] == cluster.cores[0]
+        )
+        assert core_state["cells"]["north-a"]["workers"] == {"search": {"boarding": 1}}
+        assert (gateway_state["class"], gateway_state["edition"], gateway_state["root"]) == (
+            "counter",
+            1,
+            True,
         )
-        assert core["cells"]["north-a"]["workers"] == {"search": {"boarding": 1}}
-        assert (gateway["class"], gateway["edition"], gateway["root"]) == ("counter", 1, True)
-        assert gateway["answers"]["served"] >= 1 and gateway["core"]["linked"]
-        assert [one["tenant"] for one in gateway["shares"]] == ["newcomer"]
-        for shown in (core, gateway):
-            assert local_cluster.key not in json.dumps(shown) and shown["station"] in inspection.format_reply(
-                shown
-            )
+        assert gateway_state["answers"]["served"] >= 1 and gateway_state["core"]["linked"]
+        assert [one["tenant"] for one in gateway_state["shares"]] == ["newcomer"]
+        for shown in (core_state, gateway_state):
+            assert cluster.key not in json.dumps(shown) and shown["station"] in inspection.format_reply(shown)
     finally:
-        local_cluster.shut_down()
-    codes = {one.role: one.process.returncode for one in local_cluster.children if one.process is not None}
+        cluster.shut_down()
+    codes = {child.role: child.process.returncode for child in cluster.children if child.process is not None}
     assert codes == {"control_node": 0, "gateway_node": 0, "worker": 0}
