--- a/pepperrun/operator/event_log.py
+++ b/pepperrun/operator/event_log.py
@@ -1,8 +1,9 @@
-"""Lines (log reading): events of log files, in the order of their times.
+"""Reads the events of log files, in the order of their times.
 
-Lines of different machines are put side by side by their time of day, which differs and may jump: spans
-below the clocks' difference say nothing, and a negative one is told as it is. A file that holds the lines of
-several processes, each after a time in seconds and the process's name, goes by that time, one for all.
+Events of different machines are ordered by each machine's wall clock. These clocks differ and may jump, so
+a time span below the difference of two clocks has no meaning; a negative span is reported as it is. In a file
+with the lines of several processes, where each line starts with a time in seconds and the process's name,
+that time is used instead: it comes from one clock for all processes.
 """
 
 from __future__ import annotations
@@ -16,15 +17,16 @@
 
 from pepperrun.foundation.errors import PepperrunError
 
-# absl's head: letter, month and day, time, process, place in the source.
-_HEAD = re.compile(r"[IWEF](\d{4} \d\d:\d\d:\d\d\.\d{6}) +\S+ [^\]]*\] (event=.*)")
-_GATHERED = re.compile(r"\s*(-?\d+\.\d+)\s+(\S+)\s+$")  # before the head: seconds by one clock, whose line
+# The line prefix of absl: severity letter, month and day, time, process, position in the source.
+_LOG_PREFIX = re.compile(r"[IWEF](\d{4} \d\d:\d\d:\d\d\.\d{6}) +\S+ [^\]]*\] (event=.*)")
+# Precedes it in a file of several processes: time in s on one common clock, name of the process.
+_COMBINED_PREFIX = re.compile(r"\s*(-?\d+\.\d+)\s+(\S+)\s+$")
 _PAIR = re.compile(r'([\w-]+)=("(?:[^"\\]|\\.)*"|\S*)')
-LEAP_YEAR = 2000  # absl's head names no year
+LEAP_YEAR = 2000  # absl's prefix has no year; in a leap year February 29 is valid
 
 
 class LogEvent(NamedTuple):
-    """One event: when (s, by the writer's time of day), whose log, and its pairs."""
+    """One event: its time (s, on the writer's wall clock), the process that logged it, and its pairs."""
 
     time_s: float
     source: str
@@ -32,31 +34,31 @@
 
 
 def parse_pairs(text: str) -> dict[str, str]:
-    """The pairs of one line, as `foundation.logs.format_event` writes them."""
-    out = {}
+    """Returns the pairs of one line as written by `foundation.logs.format_event`."""
+    pairs = {}
     for name, value in _PAIR.findall(text):
         try:
-            out[name] = str(json.loads(value)) if value.startswith('"') else value
+            pairs[name] = str(json.loads(value)) if value.startswith('"') else value
         except ValueError:
-            out[name] = value
-    return out
+            pairs[name] = value
+    return pairs
 
 
 def read_events(paths: Iterable[Path]) -> list[LogEvent]:
-    """All events of these logs in the order of their times; other lines are passed over. Raises `no-file`.
+    """Returns all events of these logs in the order of their times. Skips other lines. Raises `no-file`.
 
-    A log is its process's: named by the station that a line of it tells, else by the file. In a gathered one
-    each line names its process and its time.
+    All events of a file are attributed to one process. Its name is the station that one of its lines reports,
+    otherwise the file's name. In a file of several processes each line has its own process name and time.
     """
-    lines: list[LogEvent] = []
+    events: list[LogEvent] = []
     for path in paths:
         try:
-            texts = path.read_text(errors="replace").splitlines()
+            lines = path.read_text(errors="replace").splitlines()
         except OSError as error:
             raise PepperrunError("no-file", "explaining", f"{path}: {error.strerror or error}") from None
-        source, mine = path.stem, list[tuple[float, str, dict[str, str]]]()
-        for text in texts:
-            match = _HEAD.search(text)
+        source, file_events = path.stem, list[tuple[float, str, dict[str, str]]]()
+        for line in lines:
+            match = _LOG_PREFIX.search(line)
             if match is None:
                 continue
             try:
@@ -64,12 +66,12 @@
             except ValueError:
                 continue
             pairs = parse_pairs(match[2])
-            gathered = _GATHERED.match(text[: match.start()])
-            if gathered is not None:
-                lines.append(LogEvent(float(gathered[1]), gathered[2], pairs))
+            combined = _COMBINED_PREFIX.match(line[: match.start()])
+            if combined is not None:
+                events.append(LogEvent(float(combined[1]), combined[2], pairs))
                 continue
             if "station" in pairs and pairs["event"] in ("starting", "gateway", "agreed"):
                 source = pairs["station"]
-            mine.append(((when - datetime(LEAP_YEAR, 1, 1)).total_seconds(), source, pairs))
-        lines += [LogEvent(at, source, pairs) for at, _, pairs in mine]
-    return sorted(lines, key=lambda one: one.time_s)
+            file_events.append(((when - datetime(LEAP_YEAR, 1, 1)).total_seconds(), source, pairs))
+        events += [LogEvent(time_s, source, pairs) for time_s, _, pairs in file_events]
+    return sorted(events, key=lambda event: event.time_s)
--- a/pepperrun/operator/state.py
+++ b/pepperrun/operator/state.py
@@ -1,11 +1,13 @@
-"""State of a core machine on its disk: shown, checked, written to one file, brought back where that is safe.
-
-What a voter promised must never be forgotten: the same life with an older memory could promise a second time,
-and two majorities could choose two things. So a file is only ever a copy, and a folder made from it is a new
-life that the others let in, with nothing voted and nothing known; the configuration lies beside it as a file
-for `put`. Nor is what was chosen put back as known: a file of another system would be taken for news here.
-A life moves whole or not at all: `export --retire` ends it in the folder, and only such a file, once, makes a
-folder of the same life again.
+"""Shows, checks, exports and restores the durable state of a control node on its disk.
+
+A voter must never forget what it promised: the same disk id (`life` in the output) with an older state could
+promise a second time, and two majorities could choose two values. So an export is only a copy. A folder
+restored from it gets a new disk id, without a promise, a vote or a chosen value, and the other control nodes
+have to admit it as a voter. The configuration is written beside it as a file for `put`. The chosen value is
+not restored either: if the export came from another system, this system would take its value for a newer
+state.
+A disk id moves completely or not at all: `export --retire` ends it in the folder, and only the file written
+by that command restores a folder with the same disk id, and only once.
 """
 
 from __future__ import annotations
@@ -37,14 +39,17 @@
 from pepperrun.storage.store import DATA_FILE, DiskStore, new_disk_id
 
 KIND = "pepperrun-state"
-TRIES = 3  # of a look at a folder that a running process writes to
+READ_ATTEMPTS = 3  # for a folder that a running process writes to
 STEP = "state"
 
 
 def raw_records(folder: Path) -> dict[bytes, bytes]:
-    """All records as they lie there; nothing is written. PepperrunError `no-state`, `disk-doubtful`."""
+    """Returns all records as stored, and writes nothing.
+
+    Raises PepperrunError `no-state` or `disk-doubtful`.
+    """
     if not (folder / DATA_FILE).is_file():
-        raise PepperrunError("no-state", STEP, f"{folder}: there is no {DATA_FILE}")
+        raise PepperrunError("no-state", STEP, f"{folder}: the folder contains no {DATA_FILE}")
     try:
         with (
             lmdb.open(str(folder), readonly=True, lock=False, create=False) as env,
@@ -56,8 +61,12 @@
 
 
 def read_and_check(folder: Path) -> tuple[dict[bytes, bytes], list[str]]:
-    """Records and faults. One that is in use may change under the look: faults count when they stay."""
-    for _ in range(TRIES):
+    """Returns the records and their problems.
+
+    A folder in use may change while it is read, so problems are reported only if they persist over all
+    attempts.
+    """
+    for _ in range(READ_ATTEMPTS):
         raw = raw_records(folder)
         found = find_problems(raw)
         if not found:
@@ -66,81 +75,92 @@
 
 
 def processes_using(folder: Path) -> list[int]:
-    """Processes of this machine that have the file open, as far as this user may see them."""
-    wanted, found = (folder / DATA_FILE).resolve(), []
-    for one in Path("/proc").glob("[0-9]*"):
+    """Returns the ids of the processes on this machine with the data file open, if this user may see them."""
+    data_file, found = (folder / DATA_FILE).resolve(), []
+    for process in Path("/proc").glob("[0-9]*"):
         with contextlib.suppress(OSError):
-            if any(Path(os.readlink(fd)) == wanted for fd in (one / "fd").iterdir()):
-                found.append(int(one.name))
+            if any(Path(os.readlink(fd)) == data_file for fd in (process / "fd").iterdir()):
+                found.append(int(process.name))
     return found
 
 
 def summary(folder: Path) -> list[str]:
-    """What `show` prints."""
+    """Returns the lines that `state show` prints."""
     raw, found = read_and_check(folder)
     size = (folder / DATA_FILE).stat().st_size
     lines = [f"file: {size} bytes, {len(raw)} records of {sum(map(len, raw.values()))} bytes"]
     if found:
-        return lines + [f"fault: {one}" for one in found]
-    life = decode_record(raw[b"life"], "life")
-    memory = read_state(raw)
+        return lines + [f"fault: {problem}" for problem in found]
+    identity = decode_record(raw[b"life"], "life")
+    state = read_state(raw)
     lines += [
-        f"format: {life[0]}",
-        f"machine: {owner_of(life) or 'none yet'}",
-        f"life: {memory.disk_id}, starts {memory.starts}",
+        f"format: {identity[0]}",
+        f"machine: {owner_of(identity) or 'none yet'}",
+        f"life: {state.disk_id}, starts {state.starts}",
     ]
-    lines.append(f"promised: round {memory.promised.round} by {memory.promised.proposer or 'nobody'}")
-    for name, held in (("taken", memory.accepted), ("chosen", memory.chosen)):
-        if held is None:
+    lines.append(f"promised: round {state.promised.round} by {state.promised.proposer or 'nobody'}")
+    for name, proposal in (("taken", state.accepted), ("chosen", state.chosen)):
+        if proposal is None:
             lines.append(f"{name}: nothing")
             continue
-        value = held.value
-        text = f"number {value.version}, edition {held.body.get('edition', 0)}, body {value.digest}"
+        value = proposal.value
+        text = f"number {value.version}, edition {proposal.body.get('edition', 0)}, body {value.digest}"
         size = len(raw[(BODY_PREFIX + value.digest).encode()])
         lines.append(
-            f"{name}: {text} of {size} bytes, round {held.ballot.round} by {held.ballot.proposer or '-'}"
+            f"{name}: {text} of {size} bytes, "
+            f"round {proposal.ballot.round} by {proposal.ballot.proposer or '-'}"
         )
-        lines.append("  voters: " + ", ".join(f"{ip} ({life})" for ip, life in value.voters))
+        lines.append("  voters: " + ", ".join(f"{ip} ({disk_id})" for ip, disk_id in value.voters))
         if value.outgoing_voters:
             lines.append(
-                "  leaving voters: " + ", ".join(f"{ip} ({life})" for ip, life in value.outgoing_voters)
+                "  leaving voters: " + ", ".join(f"{ip} ({disk_id})" for ip, disk_id in value.outgoing_voters)
             )
         lines.append(f"  keeper: {value.coordinator}")
     return lines
 
 
-# One file.
+# Export files.
+
 
+def _checksum(content: Any) -> str:
+    encoded = json.dumps(content, separators=(",", ":"), sort_keys=True, ensure_ascii=False)
+    return hashlib.blake2b(encoded.encode(), digest_size=16).hexdigest()
 
-def _sum(content: Any) -> str:
-    text = json.dumps(content, separators=(",", ":"), sort_keys=True, ensure_ascii=False)
-    return hashlib.blake2b(text.encode(), digest_size=16).hexdigest()
 
+def write_export(path: Path, state: DurableState, owner: str, final: bool) -> None:
+    """Writes and syncs the export, and replaces the previous file atomically.
 
-def write_export(path: Path, memory: DurableState, owner: str, final: bool) -> None:
-    """The export, synced, in the place of what was there; never half of it."""
-    records, bodies = to_records(memory, owner)
+    `final` marks a file whose disk id was retired in its folder.
+    """
+    records, bodies = to_records(state, owner)
     content = {"kind": KIND, "final": final, "records": records, "bodies": bodies}
     content = json.loads(json.dumps(content))
-    beside = path.with_name(path.name + ".new")
-    with beside.open("w") as file:
-        os.fchmod(file.fileno(), 0o600)  # it holds tenants' keys
-        json.dump(content | {"checksum": _sum(content)}, file, ensure_ascii=False)
+    temporary = path.with_name(path.name + ".new")
+    with temporary.open("w") as file:
+        os.fchmod(file.fileno(), 0o600)  # the export contains tenants' keys
+        json.dump(content | {"checksum": _checksum(content)}, file, ensure_ascii=False)
         file.flush()
         os.fsync(file.fileno())
-    beside.replace(path)
+    temporary.replace(path)
     _sync_folder(path.parent)
 
 
 def read_export(path: Path) -> tuple[DurableState, str, bool]:
-    """The memory, its machine's ip, whether its life was ended there. Raises `bad-export`, `no-file`."""
+    """Returns the state, the ip of its owner, and whether the disk id was retired in the exported folder.
+
+    Raises PepperrunError `bad-export` or `no-file`.
+    """
     try:
         content = json.loads(path.read_text())
-        told = content.pop("checksum")
-        if told != _sum(content) or content["kind"] != KIND:
-            raise PepperrunError("bad-export", STEP, f"{path}: the checksum is wrong")
-        memory = from_records(content["records"] | content["bodies"])
-        return memory, owner_of(content["records"]["life"]), content["final"] is True
+        checksum = content.pop("checksum")
+        if checksum != _checksum(content) or content["kind"] != KIND:
+            raise PepperrunError(
+                "bad-export",
+                STEP,
+                f"{path}: the checksum does not match the content, or the file is not an export of a state",
+            )
+        state = from_records(content["records"] | content["bodies"])
+        return state, owner_of(content["records"]["life"]), content["final"] is True
     except OSError as error:
         raise PepperrunError("no-file", STEP, f"{path}: {error.strerror or error}") from None
     except (ValueError, LookupError, TypeError, AttributeError) as error:
@@ -156,57 +176,70 @@
 
 
 def export(folder: Path, path: Path, retire: bool) -> None:
-    """Copies a memory; `retire` then ends its life in the folder, and marks the file as the only one."""
+    """Writes the state of a folder to a file.
+
+    `retire` then ends the disk id in the folder and marks the file as the only copy of it. Raises
+    PepperrunError `in-use`, `disk-doubtful` or `no-owner`.
+    """
     users = processes_using(folder)
     if users and retire:
-        raise PepperrunError("in-use", STEP, f"{folder} is open in process {users[0]}: stop it first")
+        raise PepperrunError(
+            "in-use", STEP, f"{folder} is open in process {users[0]}: stop that process first"
+        )
     raw, found = read_and_check(folder)
     if found:
         raise PepperrunError("disk-doubtful", STEP, f"{folder}: {found[0]}")
-    memory, owner = read_state(raw), owner_of(decode_record(raw[b"life"], "life"))
+    state, owner = read_state(raw), owner_of(decode_record(raw[b"life"], "life"))
     if retire and not owner:
         raise PepperrunError(
-            "no-owner", STEP, f"{folder}: it names no machine yet; start it once with this version"
+            "no-owner",
+            STEP,
+            f"{folder}: the state names no owner yet; start the control node once with this version",
         )
-    write_export(path, memory, owner, False)
+    write_export(path, state, owner, False)
     if retire:
-        # A power cut between any two of these steps leaves one life in one place, or none.
-        _fill(folder, DurableState(new_disk_id(str(folder)), 0), owner)
-        write_export(path, memory, owner, True)
+        # A power failure between any two of these steps leaves the disk id in one place or in none.
+        _save_state(folder, DurableState(new_disk_id(str(folder)), 0), owner)
+        write_export(path, state, owner, True)
+
 
+def restore(folder: Path, path: Path, keep_disk_id: bool) -> str:
+    """Creates a folder from an export and returns a sentence on its content.
 
-def restore(folder: Path, path: Path, same_life: bool) -> str:
-    """A folder from an export; says what it holds. PepperrunError `not-empty`, `not-safe`."""
-    memory, owner, final = read_export(path)
+    Raises PepperrunError `not-empty` or `not-safe`, and the errors of `read_export`.
+    """
+    state, owner, final = read_export(path)
     if folder.exists() and any(folder.iterdir()):
         raise PepperrunError(
-            "not-empty", STEP, f"{folder} is not empty: nothing that was promised is overwritten"
+            "not-empty", STEP, f"{folder} is not empty: its promises must not be overwritten"
         )
-    if same_life and not final:
-        detail = "its life may have promised more since, or goes on elsewhere: only a file that `export "
-        detail += "--retire` wrote, and that was not yet used, may go on as the same life"
+    if keep_disk_id and not final:
+        detail = "the disk id may have made further promises since, or is in use elsewhere: only a file "
+        detail += "that `export --retire` wrote and that was not restored yet may keep its disk id"
         raise PepperrunError("not-safe", STEP, f"{path}: {detail}")
     folder.mkdir(parents=True, exist_ok=True)
-    if same_life:
-        write_export(path, memory, owner, False)  # first: twice the same life must never be
-        _fill(folder, memory, owner)
-        return f"{folder}: life {memory.disk_id} goes on here, in the machine {owner} only"
-    life = new_disk_id(str(path))
-    _fill(folder, DurableState(life, 0), "")
-    text = f"{folder}: new life {life}; it has no vote until the others let it in"
-    if memory.chosen is None or "edition" not in memory.chosen.body:
+    if keep_disk_id:
+        write_export(
+            path, state, owner, False
+        )  # marks the file as used first: a disk id must never exist twice
+        _save_state(folder, state, owner)
+        return f"{folder}: disk id {state.disk_id} continues here, on the machine {owner} only"
+    disk_id = new_disk_id(str(path))
+    _save_state(folder, DurableState(disk_id, 0), "")
+    text = f"{folder}: new disk id {disk_id}; it has no vote until the other control nodes admit it"
+    if state.chosen is None or "edition" not in state.chosen.body:
         return text
-    beside = folder / f"timetable-{memory.chosen.body['edition']}.json"
-    beside.write_text(json.dumps(encode_configuration(memory.chosen.body), ensure_ascii=False))
-    beside.chmod(0o600)
-    return f"{text}; the configuration lies in {beside.name}, for reading or for `put`"
+    configuration_file = folder / f"timetable-{state.chosen.body['edition']}.json"
+    configuration_file.write_text(json.dumps(encode_configuration(state.chosen.body), ensure_ascii=False))
+    configuration_file.chmod(0o600)
+    return f"{text}; the configuration is in {configuration_file.name}, for reading or for `put`"
 
 
-def _fill(folder: Path, memory: DurableState, owner: str) -> None:
+def _save_state(folder: Path, state: DurableState, owner: str) -> None:
     disk = DiskStore(str(folder))
     disk.owner = owner
     try:
-        disk.save(memory)
+        disk.save(state)
         disk.sync_file_and_folder()
     finally:
         disk.close()
@@ -226,7 +259,7 @@
     except PepperrunError as error:
         if error.code != "disk-doubtful":
             raise
-        found = [f"It can't be opened: {error.detail}."]
+        found = [f"The data file can't be opened: {error.detail}."]
     for sentence in found:
         print(sentence)
     if not found:
@@ -252,30 +285,30 @@
 
 def register(commands: Any) -> None:
     """Adds `state` to a command's subparsers."""
-    text = "look at, copy or bring back what a core machine keeps on its disk"
+    text = "show, check, export or restore the durable state of a control node"
     top = commands.add_parser("state", help=text, description=f"{text}. {__doc__}")
     kinds = top.add_subparsers(dest="kind", required=True, metavar="WHAT")
 
-    def kind(name: str, does: Callable[[argparse.Namespace], int], said: str, file: bool) -> Any:
-        one = kinds.add_parser(name, help=said, description=said)
-        one.add_argument("folder", type=Path, metavar="FOLDER", help="store_dir of a core machine")
-        if file:
-            one.add_argument("file", type=Path, metavar="FILE", help="the export (it holds tenants' keys)")
-        one.set_defaults(does=does)
-        return one
-
-    kind("show", _show, "say what the folder holds", False)
-    kind(
-        "check", _check, "verify each checksum and digest; exit code 1 with a sentence for each fault", False
+    def add(name: str, handler: Callable[[argparse.Namespace], int], text: str, has_file: bool) -> Any:
+        parser = kinds.add_parser(name, help=text, description=text)
+        parser.add_argument("folder", type=Path, metavar="FOLDER", help="store_dir of a control node")
+        if has_file:
+            parser.add_argument("file", type=Path, metavar="FILE", help="the export (contains tenants' keys)")
+        parser.set_defaults(does=handler)
+        return parser
+
+    add("show", _show, "print a summary of the folder", False)
+    add(
+        "check", _check, "verify each checksum and digest; exit code 1 and one sentence for each fault", False
     )
-    one = kind("export", _export, "write it all to one JSON file with a checksum", True)
-    said = "end the life in the folder, so that it may go on elsewhere (its process must have been stopped)"
-    one.add_argument("--retire", action="store_true", help=said)
-    said = "fill an empty folder: a new life without a vote, the configuration beside it as a file"
-    one = kind("restore", _restore, said, True)
-    said = (
-        "go on as the same life: only from a file that `export --retire` wrote, only once, at the same ip. "
+    parser = add("export", _export, "write the complete state to one JSON file with a checksum", True)
+    text = "end the disk id in the folder, so that it may continue elsewhere (the process must be stopped)"
+    parser.add_argument("--retire", action="store_true", help=text)
+    text = "fill an empty folder: a new disk id without a vote, the configuration beside it as a file"
+    parser = add("restore", _restore, text, True)
+    text = "keep the disk id: only from a file that `export --retire` wrote, only once, at the same ip. "
+    text += (
+        "Any other file may be older than the promises of this disk id, and agreement could break; make no "
     )
-    said += "Any other file may be older than what this life promised, and agreement could break; make no "
-    said += "copies of a retired file"
-    one.add_argument("--same-life", action="store_true", help=said)
+    text += "copies of a retired file"
+    parser.add_argument("--same-life", action="store_true", help=text)
--- a/tests/test_catch_up.py
+++ b/tests/test_catch_up.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 import pytest
-from test_state import apart, older
+from test_state import format_0_records, migrate_from_format_0
 from test_storage import CONTACTS, ME, disk_with_accepted_value
 
 from pepperrun.consensus.messages import BodyDelta, CatchUpRequest, Chosen
@@ -114,13 +114,13 @@
     state.promised = Ballot(7, "y")
     disk.save(state)
     disk.close()
-    raw = older(tmp_path)
+    raw = format_0_records(tmp_path)
     with DiskStore(str(tmp_path), 64)._open() as env, env.begin(write=True) as transaction:
         for key in [bytes(key) for key in transaction.cursor().iternext(values=False)]:
             transaction.delete(key)
         for name, data in raw.items():
             transaction.put(name, data)
-    monkeypatch.setitem(formats.MIGRATIONS, 0, apart)
+    monkeypatch.setitem(formats.MIGRATIONS, 0, migrate_from_format_0)
     disk = DiskStore(str(tmp_path), 64)
     back = disk.load_or_create("s", ME, [])
     assert back.disk_id == state.disk_id and back.promised == Ballot(7, "y") and back.chosen == state.chosen
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -1,4 +1,4 @@
-"""The disk's formats, copies and crashes, and what the logs explain."""
+"""Formats, exports and crashes of the durable state, and explanations from log files."""
 
 from __future__ import annotations
 
@@ -26,8 +26,8 @@
 from pepperrun.storage.store import DiskStore
 
 
-def older(folder: Path) -> dict[bytes, bytes]:
-    """Records of a made-up format before the first: bodies stand in what names them."""
+def format_0_records(folder: Path) -> dict[bytes, bytes]:
+    """Returns the records in an invented format 0, in which each proposal contains its body."""
     raw = state.raw_records(folder)
     out: dict[bytes, bytes] = {}
     for name in records.RECORD_NAMES:
@@ -40,8 +40,8 @@
     return out
 
 
-def apart(old: dict[str, Any]) -> dict[str, Any]:
-    """The step from it."""
+def migrate_from_format_0(old: dict[str, Any]) -> dict[str, Any]:
+    """Migrates a state from format 0 to format 1."""
     new = old | {"life": [1, *old["life"][1:]]}
     for name in ("accepted", "chosen"):
         ballot, value, body = old[name]
@@ -49,14 +49,14 @@
     return new
 
 
-def test_an_older_format_is_read_by_steps_and_written_as_the_present_one(
+def test_an_older_format_is_migrated_and_stored_in_the_current_format(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     memory = disk_with_accepted_value(tmp_path, 2000)
-    raw = older(tmp_path)
+    raw = format_0_records(tmp_path)
     with pytest.raises(PepperrunError, match="no migration leads on from format 0"):
         records.read_state(raw)
-    monkeypatch.setitem(formats.MIGRATIONS, 0, apart)
+    monkeypatch.setitem(formats.MIGRATIONS, 0, migrate_from_format_0)
     assert records.read_state(raw) == memory
     disk = DiskStore(str(tmp_path))
     with disk._open().begin(write=True) as transaction:
@@ -73,7 +73,9 @@
         records.read_state({b"life": records.encode_record([formats.CURRENT_FORMAT + 1])})
 
 
-def test_a_copy_never_goes_on_as_the_same_life(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_a_restored_copy_never_keeps_the_disk_id_unless_retired(
+    tmp_path: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
     memory, file = disk_with_accepted_value(tmp_path / "a", 2000), tmp_path / "copy.json"
 
     def run(*words: object) -> int:
@@ -84,18 +86,18 @@
     assert run("restore", tmp_path / "a", file) == 1  # not empty
     assert run("restore", tmp_path / "b", file) == 0
     made = DiskStore(str(tmp_path / "b")).load_or_create("s", ME, CONTACTS)
-    # Neither its votes nor what was chosen: both are for the others to say, even where first_run is true.
+    # Neither its promises nor the chosen value: the other nodes provide both, even if first_run is true.
     assert (
         made.disk_id not in (memory.disk_id, FIRST_DISK_ID)
         and made.chosen is None
         and made.promised.round == -1
     )
-    # Retired, a life goes on once, and not where it was.
+    # A retired disk id continues once, and not in the old folder.
     assert run("export", tmp_path / "a", file, "--retire") == 0
     assert run("restore", tmp_path / "c", file, "--same-life") == 0
     assert run("restore", tmp_path / "d", file, "--same-life") == 1
     with pytest.raises(PepperrunError, match="disk-other"):
-        # The first disk id of that machine, too, is `first`.
+        # The first disk id of that machine is `first` as well.
         DiskStore(str(tmp_path / "c")).load_or_create("s", "10.0.0.2", [])
     assert DiskStore(str(tmp_path / "c")).load_or_create("s", ME, []) == replace(
         memory, starts=memory.starts + 1
@@ -108,7 +110,7 @@
     assert run("restore", tmp_path / "e", file) == 2
 
 
-def test_faults_of_a_folder_are_told(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_damaged_and_missing_records_are_reported(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     disk_with_accepted_value(tmp_path, 2000)
     file = tmp_path / "data.mdb"
     data = bytearray(file.read_bytes())
@@ -124,20 +126,20 @@
     assert operatorctl.main(["state", "check", str(tmp_path / "none")]) == 2
 
 
-def test_what_was_synced_outlasts_kills_and_power_cuts(tmp_path: Path) -> None:
+def test_synced_state_survives_kills_and_power_failures(tmp_path: Path) -> None:
     assert crashes.kills(5, 1, tmp_path) == {"whole": 5}
     found = crashes.cuts(100, 1, tmp_path, saves=10)
     assert not crashes.wrong(found) and found.total() == 111
     assert {text.partition(":")[0] for text in found} == {"synced", "pages", "head"}
 
 
-def test_each_crash_point_of_recorded_saves_starts_whole_and_agrees(tmp_path: Path) -> None:
+def test_each_crash_point_of_recorded_saves_recovers_a_consistent_state(tmp_path: Path) -> None:
     disk = replays.recorded(tmp_path / "disk", 2, 2)
     disk.saves_seen = disk.saves_seen[-4:]
     found = replays.replay(tmp_path, disk)
     assert not replays.wrong(disk, found) and found.total() > 100 and disk.said.total() > 4
     assert {text.partition(":")[0] for text in found} > {"page cut", "page written", "head cut", "synced"}
-    # A save that says it is synced and has written nothing, or all but the head, is found.
+    # The replay detects a save that reports a sync but wrote nothing, or everything except the head.
     save = disk.saves_seen[-1]
     for after in (
         save.before,
@@ -147,32 +149,32 @@
         assert replays.wrong(disk, replays.replay(tmp_path, disk)) == 1
 
 
-# What the logs explain.
+# Explanations from log files.
 
 
-def log(path: Path, *lines: tuple[float, str, dict[str, Any]]) -> Path:
-    head = "I0102 03:04:{:09.6f} 12345 logs.py:34] {}"
+def write_log(path: Path, *lines: tuple[float, str, dict[str, Any]]) -> Path:
+    prefix = "I0102 03:04:{:09.6f} 12345 logs.py:34] {}"
     path.write_text(
-        "noise\n" + "\n".join(head.format(at, logs.format_event(name, pairs)) for at, name, pairs in lines)
+        "noise\n" + "\n".join(prefix.format(at, logs.format_event(name, pairs)) for at, name, pairs in lines)
     )
     return path
 
 
-def test_a_request_is_explained_and_one_served_at_once_costs_no_line(tmp_path: Path) -> None:
-    told: list[tuple[float, str, dict[str, Any]]] = []
+def test_a_request_is_explained_and_one_served_at_the_first_attempt_is_not_logged(tmp_path: Path) -> None:
+    logged: list[tuple[float, str, dict[str, Any]]] = []
 
     async def test() -> None:
         cluster = Cluster(route("r", "/p/", route_kind="unsafe", tries=1))
         front = cluster.plane.front
         cluster.plane.log_requests(100)
-        front.trace = RequestTrace(front, 100, lambda name, **pairs: told.append((1, name, pairs)))
+        front.trace = RequestTrace(front, 100, lambda name, **pairs: logged.append((1, name, pairs)))
         cluster.plane.gatekeeper.observer = front.trace.finished
         full = answer(503, b"", b"Not-Run: 1", b"Attempt-Id: i1")
         worker = await StandIn(ok(), full).start()
         cluster.add_worker("w1", worker.port)
-        for want in (200, 503):
+        for expected in (200, 503):
             client = await cluster.ask()
-            assert (await client.answer())[0] == want
+            assert (await client.answer())[0] == expected
         assert (await (await cluster.ask(key="none")).answer())[0] == 401
         cluster.fresh = 1
         assert (await (await cluster.ask(Attempt_Id="i9")).answer())[0] == 503
@@ -180,57 +182,57 @@
         assert not front.trace.final_answers
 
     going(test)
-    first, second, third = (pairs for _, _, pairs in told)
+    first, second, third = (pairs for _, _, pairs in logged)
     assert (first["status"], first["reason"], first["tenant"]) == (503, "tries", "ann")
     assert first["tries"].startswith("w1/") and f"/{Outcome.FULL.value}/" in first["tries"]
     assert (second["status"], second["reason"]) == (401, "key") and third["reason"] == "fence"
-    lines = read_events([log(tmp_path / "g1.log", *told)])
-    text = "\n".join(explain.explain_attempt("i1", lines))
+    events = read_events([write_log(tmp_path / "g1.log", *logged)])
+    text = "\n".join(explain.explain_attempt("i1", events))
     assert "g1: answered 503" in text and "to w1: full" in text and "no such key" in text
-    assert "No line tells of i2" in explain.explain_attempt("i2", lines)[0]
+    assert "No line tells of i2" in explain.explain_attempt("i2", events)[0]
 
 
-def test_lines_are_bounded_and_what_is_left_out_is_counted() -> None:
+def test_log_lines_are_limited_and_omitted_ones_are_counted() -> None:
     limit = LogRateLimit(2, 0)
     assert [limit.allow(0) for _ in range(5)] == [True, True, False, False, False]
     assert limit.allow(SECOND // 2) and limit.suppressed == 3
 
 
-def test_a_change_is_followed_to_each_gatekeeper(tmp_path: Path) -> None:
+def test_a_change_is_traced_to_each_gatekeeper(tmp_path: Path) -> None:
     agreed = {"number": 7, "edition": 40}
     order = {"do": "replace", "edition": 40, "status": 200, "ms": 100, "detail": "a b"}
     paths = [
-        log(
+        write_log(
             tmp_path / "c.log",
             (1, "starting", {"station": "core 1"}),
             (2.05, "agreed", agreed),
             (2.1, "order", order),
         ),
-        log(tmp_path / "g.log", (2.2, "agreed", agreed | {"station": "g1", "depth": 1})),
-        log(tmp_path / "h.log", (2.5, "agreed", agreed | {"station": "g2", "depth": 2})),
-        log(tmp_path / "i.log", (1.5, "agreed", {"number": 6, "edition": 30, "station": "g3"})),
+        write_log(tmp_path / "g.log", (2.2, "agreed", agreed | {"station": "g1", "depth": 1})),
+        write_log(tmp_path / "h.log", (2.5, "agreed", agreed | {"station": "g2", "depth": 2})),
+        write_log(tmp_path / "i.log", (1.5, "agreed", {"number": 6, "edition": 30, "station": "g3"})),
     ]
-    lines = read_events(paths)
-    text = explain.explain_change(7, lines)
+    events = read_events(paths)
+    text = explain.explain_change(7, events)
     assert "called at core 1 (replace), answered after 100 ms" in text
     assert "  core core 1: 50 ms" in text and text[-1] == "slowest: g2, 500 ms"
     assert "  gatekeeper g3: no line of it, it went on to a later one or never had it" in text
     out = tmp_path / "page.html"
     assert operatorctl.main(["report", *map(str, paths), "--out", str(out)]) == 0
     assert out.read_text().count("data:image/png") == 4
-    assert [round(ms) for _, number, ms in report.change_delays(lines) if number == 7] == [200, 500]
+    assert [round(ms) for _, number, ms in report.change_delays(events) if number == 7] == [200, 500]
     assert json.dumps(parse_pairs(logs.format_event("x", {"a": 'q "1" \\', "b": ""}))) == json.dumps(
         {"event": "x", "a": 'q "1" \\', "b": ""}
     )
 
 
-def test_an_evacuation_is_followed_in_a_file_of_all_processes(tmp_path: Path) -> None:
-    """It leaves the edition as it is, and the clocks of these machines are hours apart."""
+def test_an_evacuation_is_traced_in_a_log_of_all_processes(tmp_path: Path) -> None:
+    """An evacuation does not change the edition, and the clocks of these machines are hours apart."""
 
-    def line(at: float, who: str, name: str, **pairs: Any) -> str:
-        hour = len(who)
-        head = f"I0102 {hour:02}:00:00.000000 1 logs.py:37]"
-        return f"{at:9.4f} {who} {head} {logs.format_event(name, pairs)}"
+    def line(at: float, process: str, name: str, **pairs: Any) -> str:
+        hour = len(process)
+        prefix = f"I0102 {hour:02}:00:00.000000 1 logs.py:37]"
+        return f"{at:9.4f} {process} {prefix} {logs.format_event(name, pairs)}"
 
     begun = {"do": "evacuate", "zone": "z1", "begin": True}
     ended = begun | {"begin": False}
@@ -244,21 +246,21 @@
                 line(4.0, "s1", "agreed", number=4, edition=9, **begun),
                 line(4.02, "s1", "order", ms=30, **begun, **order),
                 line(4.1, "gate-1", "agreed", number=4, edition=9, station="gate-1"),
-                line(5.0, "s1", "order", ms=2, **begun, **order),  # once more: it was so already
+                line(5.0, "s1", "order", ms=2, **begun, **order),  # repeated: the zone was evacuated already
                 line(8.0, "s2", "agreed", number=5, edition=9, **ended),
                 line(8.01, "s2", "order", ms=20, **ended, **order),
                 line(8.5, "gate-1", "agreed", number=5, edition=9, station="gate-1"),
             ]
         )
     )
-    lines = read_events([path])
-    assert explain.explain_change(4, lines)[:2] == [
+    events = read_events([path])
+    assert explain.explain_change(4, events)[:2] == [
         "number 4, edition 9: zone z1 is evacuated",
         "called at s1 (evacuate), answered after 30 ms",
     ]
-    assert "slowest: gate-1, 110 ms" in explain.explain_change(4, lines)
-    assert "number 5, edition 9: zone z1 is taken back" in explain.explain_change(5, lines)
-    assert "called at s2 (evacuate), answered after 20 ms" in explain.explain_change(5, lines)
+    assert "slowest: gate-1, 110 ms" in explain.explain_change(4, events)
+    assert "number 5, edition 9: zone z1 is taken back" in explain.explain_change(5, events)
+    assert "called at s2 (evacuate), answered after 20 ms" in explain.explain_change(5, events)
 
 
 @pytest.mark.parametrize(
@@ -273,17 +275,17 @@
         ("left", 0, 900, 0),
     ],
 )
-def test_worth_is_lost_by_cause_and_second(
+def test_lost_value_is_counted_by_cause_and_second(
     tmp_path: Path, reason: str, status: int, ms: int, lost: float
 ) -> None:
     pairs = {"id": "i", "aim": 400, "ms": ms, "status": status, "reason": reason}
-    told = [(at, "request", pairs) for at in (1.0, 1.2, 3.0)]
-    lines = read_events([log(tmp_path / "g.log", *told, (3.5, "requests-left-out", {"count": 7}))])
-    text = loss_accounting.format_table(lines)
+    logged = [(at, "request", pairs) for at in (1.0, 1.2, 3.0)]
+    events = read_events([write_log(tmp_path / "g.log", *logged, (3.5, "requests-left-out", {"count": 7}))])
+    text = loss_accounting.format_table(events)
     rows = [row.split() for row in text[1:3]]
     assert [f"{3 * lost:.2f}", "3", reason] in rows and ["0.00", "7", "left", "out"] in rows
-    found = loss_accounting.find_losses(lines)
-    assert loss_accounting.lost_by_second(found, lines[0].time_s)[reason] == {
+    losses = loss_accounting.find_losses(events)
+    assert loss_accounting.lost_by_second(losses, events[0].time_s)[reason] == {
         0: 200 * lost,
         2: 100 * lost,
     }
