--- a/pepperrun/lab/ballots.py
+++ b/pepperrun/lab/ballots.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from pepperrun.simulation.explorer import Action, Found, Game
-from pepperrun.zones.register import FIRST, Ballot, Kind, Message, Phase, Register, Round, Value
+from pepperrun.zones.register import FIRST_VERSION, Ballot, Kind, Message, Phase, Register, Round, Value
 
 Make = Callable[[int, int, int, int, int], Register]
 Sent = tuple[int, int, Message]  # by whom, to whom, what
@@ -24,9 +24,11 @@
     """The same voter, going its own way from here on."""
     new = object.__new__(type(one))
     new.__dict__.update(one.__dict__)
-    new.knocks, new.out = dict(one.knocks), list(one.out)
+    new.joining, new.outgoing = dict(one.joining), list(one.outgoing)
     was = one.round
-    new.round = Round(was.ballot, dict(was.promises), dict(was.blank), was.put, dict(was.taken))
+    new.round = Round(
+        was.ballot, dict(was.promises), dict(was.without_state), was.proposed, dict(was.accepted)
+    )
     return new
 
 
@@ -60,11 +62,23 @@
         """What makes a difference to what may still happen, or to what would be wrong then."""
         voters = tuple(
             (
-                *(one.life, one.promised, one.at, one.value, one.held_at, one.held, one.phase, one.latest),
+                *(
+                    one.incarnation,
+                    one.promised,
+                    one.accepted_ballot,
+                    one.accepted_value,
+                    one.chosen_ballot,
+                    one.chosen_value,
+                    one.phase,
+                    one.highest_ballot,
+                ),
                 *(one.round.ballot, tuple(sorted(one.round.promises.items(), key=lambda item: item[0]))),
-                *(tuple(sorted(one.round.blank.items(), key=lambda item: item[0])), one.round.put),
-                tuple(sorted(one.round.taken.items())),
-                *(tuple(sorted(one.knocks.items())), one.change is None),
+                *(
+                    tuple(sorted(one.round.without_state.items(), key=lambda item: item[0])),
+                    one.round.proposed,
+                ),
+                tuple(sorted(one.round.accepted.items())),
+                *(tuple(sorted(one.joining.items())), one.change is None),
             )
             for one in self.voters
         )
@@ -74,7 +88,7 @@
     def collect(self) -> str:
         """Takes over what was sent; what is wrong with what was chosen, or nothing."""
         for number, one in enumerate(self.voters):
-            for receiver, message in one.take_out():
+            for receiver, message in one.take_outgoing():
                 # Once is enough: a second one that is the same changes nothing that the first has not.
                 self.sent.add((number, receiver, message))
                 if message.kind is Kind.CHOSEN and message.value is not None:
@@ -87,10 +101,10 @@
             value = self.chosen[ballot]
             if last is not None:
                 before = last.body or ()
-                if value.number < last.number or (value.body or ())[: len(before)] != before:
+                if value.version < last.version or (value.body or ())[: len(before)] != before:
                     return f"{value} was chosen after {last}, and has not all of it"
-                if value.number == last.number and value != last:
-                    return f"two with number {value.number}: {last} and {value}"
+                if value.version == last.version and value != last:
+                    return f"two with number {value.version}: {last} and {value}"
             last = value
         return ""
 
@@ -98,24 +112,27 @@
         """Can it change nothing any more, whenever it arrives? Then it need not be on its way."""
         one, kind = self.voters[receiver], message.kind
         if kind is Kind.CHOSEN:
-            return message.ballot <= one.held_at
-        if kind in (Kind.ASK, Kind.PUT):
+            return message.ballot <= one.chosen_ballot
+        if kind in (Kind.ASK_PROMISE, Kind.PROPOSE):
             asker = self.voters[sender]
-            over = asker.round.ballot != message.ballot or asker.phase in (Phase.IDLE, Phase.WAITING)
+            over = asker.round.ballot != message.ballot or asker.phase in (Phase.IDLE, Phase.BACKING_OFF)
             return over and message.ballot < one.promised
-        if kind is Kind.KNOCK:
-            return message.life < self.voters[sender].life and message.life <= one.held.lives[sender]
-        wanted = {Kind.TAKEN: (Phase.PUTTING,), Kind.REFUSE: (Phase.ASKING, Phase.PUTTING)}
-        return one.round.ballot != message.ballot or one.phase not in wanted.get(kind, (Phase.ASKING,))
+        if kind is Kind.JOIN:
+            return (
+                message.incarnation < self.voters[sender].incarnation
+                and message.incarnation <= one.chosen_value.incarnations[sender]
+            )
+        wanted = {Kind.VALUE_ACCEPTED: (Phase.ACCEPTING,), Kind.REJECTED: (Phase.PREPARING, Phase.ACCEPTING)}
+        return one.round.ballot != message.ballot or one.phase not in wanted.get(kind, (Phase.PREPARING,))
 
 
 def begun(count: int, make: Make = Register) -> World:
     """All hold a first value, and nothing is on its way."""
     voters = [make(number, count, 1, number, 0) for number in range(count)]
-    ballot, value = Ballot(1, 1, 0), Value(FIRST, (1,) * count, ())
+    ballot, value = Ballot(1, 1, 0), Value(FIRST_VERSION, (1,) * count, ())
     for one in voters:
-        one.promised = one.at = one.held_at = one.latest = ballot
-        one.value = one.held = value
+        one.promised = one.accepted_ballot = one.chosen_ballot = one.highest_ballot = ballot
+        one.accepted_value = one.chosen_value = value
     return World(voters)
 
 
@@ -124,7 +141,7 @@
     for sent in world.sent:
         yield ("deliver", sent)
     for number, one in enumerate(world.voters):
-        if world.rounds < rounds and one.votes and one.phase is Phase.IDLE:
+        if world.rounds < rounds and one.is_voter and one.phase is Phase.IDLE:
             yield ("begin", number)
         elif world.rounds < rounds and one.phase is not Phase.IDLE:
             yield ("late", number)
@@ -142,17 +159,17 @@
         world.voters[receiver].receive(sender, message, world.now)
     elif what == "begin":
         world.rounds += 1
-        world.voters[arg].want(mark(arg, world.rounds), world.now)
+        world.voters[arg].submit(mark(arg, world.rounds), world.now)
     elif what == "late":
         world.rounds += 1
         one = world.voters[arg]
-        if one.phase is not Phase.WAITING:
-            one.tick(one.until)
-        one.tick(one.until)
+        if one.phase is not Phase.BACKING_OFF:
+            one.tick(one.phase_ends_at)
+        one.tick(one.phase_ends_at)
     else:
         world.restarts += 1
-        life = world.voters[arg].life + 1
-        world.voters[arg] = make(arg, len(world.voters), life, arg, world.now)
+        incarnation = world.voters[arg].incarnation + 1
+        world.voters[arg] = make(arg, len(world.voters), incarnation, arg, world.now)
         world.voters[arg].tick(world.now)
     return world.collect()
 
@@ -163,7 +180,10 @@
     if what != "deliver":
         return f"{what} {arg}"
     sender, receiver, message = arg
-    text = f"{sender} to {receiver}: {message.kind.name}, life {message.life}, ballot {tuple(message.ballot)}"
+    text = (
+        f"{sender} to {receiver}: {message.kind.name}, life {message.incarnation}, "
+        f"ballot {tuple(message.ballot)}"
+    )
     return text + (f", {message.value}" if message.value is not None else "")
 
 
@@ -197,30 +217,34 @@
         if world.sent:
             wrong = act(world, ("deliver", rng.choice(sorted(world.sent, key=repr))), make)
         else:
-            if len({one.held for one in world.voters}) == 1 and all(one.votes for one in world.voters):
+            if len({one.chosen_value for one in world.voters}) == 1 and all(
+                one.is_voter for one in world.voters
+            ):
                 return ""
-            world.now = max([world.now, *(due for one in world.voters if (due := one.due()) is not None)])
+            world.now = max(
+                [world.now, *(due for one in world.voters if (due := one.next_tick_at()) is not None)]
+            )
             for one in world.voters:
                 one.tick(world.now)
             wrong = world.collect()
         if wrong:
             return wrong
-    held = [(one.held.number, one.votes) for one in world.voters]
+    held = [(one.chosen_value.version, one.is_voter) for one in world.voters]
     return f"no agreement after {SETTLES_IN} steps without a fault: {held}"
 
 
 class Hasty(Register):
     """A bug put in on purpose: who is let in has a say in that at once."""
 
-    def _may_take(self, value: Value) -> bool:
-        return value.lives[self.me] == self.life
+    def _may_accept(self, value: Value) -> bool:
+        return value.incarnations[self.own_number] == self.incarnation
 
 
 class Deaf(Register):
     """A bug put in on purpose: it changes what it holds, whatever others have taken meanwhile."""
 
-    def _latest(self, promises: dict[int, Message]) -> Message:
-        return promises[self.me]
+    def _latest_promise(self, promises: dict[int, Message]) -> Message:
+        return promises[self.own_number]
 
 
 MUTANTS: dict[str, Make] = {"": Register, "hasty": Hasty, "deaf": Deaf}
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from pepperrun.lab.ballots import MUTANTS, Make, Register, World, act, begun, mark, search, settle
-from pepperrun.zones.register import FIRST, NONE, Ballot, Kind, Message, Phase, Value
+from pepperrun.zones.register import FIRST_VERSION, NO_BALLOT, Ballot, Kind, Message, Phase, Value
 
 
 def run(world: World, seconds: float, cut: frozenset[int] = frozenset()) -> None:
@@ -22,7 +22,7 @@
                 assert act(world, ("deliver", sent), Register) == ""
             else:
                 world.sent.discard(sent)
-        dues = [due for one in world.voters if (due := one.due()) is not None]
+        dues = [due for one in world.voters if (due := one.next_tick_at()) is not None]
         world.now = min([until, *(max(world.now + 1, due) for due in dues)])
         for one in world.voters:
             one.tick(world.now)
@@ -32,19 +32,19 @@
 def want(world: World, *voters: int) -> None:
     """Each wants a change of its own."""
     for number in voters:
-        world.voters[number].want(mark(number, 1), world.now)
+        world.voters[number].submit(mark(number, 1), world.now)
     assert world.collect() == ""
 
 
 def held(world: World) -> list[Value]:
-    return [one.held for one in world.voters]
+    return [one.chosen_value for one in world.voters]
 
 
 @pytest.mark.parametrize("count", [3, 5, 7])
 def test_those_that_start_together_begin_and_each_wish_is_decided_once(count: int) -> None:
     world = World([Register(number, count, 10 + number, number, 0) for number in range(count)])
     run(world, 10)
-    assert all(one.votes for one in world.voters) and len(set(held(world))) == 1
+    assert all(one.is_voter for one in world.voters) and len(set(held(world))) == 1
     want(world, *range(count))
     run(world, 10)
     assert len(set(held(world))) == 1
@@ -64,14 +64,14 @@
 def test_who_restarts_votes_again_only_once_a_round_has_let_it_in() -> None:
     world = begun(3)
     assert act(world, ("restart", 2), Register) == ""
-    assert not world.voters[2].votes
+    assert not world.voters[2].is_voter
     run(world, 3, frozenset({2}))
-    assert not world.voters[2].votes and world.voters[2].held.number == 0
+    assert not world.voters[2].is_voter and world.voters[2].chosen_value.version == 0
     run(world, 3)
-    assert world.voters[2].votes and held(world)[0].lives == (1, 1, 2)
+    assert world.voters[2].is_voter and held(world)[0].incarnations == (1, 1, 2)
     assert act(world, ("restart", 0), Register) == "" and act(world, ("restart", 1), Register) == ""
     run(world, 12)  # a majority has forgotten: one that remembers is asked, and may not decide for all
-    assert len(set(held(world))) == 1 or not any(one.votes for one in world.voters[:2])
+    assert len(set(held(world))) == 1 or not any(one.is_voter for one in world.voters[:2])
 
 
 def test_a_majority_that_has_forgotten_begins_anew_and_is_followed() -> None:
@@ -82,8 +82,8 @@
         assert act(world, ("restart", number), Register) == ""
     world.chosen.clear()  # what was held is void: nothing of it has to be in what follows
     run(world, 12)
-    assert all(one.votes for one in world.voters) and len(set(held(world))) == 1
-    assert world.voters[0].held_at.epoch > 1 and held(world)[0].number >= FIRST
+    assert all(one.is_voter for one in world.voters) and len(set(held(world))) == 1
+    assert world.voters[0].chosen_ballot.epoch > 1 and held(world)[0].version >= FIRST_VERSION
 
 
 def test_what_can_not_be_meant_is_dropped() -> None:
@@ -91,16 +91,16 @@
     one, before = world.voters[0], world.key()
     ballot = Ballot(1, 9, 1)
     for sender, message in (
-        (0, Message(Kind.ASK, ballot, 1)),
-        (7, Message(Kind.ASK, ballot, 1)),
-        (1, Message(Kind.PUT, ballot, 1)),
-        (1, Message(Kind.CHOSEN, ballot, 1, NONE, Value(3, (1, 1), ()))),
-        (1, Message(Kind.TAKEN, NONE, 1)),
-        (1, Message(Kind.KNOCK, NONE, 1)),
+        (0, Message(Kind.ASK_PROMISE, ballot, 1)),
+        (7, Message(Kind.ASK_PROMISE, ballot, 1)),
+        (1, Message(Kind.PROPOSE, ballot, 1)),
+        (1, Message(Kind.CHOSEN, ballot, 1, NO_BALLOT, Value(3, (1, 1), ()))),
+        (1, Message(Kind.VALUE_ACCEPTED, NO_BALLOT, 1)),
+        (1, Message(Kind.JOIN, NO_BALLOT, 1)),
     ):
         one.receive(sender, message, 0)
-        one.out.clear()
-        one.latest = Ballot(1, 1, 0)
+        one.outgoing.clear()
+        one.highest_ballot = Ballot(1, 1, 0)
     assert world.key() == before
 
 
@@ -117,8 +117,8 @@
 
 
 # By one that is let in, a round is chosen that another, by an answer of the life before, is chosen beside.
-TRAP = """begin 0; ASK 0 1; begin 1; ASK 0 2; ASK 1 2; restart 2; KNOCK 2 0; PROMISE 2 1; PROMISE 1 0;
-PUT 1 0; PUT 0 2; TAKEN 0 1; TAKEN 2 0"""
+TRAP = """begin 0; ASK_PROMISE 0 1; begin 1; ASK_PROMISE 0 2; ASK_PROMISE 1 2; restart 2; JOIN 2 0;
+PROMISE 2 1; PROMISE 1 0; PROPOSE 1 0; PROPOSE 0 2; VALUE_ACCEPTED 0 1; VALUE_ACCEPTED 2 0"""
 
 
 def played(make: Make) -> str:
