--- a/pepperrun/assembly.py
+++ b/pepperrun/assembly.py
@@ -39,7 +39,7 @@
     from pepperrun.membership.config import MembershipConfig
     from pepperrun.membership.service import MembershipService
     from pepperrun.parking.config import ClientsConfig
-    from pepperrun.parking.lot import Lot
+    from pepperrun.parking.manager import ParkingManager
 
 PEER_RETRY_INTERVAL_S = 0.5  # between attempts to bind an address that another process still uses
 CoreAndListener = tuple["Core", "Listener | None"]
@@ -155,12 +155,14 @@
     return (limit - RESERVED_DESCRIPTORS) // 2, (limit - RESERVED_DESCRIPTORS) // 2
 
 
-def create_lot(config: ClientsConfig, clock: Clock, sockets: int, auth_sockets: int) -> tuple[Lot, int]:
+def create_parking(
+    config: ClientsConfig, clock: Clock, sockets: int, auth_sockets: int
+) -> tuple[ParkingManager, int]:
     """Returns the lot that parks client connections and the limit on connections to workers.
 
     The limit is a sixth of the descriptors. Raises the process's soft limit on descriptors to the hard one.
     """
-    from pepperrun.parking.lot import Lot
+    from pepperrun.parking.manager import ParkingManager
 
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     if soft != hard:
@@ -170,11 +172,11 @@
     max_here = max(16, limit - RESERVED_DESCRIPTORS - backends - auth_sockets // 2 - config.holders)
     if config.most_here:
         max_here = min(max_here, config.most_here)
-    return Lot(asyncio.get_running_loop(), clock, config, max_here), backends
+    return ParkingManager(asyncio.get_running_loop(), clock, config, max_here), backends
 
 
 async def start_auth(
-    config: AuthConfig, clock: Clock, seed: int, lot: Lot | None = None
+    config: AuthConfig, clock: Clock, seed: int, parking: ParkingManager | None = None
 ) -> tuple[Core, AuthService, Listener | None]:
     """Starts the core for the authentication servers and, where configured, its listener."""
     max_clients, max_backends = config.sockets // 2, config.sockets // 2
@@ -197,7 +199,7 @@
     return (
         core,
         service,
-        open_listener("forward authentication", config.listen, clock, max_clients, protocol_factory, lot),
+        open_listener("forward authentication", config.listen, clock, max_clients, protocol_factory, parking),
     )
 
 
@@ -206,7 +208,7 @@
     clock: Clock,
     sockets: int,
     auth: AuthService | None,
-    lot: Lot | None = None,
+    parking: ParkingManager | None = None,
     backends: int = 0,
     inherited: socket.socket | None = None,
     successor: Successor | None = None,
@@ -216,7 +218,7 @@
 
     `successor`: the connection to the predecessor, whose endpoint list and state are applied first.
     """
-    max_clients, max_backends = split_sockets(sockets) if lot is None else (0, backends)
+    max_clients, max_backends = split_sockets(sockets) if parking is None else (0, backends)
     budget = MemoryBudget.from_memory_limit(config.memory_mb)
     core = Core(
         clock,
@@ -249,7 +251,7 @@
             await watch.wait_for_first_call(config.settings.drain_grace_ns / SECOND)
     front = Platform(config.settings, core.gatekeeper, clock, auth, budget)
     return core, open_listener(
-        config.name, config.listen, clock, max_clients, front.new_connection, lot, inherited
+        config.name, config.listen, clock, max_clients, front.new_connection, parking, inherited
     )
 
 
@@ -259,16 +261,16 @@
     clock: Clock,
     max_clients: int,
     protocol_factory: Callable[[Listener], asyncio.BufferedProtocol],
-    lot: Lot | None = None,
+    parking: ParkingManager | None = None,
     inherited: socket.socket | None = None,
 ) -> Listener:
     """Opens a listener at an address, or on the inherited socket, and logs the address."""
-    if lot is None:
+    if parking is None:
         listener = Listener(asyncio.get_running_loop(), clock, max_clients, protocol_factory)
     else:
         from pepperrun.parking.listener import ParkingListener
 
-        listener = ParkingListener(asyncio.get_running_loop(), clock, lot, protocol_factory)
+        listener = ParkingListener(asyncio.get_running_loop(), clock, parking, protocol_factory)
     listener.open(address, inherited)
     log_message(name, f"{name} listens at {listener.address[0]}:{listener.address[1]}")
     return listener
--- a/pepperrun/parking/budget.py
+++ b/pepperrun/parking/budget.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-SMOOTH = 0.2  # of a new measurement in what an item is held to cost
-DEAREST_NS = 1_000_000  # one item measured while the process was not scheduled is no guide
+SMOOTHING_FACTOR = 0.2  # of a new measurement in what an item is held to cost
+MAX_ITEM_COST_NS = 1_000_000  # one item measured while the process was not scheduled is no guide
 
 
 class Budget:
@@ -13,20 +13,22 @@
     by as much as the loads on them do.
     """
 
-    def __init__(self, turn_ns: int, most: int = 1024, first_ns: int = 20_000) -> None:
-        self.turn_ns, self.most = turn_ns, most
-        self.first_ns = first_ns
-        self.costs: dict[str, float] = {}
+    def __init__(self, turn_ns: int, max_items: int = 1024, initial_cost_ns: int = 20_000) -> None:
+        self.turn_ns, self.max_items = turn_ns, max_items
+        self.initial_cost_ns = initial_cost_ns
+        self.costs_ns: dict[str, float] = {}
 
-    def allow(self, kind: str) -> int:
+    def allowed_items(self, kind: str) -> int:
         """Items of a kind that this turn may take on; one at least, so that all get done."""
-        cost = max(1.0, self.costs.get(kind, self.first_ns))
-        return max(1, min(self.most, int(self.turn_ns / cost)))
+        cost_ns = max(1.0, self.costs_ns.get(kind, self.initial_cost_ns))
+        return max(1, min(self.max_items, int(self.turn_ns / cost_ns)))
 
-    def spent(self, kind: str, count: int, span_ns: int) -> None:
+    def record_cost(self, kind: str, count: int, duration_ns: int) -> None:
         """So many items took that long."""
-        if count <= 0 or span_ns < 0:
+        if count <= 0 or duration_ns < 0:
             return
-        cost = min(DEAREST_NS, span_ns / count)
-        old = self.costs.get(kind)
-        self.costs[kind] = cost if old is None else old + SMOOTH * (cost - old)
+        cost_ns = min(MAX_ITEM_COST_NS, duration_ns / count)
+        previous_ns = self.costs_ns.get(kind)
+        self.costs_ns[kind] = (
+            cost_ns if previous_ns is None else previous_ns + SMOOTHING_FACTOR * (cost_ns - previous_ns)
+        )
--- a/pepperrun/parking/config.py
+++ b/pepperrun/parking/config.py
@@ -13,7 +13,7 @@
     "idle_s first_byte_s request_s most most_asking park_after_s give_way_after_s holders most_here turn_ms"
     " backlog"
 )
-MOST_HOLDERS = 64
+MAX_HOLDERS = 64
 
 
 @dataclass(slots=True, frozen=True)
@@ -62,7 +62,7 @@
         most=most,
         most_asking=int(_number(table, "most_asking", int, min(512, most), 1, 100_000)),
         most_here=int(_number(table, "most_here", int, 0, 0, 10_000_000)),
-        holders=int(_number(table, "holders", int, 0, 0, MOST_HOLDERS)),
+        holders=int(_number(table, "holders", int, 0, 0, MAX_HOLDERS)),
         turn_ns=int(_number(table, "turn_ms", float, 2.0, 0.1, 1000) * 1_000_000),
         backlog=int(_number(table, "backlog", int, 4096, 1, 65535)),
     )
--- a/pepperrun/parking/rings.py
+++ b/pepperrun/parking/linked_lists.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterator
 
 
-class Rings:
+class LinkedLists:
     """`count` lists over the keys 0, 1, 2, …; a key is in one of them at most.
 
     Every operation is O(1) but `membership`. A list's head is a link of its own at the arrays' front, so that
@@ -22,53 +22,53 @@
 
     def grow(self, keys: int) -> None:
         """Makes room for the keys below `keys`."""
-        more = self.count + keys - len(self.next)
-        if more > 0:
-            blank = array("i", [-1]) * more
-            self.next.extend(blank)
-            self.prev.extend(blank)
+        missing = self.count + keys - len(self.next)
+        if missing > 0:
+            unlinked = array("i", [-1]) * missing
+            self.next.extend(unlinked)
+            self.prev.extend(unlinked)
 
-    def append(self, ring: int, key: int) -> None:
+    def append(self, list_index: int, key: int) -> None:
         """Puts a key that is in no ring at the end of one."""
-        at = key + self.count
-        last = self.prev[ring]
-        self.next[last] = self.prev[ring] = at
-        self.prev[at] = last
-        self.next[at] = ring
+        node = key + self.count
+        last = self.prev[list_index]
+        self.next[last] = self.prev[list_index] = node
+        self.prev[node] = last
+        self.next[node] = list_index
 
     def remove(self, key: int) -> int:
         """Takes a key out; the ring that this left empty, or -1. A key that is in none changes nothing."""
-        at = key + self.count
-        after = self.next[at]
+        node = key + self.count
+        after = self.next[node]
         if after < 0:
             return -1
-        before = self.prev[at]
+        before = self.prev[node]
         self.next[before], self.prev[after] = after, before
-        self.next[at] = self.prev[at] = -1
+        self.next[node] = self.prev[node] = -1
         return before if before == after and before < self.count else -1
 
-    def held(self, key: int) -> bool:
+    def contains(self, key: int) -> bool:
         """Is the key in a ring?"""
-        at = key + self.count
-        return at < len(self.next) and self.next[at] >= 0
+        node = key + self.count
+        return node < len(self.next) and self.next[node] >= 0
 
-    def first(self, ring: int) -> int:
+    def first(self, list_index: int) -> int:
         """The key at the front, or -1."""
-        return self.next[ring] - self.count if self.next[ring] != ring else -1
+        return self.next[list_index] - self.count if self.next[list_index] != list_index else -1
 
-    def pour(self, ring: int, into: int) -> None:
+    def move_all(self, list_index: int, target: int) -> None:
         """Appends all of a ring to another and leaves it empty."""
-        first, last = self.next[ring], self.prev[ring]
-        if first == ring:
+        first, last = self.next[list_index], self.prev[list_index]
+        if first == list_index:
             return
-        tail = self.prev[into]
+        tail = self.prev[target]
         self.next[tail], self.prev[first] = first, tail
-        self.next[last], self.prev[into] = into, last
-        self.next[ring] = self.prev[ring] = ring
+        self.next[last], self.prev[target] = target, last
+        self.next[list_index] = self.prev[list_index] = list_index
 
-    def members(self, ring: int) -> Iterator[int]:
+    def members(self, list_index: int) -> Iterator[int]:
         """The keys from the front on; the ring must not change meanwhile."""
-        at = self.next[ring]
-        while at != ring:
-            yield at - self.count
-            at = self.next[at]
+        node = self.next[list_index]
+        while node != list_index:
+            yield node - self.count
+            node = self.next[node]
--- a/pepperrun/parking/listener.py
+++ b/pepperrun/parking/listener.py
@@ -19,10 +19,10 @@
     ConnectionSnapshot,
     Listener,
 )
-from pepperrun.parking.lot import SHORT_S, Lot
+from pepperrun.parking.manager import SHORTAGE_RETRY_S, ParkingManager
 
 
-def readable(sock: socket.socket) -> bool:
+def has_pending_connection(sock: socket.socket) -> bool:
     """Does a connection wait to be accepted?"""
     poll = select.poll()
     poll.register(sock, select.POLLIN)
@@ -36,20 +36,20 @@
         self,
         loop: asyncio.AbstractEventLoop,
         clock: Callable[[], int],
-        lot: Lot,
-        make: Callable[[Listener], asyncio.BufferedProtocol],
+        parking: ParkingManager,
+        client_factory: Callable[[Listener], asyncio.BufferedProtocol],
     ) -> None:
-        super().__init__(loop, clock, lot.config.most, make)
-        self.lot = lot
-        self.backlog = lot.config.backlog
+        super().__init__(loop, clock, parking.config.most, client_factory)
+        self.parking = parking
+        self.backlog = parking.config.backlog
         self.family = 0
-        self.number = len(lot.fronts)
-        lot.fronts.append(self)
+        self.index = len(parking.listeners)
+        parking.listeners.append(self)
 
     @property
     def timeouts(self) -> ClientTimeouts:
         """The operators' times, as they are now."""
-        config = self.lot.config
+        config = self.parking.config
         return ClientTimeouts(
             config.first_byte_ns,
             config.request_ns,
@@ -64,24 +64,24 @@
         self.family = self.socket.family
 
     def count(self) -> int:
-        return self.lot.total()
+        return self.parking.total()
 
     def _accept(self) -> None:
         """As many as the turn's budget allows; the loop calls again while more are there."""
-        most, count, start = self.lot.budget.allow("accept"), 0, time.perf_counter_ns()
+        limit, count, start = self.parking.budget.allowed_items("accept"), 0, time.perf_counter_ns()
         now = self.clock()
-        while count < most and self._accept_one(now):
+        while count < limit and self._accept_one(now):
             count += 1
-        self.lot.budget.spent("accept", count, time.perf_counter_ns() - start)
-        self.lot.settle()
+        self.parking.budget.record_cost("accept", count, time.perf_counter_ns() - start)
+        self.parking.schedule_upkeep()
 
     def _accept_one(self, now: int) -> bool:
         assert self.socket is not None
-        if not self.lot.free():
-            if not readable(self.socket):  # nobody has to give way for nobody
+        if not self.parking.has_capacity():
+            if not has_pending_connection(self.socket):  # nobody has to give way for nobody
                 return False
-            if not self.lot.room():
-                self._wait()
+            if not self.parking.ensure_capacity():
+                self._pause_accepting()
                 return False
         try:
             sock, _ = self.socket.accept()
@@ -89,40 +89,40 @@
             return False
         except OSError as error:  # no descriptor or memory for it now
             log_message("accept", f"accept: {error}")
-            self.lot.short()
-            self._wait()
+            self.parking.on_descriptor_shortage()
+            self._pause_accepting()
             return False
         fd = sock.detach()
         os.set_blocking(fd, False)
-        self.lot.add(fd, self.number, now)
+        self.parking.add(fd, self.index, now)
         return True
 
-    def _wait(self) -> None:
+    def _pause_accepting(self) -> None:
         """Accepts no more until a connection ends, or for a moment."""
         self._stop_accepting()
-        self.lot.paused = True
-        self.loop.call_later(SHORT_S, self.lot.resume)
+        self.parking.is_accept_paused = True
+        self.loop.call_later(SHORTAGE_RETRY_S, self.parking.resume_accepting)
 
-    def revive(self, snapshot: ConnectionSnapshot, woken: int) -> asyncio.BufferedProtocol:
+    def restore_client(self, snapshot: ConnectionSnapshot, woken_at: int) -> asyncio.BufferedProtocol:
         """The protocol of a connection that is taken up, as it was."""
         client = self.client_factory(self)
-        client.restore(snapshot, woken)  # type: ignore[attr-defined]
+        client.restore(snapshot, woken_at)  # type: ignore[attr-defined]
         return client
 
-    def resume(self) -> None:
+    def resume_accepting(self) -> None:
         """There may be room again."""
         self._start_accepting()
 
     def add(self, client: Client) -> None:
         super().add(client)
-        self.lot.up(client)  # type: ignore[arg-type]
+        self.parking.on_connected(client)  # type: ignore[arg-type]
 
     def remove(self, client: Client) -> None:
-        self.lot.down(client)  # type: ignore[arg-type]
+        self.parking.on_disconnected(client)  # type: ignore[arg-type]
         super().remove(client)
 
     def client_answered(self, client: Client) -> None:
-        self.lot.answered(client)  # type: ignore[arg-type]
+        self.parking.on_answered(client)  # type: ignore[arg-type]
 
     def on_capacity_freed(self) -> None:
         """A connection has ended: the lot sees to it."""
@@ -135,12 +135,12 @@
         for client in list(self.clients):
             if not client.is_busy() and not client.never_answered():
                 client.close()
-        if not self.lot.draining:
-            await self.lot.drain()
+        if not self.parking.draining:
+            await self.parking.drain()
         await asyncio.sleep(accept_s)
         self.stop_listening()
         await asyncio.sleep(linger_s)
-        await self.lot.finish()
+        await self.parking.finish()
         for client in list(self.clients):
             if not client.is_busy():
                 client.close()
--- /dev/null
+++ b/pepperrun/parking/manager.py
@@ -0,0 +1,491 @@
+"""All clients' connections of a gatekeeper that parks them: takes up who speaks, parks who is silent.
+
+One epoll instance holds the silent connections' descriptors and is itself watched by the loop, so that a
+silent connection is in no selector, timer heap or set of the loop: 16,000 of them cost no work until they
+speak or their time is up. Each kind of work is done in bounded turns, between which the loop serves others.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import os
+import resource
+import socket
+import time
+from collections import deque
+from collections.abc import Callable
+from typing import Any, Protocol
+
+from pepperrun.core.clock import SECOND
+from pepperrun.log import log_message
+from pepperrun.net.listener import ConnectionSnapshot
+from pepperrun.parking import wire
+from pepperrun.parking.config import ClientsConfig
+from pepperrun.parking.connection_table import CHECK_INTERVAL_NS, EvictionRank, Record, State
+from pepperrun.parking.holders import RESERVED_DESCRIPTORS, HolderPool
+from pepperrun.parking.parked_sockets import ParkedSockets
+
+HAND_OVER_FRACTION = 3, 4  # past this part of the descriptors here, the longest silent go to holders
+BATCHES_PER_TURN = 4  # batches handed over
+EVICTION_BATCH = 64  # connections at a time
+MIN_CHECK_INTERVAL_NS = SECOND // 50  # between looks at one connection that is taken up, at least
+IDLE_SCAN_S = 0.02  # between looks for idle ones among all that are taken up, while others wait
+SHORTAGE_RETRY_S = 0.1  # when the system has no descriptor or memory for a connection
+
+
+def record_from_snapshot(listener_index: int, snapshot: ConnectionSnapshot) -> Record:
+    """What is kept of a connection."""
+    responses, exchanges, last_used_at, buffered, first_byte_at = snapshot
+    rank = (
+        EvictionRank(min(EvictionRank.MORE_EXCHANGES, EvictionRank.NO_EXCHANGE + exchanges))
+        if responses
+        else EvictionRank.NEVER_ANSWERED
+    )
+    return Record(listener_index, rank, last_used_at, buffered, first_byte_at)
+
+
+def snapshot_from_record(record: Record) -> ConnectionSnapshot:
+    """The other way."""
+    responses = 0 if record.rank is EvictionRank.NEVER_ANSWERED else 1
+    return (
+        responses,
+        max(0, record.rank - EvictionRank.NO_EXCHANGE),
+        record.last_used_at,
+        record.buffered,
+        record.first_byte_at,
+    )
+
+
+def break_reference_cycle(transport: asyncio.Transport | None) -> None:
+    """Lets go of a transport that will read no more at once, not at the collector's next full round.
+
+    The loop's transport refers to itself through a bound method. Thousands of them that are given up in a
+    second made the collector stop the loop for 50 ms. Where the loop has no such attribute nothing changes.
+    """
+    if transport is not None:
+        vars(transport).pop("_read_ready_cb", None)
+
+
+class Client(Protocol):
+    """A connection that is taken up, as the lot sees it."""
+
+    transport: asyncio.Transport | None
+    fd: int
+    listener: Any
+
+    def expires_at(self, crowded: bool) -> int | None: ...
+
+    def expire(self) -> None: ...
+
+    def idle_since(self) -> int | None: ...
+
+    def snapshot(self) -> ConnectionSnapshot: ...
+
+    def park(self) -> None: ...
+
+
+class ListenerPort(Protocol):
+    """What connections of one number are taken up by."""
+
+    family: int
+
+    def restore_client(self, snapshot: ConnectionSnapshot, woken_at: int) -> asyncio.BufferedProtocol: ...
+
+    def resume_accepting(self) -> None: ...
+
+
+class ParkingManager:
+    """Owns the records, the holders and the timers; fronts register and bring new connections."""
+
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        clock: Callable[[], int],
+        config: ClientsConfig,
+        max_here: int,
+    ) -> None:
+        self.loop, self.clock, self.config, self.max_here = loop, clock, config, max_here
+        self.listeners: list[ListenerPort] = []
+        self.clients: dict[int, Client] = {}
+        self.sockets = ParkedSockets(config, clock)
+        self.table, self.budget = self.sockets.table, self.sockets.budget
+        self.holders: HolderPool | None = None
+        if config.holders:
+            self.holders = HolderPool(
+                loop,
+                clock() - time.monotonic_ns(),
+                self._times(),
+                config.holders,
+                self._on_returned,
+                self.resume_accepting,
+            )
+        self.draining = False
+        self.is_accept_paused = False  # a front waits for room
+        self.resumed_count = 0  # connections taken up from a record
+        self.handed_over_count = 0
+        self._tasks: set[asyncio.Task[None]] = set()
+        self._timer: asyncio.TimerHandle | None = None
+        self._timer_at: int | None = None
+        self._is_serving_scheduled = self._is_hand_over_scheduled = False
+        self._idle_fds: deque[int] = deque()  # answered while others waited, in that order
+        self._scan_timer: asyncio.TimerHandle | None = None
+        self._last_batch = (
+            0,
+            0,
+        )  # how many were taken up last, and when, if the loop came straight back from it
+        loop.add_reader(self.sockets.epoll.fileno(), self._on_events)
+
+    # Room.
+
+    def total(self) -> int:
+        """Connections in all, here and with holders."""
+        return len(self.table) + (self.holders.connection_count() if self.holders is not None else 0)
+
+    def has_capacity(self) -> bool:
+        """Is there room for one more?"""
+        return self.total() < self.config.most and len(self.table) < self.max_here
+
+    def ensure_capacity(self) -> bool:
+        """Is there room for one more, if those that are missed least give way?"""
+        if self.has_capacity():
+            return True
+        can_hand_over = (
+            self.holders is not None and self.holders.has_capacity() and self.table.parked_count > 0
+        )
+        if can_hand_over and self.total() < self.config.most:
+            self.schedule_upkeep()  # only here it is full: nobody gives way while others can be handed over
+            return False
+        limit = min(EVICTION_BATCH, 1 + self.config.most // 4)
+        candidates = self.table.eviction_candidates(limit, self.clock())
+        if len(self.table) < self.max_here and self.holders is not None:
+            # Of one rank those with holders have been silent longer: they were handed over for that.
+            lowest = self.holders.lowest_rank()
+            lowest_here = self.table.ranks[candidates[0]] if candidates else len(EvictionRank)
+            if lowest is not None and lowest <= lowest_here and self.holders.evict(limit):
+                return False
+        if candidates and self.sockets.evict(candidates):
+            return True
+        log_message("limit", f"all {self.total()} client connections are in use; accepting later")
+        return False
+
+    def on_descriptor_shortage(self) -> None:
+        """The system has no descriptor for a connection: some give way, for what is taken needs some too."""
+        self.sockets.evict(self.table.eviction_candidates(EVICTION_BATCH, self.clock()))
+
+    def resume_accepting(self) -> None:
+        """Accepting may go on, if there is room."""
+        if self.is_accept_paused:
+            self.is_accept_paused = False
+            for listener in self.listeners:
+                listener.resume_accepting()
+
+    # New, silent and speaking ones.
+
+    def add(self, fd: int, listener_index: int, now: int) -> None:
+        """A new connection, which has said nothing yet."""
+        self.sockets.add(fd, Record(listener_index, EvictionRank.NEVER_ANSWERED, now))
+
+    def schedule_upkeep(self) -> None:
+        """After connections were added or parked: timers and holders see to them."""
+        self._arm_timer()
+        if self.holders is not None and not self._is_hand_over_scheduled and self._is_nearly_full():
+            self._is_hand_over_scheduled = True
+            self.loop.call_soon(self._hand_over)
+
+    def _on_events(self) -> None:
+        self.sockets.poll_events()
+        if self.sockets.table.woken_at:
+            self._resume_waiting()
+        self.resume_accepting()
+
+    def _on_returned(self, fd: int, record: Record) -> None:
+        """A holder gives a connection back: it has spoken."""
+        self.table.park(fd, record)
+        self.table.wake(fd, self.clock())
+        self._schedule_serving()
+
+    def _schedule_serving(self) -> None:
+        if not self._is_serving_scheduled:
+            self._is_serving_scheduled = True
+            self.loop.call_soon(self._on_serving_turn)
+
+    def _on_serving_turn(self) -> None:
+        self._is_serving_scheduled = False
+        self._resume_waiting()
+
+    def _resume_waiting(self) -> None:
+        """Takes up a bounded number of those that have spoken.
+
+        What one costs shows only in the turns that follow, when its transport is made and its request is read
+        and answered: while some still wait, the time from one turn to the next is what the last ones took.
+        """
+        start, (count_before, started_before) = time.perf_counter_ns(), self._last_batch
+        if count_before:
+            self.budget.record_cost("take up", count_before, start - started_before)
+        limit, count = self.budget.allowed_items("take up"), 0
+        while count < limit and (up := self.table.resume_next()) is not None:
+            self._resume_connection(*up)
+            count += 1
+        self._last_batch = 0, 0
+        if self.table.is_crowded():
+            self._park_idle()
+        elif self.table.woken_at:
+            self._last_batch = count, start
+            self._schedule_serving()
+
+    def _resume_connection(self, fd: int, record: Record, woken_at: int) -> None:
+        listener = self.listeners[record.listener_index]
+        try:
+            sock = socket.socket(listener.family, socket.SOCK_STREAM, 0, fileno=fd)
+            sock.setblocking(False)
+        except OSError:
+            self.table.remove(fd)
+            os.close(fd)
+            return
+        self.resumed_count += 1
+        task = self.loop.create_task(self._set_up_client(listener, sock, record, woken_at))
+        self._tasks.add(task)
+        task.add_done_callback(self._tasks.discard)
+
+    async def _set_up_client(
+        self, listener: ListenerPort, sock: socket.socket, record: Record, woken_at: int
+    ) -> None:
+        fd, snapshot = sock.fileno(), snapshot_from_record(record)
+        try:
+            await self.loop.connect_accepted_socket(lambda: listener.restore_client(snapshot, woken_at), sock)
+        except OSError:
+            if fd not in self.clients:
+                self.table.remove(fd)
+            sock.close()
+
+    def on_connected(self, client: Client) -> None:
+        """A connection has its transport."""
+        assert client.transport is not None
+        client.fd = fd = client.transport.get_extra_info("socket").fileno()
+        self.clients[fd] = client
+        self._schedule_check(fd, client)
+        self._arm_timer()
+
+    def on_disconnected(self, client: Client) -> None:
+        """A connection has ended that was taken up; its descriptor is still its own."""
+        if self.clients.get(client.fd) is client:
+            del self.clients[client.fd]
+            self.table.remove(client.fd)
+        if self.table.woken_at:
+            self._schedule_serving()
+        self.resume_accepting()
+
+    # Parking.
+
+    def _schedule_check(self, fd: int, client: Client) -> None:
+        """When to look at it again: once in a while for all that it did meanwhile, not for each request."""
+        later = self.clock() + max(MIN_CHECK_INTERVAL_NS, min(CHECK_INTERVAL_NS, self.config.park_after_ns))
+        due = client.expires_at(False)
+        self.table.schedule_check(fd, later if due is None else min(due, later))
+
+    def _check(self, fd: int) -> None:
+        """A connection that is taken up wants a look."""
+        client = self.clients.get(fd)
+        if client is None:
+            return
+        now, due = self.clock(), client.expires_at(False)
+        if due is not None and now >= due:
+            client.expire()
+            if self.table.states[fd] == State.ACTIVE:
+                self.table.schedule_check(fd, now + CHECK_INTERVAL_NS)
+            return
+        last_used_at = client.idle_since()
+        if (
+            last_used_at is None
+            or now - last_used_at < self.config.park_after_ns
+            or not self._park(fd, client)
+        ):
+            self._schedule_check(fd, client)
+
+    def _park(self, fd: int, client: Client) -> bool:
+        """Gives up a connection's transport, protocol and buffer; False where it can't be done now.
+
+        The loop's transport closes its descriptor, so a second one to the same connection is kept. What comes
+        between the last look and now stays in the system's buffer: the epoll instance tells at once.
+        """
+        transport = client.transport
+        if transport is None or transport.is_closing():
+            return False
+        if client.idle_since() is None:
+            return False
+        record = record_from_snapshot(client.listener.index, client.snapshot())
+        try:
+            parked_fd = os.dup(fd)
+        except OSError:  # no descriptor left: it stays as it is
+            return False
+        del self.clients[fd]
+        self.table.remove(fd)
+        client.park()
+        break_reference_cycle(transport)
+        self.sockets.add(parked_fd, record)
+        return True
+
+    def on_answered(self, client: Client) -> None:
+        """A connection has had its answer; if others wait for its place, it is parked before its time."""
+        if self.table.is_crowded():
+            self._idle_fds.append(client.fd)
+            self._schedule_serving()
+
+    def _park_idle(self) -> None:
+        """Others wait to be taken up: those that hold no request make way for them, longest idle first."""
+        limit = min(len(self.table.woken_at), self.budget.allowed_items("park"))
+        count, start = 0, time.perf_counter_ns()
+        while count < limit and self._idle_fds:
+            fd = self._idle_fds.popleft()
+            client = self.clients.get(fd)
+            count += client is not None and self._park(fd, client)
+        self.budget.record_cost("park", count, time.perf_counter_ns() - start)
+        if count:
+            self._schedule_serving()
+        elif (
+            self._scan_timer is None
+        ):  # those that were idle before anybody waited: one look at all in a while
+            self._scan_timer = self.loop.call_later(IDLE_SCAN_S, self._find_idle)
+
+    def _find_idle(self) -> None:
+        self._scan_timer = None
+        if self.table.is_crowded():
+            idle = [
+                (last_used_at, fd)
+                for fd, one in self.clients.items()
+                if (last_used_at := one.idle_since()) is not None
+            ]
+            self._idle_fds = deque(fd for _, fd in sorted(idle))
+            self._resume_waiting()
+        else:
+            self._idle_fds.clear()
+
+    # Time.
+
+    def _arm_timer(self) -> None:
+        """Sets the loop's timer to the first moment at which something may be due."""
+        wake_at = self.table.timers.next_advance_at()
+        if wake_at is None or self._timer_at is not None and self._timer_at <= wake_at:
+            return
+        if self._timer is not None:
+            self._timer.cancel()
+        self._timer_at = wake_at
+        self._timer = self.loop.call_later(max(0, wake_at - self.clock()) / SECOND, self._on_timer)
+
+    def _on_timer(self) -> None:
+        self._timer = self._timer_at = None
+        for fd in self.sockets.expire_due():
+            self._check(fd)
+        if self.table.woken_at:
+            self._schedule_serving()
+        self.schedule_upkeep()
+        self.resume_accepting()
+
+    # Other processes.
+
+    def _times(self) -> wire.Times:
+        config = self.config
+        soft = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
+        limit = (
+            config.most
+            if soft == resource.RLIM_INFINITY
+            else max(wire.MAX_BATCH, soft - RESERVED_DESCRIPTORS)
+        )
+        return wire.Times(config.idle_ns, config.first_byte_ns, config.give_way_ns, config.turn_ns, limit)
+
+    def _is_nearly_full(self) -> bool:
+        numerator, denominator = HAND_OVER_FRACTION
+        return len(self.table) * denominator > self.max_here * numerator and self.table.parked_count > 0
+
+    def _hand_over(self) -> None:
+        """The longest silent go to holders, a few batches a turn."""
+        self._is_hand_over_scheduled = False
+        assert self.holders is not None
+        for _ in range(BATCHES_PER_TURN):
+            if not self._is_nearly_full():
+                break
+            fds = self.table.hand_over_candidates(wire.MAX_BATCH, self.clock())
+            batch = [(fd, self.table.record(fd)) for fd in fds]
+            if not batch or not self.holders.hand_over(batch):
+                if self.holders.has_capacity():
+                    self._is_hand_over_scheduled = True
+                    self.loop.call_later(0.01, self._hand_over)
+                break
+            self.handed_over_count += len(fds)
+            for fd in fds:
+                self.sockets.close(fd)  # the holder has its own
+        else:
+            self._is_hand_over_scheduled = True
+            self.loop.call_soon(self._hand_over)
+        self.resume_accepting()
+
+    # Changes and the end.
+
+    def apply_config(self, config: ClientsConfig) -> list[str]:
+        """Other times and limits hold from now on, for what is parked too; the keys that wait for a start."""
+        deferred = [
+            key
+            for key in ("holders", "most_here", "backlog")
+            if getattr(config, key) != getattr(self.config, key)
+        ]
+        self.config = config
+        self.sockets.apply_config(config)
+        if self.holders is not None:
+            self.holders.apply_times(self._times())
+        self._timer_at = None
+        self._arm_timer()
+        self.resume_accepting()
+        return deferred
+
+    async def drain(self) -> None:
+        """Closes what has been served and is silent, in bounded turns."""
+        self.draining = True
+        if self.holders is not None:
+            self.holders.drain()
+        for rank in (EvictionRank.NO_EXCHANGE, EvictionRank.ONE_EXCHANGE, EvictionRank.MORE_EXCHANGES):
+            await self._close_all(rank)
+
+    async def _close_all(self, rank: EvictionRank) -> None:
+        while True:
+            fds = []
+            for fd in self.table.eviction_order.members(rank):
+                fds.append(fd)
+                if len(fds) >= EVICTION_BATCH:
+                    break
+            if not fds:
+                return
+            self.sockets.evict(fds)  # those with something to say wait to be taken up
+            if self.table.woken_at:
+                self._schedule_serving()
+            await asyncio.sleep(0)
+
+    async def finish(self) -> None:
+        """Closes all that is silent, and waits until what has spoken is taken up."""
+        if self.holders is not None:
+            self.holders.finish()
+        while True:
+            for rank in EvictionRank:
+                await self._close_all(rank)
+            holders_pending = self.holders is not None and not self.holders.is_finished()
+            if (
+                not holders_pending
+                and not self.table.parked_count
+                and not self.table.woken_at
+                and not self._tasks
+            ):
+                return
+            if self.table.woken_at:
+                self._schedule_serving()
+            await asyncio.sleep(0.005)
+
+    def close(self) -> None:
+        """Ends it all."""
+        self.loop.remove_reader(self.sockets.epoll.fileno())
+        if self._timer is not None:
+            self._timer.cancel()
+        for fd, state in enumerate(self.table.states):
+            if state in (State.PARKED, State.WAITING):
+                self.sockets.close(fd)
+        if self.holders is not None:
+            self.holders.close()
+        self.sockets.epoll.close()
--- a/pepperrun/serve.py
+++ b/pepperrun/serve.py
@@ -20,7 +20,7 @@
     CoreAndListener,
     DiscoveryWatch,
     await_successor,
-    create_lot,
+    create_parking,
     discovery_backoff,
     handover_path,
     inherited_socket,
@@ -43,7 +43,7 @@
     from pepperrun.membership.config import MembershipConfig
     from pepperrun.metrics import MetricsConfig, Reporter, Sample
     from pepperrun.parking.config import ClientsConfig
-    from pepperrun.parking.lot import Lot
+    from pepperrun.parking.manager import ParkingManager
 
 OPTIONS = ("--forward-auth", "--metrics", "--clients", "--log-format", "--capture", "--members")
 # For the lab, a clock with an offset in seconds: `S`, or `S@T` for a step after T seconds.
@@ -85,7 +85,7 @@
     auth_config: AuthConfig | None,
     cores: dict[str, CoreAndListener],
     watch: DiscoveryWatch,
-    lot: Lot | None = None,
+    parking: ParkingManager | None = None,
 ) -> tuple[Config | None, AuthConfig | None]:
     """Reads the files again and returns the configuration in force after that.
 
@@ -119,16 +119,16 @@
         membership = files.membership(config)
         if membership is not None:
             service.reload(membership)
-    if lot is not None and clients is not None:
-        deferred += [f"clients {key}" for key in lot.follow(clients)]
+    if parking is not None and clients is not None:
+        deferred += [f"clients {key}" for key in parking.apply_config(clients)]
     deferred_note = f"; at the next start: {', '.join(deferred)}" if deferred else ""
     log_message("reload", f"applied the new configuration{deferred_note}")
     return config, auth_config
 
 
-def count_connections(listeners: list[Listener], lot: Lot | None) -> int:
+def count_connections(listeners: list[Listener], parking: ParkingManager | None) -> int:
     """Returns the number of open client connections; listeners with a lot share its count."""
-    return lot.total() if lot is not None else sum(listener.count() for listener in listeners)
+    return parking.total() if parking is not None else sum(listener.count() for listener in listeners)
 
 
 def changed_keys(old: Config | AuthConfig, new: Config | AuthConfig, *ignored: str) -> list[str]:
@@ -151,14 +151,14 @@
     watch = DiscoveryWatch()
     admin: AdminServer | None = None
     predecessor: Predecessor | None = None
-    lot, backends = None, 0
+    parking, backends = None, 0
     if clients is not None:
         auth_sockets = auth_config.sockets if auth_config is not None else 0
         # Forward authentication alone has no key for the limit on descriptors: the system's limit applies.
         sockets = config.sockets if config is not None else resource.getrlimit(resource.RLIMIT_NOFILE)[1]
-        lot, backends = create_lot(clients, clock, sockets, auth_sockets)
+        parking, backends = create_parking(clients, clock, sockets, auth_sockets)
     if auth_config is not None:
-        core, auth, auth_listener = await start_auth(auth_config, clock, secrets.randbits(64), lot)
+        core, auth, auth_listener = await start_auth(auth_config, clock, secrets.randbits(64), parking)
         cores["auth"] = core, auth_listener
         classes += auth_config.settings.classes
     if config is not None:
@@ -168,7 +168,7 @@
         path = handover_path(config.name, os.environ) if inherited is not None else None
         successor = await request_handover(path)
         core, listener = await start_platform(
-            config, clock, sockets, auth, lot, backends, inherited, successor, watch
+            config, clock, sockets, auth, parking, backends, inherited, successor, watch
         )
         cores["platform"] = core, listener
         classes += config.settings.classes
@@ -192,7 +192,7 @@
     def reload() -> None:
         nonlocal config, auth_config
         if not stop.is_set():  # no reload during a drain
-            config, auth_config = reload_config(files, config, auth_config, cores, watch, lot)
+            config, auth_config = reload_config(files, config, auth_config, cores, watch, parking)
 
     recorders = []
     if files.capture_folder is not None:
@@ -207,7 +207,7 @@
 
     await stop.wait()
     listeners = [listener for _, listener in cores.values() if listener is not None]
-    log_message("stop", f"draining {count_connections(listeners, lot)} connections")
+    log_message("stop", f"draining {count_connections(listeners, parking)} connections")
     max_deadline_s = max(request_class.deadline_ns for request_class in classes) / SECOND
     if predecessor is not None and await predecessor.finish(max_deadline_s + DRAIN_MARGIN_S):
         listeners.remove(listener)
@@ -230,8 +230,8 @@
         admin.close()
     for task in tasks:
         task.cancel()
-    if lot is not None:
-        lot.close()
+    if parking is not None:
+        parking.close()
     for recorder in recorders:
         recorder.close()
 
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -77,7 +77,7 @@
         "structlog",
         "numpy",
         "subprocess",
-        "pepperrun.parking.lot",
+        "pepperrun.parking.manager",
         "pepperrun.metrics.graphite",
     }
     assert not heavy & set(loaded) - {"subprocess"}  # asyncio itself loads that one
--- a/tests/test_parking.py
+++ b/tests/test_parking.py
@@ -19,11 +19,11 @@
 
 from pepperrun.fronts.http_connection import HttpConnection
 from pepperrun.net.listener import Listener
-from pepperrun.parking import lot as lot_module
+from pepperrun.parking import manager as manager_module
 from pepperrun.parking.config import read_clients
-from pepperrun.parking.ledger import Rank, State
+from pepperrun.parking.connection_table import EvictionRank, State
 from pepperrun.parking.listener import ParkingListener
-from pepperrun.parking.lot import Lot
+from pepperrun.parking.manager import ParkingManager
 
 HEALTH = b"GET /ready HTTP/1.1\r\nHost: h\r\n\r\n"
 
@@ -37,22 +37,25 @@
         self.later = 0
         given = {"idle_s": 100, "park_after_s": 0.02, "most": 1000} | changes
         loop = asyncio.get_running_loop()
-        self.lot = Lot(loop, self.now, read_clients(json.dumps(given)), here)
+        self.parking = ParkingManager(loop, self.now, read_clients(json.dumps(given)), here)
         self.platform.clock = self.gatekeeper.clock = self.side.clock = self.now
-        self.listener: Listener = ParkingListener(loop, self.now, self.lot, self.platform.new_connection)
+        self.listener: Listener = ParkingListener(loop, self.now, self.parking, self.platform.new_connection)
         self.listener.open((HOST, 0))
 
     def now(self) -> int:
         return self.clock() + self.later
 
     async def until(self, parked: int | None = None, total: int | None = None) -> None:
-        while parked not in (None, self.lot.ledger.parked) or total not in (None, self.lot.total()):
+        while parked not in (None, self.parking.table.parked_count) or total not in (
+            None,
+            self.parking.total(),
+        ):
             await asyncio.sleep(0.001)
 
     def advance(self, span: int) -> None:
         """Lets the front's clock jump; the loop's own timer would come after as long in real time."""
         self.later += span
-        self.lot._tick()
+        self.parking._on_timer()
 
 
 @contextlib.asynccontextmanager
@@ -64,7 +67,7 @@
         yield front
     finally:
         front.listener.close()
-        front.lot.close()
+        front.parking.close()
         await worker.stop()
 
 
@@ -85,11 +88,11 @@
             client = await front.client()
             await front.until(parked=1)
             assert not front.listener.clients  # neither transport nor protocol
-            for rank in (Rank.ONCE, Rank.OFTEN, Rank.OFTEN):
+            for rank in (EvictionRank.ONE_EXCHANGE, EvictionRank.MORE_EXCHANGES, EvictionRank.MORE_EXCHANGES):
                 await served(client)
                 await front.until(parked=1)
-                (fd,) = front.lot.ledger.order.members(rank)
-                assert not front.listener.clients and not front.lot.clients
+                (fd,) = front.parking.table.eviction_order.members(rank)
+                assert not front.listener.clients and not front.parking.clients
             client.ask("confirm")
             while not front.listener.clients:
                 await asyncio.sleep(0)
@@ -106,11 +109,11 @@
         async with parking(park_after_s=10) as front:
             client = await front.client()
             await served(client)
-            ((fd, taken),) = front.lot.clients.items()
+            ((fd, taken),) = front.parking.clients.items()
             # Written to the socket now, read by nobody: the loop has not turned since.
             sock = client.writer.get_extra_info("socket")
             os.write(sock.fileno(), HEALTH + HEALTH.replace(b"/ready", b"/nowhere") + HEALTH[:9])
-            assert front.lot._park(fd, taken)
+            assert front.parking._park(fd, taken)
             assert not front.listener.clients
             assert [(await client.answer())[0] for _ in range(2)] == [200, 404]
 
@@ -138,21 +141,23 @@
             client, slow = await front.client(), await front.client()
             for one in (client, slow):
                 one.writer.write(HEALTH[:7])
-            ledger = front.lot.ledger
-            while [held for held, _ in ledger.held.values()] != [HEALTH[:7]] * 2:
+            ledger = front.parking.table
+            while [held for held, _ in ledger.partial_requests.values()] != [HEALTH[:7]] * 2:
                 await asyncio.sleep(0.001)
             client.writer.write(HEALTH[7:12])
-            while HEALTH[:12] not in [held for held, _ in ledger.held.values()]:  # parked again with more
+            while HEALTH[:12] not in [
+                held for held, _ in ledger.partial_requests.values()
+            ]:  # parked again with more
                 await asyncio.sleep(0.001)
-            began = min(at for _, at in front.lot.ledger.held.values())
+            began = min(at for _, at in front.parking.table.partial_requests.values())
             client.writer.write(HEALTH[12:])
             assert (await client.answer())[0] == 200
             await front.until(parked=2)
             front.advance(began + 5 * SECOND - front.now() - 2 * MS)
-            assert front.lot.ledger.parked == 2  # not early
+            assert front.parking.table.parked_count == 2  # not early
             front.advance(25 * MS)
             assert (await slow.answer())[0] == 408 and await slow.ended()
-            assert front.lot.ledger.parked == 1
+            assert front.parking.table.parked_count == 1
 
     going(test)
 
@@ -167,7 +172,7 @@
                 client.writer.close()
             reset(clients[4])
             await front.until(total=2)
-            assert front.lot.shelf.ended == 4
+            assert front.parking.sockets.closed_by_client == 4
             more = [await front.client() for _ in range(4)]  # the same numbers again
             await front.until(parked=6)
             for client in [clients[0], clients[5], *more]:
@@ -182,14 +187,16 @@
             first, late = await front.client(), socket.socket()
             late.setblocking(False)
             await front.until(parked=1)
-            (fd,) = front.lot.ledger.order.members(Rank.SILENT)
-            front.lot.shelf.spoken(fd, front.now())  # waits to be taken up, and ends before its turn
-            front.lot.shelf.close(fd)
+            (fd,) = front.parking.table.eviction_order.members(EvictionRank.NEVER_ANSWERED)
+            front.parking.sockets.on_readable(
+                fd, front.now()
+            )  # waits to be taken up, and ends before its turn
+            front.parking.sockets.close(fd)
             assert late.connect_ex(front.listener.address) in (0, errno.EINPROGRESS)
             second = Client(*await asyncio.open_connection(sock=late))
             await front.until(parked=1)
-            assert list(front.lot.ledger.order.members(Rank.SILENT)) == [fd]
-            assert front.lot.ledger.next_up() is None  # what was queued was the first one
+            assert list(front.parking.table.eviction_order.members(EvictionRank.NEVER_ANSWERED)) == [fd]
+            assert front.parking.table.resume_next() is None  # what was queued was the first one
             await served(second)
             assert await first.ended()
 
@@ -206,7 +213,7 @@
                 client.ask()
             answers = asyncio.gather(*(client.answer() for client in clients))
             while not answers.done():
-                most = max(most, front.lot.ledger.taken)
+                most = max(most, front.parking.table.active_count)
                 await asyncio.sleep(0)
             assert {status for status, _, _ in await answers} == {200} and most == 8
 
@@ -222,14 +229,14 @@
         first.ask()
         await worker.arrived.get()
         second.ask(budget="500m")
-        while not front.lot.ledger.woken:
+        while not front.parking.table.woken_at:
             await asyncio.sleep(0)
         front.later += 600 * MS  # the first one is still out
         worker.go.set()
         assert (await first.answer())[0] == 200
         assert (await second.answer())[0] == 504 and len(worker.heads) == 1  # out of time, and not sent on
         front.listener.close()
-        front.lot.close()
+        front.parking.close()
 
     going(test)
 
@@ -239,15 +246,15 @@
         async with parking(idle_s=50, first_byte_s=10) as front:
             clients = [await front.client() for _ in range(200)]
             await front.until(parked=200)
-            newest = max(front.lot.ledger.since)
-            front.lot.shelf.budget.most = 16
+            newest = max(front.parking.table.last_used_at)
+            front.parking.sockets.budget.max_items = 16
             front.advance(-5 * SECOND)
             front.advance(newest + 9 * SECOND - front.now())
-            assert front.lot.ledger.parked == 200
+            assert front.parking.table.parked_count == 200
             front.advance(newest + 10 * SECOND + 20 * MS - front.now())
-            assert front.lot.ledger.parked == 200 - 16
+            assert front.parking.table.parked_count == 200 - 16
             assert all(await asyncio.gather(*(client.ended() for client in clients)))
-            assert front.lot.shelf.expired == 200 and front.lot.total() == 0
+            assert front.parking.sockets.expired == 200 and front.parking.total() == 0
 
     going(test)
 
@@ -267,7 +274,7 @@
             assert all(await asyncio.gather(*(client.ended() for client in silent)))
             for client in (flood[-1], health, once, often):
                 await served(client)
-            assert front.lot.total() <= 8
+            assert front.parking.total() <= 8
 
     going(test)
 
@@ -309,7 +316,7 @@
         assert all(await asyncio.gather(*(client.ended() for client in idle)))
         late.close()
         front.listener.close()
-        front.lot.close()
+        front.parking.close()
 
     going(test)
 
@@ -324,7 +331,7 @@
             await front.until(parked=150)
             drain = asyncio.create_task(front.listener.drain(0.2, 0.1))
             assert all(await asyncio.gather(*(client.ended() for client in done)))
-            assert front.lot.ledger.parked == 50  # they may be about to ask
+            assert front.parking.table.parked_count == 50  # they may be about to ask
             new = await front.client()  # it still accepts
             for client in (*fresh[:25], new):
                 client.ask()
@@ -342,10 +349,10 @@
         async with parking(here=40, holders=2, give_way_after_s=0) as front:
             clients = [await front.client() for _ in range(200)]
             await front.until(total=200)
-            assert front.lot.holders is not None
-            while len(front.lot.ledger) > 30:
+            assert front.parking.holders is not None
+            while len(front.parking.table) > 30:
                 await asyncio.sleep(0.001)
-            assert front.lot.holders.held() == 200 - len(front.lot.ledger)
+            assert front.parking.holders.connection_count() == 200 - len(front.parking.table)
             for client in clients[::3]:  # some of each are served, and go back to a holder
                 await served(client)
             clients[0].writer.write(HEALTH[:5])  # half a request comes back, and the rest later
@@ -356,13 +363,13 @@
             reset(clients[2])
             await front.until(total=198)
             # One dies: its connections end, nobody else's, and another takes its place.
-            victim = front.lot.holders.holders[0]
-            lost = victim.held()
+            victim = front.parking.holders.holders[0]
+            lost = victim.connection_count()
             victim.process.kill()
-            while front.lot.holders.lost == 0:
+            while front.parking.holders.lost_count == 0:
                 await asyncio.sleep(0.001)
-            assert 0 < lost == front.lot.holders.lost and front.lot.total() == 198 - lost
-            while len(front.lot.holders.holders) < 2:
+            assert 0 < lost == front.parking.holders.lost_count and front.parking.total() == 198 - lost
+            while len(front.parking.holders.holders) < 2:
                 await asyncio.sleep(0.01)
             alive = 0
             for client in clients[3:]:
@@ -389,14 +396,14 @@
             clients = [await front.client() for _ in range(120)]
             more: list[Client] = []
             await front.until(total=120)
-            while len(front.lot.ledger) > 30:
+            while len(front.parking.table) > 30:
                 await asyncio.sleep(0.001)
-            while front.lot.holders.lowest() is None:
+            while front.parking.holders.lowest_rank() is None:
                 await asyncio.sleep(0.001)
             for _ in range(40):
                 more.append(await front.client())
                 await served(more[-1])
-            assert front.lot.total() <= 120 and front.lot.shelf.gave_way == 0
+            assert front.parking.total() <= 120 and front.parking.sockets.evicted == 0
             while sum(ended := [client.reader.at_eof() for client in clients]) < 40:
                 await asyncio.sleep(0.001)
             assert not any(ended[-20:])  # the longest silent, not the last to come
@@ -413,7 +420,7 @@
                 made.append(listener)
                 return front.platform.new_connection(listener)
 
-            other = ParkingListener(loop, front.now, front.lot, make)
+            other = ParkingListener(loop, front.now, front.parking, make)
             other.open((HOST, 0))
             here, there = await front.client(), await Client.to(other.address[1])
             await front.until(parked=2)
@@ -465,6 +472,14 @@
 
 
 def test_states_are_told_apart():
-    assert [state.name for state in State] == ["FREE", "PARKED", "WAITING", "TAKEN"]
-    assert lot_module.snapshot_of(lot_module.record_of(0, (3, 5, 7, b"x", 9))) == (1, 2, 7, b"x", 9)
-    assert lot_module.snapshot_of(lot_module.record_of(0, (0, 0, 7, b"", 0))) == (0, 0, 7, b"", 0)
+    assert [state.name for state in State] == ["FREE", "PARKED", "WAITING", "ACTIVE"]
+    assert manager_module.snapshot_from_record(
+        manager_module.record_from_snapshot(0, (3, 5, 7, b"x", 9))
+    ) == (1, 2, 7, b"x", 9)
+    assert manager_module.snapshot_from_record(manager_module.record_from_snapshot(0, (0, 0, 7, b"", 0))) == (
+        0,
+        0,
+        7,
+        b"",
+        0,
+    )
--- a/tests/test_parking_core.py
+++ b/tests/test_parking_core.py
@@ -13,8 +13,8 @@
 from pepperrun.parking import wire
 from pepperrun.parking.budget import Budget
 from pepperrun.parking.config import ClientsConfig, read_clients
-from pepperrun.parking.ledger import Ledger, Rank, Record, State
-from pepperrun.parking.wheel import LEVELS, SLOTS, TICK_BITS, Wheel
+from pepperrun.parking.connection_table import ConnectionTable, EvictionRank, Record, State
+from pepperrun.parking.timer_wheel import LEVELS, SLOTS_PER_LEVEL, TICK_BITS, TimerWheel
 
 TICK = 1 << TICK_BITS
 S = 1_000_000_000
@@ -22,8 +22,8 @@
 SPANS = st.one_of(
     st.integers(0, 3 * TICK),
     st.integers(0, 200 * TICK),
-    st.integers(0, SLOTS**LEVELS * TICK * 2),
-    st.sampled_from([SLOTS**level * TICK + more for level in range(1, 5) for more in (-1, 0, 1)]),
+    st.integers(0, SLOTS_PER_LEVEL**LEVELS * TICK * 2),
+    st.sampled_from([SLOTS_PER_LEVEL**level * TICK + more for level in range(1, 5) for more in (-1, 0, 1)]),
 )
 
 
@@ -37,30 +37,30 @@
     def __init__(self) -> None:
         super().__init__()
         self.now = 5 * S
-        self.wheel = Wheel(self.now)
-        self.wheel.grow(64)
+        self.timers = TimerWheel(self.now)
+        self.timers.grow(64)
         self.set: dict[int, int] = {}
         self.again: set[int] = set()
 
     @rule(key=KEYS, span=SPANS)
     def insert(self, key: int, span: int) -> None:
-        self.wheel.insert(key, self.now + span)
+        self.timers.insert(key, self.now + span)
         self.set[key] = self.now + span
         self.again.discard(key)
 
     @rule(key=KEYS)
     def cancel(self, key: int) -> None:
-        self.wheel.cancel(key)
+        self.timers.cancel(key)
         self.set.pop(key, None)
         self.again.discard(key)
 
     @rule(span=SPANS, most=st.integers(1, 50))
     def advance(self, span: int, most: int) -> None:
         self.now += span
-        self.wheel.advance(self.now)
+        self.timers.advance(self.now)
         fired = []
-        while self.wheel.pending():
-            got = self.wheel.take(self.now, most)
+        while self.timers.has_pending():
+            got = self.timers.take_due(self.now, most)
             assert len(got) <= most
             fired += got
         assert all(self.set[key] <= self.now for key in fired if key not in self.again), "fired early"
@@ -71,7 +71,7 @@
         assert must <= set(fired) and len(set(fired)) == len(fired)
         for key in fired:
             if self.set[key] > self.now:
-                self.wheel.insert(key, self.set[key])
+                self.timers.insert(key, self.set[key])
             else:
                 del self.set[key]
 
@@ -80,21 +80,21 @@
         self.now = max(0, self.now - back)
 
     @rule()
-    def restart(self) -> None:
-        self.wheel.restart()
+    def hand_out_all(self) -> None:
+        self.timers.hand_out_all()
         self.again = set(self.set)
 
     @invariant()
     def wakes_in_time(self) -> None:
-        assert len(self.wheel) == len(self.set)
-        assert {key: self.wheel.due(key) for key in self.set} == self.set
-        wake = self.wheel.wake()
+        assert len(self.timers) == len(self.set)
+        assert {key: self.timers.due_at(key) for key in self.set} == self.set
+        wake = self.timers.next_advance_at()
         if self.set:
             # The moment to look next: no later than the tick by which the first must fire.
             assert wake is not None and wake <= max(
                 -(-min(self.set.values()) >> TICK_BITS) << TICK_BITS, self.now
             )
-        elif not self.wheel.pending():
+        elif not self.timers.has_pending():
             assert wake is None
 
 
@@ -105,16 +105,16 @@
 
 
 def test_a_hundred_thousand_timers_due_together_are_worked_off_in_bounded_steps():
-    wheel, count = Wheel(0), 100_000
+    wheel, count = TimerWheel(0), 100_000
     wheel.grow(count)
     for key in range(count):
         wheel.insert(key, 3600 * S)  # far off: they come down the levels together, too
     now, fired, steps = 0, 0, 0
     while len(wheel):
-        now = max(now, wheel.wake())
+        now = max(now, wheel.next_advance_at())
         wheel.advance(now)
-        while wheel.pending():
-            got = wheel.take(now, 500)
+        while wheel.has_pending():
+            got = wheel.take_due(now, 500)
             assert len(got) <= 500 and (not got or now >= 3600 * S)
             fired, steps = fired + len(got), steps + 1
     # Each timer is looked at once a level at most.
@@ -127,7 +127,7 @@
     def __init__(self) -> None:
         super().__init__()
         self.now = S
-        self.ledger = Ledger(config(most_asking=4, most=50), self.now)
+        self.table = ConnectionTable(config(most_asking=4, most=50), self.now)
         self.parked: dict[int, Record] = {}
         self.waiting: list[tuple[int, Record, int]] = []
         self.taken: set[int] = set()
@@ -135,22 +135,22 @@
     def free(self, key: int) -> bool:
         return key not in self.parked and key not in self.taken and key not in [k for k, _, _ in self.waiting]
 
-    @rule(key=KEYS, rank=st.sampled_from(Rank), held=st.sampled_from([b"", b"", b"GET "]))
-    def park(self, key: int, rank: Rank, held: bytes) -> None:
+    @rule(key=KEYS, rank=st.sampled_from(EvictionRank), held=st.sampled_from([b"", b"", b"GET "]))
+    def park(self, key: int, rank: EvictionRank, held: bytes) -> None:
         if self.free(key):
             record = Record(1, rank, self.now, held, self.now if held else 0)
-            self.ledger.park(key, record)
+            self.table.park(key, record)
             self.parked[key] = record
 
     @rule(key=KEYS)
     def wake(self, key: int) -> None:
-        assert self.ledger.wake(key, self.now) == (key in self.parked)
+        assert self.table.wake(key, self.now) == (key in self.parked)
         if key in self.parked:
             self.waiting.append((key, self.parked.pop(key), self.now))
 
     @rule()
-    def next_up(self) -> None:
-        got = self.ledger.next_up()
+    def resume_next(self) -> None:
+        got = self.table.resume_next()
         if self.waiting and len(self.taken) < 4:
             assert got == self.waiting[0]
             self.taken.add(self.waiting.pop(0)[0])
@@ -158,8 +158,8 @@
             assert got is None
 
     @rule(key=KEYS)
-    def drop(self, key: int) -> None:
-        self.ledger.drop(key)
+    def remove(self, key: int) -> None:
+        self.table.remove(key)
         self.parked.pop(key, None)
         self.taken.discard(key)
         self.waiting = [one for one in self.waiting if one[0] != key]
@@ -167,25 +167,25 @@
     @rule(span=st.integers(0, 12 * S))
     def time_passes(self, span: int) -> None:
         self.now += span
-        fired = self.ledger.fire(self.now, 1000)
+        fired = self.table.expire_due(self.now, 1000)
         assert all(state is State.PARKED for _, state in fired)
         for key, _ in fired:
             record = self.parked.pop(key)
-            life = 5 if record.held else 10 if record.rank is Rank.SILENT else 100
-            assert record.since + life * S <= self.now
-            self.ledger.drop(key)
+            life = 5 if record.buffered else 10 if record.rank is EvictionRank.NEVER_ANSWERED else 100
+            assert record.last_used_at + life * S <= self.now
+            self.table.remove(key)
 
     @invariant()
     def same(self) -> None:
-        ledger = self.ledger
-        assert (ledger.parked, ledger.taken, len(ledger.woken)) == (
+        table = self.table
+        assert (table.parked_count, table.active_count, len(table.woken_at)) == (
             len(self.parked),
             len(self.taken),
             len(self.waiting),
         )
-        assert {key: ledger.record(key) for key in self.parked} == self.parked
-        victims = ledger.giving_way(100, self.now + S)
-        assert sorted(victims) == sorted(key for key, one in self.parked.items() if not one.held)
+        assert {key: table.record(key) for key in self.parked} == self.parked
+        victims = table.eviction_candidates(100, self.now + S)
+        assert sorted(victims) == sorted(key for key, one in self.parked.items() if not one.buffered)
         ranks = [self.parked[key].rank for key in victims]
         assert ranks == sorted(ranks)
 
@@ -197,36 +197,39 @@
 
 
 def test_a_new_connection_has_a_moment_to_ask_before_it_gives_way():
-    ledger = Ledger(config(give_way_after_s=1), 0)
-    ledger.park(5, Record(0, Rank.SILENT, 0))
-    ledger.park(6, Record(0, Rank.SILENT, S))
-    ledger.park(7, Record(0, Rank.OFTEN, 0))
-    assert ledger.giving_way(9, S + 1) == [5, 7] and ledger.giving_way(1, S + 1) == [5]
-    assert ledger.longest_silent(9, S + 1) == [7, 5, 6]  # who has only just come is about to speak
-    assert ledger.longest_silent(9, 6 * S) == [5, 6, 7] and ledger.longest_silent(9, 6 * S - 1) == [5, 7]
+    table = ConnectionTable(config(give_way_after_s=1), 0)
+    table.park(5, Record(0, EvictionRank.NEVER_ANSWERED, 0))
+    table.park(6, Record(0, EvictionRank.NEVER_ANSWERED, S))
+    table.park(7, Record(0, EvictionRank.MORE_EXCHANGES, 0))
+    assert table.eviction_candidates(9, S + 1) == [5, 7] and table.eviction_candidates(1, S + 1) == [5]
+    assert table.hand_over_candidates(9, S + 1) == [7, 5, 6]  # who has only just come is about to speak
+    assert table.hand_over_candidates(9, 6 * S) == [5, 6, 7] and table.hand_over_candidates(9, 6 * S - 1) == [
+        5,
+        7,
+    ]
 
 
 def test_parked_connections_follow_other_times_at_once_and_longer_ones_without_a_look_at_each():
-    ledger = Ledger(config(), 0)
+    table = ConnectionTable(config(), 0)
     for key in range(100):
-        ledger.park(key, Record(0, Rank.ONCE, 0))
-    ledger.follow(config(idle_s=2))
-    assert ledger.fire(1 * S, 1000) == [] and len(ledger.wheel) == 100
-    assert len(ledger.fire(2 * S + TICK, 1000)) == 100
+        table.park(key, Record(0, EvictionRank.ONE_EXCHANGE, 0))
+    table.apply_config(config(idle_s=2))
+    assert table.expire_due(1 * S, 1000) == [] and len(table.timers) == 100
+    assert len(table.expire_due(2 * S + TICK, 1000)) == 100
 
 
 def test_a_turns_budget_follows_what_an_item_costs_and_lets_one_through_always():
-    budget = Budget(2_000_000, most=500)
-    assert budget.allow("wake") == 100  # nothing measured yet: 20 us each
+    budget = Budget(2_000_000, max_items=500)
+    assert budget.allowed_items("wake") == 100  # nothing measured yet: 20 us each
     for _ in range(50):
-        budget.spent("wake", 10, 10 * 500_000)
-    assert budget.allow("wake") == 4 and budget.allow("timer") == 100
+        budget.record_cost("wake", 10, 10 * 500_000)
+    assert budget.allowed_items("wake") == 4 and budget.allowed_items("timer") == 100
     for _ in range(50):
-        budget.spent("wake", 1, 60 * S)  # the process was stopped meanwhile
-    assert budget.allow("wake") == 2
+        budget.record_cost("wake", 1, 60 * S)  # the process was stopped meanwhile
+    assert budget.allowed_items("wake") == 2
     for _ in range(100):
-        budget.spent("wake", 100, 100)
-    assert budget.allow("wake") == 500
+        budget.record_cost("wake", 100, 100)
+    assert budget.allowed_items("wake") == 500
 
 
 @given(
@@ -235,20 +238,23 @@
 )
 def test_messages_of_holders_are_read_or_refused(data):
     try:
-        kind, _ = wire.read(data)
+        kind, _ = wire.decode(data)
     except ValueError:
         return
     assert isinstance(kind, wire.Kind)
 
 
 def test_messages_of_holders_come_back_as_they_were():
-    batch = [Record(n % 2, Rank(n % 4), n * S) for n in range(wire.BATCH)]
-    assert wire.read(wire.records(wire.Kind.BACK, batch)) == (wire.Kind.BACK, batch)
+    batch = [Record(n % 2, EvictionRank(n % 4), n * S) for n in range(wire.MAX_BATCH)]
+    assert wire.decode(wire.encode_records(wire.Kind.RETURN, batch)) == (wire.Kind.RETURN, batch)
     times, report = wire.Times(1, 2, 3, 4, 5), wire.Report(1, 2, 3, 4, 5, 6, 7)
-    assert wire.read(wire.times(times))[1] == times and wire.read(wire.report(report))[1] == report
-    assert wire.read(wire.giving(7)) == (wire.Kind.YIELD, 7)
+    assert (
+        wire.decode(wire.encode_times(times))[1] == times
+        and wire.decode(wire.encode_report(report))[1] == report
+    )
+    assert wire.decode(wire.encode_eviction(7)) == (wire.Kind.EVICT, 7)
     with pytest.raises(ValueError, match="batch"):
-        wire.records(wire.Kind.KEEP, [Record(0, Rank.ONCE, 0, b"GET", 1)])
+        wire.encode_records(wire.Kind.KEEP, [Record(0, EvictionRank.ONE_EXCHANGE, 0, b"GET", 1)])
 
 
 @pytest.mark.parametrize(
