--- a/pepperrun/simulation/conversations/__main__.py
+++ b/pepperrun/simulation/conversations/__main__.py
@@ -6,12 +6,12 @@
 import sys
 import time
 
-from pepperrun.simulation.conversations.bugs import BUGS, put_in
-from pepperrun.simulation.conversations.cuts import cuts
-from pepperrun.simulation.conversations.play import Conversation
+from pepperrun.simulation.conversations.bugs import BUGS, injected_bug
+from pepperrun.simulation.conversations.conversation import Conversation
+from pepperrun.simulation.conversations.interruptions import all_interruptions
 from pepperrun.simulation.conversations.scripts import draw_script
 
-EVERY = 1000  # conversations between two lines of progress
+PROGRESS_INTERVAL = 1000  # conversations between two lines of progress
 
 
 def main() -> int:
@@ -23,56 +23,61 @@
     parser.add_argument("--bug", choices=sorted(BUGS), default="", help="put this bug in")
     parser.add_argument("--go-on", action="store_true", help="also after a rule was broken")
     parser.add_argument("--show", action="store_true", help="all that workers and clients saw")
-    given = parser.parse_args()
-    seeds = range(given.first, given.first + given.count)
-    scripts = cuts() if given.cuts else (draw_script(seed) for seed in seeds)
-    began, wrong, played, asked, ran = time.monotonic(), 0, 0, 0, 0
-    with put_in(given.bug):
+    arguments = parser.parse_args()
+    seeds = range(arguments.first, arguments.first + arguments.count)
+    scripts = all_interruptions() if arguments.cuts else (draw_script(seed) for seed in seeds)
+    started_at, failed, played, requests, ran = time.monotonic(), 0, 0, 0, 0
+    with injected_bug(arguments.bug):
         for script in scripts:
             conversation = Conversation(script)
-            broken = conversation.play()
+            violations = conversation.run()
             played += 1
-            asked += sum(len(one.sent) for one in conversation.record.connections)
-            ran += sum(one.ran for one in conversation.seen)
-            if given.show:
+            requests += sum(len(connection.sent_requests) for connection in conversation.record.connections)
+            ran += sum(received.ran for received in conversation.received)
+            if arguments.show:
                 show(conversation)
-            if broken:
-                wrong += 1
-                print(f"seed={script.seed} after={played}", *broken, sep="\n  ", flush=True)
-                if not given.go_on:
+            if violations:
+                failed += 1
+                print(f"seed={script.seed} after={played}", *violations, sep="\n  ", flush=True)
+                if not arguments.go_on:
                     break
-            if played % EVERY == 0:
-                print(f"played={played} wrong={wrong} s={time.monotonic() - began:.0f}", flush=True)
-    drawn = "cuts" if given.cuts else f"first={given.first}"
+            if played % PROGRESS_INTERVAL == 0:
+                print(f"played={played} wrong={failed} s={time.monotonic() - started_at:.0f}", flush=True)
+    drawn = "cuts" if arguments.cuts else f"first={arguments.first}"
     print(
-        f"conversations={played} {drawn} bug={given.bug or 'none'} requests={asked} "
-        f"ran={ran} wrong={wrong} s={time.monotonic() - began:.1f}"
+        f"conversations={played} {drawn} bug={arguments.bug or 'none'} requests={requests} "
+        f"ran={ran} wrong={failed} s={time.monotonic() - started_at:.1f}"
     )
-    return 1 if wrong else 0
+    return 1 if failed else 0
 
 
 def show(conversation: Conversation) -> None:
     """What was seen, for a reader."""
     record = conversation.record
-    for happening in conversation.script.happenings:
-        print("happening", happening)
-    for seen in record.seen:
+    for event in conversation.script.events:
+        print("happening", event)
+    for received in record.received:
         print(
-            f"{seen.at:.4f} {seen.worker} {seen.service} ran={seen.ran} status={seen.status} "
-            f"{seen.postmark!r} body={len(seen.answer_body)} proper={seen.proper} "
-            f"whole_at={seen.whole_at:.4f} {seen.head[:400]!r}"
+            f"{received.received_at:.4f} {received.worker} {received.service} ran={received.ran} "
+            f"status={received.status} "
+            f"{received.postmark!r} body={len(received.response_body)} valid={received.valid} "
+            f"completed_at={received.completed_at:.4f} {received.head[:400]!r}"
         )
     for connection in record.connections:
         print(f"connection ended_at={connection.ended_at:.4f}")
-        for sent in connection.sent:
-            print(f"  sent {sent.at:.4f} whole={sent.whole} gave_up={sent.gave_up} {sent.asked.head!r}")
-        answers, left = connection.answers()
-        for got in answers:
+        for sent in connection.sent_requests:
             print(
-                f"  got {got.status} complete={got.complete} {got.fields} {len(got.body)} {got.body[:60]!r}"
+                f"  sent {sent.sent_at:.4f} complete={sent.complete} abandoned={sent.abandoned} "
+                f"{sent.spec.head!r}"
             )
-        if left:
-            print(f"  left {left[:100]!r}")
+        responses, leftover = connection.responses()
+        for response in responses:
+            print(
+                f"  got {response.status} complete={response.complete} {response.fields} "
+                f"{len(response.body)} {response.body[:60]!r}"
+            )
+        if leftover:
+            print(f"  left {leftover[:100]!r}")
 
 
 if __name__ == "__main__":
--- a/pepperrun/simulation/conversations/bugs.py
+++ b/pepperrun/simulation/conversations/bugs.py
@@ -23,7 +23,7 @@
 Patches = list[Any]
 
 
-def _ids_not_compared() -> Patches:
+def _ignore_attempt_ids() -> Patches:
     """An answer is taken for that of the request that waits, whatever its Attempt-Id."""
     return [
         mock.patch.object(WorkerWire, "is_foreign", lambda *_: False),
@@ -31,7 +31,7 @@
     ]
 
 
-def _reused_after_surplus() -> Patches:
+def _reuse_after_surplus() -> Patches:
     """What came behind an answer stays for the next, and an answer without an id is taken for it."""
 
     def release(self: Connection, response: Any) -> None:
@@ -41,46 +41,46 @@
         elif self.transport is not None and not self.transport.is_closing():
             self.owner.on_connection_free(self)
 
-    def foreign(self: WorkerWire, attempt: Any, response: Any) -> bool:
-        given = response.headers.get(b"attempt-id")
-        return given is not None and bool(given != attempt.exchange.request.headers[b"attempt-id"])
+    def is_foreign(self: WorkerWire, attempt: Any, response: Any) -> bool:
+        attempt_id = response.headers.get(b"attempt-id")
+        return attempt_id is not None and bool(attempt_id != attempt.exchange.request.headers[b"attempt-id"])
 
     return [
         mock.patch.object(Connection, "_release", release),
-        mock.patch.object(WorkerWire, "is_foreign", foreign),
+        mock.patch.object(WorkerWire, "is_foreign", is_foreign),
         mock.patch.object(connection, "has_unread_input", lambda _: False),
         mock.patch.object(upstream, "has_unread_input", lambda _: False),
     ]
 
 
-def _sent_again_after_reset() -> Patches:
+def _retry_after_reset() -> Patches:
     """A connection that broke before any answer is taken for one on which nothing was asked."""
     return [mock.patch.object(Connection, "_broken_outcome", lambda self: Outcome.CONNECT_FAILED)]
 
 
-def _promise_after_run() -> Patches:
+def _reject_after_run() -> Patches:
     """What may have run is refused."""
     answer = Front.answer
 
-    def refuse(self: Front, exchange: Any, final: Any) -> Any:
+    def reject(self: Front, exchange: Any, final: Any) -> Any:
         given = answer(self, exchange, final)
         return self.retry_later() if given[0] == 502 else given
 
-    return [mock.patch.object(Front, "answer", refuse)]
+    return [mock.patch.object(Front, "answer", reject)]
 
 
-def _short_looks_whole() -> Patches:
+def _complete_truncated() -> Patches:
     """An answer whose worker broke off is ended as if it were whole."""
     return [mock.patch.object(BodyStream, "fail", lambda self: self.finish())]
 
 
-def _encoded_passes() -> Patches:
+def _pass_encoded() -> Patches:
     """No look at whether a worker's answer is encoded or tells its length."""
-    judge = WorkerWire.classify
+    classify = WorkerWire.classify
 
     def lenient(self: WorkerWire, attempt: Any, response: Any) -> Any:
         response.headers.pop(b"content-encoding", None)
-        return judge(self, attempt, response)
+        return classify(self, attempt, response)
 
     return [
         mock.patch.object(WorkerWire, "classify", lenient),
@@ -88,76 +88,76 @@
     ]
 
 
-def _awaits(client: HttpConnection) -> bool:
+def _has_pending_request(client: HttpConnection) -> bool:
     return client.pending is not None
 
 
-def _next_inside_answer() -> Patches:
+def _read_during_response() -> Patches:
     """The next request is read while a long answer is on its way, and answered in the middle of it."""
-    return [mock.patch.object(HttpConnection, "_has_pending_answer", _awaits)]
+    return [mock.patch.object(HttpConnection, "_has_pending_answer", _has_pending_request)]
 
 
-def _any_no_is_believed() -> Patches:
+def _trust_any_rejection() -> Patches:
     """A refusal without an id is believed on a connection that has brought answers before."""
 
-    def foreign(self: WorkerWire, attempt: Any, response: Any) -> bool:
-        given = response.headers.get(b"attempt-id")
-        if given is None:
+    def is_foreign(self: WorkerWire, attempt: Any, response: Any) -> bool:
+        attempt_id = response.headers.get(b"attempt-id")
+        if attempt_id is None:
             return not wire.is_rejected(response)
-        return bool(given != attempt.exchange.request.headers[b"attempt-id"])
+        return bool(attempt_id != attempt.exchange.request.headers[b"attempt-id"])
 
-    return [mock.patch.object(WorkerWire, "is_foreign", foreign)]
+    return [mock.patch.object(WorkerWire, "is_foreign", is_foreign)]
 
 
-def _same_connection_again() -> Patches:
+def _retry_on_same_connection() -> Patches:
     """What a worker refused may go to it again on the same connection, where a late second no is its own."""
     return [mock.patch.object(UpstreamClient, "_served_same_request", lambda *_: False)]
 
 
-def _per_hop_takes_all() -> Patches:
+def _strip_all_named_fields() -> Patches:
     """What `Connection` names is dropped, also where a client or worker can't do without it."""
     return [mock.patch.object(front, "END_TO_END", frozenset[bytes]())]
 
 
-def _late_answer_counts_as_refused() -> Patches:
+def _reject_timed_out() -> Patches:
     """A request whose time is up is refused, though a worker is at work on it."""
     answer = Front.answer
 
-    def refuse(self: Front, exchange: Any, final: Any) -> Any:
+    def reject(self: Front, exchange: Any, final: Any) -> Any:
         return self.retry_later() if final.end is End.TIMED_OUT else answer(self, exchange, final)
 
-    return [mock.patch.object(Front, "answer", refuse)]
+    return [mock.patch.object(Front, "answer", reject)]
 
 
-def _runs_outlive_clients() -> Patches:
+def _keep_abandoned_attempts() -> Patches:
     """The decisions close the request of a client who has left, and leave its attempts out."""
     return [mock.patch.object(Gateway, "_cancel_abandoned", lambda *_: None)]
 
 
-def _closes_unheard() -> Patches:
+def _ignore_hangups() -> Patches:
     """Nobody watches a connection that is not read."""
     return [mock.patch.object(HangupWatch, "watch", lambda *_: None)]
 
 
 BUGS: dict[str, Callable[[], Patches]] = {
-    "ids-not-compared": _ids_not_compared,
-    "reused-after-surplus": _reused_after_surplus,
-    "sent-again-after-reset": _sent_again_after_reset,
-    "promise-after-run": _promise_after_run,
-    "short-looks-whole": _short_looks_whole,
-    "encoded-passes": _encoded_passes,
-    "next-inside-answer": _next_inside_answer,
-    "any-no-is-believed": _any_no_is_believed,
-    "same-connection-again": _same_connection_again,
-    "per-hop-takes-all": _per_hop_takes_all,
-    "late-counts-as-refused": _late_answer_counts_as_refused,
-    "runs-outlive-clients": _runs_outlive_clients,
-    "closes-unheard": _closes_unheard,
+    "ids-not-compared": _ignore_attempt_ids,
+    "reused-after-surplus": _reuse_after_surplus,
+    "sent-again-after-reset": _retry_after_reset,
+    "promise-after-run": _reject_after_run,
+    "short-looks-whole": _complete_truncated,
+    "encoded-passes": _pass_encoded,
+    "next-inside-answer": _read_during_response,
+    "any-no-is-believed": _trust_any_rejection,
+    "same-connection-again": _retry_on_same_connection,
+    "per-hop-takes-all": _strip_all_named_fields,
+    "late-counts-as-refused": _reject_timed_out,
+    "runs-outlive-clients": _keep_abandoned_attempts,
+    "closes-unheard": _ignore_hangups,
 }
 
 
 @contextmanager
-def put_in(name: str) -> Iterator[None]:
+def injected_bug(name: str) -> Iterator[None]:
     """This bug is there for as long as the context lasts; "" for none."""
     patches = BUGS[name]() if name else []
     for patch in patches:
--- a/pepperrun/simulation/conversations/play.py
+++ b/pepperrun/simulation/conversations/conversation.py
@@ -15,33 +15,47 @@
 from pepperrun.foundation.settings import Settings, parse
 from pepperrun.simulation.conversations.client import ClientConnection, ScriptedClient
 from pepperrun.simulation.conversations.judge import Judge, Record
-from pepperrun.simulation.conversations.scripts import Happening, Reply, Script, draw_reply, draw_script
-from pepperrun.simulation.conversations.stepping import Stage
-from pepperrun.simulation.conversations.worker import ScriptedWorker, Seen, own_address, reset
-
-LIMIT_S = 900.0  # of virtual time for a conversation
-AFTER_S = 12.0  # what was promised not to run is awaited for so long
-GRACE_S = 8.0
-DWELL_MS = 5000
-FURTHER_TRIES = 10.0  # saved up for second workers: they are what is to be seen
+from pepperrun.simulation.conversations.scripts import (
+    ReplySpec,
+    Script,
+    ScriptedEvent,
+    draw_reply,
+    draw_script,
+)
+from pepperrun.simulation.conversations.stepping import SteppedLoops
+from pepperrun.simulation.conversations.worker import ReceivedRequest, ScriptedWorker, loopback_address, reset
+
+TIME_LIMIT_S = 900.0  # of virtual time for a conversation
+SETTLE_S = 12.0  # what was promised not to run is awaited for so long
+DRAIN_GRACE_S = 8.0
+IDLE_LIMIT_MS = 5000
+RETRY_BUDGET = 10.0  # saved up for second workers: they are what is to be seen
 HOUR_NS = 3600 * 10**9
 
 
 @cache
 def settings() -> Settings:
     """Of a gatekeeper alone."""
-    me = {"station": "g1", "role": "gateway", "ip": own_address(), "zone": "a", "region": "r1"}
+    self_settings = {
+        "station": "g1",
+        "role": "gateway",
+        "ip": loopback_address(),
+        "zone": "a",
+        "region": "r1",
+    }
     bounds = {"revocation_total": True, "revoke_ms": 5000, "retry_slack": 60, "cold_excess": 1.5}
     network = {"sidings": [7600, 7615], "first_contacts": [], "zones": {"a": "r1", "b": "r2"}}
-    return parse({"self": me, "network": network, "tariffs": {"bounds": bounds | {"cold_slack": 5}}})
+    return parse(
+        {"self": self_settings, "network": network, "tariffs": {"bounds": bounds | {"cold_slack": 5}}}
+    )
 
 
-def _route(name: str, kind: str, service: str | None, **more: Any) -> dict[str, Any]:
+def _route(name: str, kind: str, service: str | None, **overrides: Any) -> dict[str, Any]:
     fields = {"name": name, "depot": "h.example", "prefix": f"/{name}/", "route_kind": kind, "line": service}
-    return fields | {"deadline_ms": 3000, "target_ms": 1000, "precedence": 0, "tries": 3} | more
+    return fields | {"deadline_ms": 3000, "target_ms": 1000, "precedence": 0, "tries": 3} | overrides
 
 
-def first_state() -> dict[str, Any]:
+def initial_state() -> dict[str, Any]:
     """The configuration in force at the beginning."""
     splits = [{"line": "one", "share": 50}, {"line": "two", "share": 50}]
     routes = [
@@ -57,7 +71,7 @@
         "ann": {"name": "ann", "stamps": ["stamp-ann-1", "stamp-ann-2"]},
         "bob": {"name": "bob", "stamps": ["stamp-bob-1"]},
     }
-    limits = {"envelope_bytes": 8192, "parcel_bytes": 1 << 20, "envelope_ms": 3000, "dwell_ms": DWELL_MS}
+    limits = {"envelope_bytes": 8192, "parcel_bytes": 1 << 20, "envelope_ms": 3000, "dwell_ms": IDLE_LIMIT_MS}
     return {
         **{"edition": 1, "routes": {item["name"]: item for item in routes}, "carrier_lines": services},
         **{"senders": senders, "limits": limits, "evacuated": []},
@@ -65,7 +79,7 @@
 
 
 @dataclass
-class Place:
+class WorkerSlot:
     """Where a worker is, and the life that the data plane knows there."""
 
     worker: ScriptedWorker
@@ -76,73 +90,73 @@
     """One script on its stage."""
 
     def __init__(self, script: Script) -> None:
-        self.script, self.stage = script, Stage()
+        self.script, self.loops = script, SteppedLoops()
         self.rng = random.Random(script.seed * 2 + 1)
-        self.seen: list[Seen] = []
-        self.state = first_state()
-        self.number = self.lives = 0
-        self.places: list[Place] = []
-        self.record = Record([], self.seen, {})
+        self.received: list[ReceivedRequest] = []
+        self.state = initial_state()
+        self.configuration_version = self.incarnations = 0
+        self.slots: list[WorkerSlot] = []
+        self.record = Record([], self.received, {})
         self.plane: DataPlane | None = None
         self.clients: list[ScriptedClient] = []
 
     # The data plane's side: each call runs in its loop.
 
     def _in_plane(self, call: Callable[[], Any]) -> None:
-        self.stage.plane.call_soon(call)
+        self.loops.plane.call_soon(call)
 
-    async def _put_up(self) -> None:
-        now = self.stage.clock
+    async def _start_data_plane(self) -> None:
+        now = self.loops.clock
         plane = self.plane = DataPlane(settings(), self.script.seed, now, lambda: 1, now, now)
-        self._agree()
-        plane.listener.open((own_address(), 0))
+        self._apply_configuration()
+        plane.listener.open((loopback_address(), 0))
         plane.gatekeeper.gateway.retry_budget.depth = plane.gatekeeper.gateway.retry_budget.level = (
-            FURTHER_TRIES
+            RETRY_BUDGET
         )
 
-    def _agree(self) -> None:
+    def _apply_configuration(self) -> None:
         assert self.plane is not None
         for name, item in self.state["routes"].items():
             services = {split["line"] for split in item.get("splits") or ()} | {item["line"]} - {None}
-            self.record.allowed.setdefault(name, set()).update(services)
-        self.number += 1
-        self.plane.on_agreed_state(self.number, self.state)
+            self.record.allowed_services.setdefault(name, set()).update(services)
+        self.configuration_version += 1
+        self.plane.on_agreed_state(self.configuration_version, self.state)
 
-    def _tell(self, worker: ScriptedWorker, zone: str, state: WorkerState = WorkerState.SERVING) -> None:
+    def _announce(self, worker: ScriptedWorker, zone: str, state: WorkerState = WorkerState.SERVING) -> None:
         assert self.plane is not None
-        address = f"{own_address()}:{worker.port}"
+        address = f"{loopback_address()}:{worker.port}"
         self.plane.on_workers([Worker(worker.id, worker.service, address, zone, state=state)])
 
     # The others' side.
 
-    def _reply(self) -> Reply:
+    def _next_reply(self) -> ReplySpec:
         replies = self.script.replies
         if replies is None:
             return draw_reply(self.rng)
-        return replies.pop(0) if replies else Reply()
-
-    async def _work(self, service: str, zone: str, port: int = 0) -> Place:
-        self.lives += 1
-        id = f"w{self.lives}"
-        worker = ScriptedWorker(id, service, self.stage.peers, self._reply, self.seen)
-        place = Place(await worker.start(port), zone)
-        self.places.append(place)
-        self._in_plane(lambda: self._tell(worker, zone))
-        return place
-
-    async def _happen(self, happening: Happening) -> None:
-        await asyncio.sleep(max(0.0, happening.at_s))
-        plane, stage = self.plane, self.stage
+        return replies.pop(0) if replies else ReplySpec()
+
+    async def _start_worker(self, service: str, zone: str, port: int = 0) -> WorkerSlot:
+        self.incarnations += 1
+        id = f"w{self.incarnations}"
+        worker = ScriptedWorker(id, service, self.loops.peers, self._next_reply, self.received)
+        slot = WorkerSlot(await worker.start(port), zone)
+        self.slots.append(slot)
+        self._in_plane(lambda: self._announce(worker, zone))
+        return slot
+
+    async def _apply_event(self, event: ScriptedEvent) -> None:
+        await asyncio.sleep(max(0.0, event.at_s))
+        plane, loops = self.plane, self.loops
         assert plane is not None
-        match happening.kind:
+        match event.kind:
             case "freeze":
-                stage.freeze(happening.span_s)
-                self.record.frozen.append((stage.now, stage.now + happening.span_s))
+                loops.freeze(event.duration_s)
+                self.record.frozen.append((loops.now, loops.now + event.duration_s))
             case "drain":
-                self.record.drains.append((stage.now, GRACE_S))
+                self.record.drains.append((loops.now, DRAIN_GRACE_S))
                 self._in_plane(
-                    lambda: stage.plane.create_task(
-                        drain(plane.listener, GRACE_S, plane.has_pending_requests, plane.expire_all)
+                    lambda: loops.plane.create_task(
+                        drain(plane.listener, DRAIN_GRACE_S, plane.has_pending_requests, plane.expire_all)
                     )
                 )
             case "reread":
@@ -150,67 +164,67 @@
             case "move":
                 item = dict(self.state["routes"]["once"], line="two")
                 self.state = dict(self.state, routes=self.state["routes"] | {"once": item})
-                self._in_plane(self._agree)
+                self._in_plane(self._apply_configuration)
             case "revoke":
                 senders = {name: one for name, one in self.state["senders"].items() if name != "bob"}
                 self.state = dict(self.state, senders=senders)
-                self._in_plane(self._agree)
+                self._in_plane(self._apply_configuration)
             case "restart" | "hand-on":
-                await self._replace(happening)
+                await self._replace_worker(event)
 
-    async def _replace(self, happening: Happening) -> None:
+    async def _replace_worker(self, event: ScriptedEvent) -> None:
         """A worker dies and another life, of its own service or of another, has its address."""
-        place = self.rng.choice(self.places)
-        old = place.worker
-        service = old.service if happening.kind == "restart" else {"one": "two"}.get(old.service, "one")
+        slot = self.rng.choice(self.slots)
+        old = slot.worker
+        service = old.service if event.kind == "restart" else {"one": "two"}.get(old.service, "one")
         old.stop()
-        self.places.remove(place)
+        self.slots.remove(slot)
         try:
-            await self._work(service, place.zone, old.port)
+            await self._start_worker(service, slot.zone, old.port)
         except OSError:  # another has taken the port meanwhile
             return
-        await asyncio.sleep(happening.told_s)
-        self._in_plane(lambda: self._tell(old, place.zone, WorkerState.GONE))
+        await asyncio.sleep(event.notify_delay_s)
+        self._in_plane(lambda: self._announce(old, slot.zone, WorkerState.GONE))
 
-    async def _go(self) -> None:
+    async def _run_clients(self) -> None:
         for service, zone in (("one", "a"), ("one", "b"), ("two", "a")):
-            await self._work(service, zone)
+            await self._start_worker(service, zone)
         await asyncio.sleep(0.001)  # the data plane has heard of them
         assert self.plane is not None
         port = self.plane.listener.address[1]
-        loop = self.stage.peers
-        self.clients = [ScriptedClient(loop, port, turns) for turns in self.script.clients]
-        tasks = [loop.create_task(client.play()) for client in self.clients]
-        happenings = [loop.create_task(self._happen(one)) for one in self.script.happenings]
-        await asyncio.gather(*tasks, *happenings)
-        await asyncio.sleep(AFTER_S)
-
-    def _end(self) -> None:
+        loop = self.loops.peers
+        self.clients = [ScriptedClient(loop, port, steps) for steps in self.script.clients]
+        tasks = [loop.create_task(client.run()) for client in self.clients]
+        events = [loop.create_task(self._apply_event(one)) for one in self.script.events]
+        await asyncio.gather(*tasks, *events)
+        await asyncio.sleep(SETTLE_S)
+
+    def _shut_down(self) -> None:
         for connection in self._connections():
             if connection.transport is not None:
                 reset(connection.transport)
-        for place in self.places:
-            place.worker.stop()
+        for slot in self.slots:
+            slot.worker.stop()
         if self.plane is not None:
             self.plane.close()
-        self.stage.close()
+        self.loops.close()
 
     def _connections(self) -> list[ClientConnection]:
         return [connection for client in self.clients for connection in client.connections]
 
-    def play(self) -> list[str]:
+    def run(self) -> list[str]:
         """The rules that were broken."""
-        stage = self.stage
+        loops = self.loops
         try:
-            stage.run(self._put_up(), stage.plane, LIMIT_S)
-            stage.run(self._go(), stage.peers, LIMIT_S)
+            loops.run(self._start_data_plane(), loops.plane, TIME_LIMIT_S)
+            loops.run(self._run_clients(), loops.peers, TIME_LIMIT_S)
             self.record.connections = self._connections()
-            crashes = [f"CRASH: {text}" for text in stage.plane.crashes]
-            return Judge(self.record).verdict() + crashes
+            crashes = [f"CRASH: {text}" for text in loops.plane.crashes]
+            return Judge(self.record).check() + crashes
         finally:
-            self._end()
+            self._shut_down()
 
 
-def play(seed: int) -> Conversation:
+def draw_conversation(seed: int) -> Conversation:
     """One conversation, drawn from its seed, ready to be played."""
     return Conversation(draw_script(seed))
--- a/pepperrun/simulation/conversations/judge.py
+++ b/pepperrun/simulation/conversations/judge.py
@@ -5,16 +5,16 @@
 from collections import Counter
 from dataclasses import dataclass, field
 
-from pepperrun.simulation.conversations.client import ClientConnection, Got, Sent
+from pepperrun.simulation.conversations.client import ClientConnection, ClientResponse, SentRequest
 from pepperrun.simulation.conversations.scripts import KEYS, SMUGGLED
-from pepperrun.simulation.conversations.worker import Seen
+from pepperrun.simulation.conversations.worker import ReceivedRequest
 
-PROMISES = (408, 421, 429, 503)
-OWN = (400, 401, 404, 413, 431, 501, 502, 504, *PROMISES)
+NOT_RUN_STATUSES = (408, 421, 429, 503)
+GATEWAY_STATUSES = (400, 401, 404, 413, 431, 501, 502, 504, *NOT_RUN_STATUSES)
 PER_HOP = (b"connection", b"transfer-encoding", b"te", b"upgrade", b"keep-alive", b"expect")
-OUR_FIELDS = (b"expect-worker", b"deadline-ms", b"attempt-id", b"host")
+GATEWAY_FIELDS = (b"expect-worker", b"deadline-ms", b"attempt-id", b"host")
 LOST_SLACK_S = 1.0
-GONE_S = 0.5  # after its client has left nothing reaches a worker, nor is one still at work
+ABANDON_LIMIT_S = 0.5  # after its client has left nothing reaches a worker, nor is one still at work
 
 
 @dataclass
@@ -22,8 +22,8 @@
     """What was seen of a conversation. `allowed`: services that some configuration gave a route."""
 
     connections: list[ClientConnection]
-    seen: list[Seen]
-    allowed: dict[str, set[str]]
+    received: list[ReceivedRequest]
+    allowed_services: dict[str, set[str]]
     drains: list[tuple[float, float]] = field(default_factory=list)  # when told, and the grace
     frozen: list[tuple[float, float]] = field(default_factory=list)  # from and to
 
@@ -33,145 +33,169 @@
 
     def __init__(self, record: Record) -> None:
         self.record = record
-        self.broken: list[str] = []
-        self.sent = {one.asked.id: one for con in record.connections for one in con.sent}
-        self.left_at = {
-            one.asked.id: max(other.left_at for other in con.sent)
-            for con in record.connections
-            for one in con.sent
+        self.violations: list[str] = []
+        self.sent_by_id = {
+            one.spec.id: one for connection in record.connections for one in connection.sent_requests
         }
-        self.by_postmark = {one.postmark: one for one in record.seen if one.postmark}
-        self.ran = Counter(one.id for one in record.seen if one.ran)
+        self.disconnected_at = {
+            one.spec.id: max(other.disconnected_at for other in connection.sent_requests)
+            for connection in record.connections
+            for one in connection.sent_requests
+        }
+        self.by_postmark = {one.postmark: one for one in record.received if one.postmark}
+        self.run_counts = Counter(one.id for one in record.received if one.ran)
 
-    def verdict(self) -> list[str]:
+    def check(self) -> list[str]:
         """The broken rules, each with what shows it."""
-        for seen in self.record.seen:
-            self._worker(seen)
-        for id, count in self.ran.items():
-            if count > 1 and id in self.sent and not self.sent[id].asked.repeatable:
-                self._breaks("TWICE", f"{id!r} ran {count} times")
+        for received in self.record.received:
+            self._check_received(received)
+        for id, count in self.run_counts.items():
+            if count > 1 and id in self.sent_by_id and not self.sent_by_id[id].spec.idempotent:
+                self._report("TWICE", f"{id!r} ran {count} times")
         for connection in self.record.connections:
-            self._connection(connection)
-        return self.broken
+            self._check_connection(connection)
+        return self.violations
 
-    def _breaks(self, rule: str, text: str) -> None:
-        self.broken.append(f"{rule}: {text}")
+    def _report(self, rule: str, text: str) -> None:
+        self.violations.append(f"{rule}: {text}")
 
     # What reached workers.
 
-    def _worker(self, seen: Seen) -> None:
-        sent = self.sent.get(seen.id)
-        if sent is None or SMUGGLED in seen.id:
-            self._breaks("UNASKED", f"{seen.worker} got {seen.id!r}, which no client sent: {seen.head!r}")
+    def _check_received(self, received: ReceivedRequest) -> None:
+        sent = self.sent_by_id.get(received.id)
+        if sent is None or SMUGGLED in received.id:
+            self._report(
+                "UNASKED", f"{received.worker} got {received.id!r}, which no client sent: {received.head!r}"
+            )
             return
-        asked = sent.asked
-        if asked.malformed:
-            self._breaks("UNASKED", f"{seen.id!r} can't be read, and reached {seen.worker}: {asked.head!r}")
-        whole_body = seen.body == asked.body or not seen.ran
-        if (seen.method, seen.target) != (asked.method, asked.target) or not whole_body:
-            self._breaks("UNASKED", f"{seen.id!r} was changed: {seen.method!r} {seen.target!r}")
-        if seen.ran and not sent.whole and not sent.gave_up:
-            self._breaks("UNASKED", f"{seen.id!r} ran before it was sent whole")
-        self._fields(seen, sent)
-        if seen.ran and asked.repeatable and (left_at := self.left_at.get(seen.id)):
-            self._gone(seen, left_at)
-        if seen.ran and seen.service not in self.record.allowed.get(asked.route, set()):
-            self._breaks("ROUTE", f"{seen.id!r} of {asked.route} ran at {seen.service}")
-
-    def _fields(self, seen: Seen, sent: Sent) -> None:
-        asked = sent.asked
-        tenant = KEYS.get(asked.key or b"")
-        keyed = asked.route != "open"
+        spec = sent.spec
+        if spec.malformed:
+            self._report(
+                "UNASKED", f"{received.id!r} can't be read, and reached {received.worker}: {spec.head!r}"
+            )
+        body_matches = received.body == spec.body or not received.ran
+        if (received.method, received.target) != (spec.method, spec.target) or not body_matches:
+            self._report("UNASKED", f"{received.id!r} was changed: {received.method!r} {received.target!r}")
+        if received.ran and not sent.complete and not sent.abandoned:
+            self._report("UNASKED", f"{received.id!r} ran before it was sent whole")
+        self._check_fields(received, sent)
+        if received.ran and spec.idempotent and (disconnected_at := self.disconnected_at.get(received.id)):
+            self._check_abandoned(received, disconnected_at)
+        if received.ran and received.service not in self.record.allowed_services.get(spec.route, set()):
+            self._report("ROUTE", f"{received.id!r} of {spec.route} ran at {received.service}")
+
+    def _check_fields(self, received: ReceivedRequest, sent: SentRequest) -> None:
+        spec = sent.spec
+        tenant = KEYS.get(spec.key or b"")
+        keyed = spec.route != "open"
         expected = [tenant] if keyed and tenant is not None else []
-        if seen.values(b"sender") != expected:
-            self._breaks("UNASKED", f"{seen.id!r} has Sender {seen.values(b'sender')}, not {expected}")
+        if received.values(b"sender") != expected:
+            self._report(
+                "UNASKED", f"{received.id!r} has Sender {received.values(b'sender')}, not {expected}"
+            )
         if keyed and tenant is None:
-            self._breaks("ROUTE", f"{seen.id!r} has no key that is known")
-        if any(key in seen.head for key in KEYS):
-            self._breaks("UNASKED", f"{seen.id!r} shows a key to {seen.worker}: {seen.head!r}")
-        for name in OUR_FIELDS:
-            if len(seen.values(name)) != 1:
-                self._breaks("UNASKED", f"{seen.id!r} has {len(seen.values(name))} of {name!r}")
-
-    def _gone(self, seen: Seen, left_at: float) -> None:
+            self._report("ROUTE", f"{received.id!r} has no key that is known")
+        if any(key in received.head for key in KEYS):
+            self._report("UNASKED", f"{received.id!r} shows a key to {received.worker}: {received.head!r}")
+        for name in GATEWAY_FIELDS:
+            if len(received.values(name)) != 1:
+                self._report("UNASKED", f"{received.id!r} has {len(received.values(name))} of {name!r}")
+
+    def _check_abandoned(self, received: ReceivedRequest, disconnected_at: float) -> None:
         """Work that goes on without its client; what may not be repeated has to."""
-        until = left_at + GONE_S
-        if any(start <= until and left_at <= end for start, end in self.record.frozen):
+        until = disconnected_at + ABANDON_LIMIT_S
+        if any(start <= until and disconnected_at <= end for start, end in self.record.frozen):
             return
-        if seen.at > until:
-            self._breaks("GONE", f"{seen.id!r} reached {seen.worker} {seen.at - left_at:.3f} s after")
-        elif not seen.over_at or seen.over_at > until:
-            after = f"{seen.over_at - left_at:.3f} s" if seen.over_at else "to the end"
-            self._breaks("GONE", f"{seen.worker} was at work on {seen.id!r} {after} after its client left")
+        if received.received_at > until:
+            self._report(
+                "GONE",
+                f"{received.id!r} reached {received.worker} {received.received_at - disconnected_at:.3f} s "
+                "after its client disconnected",
+            )
+        elif not received.ended_at or received.ended_at > until:
+            after = f"{received.ended_at - disconnected_at:.3f} s" if received.ended_at else "to the end"
+            self._report(
+                "GONE",
+                f"{received.worker} was at work on {received.id!r} {after} after its client disconnected",
+            )
 
     # What clients got.
 
-    def _connection(self, connection: ClientConnection) -> None:
-        answers, left = connection.answers()
-        if left:
-            self._breaks("MIXED", f"bytes that are no answer: {left[:80]!r}")
-        finals = [one for one in answers if not one.interim]
-        if len(answers) - len(finals) > sum(one.asked.expects_continue for one in connection.sent):
-            self._breaks("MIXED", "an interim answer that nobody waits for")
-        if len(finals) > len(connection.sent):
-            self._breaks("MIXED", f"{len(finals)} answers to {len(connection.sent)} requests")
-        for number, sent in enumerate(connection.sent):
-            got = finals[number] if number < len(finals) else None
-            if got is not None and got.status < 0:
-                self._breaks("MIXED", f"{sent.asked.id!r}: bytes inside a body that form no chunk")
-            elif got is not None and got.complete:
-                self._answer(sent, got)
-            elif got is not None:
-                self._part(sent, got)
-            if got is None or not got.complete:
-                self._lost(connection, sent)
-
-    def _answer(self, sent: Sent, got: Got) -> None:
-        id, asked = sent.asked.id, sent.asked
-        postmark = got.value(b"postmark")
-        if got.status in PROMISES and not asked.repeatable and self.ran[id]:
-            self._breaks("REFUSED", f"{id!r} got {got.status} and ran")
+    def _check_connection(self, connection: ClientConnection) -> None:
+        responses, leftover = connection.responses()
+        if leftover:
+            self._report("MIXED", f"bytes that are no answer: {leftover[:80]!r}")
+        finals = [one for one in responses if not one.interim]
+        if len(responses) - len(finals) > sum(one.spec.expects_continue for one in connection.sent_requests):
+            self._report("MIXED", "an interim answer that nobody waits for")
+        if len(finals) > len(connection.sent_requests):
+            self._report("MIXED", f"{len(finals)} answers to {len(connection.sent_requests)} requests")
+        for number, sent in enumerate(connection.sent_requests):
+            response = finals[number] if number < len(finals) else None
+            if response is not None and response.status < 0:
+                self._report("MIXED", f"{sent.spec.id!r}: bytes inside a body that form no chunk")
+            elif response is not None and response.complete:
+                self._check_complete(sent, response)
+            elif response is not None:
+                self._check_truncated(sent, response)
+            if response is None or not response.complete:
+                self._check_lost(connection, sent)
+
+    def _check_complete(self, sent: SentRequest, response: ClientResponse) -> None:
+        id, spec = sent.spec.id, sent.spec
+        postmark = response.value(b"postmark")
+        if response.status in NOT_RUN_STATUSES and not spec.idempotent and self.run_counts[id]:
+            self._report("REFUSED", f"{id!r} got {response.status} and ran")
         if postmark is None:
-            if 200 <= got.status < 300:
-                self._breaks("MIXED", f"{id!r} got {got.status} without a Postmark")
-            elif got.status not in OWN and not any(
-                seen.id == id and seen.status == got.status for seen in self.record.seen
+            if 200 <= response.status < 300:
+                self._report("MIXED", f"{id!r} got {response.status} without a Postmark")
+            elif response.status not in GATEWAY_STATUSES and not any(
+                received.id == id and received.status == response.status for received in self.record.received
             ):
-                self._breaks("MIXED", f"{id!r} got {got.status}, which is no answer of the gatekeeper's own")
+                self._report(
+                    "MIXED", f"{id!r} got {response.status}, which is no answer of the gatekeeper's own"
+                )
             return
-        meant = self.by_postmark.get(postmark)
-        if meant is None or meant.id != id:
-            self._breaks("MIXED", f"{id!r} got an answer of {meant.id if meant else postmark!r}")
-        elif got.status != meant.status:
-            self._breaks("MIXED", f"{id!r} got {got.status}, its worker gave {meant.status}")
-        elif asked.method != b"HEAD" and got.body != meant.answer_body:
-            self._breaks("MIXED", f"{id!r} got another body: {len(got.body)} of {len(meant.answer_body)}")
-        elif 200 <= got.status < 300 and not meant.proper:
-            self._breaks("MIXED", f"{id!r} got {got.status} of a spoilt answer")
-
-    def _part(self, sent: Sent, got: Got) -> None:
+        expected_reply = self.by_postmark.get(postmark)
+        if expected_reply is None or expected_reply.id != id:
+            self._report(
+                "MIXED", f"{id!r} got an answer of {expected_reply.id if expected_reply else postmark!r}"
+            )
+        elif response.status != expected_reply.status:
+            self._report("MIXED", f"{id!r} got {response.status}, its worker gave {expected_reply.status}")
+        elif spec.method != b"HEAD" and response.body != expected_reply.response_body:
+            self._report(
+                "MIXED",
+                f"{id!r} got another body: {len(response.body)} of {len(expected_reply.response_body)}",
+            )
+        elif 200 <= response.status < 300 and not expected_reply.valid:
+            self._report("MIXED", f"{id!r} got {response.status} of a spoilt answer")
+
+    def _check_truncated(self, sent: SentRequest, response: ClientResponse) -> None:
         """An answer that ended early: so much of it must be the right one's."""
-        postmark = got.value(b"postmark")
-        if postmark is None or not got.body:
+        postmark = response.value(b"postmark")
+        if postmark is None or not response.body:
             return
-        meant = self.by_postmark.get(postmark)
-        if meant is None or meant.id != sent.asked.id or not meant.answer_body.startswith(got.body):
-            self._breaks("MIXED", f"{sent.asked.id!r} got the beginning of another answer")
-
-    def _lost(self, connection: ClientConnection, sent: Sent) -> None:
+        expected_reply = self.by_postmark.get(postmark)
+        if (
+            expected_reply is None
+            or expected_reply.id != sent.spec.id
+            or not expected_reply.response_body.startswith(response.body)
+        ):
+            self._report("MIXED", f"{sent.spec.id!r} got the beginning of another answer")
+
+    def _check_lost(self, connection: ClientConnection, sent: SentRequest) -> None:
         """It reached a worker, which answered it as it should: its client must have a whole answer."""
-        if sent.gave_up or any(one.gave_up for one in connection.sent) or not sent.whole:
+        if sent.abandoned or any(one.abandoned for one in connection.sent_requests) or not sent.complete:
             return
-        tries = [one for one in self.record.seen if one.id == sent.asked.id]
-        if not tries or not all(one.whole_at and one.proper for one in tries):
+        attempts = [one for one in self.record.received if one.id == sent.spec.id]
+        if not attempts or not all(one.completed_at and one.valid for one in attempts):
             return
-        last = max(one.whole_at for one in tries)
-        for told, grace in self.record.drains:
-            if last > told + grace / 2:
+        last = max(one.completed_at for one in attempts)
+        for notified_at, grace in self.record.drains:
+            if last > notified_at + grace / 2:
                 return
-        if any(start <= last + LOST_SLACK_S and sent.at <= end for start, end in self.record.frozen):
+        if any(start <= last + LOST_SLACK_S and sent.sent_at <= end for start, end in self.record.frozen):
             return
-        if last <= sent.at + sent.asked.deadline_ms / 1000:
-            self._breaks(
-                "LOST", f"{sent.asked.id!r} was answered by its worker, and its client got no answer"
-            )
+        if last <= sent.sent_at + sent.spec.deadline_ms / 1000:
+            self._report("LOST", f"{sent.spec.id!r} was answered by its worker, and its client got no answer")
--- a/pepperrun/simulation/conversations/scripts.py
+++ b/pepperrun/simulation/conversations/scripts.py
@@ -11,13 +11,13 @@
 SMUGGLED = b"smuggled"
 ROUTES = {b"/safe/": "safe", b"/once/": "once", b"/open/": "open", b"/split/": "split", b"/none/": "none"}
 UNSAFE_ROUTES = ("once", "split")
-LONG = 70_000  # bytes: more than is held of a body
+LONG_BODY_BYTES = 70_000  # bytes: more than is held of a body
 
 Headers = list[tuple[bytes, bytes]]
 
 
 @dataclass
-class Asked:
+class RequestSpec:
     """A request as its client means it, and the bytes it sends for it."""
 
     id: bytes
@@ -27,7 +27,7 @@
     key: bytes | None
     body: bytes
     head: bytes
-    sent_body: bytes  # with its framing
+    framed_body: bytes  # with its framing
     malformed: bool = False  # can be read in two ways, or not at all: no worker may run it
     deadline_ms: int = 2000
     expects_continue: bool = False
@@ -35,31 +35,31 @@
     @property
     def raw(self) -> bytes:
         """All its bytes."""
-        return self.head + self.sent_body
+        return self.head + self.framed_body
 
     @property
-    def repeatable(self) -> bool:
+    def idempotent(self) -> bool:
         """May it run more than once?"""
         return self.route not in UNSAFE_ROUTES
 
 
 @dataclass
-class Turn:
+class ClientStep:
     """One request of a client's script. `break_at`: bytes after which it goes wrong."""
 
-    asked: Asked
+    spec: RequestSpec
     pause_s: float = 0.0
     pipelined: bool = False
-    fresh: bool = False  # on a new connection
-    pieces: tuple[int, ...] = ()
-    piece_pause_s: float = 0.0
-    break_at: int | None = None
-    break_how: str = "reset"
-    stay_s: float = 0.0  # between its last byte and the break
+    new_connection: bool = False  # on a new connection
+    split_offsets: tuple[int, ...] = ()
+    split_pause_s: float = 0.0
+    interrupt_at: int | None = None
+    interrupt_kind: str = "reset"
+    interrupt_delay_s: float = 0.0  # between its last byte and the break
 
 
 @dataclass
-class Reply:
+class ReplySpec:
     """What a worker does with one request."""
 
     kind: str = "answer"  # answer | not-run | silence
@@ -69,12 +69,12 @@
     framing: str = "length"  # length | chunks | end | bad-chunks | longer | shorter
     id: str = "own"  # own | none | other
     postmark: bool = True
-    pieces: tuple[int, ...] = ()
+    split_offsets: tuple[int, ...] = ()
     delay_s: float = 0.0
-    cut_at: int | None = None  # bytes of the answer after which the connection breaks
-    cut_how: str = "reset"
-    cut_request_at: int | None = None  # bytes of the request after which it breaks: nothing is run
-    late_second: bool = False  # the answer before is sent again in the place of this one
+    interrupt_at: int | None = None  # bytes of the answer after which the connection breaks
+    interrupt_kind: str = "reset"
+    interrupt_request_at: int | None = None  # bytes of the request after which it breaks: nothing is run
+    resend_previous: bool = False  # the answer before is sent again in the place of this one
     surplus: bytes = b""
     surplus_delay_s: float = 0.0
     close: bool = False
@@ -83,13 +83,13 @@
 
 
 @dataclass
-class Happening:
+class ScriptedEvent:
     """Something beside clients and workers."""
 
     at_s: float
     kind: str  # freeze | drain | reread | move | revoke | restart | hand-on
-    span_s: float = 0.0
-    told_s: float = 0.0  # how much later the data plane hears of it
+    duration_s: float = 0.0
+    notify_delay_s: float = 0.0  # how much later the data plane hears of it
 
 
 @dataclass
@@ -97,9 +97,9 @@
     """A conversation."""
 
     seed: int
-    clients: list[list[Turn]]
-    happenings: list[Happening] = field(default_factory=list)
-    replies: list[Reply] | None = None  # in order, and then as a worker should; None: drawn
+    clients: list[list[ClientStep]]
+    events: list[ScriptedEvent] = field(default_factory=list)
+    replies: list[ReplySpec] | None = None  # in order, and then as a worker should; None: drawn
 
 
 def _chunked(rng: random.Random, body: bytes) -> bytes:
@@ -112,13 +112,13 @@
     return b"".join(out) + b"0\r\n\r\n"
 
 
-def _inner(number: int) -> bytes:
+def _smuggled_request(number: int) -> bytes:
     """A request that stands inside another's body."""
     lines = b"GET /once/in HTTP/1.1\r\nHost: %b\r\nAttempt-Id: %b-%d\r\n" % (HOST_NAME, SMUGGLED, number)
     return lines + b"Authorization: Token stamp-ann-1\r\n\r\n"
 
 
-def _odd_fields(rng: random.Random) -> Headers:
+def _unusual_fields(rng: random.Random) -> Headers:
     """Fields that are well formed, and that a worker must not see, or must see as they are."""
     return rng.choice(
         (
@@ -138,18 +138,18 @@
     )
 
 
-def _malform(rng: random.Random, asked: Asked, number: int) -> None:
+def _malform(rng: random.Random, spec: RequestSpec, number: int) -> None:
     """Makes it one that can't be read, or that could be read in two ways, with another inside."""
-    inner = _inner(number)
-    start, _, rest = asked.head.partition(b"\r\n")
-    bare = rest.replace(b"Content-Length: %d\r\n" % len(asked.body), b"").replace(
+    smuggled = _smuggled_request(number)
+    start, _, rest = spec.head.partition(b"\r\n")
+    bare = rest.replace(b"Content-Length: %d\r\n" % len(spec.body), b"").replace(
         b"Transfer-Encoding: chunked\r\n", b""
     )
     fields = bare[:-2]
     tails = (
         b"Transfer-Encoding: chunked\r\nContent-Length: 5\r\n\r\n0\r\n\r\n",
         b"Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
-        b"Content-Length: 0\r\nContent-Length: %d\r\n\r\n" % len(inner),
+        b"Content-Length: 0\r\nContent-Length: %d\r\n\r\n" % len(smuggled),
         b"Content-Length: 0, 0\r\n\r\n",
         b"Content-Length: +0\r\n\r\n",
         b"Content-Length: 0x0\r\n\r\n",
@@ -165,15 +165,15 @@
         b"Transfer-Encoding: chunked\r\n\r\nzz\r\n",
         b"Transfer-Encoding: chunked\r\n\r\n5\r\nhelloworld\r\n0\r\n\r\n",
     )
-    asked.malformed, asked.body = True, b""
+    spec.malformed, spec.body = True, b""
     if rng.random() < 0.15:  # it can be read, and says too much: what follows would be a request of its own
-        twice = rng.choice((b"Attempt-Id: second\r\n\r\n", b"Deadline-Ms: soon\r\n\r\n"))
-        asked.head, asked.sent_body = start + b"\r\n" + fields + twice, b""
+        duplicate = rng.choice((b"Attempt-Id: second\r\n\r\n", b"Deadline-Ms: soon\r\n\r\n"))
+        spec.head, spec.framed_body = start + b"\r\n" + fields + duplicate, b""
     else:
-        asked.head, asked.sent_body = start + b"\r\n" + fields + rng.choice(tails), inner
+        spec.head, spec.framed_body = start + b"\r\n" + fields + rng.choice(tails), smuggled
 
 
-def draw_request(rng: random.Random, conversation: int, number: int) -> Asked:
+def draw_request(rng: random.Random, conversation: int, number: int) -> RequestSpec:
     """One request."""
     id = b"i%d-%d" % (conversation, number)
     method = rng.choice((b"GET", b"GET", b"POST", b"PUT", b"HEAD", b"DELETE"))
@@ -186,56 +186,56 @@
     deadline_ms = rng.choice((300, 1500, 2000, 4000))
     body = b""
     if method in (b"POST", b"PUT") or method == b"DELETE" and rng.random() < 0.3:
-        size = rng.choice((0, 1, 40, 3000, 3000, LONG, 200_000))
-        body = (_inner(number) + bytes(rng.choices(b"abc\r\n0 ", k=100)) + b"b" * size)[:size]
+        size = rng.choice((0, 1, 40, 3000, 3000, LONG_BODY_BYTES, 200_000))
+        body = (_smuggled_request(number) + bytes(rng.choices(b"abc\r\n0 ", k=100)) + b"b" * size)[:size]
     fields: Headers = [(b"Host", HOST_NAME), (b"Attempt-Id", id), (b"Deadline-Ms", b"%d" % deadline_ms)]
     if key is not None:
         fields.append((b"Authorization", b"Token " + key))
     rng.shuffle(fields)
-    asked = Asked(id, method, target, route, key, body, b"", body, deadline_ms=deadline_ms)
+    spec = RequestSpec(id, method, target, route, key, body, b"", body, deadline_ms=deadline_ms)
     if body and rng.random() < 0.1:
         fields.append((b"Expect", b"100-continue"))
-        asked.expects_continue = True
+        spec.expects_continue = True
     if rng.random() < 0.15:
-        odd = _odd_fields(rng)
-        if key is not None or odd[0][0] != b"Authorization":
-            fields += odd
+        unusual = _unusual_fields(rng)
+        if key is not None or unusual[0][0] != b"Authorization":
+            fields += unusual
     if body and rng.random() < 0.4:
         fields.append((b"Transfer-Encoding", b"chunked"))
-        asked.sent_body = _chunked(rng, body)
+        spec.framed_body = _chunked(rng, body)
     elif body or method != b"GET":
         fields.append((b"Content-Length", b"%d" % len(body)))
     if rng.random() < 0.04:
         fields.append((b"Connection", b"close"))
     lines = b"".join(b"%b: %b\r\n" % pair for pair in fields)
-    asked.head = b"%b %b HTTP/1.1\r\n%b\r\n" % (method, target, lines)
+    spec.head = b"%b %b HTTP/1.1\r\n%b\r\n" % (method, target, lines)
     if rng.random() < 0.04:
-        _malform(rng, asked, number)
-    return asked
+        _malform(rng, spec, number)
+    return spec
 
 
-def _cuts(rng: random.Random, length: int) -> tuple[int, ...]:
+def _draw_split_offsets(rng: random.Random, length: int) -> tuple[int, ...]:
     if length < 2 or rng.random() < 0.7:
         return ()
     near = min(length - 1, 600)  # heads are where splits matter most
     return tuple(sorted({rng.randint(1, near if rng.random() < 0.8 else length - 1) for _ in range(3)}))
 
 
-def draw_turn(rng: random.Random, conversation: int, number: int) -> Turn:
+def draw_step(rng: random.Random, conversation: int, number: int) -> ClientStep:
     """A request and how it is sent."""
-    turn = Turn(draw_request(rng, conversation, number))
-    length = len(turn.asked.raw)
-    turn.pause_s = rng.choice((0.0, 0.0, 0.0, 0.002, 0.3, 1.1, 3.9, 4.0, 4.8, 5.0))
-    turn.pipelined = rng.random() < 0.3
-    turn.fresh = rng.random() < 0.2
-    turn.pieces = _cuts(rng, length)
-    turn.piece_pause_s = rng.choice((0.0, 0.001, 0.05, 0.9))
+    step = ClientStep(draw_request(rng, conversation, number))
+    length = len(step.spec.raw)
+    step.pause_s = rng.choice((0.0, 0.0, 0.0, 0.002, 0.3, 1.1, 3.9, 4.0, 4.8, 5.0))
+    step.pipelined = rng.random() < 0.3
+    step.new_connection = rng.random() < 0.2
+    step.split_offsets = _draw_split_offsets(rng, length)
+    step.split_pause_s = rng.choice((0.0, 0.001, 0.05, 0.9))
     if rng.random() < 0.12:
-        turn.break_at = rng.randint(0, length if rng.random() < 0.3 else min(length, 500))
-        if turn.asked.method == b"HEAD":  # who has not said so gets an answer with a body
-            turn.break_at = max(turn.break_at, len(b"HEAD "))
-        turn.break_how = rng.choice(("reset", "close", "half", "silence"))
-    return turn
+        step.interrupt_at = rng.randint(0, length if rng.random() < 0.3 else min(length, 500))
+        if step.spec.method == b"HEAD":  # who has not said so gets an answer with a body
+            step.interrupt_at = max(step.interrupt_at, len(b"HEAD "))
+        step.interrupt_kind = rng.choice(("reset", "close", "half", "silence"))
+    return step
 
 
 _SURPLUS = (
@@ -251,21 +251,21 @@
 )
 
 
-def draw_reply(rng: random.Random) -> Reply:
+def draw_reply(rng: random.Random) -> ReplySpec:
     """What a worker does; mostly, but for one thing or two, as it should."""
-    reply = Reply(size=rng.choice((0, 1, 10, 10, 2000, 9000, LONG, 300_000)))
+    reply = ReplySpec(size=rng.choice((0, 1, 10, 10, 2000, 9000, LONG_BODY_BYTES, 300_000)))
     reply.framing = rng.choice(("length", "length", "chunks"))
     reply.delay_s = rng.choice((0.0, 0.0, 0.0, 0.01, 0.3, 1.0))
     if rng.random() < 0.4:
-        reply.pieces = tuple(sorted({rng.randint(1, 400), rng.randint(1, 20_000)}))
+        reply.split_offsets = tuple(sorted({rng.randint(1, 400), rng.randint(1, 20_000)}))
     for _ in range(rng.choice((0, 0, 1, 1, 1, 2))):
-        _spoil(rng, reply)
+        _add_fault(rng, reply)
     if reply.framing in ("longer", "bad-chunks"):
         reply.surplus = b""  # it would be the rest of the body
     return reply
 
 
-def _spoil(rng: random.Random, reply: Reply) -> None:
+def _add_fault(rng: random.Random, reply: ReplySpec) -> None:
     match rng.randrange(18):
         case 0:
             reply.status = rng.choice((201, 204, 302, 304, 400, 404, 408, 429, 500, 502, 503, 504))
@@ -274,12 +274,12 @@
         case 2:
             reply.kind = "silence"
         case 3 | 4:
-            reply.cut_at = rng.choice((0, rng.randint(0, 250), rng.randint(0, reply.size + 250)))
-            reply.cut_how = rng.choice(("reset", "close", "silence"))
+            reply.interrupt_at = rng.choice((0, rng.randint(0, 250), rng.randint(0, reply.size + 250)))
+            reply.interrupt_kind = rng.choice(("reset", "close", "silence"))
         case 5:
-            reply.cut_request_at = rng.randint(0, rng.choice((20, 400, 100_000)))
+            reply.interrupt_request_at = rng.randint(0, rng.choice((20, 400, 100_000)))
         case 6 | 7:
-            reply.late_second = True
+            reply.resend_previous = True
         case 8 | 9 | 10:
             reply.surplus = rng.choice(_SURPLUS)
             reply.surplus_delay_s = rng.choice((0.0, 0.0, 0.0005, 0.002, 0.3, 1.0))
@@ -301,11 +301,11 @@
             reply.early = not reply.postmark
 
 
-def draw_happening(rng: random.Random) -> Happening:
+def draw_event(rng: random.Random) -> ScriptedEvent:
     """Something beside clients and workers."""
     kinds = ("freeze", "drain", "reread", "move", "revoke", "restart", "restart", "hand-on", "hand-on")
     at_s, kind = rng.choice((0.0, 0.005, 0.3, 1.0, 4.0)), rng.choice(kinds)
-    return Happening(at_s, kind, rng.choice((0.5, 2.0, 6.0, 20.0)), rng.choice((0.0, 0.2, 3.0)))
+    return ScriptedEvent(at_s, kind, rng.choice((0.5, 2.0, 6.0, 20.0)), rng.choice((0.0, 0.2, 3.0)))
 
 
 def draw_script(seed: int) -> Script:
@@ -313,10 +313,10 @@
     rng = random.Random(seed)
     number, clients = 0, []
     for _ in range(rng.choice((1, 1, 2, 3))):
-        turns = []
+        steps = []
         for _ in range(rng.choice((1, 2, 3, 4, 6))):
-            turns.append(draw_turn(rng, seed, number))
+            steps.append(draw_step(rng, seed, number))
             number += 1
-        clients.append(turns)
-    happenings = [draw_happening(rng) for _ in range(rng.choice((0, 0, 1, 1, 2)))]
-    return Script(seed, clients, sorted(happenings, key=lambda one: one.at_s))
+        clients.append(steps)
+    events = [draw_event(rng) for _ in range(rng.choice((0, 0, 1, 1, 2)))]
+    return Script(seed, clients, sorted(events, key=lambda one: one.at_s))
--- a/pepperrun/simulation/conversations/stepping.py
+++ b/pepperrun/simulation/conversations/stepping.py
@@ -13,55 +13,55 @@
 
 Result = TypeVar("Result")
 START_S = 1000.0
-QUIET_ROUNDS = 2  # of both loops without an event, before time passes
-MOST_ROUNDS = 200_000  # of one conversation; more is a loop that never rests
+IDLE_ROUNDS = 2  # of both loops without an event, before time passes
+MAX_ROUNDS = 200_000  # of one conversation; more is a loop that never rests
 
 
-class EagerSelector(selectors.DefaultSelector):
+class NonBlockingSelector(selectors.DefaultSelector):
     """Never waits: the stage decides when time passes."""
 
-    seen = 0
+    event_count = 0
 
     def select(self, timeout: float | None = None) -> Any:
         events = super().select(0)
-        self.seen += len(events)
+        self.event_count += len(events)
         return events
 
 
 class SteppedLoop(asyncio.SelectorEventLoop):
     """A loop that is run one round at a time."""
 
-    def __init__(self, stage: Stage) -> None:
-        self.stage, self.eager = stage, EagerSelector()
+    def __init__(self, loops: SteppedLoops) -> None:
+        self.loops, self.selector = loops, NonBlockingSelector()
         self.crashes: list[str] = []
-        super().__init__(self.eager)
-        self.set_exception_handler(self._crashed)
+        super().__init__(self.selector)
+        self.set_exception_handler(self._record_crash)
 
-    def _crashed(self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
+    def _record_crash(self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
         self.crashes.append(f"{context.get('message')}: {context.get('exception')!r}")
 
     def time(self) -> float:
-        return self.stage.now
+        return self.loops.now
 
     def round(self) -> bool:
         """Runs what is ready; False where nothing was and nothing is."""
         internals: Any = self
-        before = self.eager.seen
+        before = self.selector.event_count
         had = len(internals._ready) > 0
         asyncio.events._set_running_loop(self)
         try:
             internals._run_once()
         finally:
             asyncio.events._set_running_loop(None)
-        return had or self.eager.seen > before or len(internals._ready) > 0
+        return had or self.selector.event_count > before or len(internals._ready) > 0
 
-    def next_at(self) -> float | None:
+    def next_timer_at(self) -> float | None:
         """When its next timer is due."""
         scheduled: Any = getattr(self, "_scheduled")  # noqa: B009
         return scheduled[0].when() if scheduled else None
 
 
-class Stage:
+class SteppedLoops:
     """The clock and both loops."""
 
     def __init__(self) -> None:
@@ -80,33 +80,33 @@
 
     def _round(self) -> bool:
         self.rounds += 1
-        if self.rounds > MOST_ROUNDS:
+        if self.rounds > MAX_ROUNDS:
             raise RuntimeError("the loops never come to rest")
         active = self.peers.round()
         if self.now >= self.frozen_until:
             active = self.plane.round() or active
         return active
 
-    def _advance(self, most: float) -> None:
+    def _advance(self, latest: float) -> None:
         """To the next timer of a loop that runs."""
         frozen = self.now < self.frozen_until
-        dues = [self.peers.next_at(), self.frozen_until if frozen else self.plane.next_at()]
-        due = min((one for one in dues if one is not None), default=most)
-        self.now = min(most, max(self.now, due) + 1e-9)
+        due_times = [self.peers.next_timer_at(), self.frozen_until if frozen else self.plane.next_timer_at()]
+        due = min((one for one in due_times if one is not None), default=latest)
+        self.now = min(latest, max(self.now, due) + 1e-9)
 
     def run(self, coro: Coroutine[Any, Any, Result], loop: SteppedLoop, limit_s: float) -> Result:
         """Runs both loops until this one's coroutine is over; TimeoutError past so much virtual time."""
         task = loop.create_task(coro)
-        end, quiet = self.now + limit_s, 0
+        end, idle_rounds = self.now + limit_s, 0
         while not task.done():
-            quiet = 0 if self._round() else quiet + 1
-            if quiet < QUIET_ROUNDS:
+            idle_rounds = 0 if self._round() else idle_rounds + 1
+            if idle_rounds < IDLE_ROUNDS:
                 continue
             if self.now >= end:
                 task.cancel()
                 raise TimeoutError(f"not over after {limit_s} s of virtual time")
             self._advance(end)
-            quiet = 0
+            idle_rounds = 0
         return task.result()
 
     def close(self) -> None:
--- a/tests/test_control_conversations.py
+++ b/tests/test_control_conversations.py
@@ -13,7 +13,7 @@
 
 from pepperrun.control.matchers import Answer, any_of, endpoint, method, segment, variable
 from pepperrun.control.server import BUFFER_BYTES, Server
-from pepperrun.simulation.conversations.client import read_answers
+from pepperrun.simulation.conversations.client import parse_responses
 
 SIZES = (0, 3, 5_000, BUFFER_BYTES, 2 * BUFFER_BYTES + 7)
 
@@ -87,7 +87,7 @@
 
     sending = asyncio.ensure_future(send())
     received, expected_count = b"", len(script.calls) - (script.end == "truncated")
-    while sum(one.complete for one in read_answers(received, [b"POST"] * 9, False)[0]) < expected_count:
+    while sum(one.complete for one in parse_responses(received, [b"POST"] * 9, False)[0]) < expected_count:
         more = await reader.read(1 << 16)
         received += more
         if not more:
@@ -106,7 +106,7 @@
         conversations = [converse(port, script, number) for number, script in enumerate(scripts)]
         for connection, received in enumerate(await asyncio.gather(*conversations)):
             script = scripts[connection]
-            answers, left = read_answers(received, [b"POST"] * len(script.calls), True)
+            answers, left = parse_responses(received, [b"POST"] * len(script.calls), True)
             bodies = [script.body(connection, number) for number in range(len(script.calls))]
             expected = [hashlib.sha256(body).hexdigest().encode() for body in bodies]
             assert not left and [one.body for one in answers] == expected[: len(answers)]
@@ -135,7 +135,7 @@
             writer.transport.abort()
             script = Script([(iterations, 3), (0, 3)], 1_000_000, "complete")
             received = await converse(port, script, number)
-            answers, left = read_answers(received, [b"POST"] * 2, True)
+            answers, left = parse_responses(received, [b"POST"] * 2, True)
             expected = [hashlib.sha256(script.body(number, call)).hexdigest().encode() for call in (0, 1)]
             assert not left and [one.body for one in answers] == expected
         await target.server.close(0)
--- a/tests/test_conversations.py
+++ b/tests/test_conversations.py
@@ -12,24 +12,24 @@
 from standins import Client, StandIn, answer, going, wait_then
 from test_dataplane import Cluster, ok, route
 
-from pepperrun.simulation.conversations.bugs import BUGS, put_in
-from pepperrun.simulation.conversations.client import read_answers
-from pepperrun.simulation.conversations.cuts import (
-    cut_answers,
-    cut_by_clients,
-    cut_requests,
-    leaves,
+from pepperrun.simulation.conversations.bugs import BUGS, injected_bug
+from pepperrun.simulation.conversations.client import parse_responses
+from pepperrun.simulation.conversations.conversation import Conversation, draw_conversation
+from pepperrun.simulation.conversations.interruptions import (
+    client_disconnects,
+    client_interruptions,
     request,
+    request_interruptions,
+    response_interruptions,
 )
-from pepperrun.simulation.conversations.play import Conversation, play
 from pepperrun.simulation.conversations.scripts import (
-    Happening,
-    Reply,
+    ClientStep,
+    ReplySpec,
     Script,
-    Turn,
-    draw_happening,
+    ScriptedEvent,
+    draw_event,
     draw_reply,
-    draw_turn,
+    draw_step,
 )
 
 DRAWN = 240  # conversations
@@ -55,7 +55,7 @@
 @pytest.mark.parametrize("first", range(1, DRAWN, 40))
 def test_drawn_conversations_break_no_rule(first):
     for seed in range(first, first + 40):
-        assert play(seed).play() == [], f"seed {seed}"
+        assert draw_conversation(seed).run() == [], f"seed {seed}"
 
 
 class Conversing(RuleBasedStateMachine):
@@ -68,7 +68,7 @@
 
     @rule(client=st.integers(0, 2), rng=RANDOMS)
     def ask(self, client, rng):
-        self.script.clients[client].append(draw_turn(rng, 1, self.number))
+        self.script.clients[client].append(draw_step(rng, 1, self.number))
         self.number += 1
 
     @rule(rng=RANDOMS)
@@ -77,12 +77,12 @@
 
     @rule(rng=RANDOMS)
     def happen(self, rng):
-        if len(self.script.happenings) < 3:
-            self.script.happenings.append(draw_happening(rng))
+        if len(self.script.events) < 3:
+            self.script.events.append(draw_event(rng))
 
     def teardown(self):
         if self.number:
-            assert Conversation(self.script).play() == []
+            assert Conversation(self.script).run() == []
 
 
 def test_conversations_made_step_by_step_break_no_rule():
@@ -92,47 +92,49 @@
 
 @pytest.mark.parametrize("bug", sorted(set(BUGS) - set(FOUND_IN_LEAVES)))
 def test_the_judge_finds_each_bug(bug):
-    with put_in(bug):
-        assert play(FOUND_AT[bug]).play()
-    assert play(FOUND_AT[bug]).play() == []
+    with injected_bug(bug):
+        assert draw_conversation(FOUND_AT[bug]).run()
+    assert draw_conversation(FOUND_AT[bug]).run() == []
 
 
-@pytest.mark.parametrize("cuts", [cut_by_clients, cut_requests, cut_answers])
-def test_a_break_after_each_byte_breaks_no_rule(cuts):
+@pytest.mark.parametrize(
+    "interruptions", [client_interruptions, request_interruptions, response_interruptions]
+)
+def test_a_break_after_each_byte_breaks_no_rule(interruptions):
     """Every third on an unsafe route here; `--cuts` plays them all, on both kinds of route."""
-    for script in islice(cuts(b"/once/"), 0, None, 3):
-        assert Conversation(script).play() == []
+    for script in islice(interruptions(b"/once/"), 0, None, 3):
+        assert Conversation(script).run() == []
 
 
 @pytest.mark.parametrize("route", [b"/once/", b"/safe/"])
 def test_clients_who_leave_while_their_requests_are_at_work_break_no_rule(route):
-    for number, script in enumerate(leaves(route)):
-        assert Conversation(script).play() == [], f"script {number}"
+    for number, script in enumerate(client_disconnects(route)):
+        assert Conversation(script).run() == [], f"script {number}"
 
 
 @pytest.mark.parametrize("bug", sorted(FOUND_IN_LEAVES))
 def test_the_judge_finds_each_bug_that_shows_when_clients_leave(bug):
-    with put_in(bug):
-        found = [Conversation(script).play() for script in leaves(b"/safe/")]
+    with injected_bug(bug):
+        found = [Conversation(script).run() for script in client_disconnects(b"/safe/")]
     assert sum(any("GONE" in text for text in broken) for broken in found) == FOUND_IN_LEAVES[bug]
 
 
 def test_the_judge_reads_answers_strictly():
     whole = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"
-    assert read_answers(whole * 2 + b"x", [b"GET", b"GET"], False)[1] == b"x"
+    assert parse_responses(whole * 2 + b"x", [b"GET", b"GET"], False)[1] == b"x"
     for cut in range(1, len(whole)):
-        (got,), left = read_answers(whole[:cut], [b"GET"], True)
+        (got,), left = parse_responses(whole[:cut], [b"GET"], True)
         assert not got.complete and not left
-    assert read_answers(whole, [b"HEAD"], False)[1] == b"hi"
+    assert parse_responses(whole, [b"HEAD"], False)[1] == b"hi"
 
 
 def test_the_gatekeeper_frozen_in_the_middle_runs_nothing_twice():
     """It wakes long after the clients' time is up, and after the worker has fallen silent."""
     for at_s in (0.0, 0.0015, 0.005, 0.3):
-        turns = [Turn(request(b"c%d" % number, b"/once/"), pipelined=True) for number in range(3)]
-        replies = [Reply(delay_s=0.3), Reply(kind="silence"), Reply()]
-        conversation = Conversation(Script(1, [turns], [Happening(at_s, "freeze", 20.0)], replies))
-        assert conversation.play() == []
+        steps = [ClientStep(request(b"c%d" % number, b"/once/"), pipelined=True) for number in range(3)]
+        replies = [ReplySpec(delay_s=0.3), ReplySpec(kind="silence"), ReplySpec()]
+        conversation = Conversation(Script(1, [steps], [ScriptedEvent(at_s, "freeze", 20.0)], replies))
+        assert conversation.run() == []
 
 
 # What was found with them, each by itself.
