--- a/pepperrun/metrics/__init__.py
+++ b/pepperrun/metrics/__init__.py
@@ -15,9 +15,9 @@
 from pepperrun.net.listener import Listener
 from pepperrun.net.upstream import UpstreamClient
 
-CONNECT_S = 2.0
-MOST_UNSENT = 256 * 1024
-MOST_UNREAD = 4096
+CONNECT_TIMEOUT_S = 2.0
+MAX_UNSENT_BYTES = 256 * 1024
+MAX_UNREAD_BYTES = 4096
 
 
 @dataclass(slots=True, frozen=True)
@@ -26,29 +26,29 @@
 
     name: str
     value: float
-    counts: bool
+    is_counter: bool
 
 
-def samples(
-    name: str, gatekeeper: Gatekeeper, servers: UpstreamClient, listener: Listener | None
+def gateway_samples(
+    name: str, gatekeeper: Gatekeeper, upstream: UpstreamClient, listener: Listener | None
 ) -> list[Sample]:
     """The figures of a core and its front. Names are dotted, the core's first."""
-    taken = [
+    requests = [
         Sample(f"{name}.requests.{end.value.replace(' ', '_')}", count, True)
         for end, count in gatekeeper.counts.items()
     ]
-    ended = [
+    attempts = [
         Sample(f"{name}.attempts.{outcome.value}", count, True)
         for outcome, count in gatekeeper.outcomes.items()
     ]
-    now = [
+    connections = [
         Sample(f"{name}.requests.held", gatekeeper.pending_count(), False),
-        Sample(f"{name}.connections.backends", len(servers.connections), False),
-        Sample(f"{name}.connections.opened", servers.opened, True),
+        Sample(f"{name}.connections.backends", len(upstream.connections), False),
+        Sample(f"{name}.connections.opened", upstream.opened, True),
     ]
     if listener is not None:
-        now.append(Sample(f"{name}.connections.clients", listener.count(), False))
-    return taken + ended + now
+        connections.append(Sample(f"{name}.connections.clients", listener.count(), False))
+    return requests + attempts + connections
 
 
 def process_samples() -> list[Sample]:
@@ -89,16 +89,16 @@
     return MetricsConfig(interval, prefix, graphite, collectd or None, host)
 
 
-class Link(BufferedConnection):
+class MetricsConnection(BufferedConnection):
     """A connection on which lines go out; `heard` is given each line that comes back."""
 
-    def __init__(self, heard: Callable[[str], None]) -> None:
-        super().__init__(MOST_UNREAD)
-        self.heard = heard
+    def __init__(self, on_line: Callable[[str], None]) -> None:
+        super().__init__(MAX_UNREAD_BYTES)
+        self.on_line = on_line
 
     def on_data(self) -> None:
         while (at := self.buffer.find(b"\n")) >= 0:
-            self.heard(self.buffer.take(at + 1).decode("utf-8", "replace").strip())
+            self.on_line(self.buffer.take(at + 1).decode("utf-8", "replace").strip())
         if self.buffer.is_full():
             self.buffer.drop(len(self.buffer))
 
@@ -113,16 +113,16 @@
         self,
         name: str,
         interval_s: float,
-        connect: Callable[[Callable[[], Link]], Any],
-        lines: Callable[[list[Sample], int], Iterable[str]],
-        figures: Callable[[], list[Sample]],
+        connect: Callable[[Callable[[], MetricsConnection]], Any],
+        format_lines: Callable[[list[Sample], int], Iterable[str]],
+        collect_samples: Callable[[], list[Sample]],
         now_s: Callable[[], int],
     ) -> None:
         self.name, self.interval_s, self.connect = name, interval_s, connect
-        self.lines, self.figures, self.now_s = lines, figures, now_s
-        self.link: Link | None = None
+        self.format_lines, self.collect_samples, self.now_s = format_lines, collect_samples, now_s
+        self.connection: MetricsConnection | None = None
 
-    def heard(self, line: str) -> None:
+    def on_line(self, line: str) -> None:
         """An answer line; Graphite gives none, collectd a status below 0 for what it did not take."""
         if line.startswith("-"):
             log_message(self.name, f"{self.name}: {line}")
@@ -135,16 +135,20 @@
 
     async def report(self) -> None:
         """One round."""
-        if self.link is None or self.link.transport is None or self.link.transport.is_closing():
+        if (
+            self.connection is None
+            or self.connection.transport is None
+            or self.connection.transport.is_closing()
+        ):
             try:
-                async with asyncio.timeout(CONNECT_S):
-                    _, self.link = await self.connect(lambda: Link(self.heard))
+                async with asyncio.timeout(CONNECT_TIMEOUT_S):
+                    _, self.connection = await self.connect(lambda: MetricsConnection(self.on_line))
             except OSError as error:
                 log_message(self.name, f"{self.name}: {error or 'no connection in time'}")
                 return
-        transport = self.link.transport if self.link is not None else None
-        if transport is None or transport.get_write_buffer_size() > MOST_UNSENT:
+        transport = self.connection.transport if self.connection is not None else None
+        if transport is None or transport.get_write_buffer_size() > MAX_UNSENT_BYTES:
             log_message(self.name, f"{self.name}: does not take its lines")
             return
-        text = "".join(line + "\n" for line in self.lines(self.figures(), self.now_s()))
+        text = "".join(line + "\n" for line in self.format_lines(self.collect_samples(), self.now_s()))
         transport.write(text.encode())
--- a/pepperrun/metrics/collectd.py
+++ b/pepperrun/metrics/collectd.py
@@ -9,21 +9,21 @@
 from pepperrun.metrics import Reporter, Sample
 
 
-def lines(host: str, plugin: str, interval_s: float, figures: list[Sample], now_s: int) -> list[str]:
+def format_lines(host: str, plugin: str, interval_s: float, samples: list[Sample], now_s: int) -> list[str]:
     """The lines of a round. The identifier is host/plugin-instance/type-instance."""
-    out = []
-    for sample in figures:
+    lines = []
+    for sample in samples:
         core, _, name = sample.name.partition(".")
-        kind = "derive" if sample.counts else "gauge"
+        value_type = "derive" if sample.is_counter else "gauge"
         # A derive is a whole number to collectd.
-        value = f"{int(sample.value)}" if sample.counts else f"{sample.value:.15g}"
-        identifier = f"{host}/{plugin}-{core}/{kind}-{name.replace('.', '_')}"
-        out.append(f'PUTVAL "{identifier}" interval={interval_s:g} {now_s}:{value}')
-    return out
+        value = f"{int(sample.value)}" if sample.is_counter else f"{sample.value:.15g}"
+        identifier = f"{host}/{plugin}-{core}/{value_type}-{name.replace('.', '_')}"
+        lines.append(f'PUTVAL "{identifier}" interval={interval_s:g} {now_s}:{value}')
+    return lines
 
 
 def reporter(
-    path: str, host: str, plugin: str, interval_s: float, figures: Callable[[], list[Sample]]
+    path: str, host: str, plugin: str, interval_s: float, collect_samples: Callable[[], list[Sample]]
 ) -> Reporter:
     """Sends to the socket of collectd's unixsock plugin."""
     loop = asyncio.get_running_loop()
@@ -31,7 +31,7 @@
         "collectd",
         interval_s,
         lambda make: loop.create_unix_connection(make, path),
-        lambda some, now_s: lines(host, plugin, interval_s, some, now_s),
-        figures,
+        lambda samples, now_s: format_lines(host, plugin, interval_s, samples, now_s),
+        collect_samples,
         lambda: int(time.time()),
     )
--- a/pepperrun/metrics/graphite.py
+++ b/pepperrun/metrics/graphite.py
@@ -10,19 +10,21 @@
 from pepperrun.metrics import Reporter, Sample
 
 
-def lines(prefix: str, figures: list[Sample], now_s: int) -> list[str]:
+def format_lines(prefix: str, samples: list[Sample], now_s: int) -> list[str]:
     """The lines of a round."""
-    return [f"{prefix}.{sample.name} {sample.value:.15g} {now_s}" for sample in figures]
+    return [f"{prefix}.{sample.name} {sample.value:.15g} {now_s}" for sample in samples]
 
 
-def reporter(to: Address, prefix: str, interval_s: float, figures: Callable[[], list[Sample]]) -> Reporter:
+def reporter(
+    to: Address, prefix: str, interval_s: float, collect_samples: Callable[[], list[Sample]]
+) -> Reporter:
     """Sends to a carbon listener."""
     loop = asyncio.get_running_loop()
     return Reporter(
         "graphite",
         interval_s,
         lambda make: loop.create_connection(make, *to),
-        lambda some, now_s: lines(prefix, some, now_s),
-        figures,
+        lambda samples, now_s: format_lines(prefix, samples, now_s),
+        collect_samples,
         lambda: int(time.time()),
     )
--- a/pepperrun/serve.py
+++ b/pepperrun/serve.py
@@ -60,12 +60,12 @@
     config: MetricsConfig, instance: str, cores: dict[str, CoreAndListener]
 ) -> list[Reporter]:
     """Returns a reporter for each configured metrics sink."""
-    from pepperrun.metrics import collectd, graphite, process_samples, samples
+    from pepperrun.metrics import collectd, gateway_samples, graphite, process_samples
 
     def collect_samples() -> list[Sample]:
         collected = process_samples()
         for name, (core, listener) in cores.items():
-            collected += samples(name, core.gatekeeper, core.upstream, listener)
+            collected += gateway_samples(name, core.gatekeeper, core.upstream, listener)
         return collected
 
     reporters = []
--- a/pepperrun/soak/command.py
+++ b/pepperrun/soak/command.py
@@ -6,10 +6,10 @@
 from dataclasses import fields
 from typing import Any
 
-from pepperrun.soak.run import Options, soak
+from pepperrun.soak.run import Options, run_soak
 
-GOOD, FOUND = 0, 1
-MEANINGS = {
+EXIT_OK, EXIT_FINDINGS = 0, 1
+OPTION_HELP = {
     "seed": "what the run follows from",
     "seconds": "for which the series go on",
     "cores": "control nodes",
@@ -23,23 +23,25 @@
 }
 
 
-def play(given: argparse.Namespace) -> int:
+def run_command(arguments: argparse.Namespace) -> int:
     """Play one run and print its report."""
-    options = Options(**{one.name: getattr(given, one.name) for one in fields(Options)})
-    report = soak(options, given.keep)
+    options = Options(**{option.name: getattr(arguments, option.name) for option in fields(Options)})
+    report = run_soak(options, arguments.keep)
     print(report.text())
-    return GOOD if report.is_good else FOUND
+    return EXIT_OK if report.is_good else EXIT_FINDINGS
 
 
 def register(commands: Any) -> None:
     """Add the command to those of `operatorctl`."""
     text = "run a small system under planned work in series, and judge each request"
-    part = commands.add_parser("soak", help=text, description=text)
-    part.set_defaults(does=play)
-    for one in fields(Options):
-        flag = "--" + one.name.removesuffix("_s").replace("_", "-")
-        said = f"{MEANINGS[one.name]} ({one.default})"
-        part.add_argument(flag, dest=one.name, type=type(one.default), default=one.default, help=said)
-    part.add_argument(
+    parser = commands.add_parser("soak", help=text, description=text)
+    parser.set_defaults(does=run_command)
+    for option in fields(Options):
+        flag = "--" + option.name.removesuffix("_s").replace("_", "-")
+        help_text = f"{OPTION_HELP[option.name]} ({option.default})"
+        parser.add_argument(
+            flag, dest=option.name, type=type(option.default), default=option.default, help=help_text
+        )
+    parser.add_argument(
         "--keep", metavar="DIR", help="settings, logs, records and report go there (else a new one)"
     )
--- a/pepperrun/soak/judge.py
+++ b/pepperrun/soak/judge.py
@@ -9,19 +9,21 @@
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass
 
-from pepperrun.soak.records import Run, RunEnd, Sent, Stop
+from pepperrun.soak.records import Run, RunEnd, SentRequest, Stop
 
-PROMISES = (408, 421, 429, 503)  # the request has not run and never will
-LAST_SIXTH = 5 / 6  # of the grace: what is still at work then may be cut
+NOT_RUN_STATUSES = (408, 421, 429, 503)  # the request has not run and never will
+CUT_ALLOWED_AFTER = 5 / 6  # of the grace: what is still at work then may be cut
 DEADLINE_SLACK_NS = (
     100_000_000  # an answer may come so much before a client's time is over, to be there by then
 )
-SEEN_LATE_NS = 1_000_000_000  # a client may see the end of a process so much later
-LONG_AGO_NS = 10_000_000_000  # a stop that was told before is not shown with a request
-EARLY_SENT = 0.5  # of the grace: if it was sent by then
-GONE_NS = 500_000_000  # after its client has left no request reaches a worker, nor is one still at work
-GONE_FEW = 3  # requests that may all the same
-GONE_PART = 0.25  # of the runs that would have lasted so long: so many may all the same
+OBSERVATION_DELAY_NS = 1_000_000_000  # a client may see the end of a process so much later
+STOP_WINDOW_NS = 10_000_000_000  # a stop that was told before is not shown with a request
+EARLY_FRACTION = 0.5  # of the grace: if it was sent by then
+ABANDON_LIMIT_NS = (
+    500_000_000  # after its client has left no request reaches a worker, nor is one still at work
+)
+ALLOWED_ABANDONED_RUNS = 3  # requests that may all the same
+ALLOWED_ABANDONED_FRACTION = 0.25  # of the runs that would have lasted so long: so many may all the same
 
 
 @dataclass(frozen=True)
@@ -33,95 +35,141 @@
     text: str
 
 
-def judge(sent: Sequence[Sent], runs: Sequence[Run], stops: Sequence[Stop], grace_ns: int) -> list[Finding]:
+def judge(
+    sent: Sequence[SentRequest], runs: Sequence[Run], stops: Sequence[Stop], grace_ns: int
+) -> list[Finding]:
     """Return what broke a rule: LOST, TWICE, REFUSED, MIXED, UNASKED, GONE, CUT."""
     by_id: dict[str, list[Run]] = defaultdict(list)
-    for run in sorted(runs, key=lambda one: one.began):
+    for run in sorted(runs, key=lambda run: run.started_ns):
         by_id[run.id].append(run)
-    known = {one.id for one in sent}
+    known_ids = {request.id for request in sent}
     found = [
         Finding("UNASKED", id, f"{id} ran at {by_id[id][0].worker}, nobody sent it")
         for id in by_id
-        if id not in known
+        if id not in known_ids
     ]
-    stops_of: dict[str, list[Stop]] = defaultdict(list)
+    stops_by_gateway: dict[str, list[Stop]] = defaultdict(list)
     for stop in stops:
-        stops_of[stop.gateway].append(stop)
-    for one in sent:
-        rule = _broken(one, by_id.get(one.id, []), stops_of[one.gateway], grace_ns)
+        stops_by_gateway[stop.gateway].append(stop)
+    for request in sent:
+        rule = _violated_rule(request, by_id.get(request.id, []), stops_by_gateway[request.gateway], grace_ns)
         if rule:
-            found.append(Finding(rule, one.id, way(one, by_id.get(one.id, []), stops_of[one.gateway])))
-    return found + _gone([one for one in sent if one.left], by_id, stops_of)
+            found.append(
+                Finding(
+                    rule,
+                    request.id,
+                    timeline(request, by_id.get(request.id, []), stops_by_gateway[request.gateway]),
+                )
+            )
+    return found + _abandoned_runs(
+        [request for request in sent if request.disconnected_ns], by_id, stops_by_gateway
+    )
 
 
-def _gone(
-    left: Sequence[Sent], by_id: Mapping[str, Sequence[Run]], stops_of: Mapping[str, Sequence[Stop]]
+def _abandoned_runs(
+    disconnected: Sequence[SentRequest],
+    by_id: Mapping[str, Sequence[Run]],
+    stops_by_gateway: Mapping[str, Sequence[Stop]],
 ) -> list[Finding]:
     """Work for clients who have left, where it is more than the rule allows."""
-    reached, at_work, lasting = list[Sent](), list[Sent](), 0
-    for one in left:
-        for run in by_id.get(one.id, []):
-            if run.began > one.left + GONE_NS:
-                reached.append(one)
-            elif one.is_safe and run.began + run.takes > one.left + GONE_NS:
-                lasting += 1
-                if not run.ended or run.ended > one.left + GONE_NS:
-                    at_work.append(one)
-    broken = reached if len(reached) > GONE_FEW else []
-    broken = broken + (at_work if len(at_work) > max(GONE_FEW, GONE_PART * lasting) else [])
-    return [Finding("GONE", one.id, way(one, by_id[one.id], stops_of.get(one.gateway, []))) for one in broken]
-
-
-def _broken(one: Sent, runs: Sequence[Run], stops: Sequence[Stop], grace_ns: int) -> str:
-    if one.problem:
+    started_late, still_running, long_runs = list[SentRequest](), list[SentRequest](), 0
+    for request in disconnected:
+        for run in by_id.get(request.id, []):
+            if run.started_ns > request.disconnected_ns + ABANDON_LIMIT_NS:
+                started_late.append(request)
+            elif (
+                request.is_safe
+                and run.started_ns + run.duration_ns > request.disconnected_ns + ABANDON_LIMIT_NS
+            ):
+                long_runs += 1
+                if not run.ended_ns or run.ended_ns > request.disconnected_ns + ABANDON_LIMIT_NS:
+                    still_running.append(request)
+    violations = started_late if len(started_late) > ALLOWED_ABANDONED_RUNS else []
+    violations = violations + (
+        still_running
+        if len(still_running) > max(ALLOWED_ABANDONED_RUNS, ALLOWED_ABANDONED_FRACTION * long_runs)
+        else []
+    )
+    return [
+        Finding(
+            "GONE",
+            request.id,
+            timeline(request, by_id[request.id], stops_by_gateway.get(request.gateway, [])),
+        )
+        for request in violations
+    ]
+
+
+def _violated_rule(request: SentRequest, runs: Sequence[Run], stops: Sequence[Stop], grace_ns: int) -> str:
+    if request.problem:
         return "MIXED"
-    if not one.is_safe and len(runs) > 1:
+    if not request.is_safe and len(runs) > 1:
         return "TWICE"
-    if not one.is_safe and runs and one.status in PROMISES and not one.is_from_worker:
+    if not request.is_safe and runs and request.status in NOT_RUN_STATUSES and not request.is_from_worker:
         return "REFUSED"
-    if one.left:
-        is_cut = any(run.end is RunEnd.CUT and not _may_cut(one, run, stops, grace_ns) for run in runs)
-        return "CUT" if is_cut and not one.is_safe else ""
-    if one.ended and runs and not one.is_from_worker and _lost(one, runs, stops, grace_ns):
+    if request.disconnected_ns:
+        is_cut = any(run.end is RunEnd.CUT and not _may_cut(request, run, stops, grace_ns) for run in runs)
+        return "CUT" if is_cut and not request.is_safe else ""
+    if request.ended_ns and runs and not request.is_from_worker and _is_lost(request, runs, stops, grace_ns):
         return "LOST"
     return ""
 
 
-def _may_cut(one: Sent, run: Run, stops: Sequence[Stop], grace_ns: int) -> bool:
+def _may_cut(request: SentRequest, run: Run, stops: Sequence[Stop], grace_ns: int) -> bool:
     """Return whether its time is over, or its gatekeeper's."""
-    if run.ended >= one.deadline - DEADLINE_SLACK_NS:
+    if run.ended_ns >= request.deadline_ns - DEADLINE_SLACK_NS:
         return True
     return any(
-        stop.told + LAST_SIXTH * grace_ns <= run.ended <= (stop.ended or stop.told + grace_ns) + SEEN_LATE_NS
+        stop.signalled_ns + CUT_ALLOWED_AFTER * grace_ns
+        <= run.ended_ns
+        <= (stop.ended_ns or stop.signalled_ns + grace_ns) + OBSERVATION_DELAY_NS
         for stop in stops
     )
 
 
-def _lost(one: Sent, runs: Sequence[Run], stops: Sequence[Stop], grace_ns: int) -> bool:
+def _is_lost(request: SentRequest, runs: Sequence[Run], stops: Sequence[Stop], grace_ns: int) -> bool:
     """No complete answer of a worker for a request that was passed on, and no reason that the rule allows."""
-    if one.ended >= one.deadline - DEADLINE_SLACK_NS:
+    if request.ended_ns >= request.deadline_ns - DEADLINE_SLACK_NS:
         return False
     last = runs[-1]
-    if last.end is RunEnd.ANSWERED and one.status:
+    if last.end is RunEnd.ANSWERED and request.status:
         return False  # its worker had ended: an answer in its place cut nothing
     for stop in stops:
-        gone = stop.ended or stop.told + grace_ns  # who answers later is another process at its address
-        was_early = one.sent <= min(gone, stop.told + EARLY_SENT * grace_ns)
-        if was_early and stop.told + LAST_SIXTH * grace_ns <= one.ended <= gone + SEEN_LATE_NS:
+        stopped_ns = (
+            stop.ended_ns or stop.signalled_ns + grace_ns
+        )  # who answers later is another process at its address
+        was_early = request.sent_ns <= min(stopped_ns, stop.signalled_ns + EARLY_FRACTION * grace_ns)
+        if (
+            was_early
+            and stop.signalled_ns + CUT_ALLOWED_AFTER * grace_ns
+            <= request.ended_ns
+            <= stopped_ns + OBSERVATION_DELAY_NS
+        ):
             return False
     return True
 
 
-def way(one: Sent, runs: Sequence[Run], stops: Sequence[Stop]) -> str:
+def timeline(request: SentRequest, runs: Sequence[Run], stops: Sequence[Stop]) -> str:
     """Return a request's way, ms from its sending."""
-    kind = "safe" if one.is_safe else "unsafe"
-    rows: list[tuple[int, str]] = [(0, f"{kind} {one.id} sent to {one.gateway}")]
+    kind = "safe" if request.is_safe else "unsafe"
+    rows: list[tuple[int, str]] = [(0, f"{kind} {request.id} sent to {request.gateway}")]
     for run in runs:
-        rows.append((run.began - one.sent, f"{run.worker} runs it"))
-        if run.ended:
-            rows.append((run.ended - one.sent, f"its run ends: {run.end}"))
-    status = f"left by {one.way}" if one.left else one.status or "no complete answer"
-    rows.append((one.ended - one.sent, f"the client has {status}{' ' + one.problem if one.problem else ''}"))
-    near = [stop for stop in stops if one.sent - LONG_AGO_NS < stop.told < one.ended]
-    rows += [(stop.told - one.sent, f"{stop.gateway} gets SIGTERM") for stop in near]
+        rows.append((run.started_ns - request.sent_ns, f"{run.worker} runs it"))
+        if run.ended_ns:
+            rows.append((run.ended_ns - request.sent_ns, f"its run ends: {run.end}"))
+    status = (
+        f"left by {request.disconnect_kind}"
+        if request.disconnected_ns
+        else request.status or "no complete answer"
+    )
+    rows.append(
+        (
+            request.ended_ns - request.sent_ns,
+            f"the client has {status}{' ' + request.problem if request.problem else ''}",
+        )
+    )
+    shown_stops = [
+        stop for stop in stops if request.sent_ns - STOP_WINDOW_NS < stop.signalled_ns < request.ended_ns
+    ]
+    rows += [(stop.signalled_ns - request.sent_ns, f"{stop.gateway} gets SIGTERM") for stop in shown_stops]
     return "; ".join(f"{at / 1e6:.0f} ms {what}" for at, what in sorted(rows))
--- a/pepperrun/soak/series.py
+++ b/pepperrun/soak/planned_work.py
@@ -16,44 +16,44 @@
 from pepperrun.operator.local_cluster import Child, LocalCluster
 from pepperrun.soak.records import Stop
 
-OVER_GRACE_S = 20.0  # past its grace a process that has not ended is a finding, and is killed
-HUP_S = 0.7  # between two SIGHUPs
-CHANGE_S = 0.3  # between two changes
-CALL_S = 10.0  # for one change
-DARK_S = 0.5  # a killed control node is down for so long
-BETWEEN_KILLS_S = 2.0
+GRACE_MARGIN_S = 20.0  # past its grace a process that has not ended is a finding, and is killed
+MEAN_RELOAD_INTERVAL_S = 0.7  # between two SIGHUPs
+CHANGE_INTERVAL_S = 0.3  # between two changes
+CALL_TIMEOUT_S = 10.0  # for one change
+CONTROL_NODE_DOWNTIME_S = 0.5  # a killed control node is down for so long
+MEAN_KILL_INTERVAL_S = 2.0
 
 
-class Series:
+class PlannedWork:
     """All series of one run. `stops` and `counts` are what was done; `late` names who outlived its grace."""
 
     def __init__(self, cluster: LocalCluster, rng: random.Random, at_once: int, gap_s: float) -> None:
         self.cluster, self.rng, self.at_once, self.gap_s = cluster, rng, at_once, gap_s
-        self.gateways = [one for one in cluster.children if one.role == "gateway_node"]
-        self.cores = [one for one in cluster.children if one.role == "control_node"]
+        self.gateways = [child for child in cluster.children if child.role == "gateway_node"]
+        self.control_nodes = [child for child in cluster.children if child.role == "control_node"]
         self.stops: list[Stop] = []
-        self.late: list[str] = []
+        self.overdue: list[str] = []
         self.counts: Counter[str] = Counter()
-        self.caller, self.edition = CoreClient(cluster.control_addresses, CALL_S), 1
+        self.caller, self.edition = CoreClient(cluster.control_addresses, CALL_TIMEOUT_S), 1
 
-    async def run(self, until: asyncio.Event, routes: Callable[[int], dict[str, object]]) -> None:
+    async def run(self, stop_requested: asyncio.Event, routes: Callable[[int], dict[str, object]]) -> None:
         """All series until told to stop; a roll that is under way is ended. `routes(n)`: the n-th change."""
         async with asyncio.TaskGroup() as group:
-            group.create_task(self._rolls(until))
-            group.create_task(self._hups(until))
-            if len(self.cores) > 2:
-                group.create_task(self._kills(until))
-            group.create_task(self._changes(until, routes))
-
-    async def _rolls(self, until: asyncio.Event) -> None:
-        while not until.is_set():
+            group.create_task(self._roll_gateways(stop_requested))
+            group.create_task(self._reload_settings(stop_requested))
+            if len(self.control_nodes) > 2:
+                group.create_task(self._kill_control_nodes(stop_requested))
+            group.create_task(self._change_routes(stop_requested, routes))
+
+    async def _roll_gateways(self, stop_requested: asyncio.Event) -> None:
+        while not stop_requested.is_set():
             order = self.rng.sample(self.gateways, len(self.gateways))
             for first in range(0, len(order), self.at_once):
-                if until.is_set():
+                if stop_requested.is_set():
                     return
-                some = order[first : first + self.at_once]
-                await asyncio.gather(*(self.restart(child) for child in some))
-                await _pause(until, self.gap_s)
+                batch = order[first : first + self.at_once]
+                await asyncio.gather(*(self.restart(child) for child in batch))
+                await _pause(stop_requested, self.gap_s)
 
     async def restart(self, child: Child) -> None:
         """SIGTERM, wait for the end, and start again."""
@@ -64,64 +64,66 @@
         process.send_signal(signal.SIGTERM)
         self.counts["SIGTERM"] += 1
         try:
-            await asyncio.to_thread(process.wait, self.cluster.grace_s + OVER_GRACE_S)
+            await asyncio.to_thread(process.wait, self.cluster.grace_s + GRACE_MARGIN_S)
         except subprocess.TimeoutExpired:
-            self.late.append(child.name)
+            self.overdue.append(child.name)
             process.kill()
-        stop.ended = time.monotonic_ns()
+        stop.ended_ns = time.monotonic_ns()
         self.cluster.launch(child)
 
-    async def _hups(self, until: asyncio.Event) -> None:
-        while not until.is_set():
+    async def _reload_settings(self, stop_requested: asyncio.Event) -> None:
+        while not stop_requested.is_set():
             process = self.rng.choice(self.gateways).process
             if process is not None and process.poll() is None:
                 process.send_signal(signal.SIGHUP)
                 self.counts["SIGHUP"] += 1
-            await _pause(until, self.rng.expovariate(1 / HUP_S))
+            await _pause(stop_requested, self.rng.expovariate(1 / MEAN_RELOAD_INTERVAL_S))
 
-    async def _kills(self, until: asyncio.Event) -> None:
+    async def _kill_control_nodes(self, stop_requested: asyncio.Event) -> None:
         """Control nodes are killed one at a time: the others are a quorum, and nobody is to notice."""
-        while not until.is_set():
-            await _pause(until, self.rng.uniform(BETWEEN_KILLS_S / 2, BETWEEN_KILLS_S * 2))
-            child = self.rng.choice(self.cores)
+        while not stop_requested.is_set():
+            await _pause(stop_requested, self.rng.uniform(MEAN_KILL_INTERVAL_S / 2, MEAN_KILL_INTERVAL_S * 2))
+            child = self.rng.choice(self.control_nodes)
             process = child.process
-            if process is None or until.is_set():
+            if process is None or stop_requested.is_set():
                 continue
             process.kill()
             self.counts["SIGKILL of a control node"] += 1
             await asyncio.to_thread(process.wait)
-            await asyncio.sleep(DARK_S)
+            await asyncio.sleep(CONTROL_NODE_DOWNTIME_S)
             self.cluster.launch(child)
 
-    async def read_back(self) -> int:
+    async def read_edition(self) -> int:
         """Return the edition that the control plane holds; 0 where none says so."""
         try:
-            told = await asyncio.to_thread(self.caller.call, "GET", "/timetable/read")
+            response = await asyncio.to_thread(self.caller.call, "GET", "/timetable/read")
         except PepperrunError:
             return 0
-        return int(json.loads(told.body)["edition"]) if told.status == 200 else 0
+        return int(json.loads(response.body)["edition"]) if response.status == 200 else 0
 
-    async def _changes(self, until: asyncio.Event, routes: Callable[[int], dict[str, object]]) -> None:
-        while not until.is_set():
+    async def _change_routes(
+        self, stop_requested: asyncio.Event, routes: Callable[[int], dict[str, object]]
+    ) -> None:
+        while not stop_requested.is_set():
             await self.change(routes)
-            await _pause(until, CHANGE_S)
+            await _pause(stop_requested, CHANGE_INTERVAL_S)
 
     async def change(self, routes: Callable[[int], dict[str, object]]) -> None:
         """One change on top of the last; one that got no answer is sent again by the next call."""
         body = {"edition": self.edition + 1, "upsert": {"routes": routes(self.edition)}}
         headers, data = {"Based-On": str(self.edition)}, json.dumps(body).encode()
         try:
-            told = await asyncio.to_thread(self.caller.call, "POST", "/timetable/amend", data, headers)
+            response = await asyncio.to_thread(self.caller.call, "POST", "/timetable/amend", data, headers)
         except PepperrunError:
             self.counts["change without an answer"] += 1
             return
-        self.counts[f"change {told.status}"] += 1
-        self.edition += told.status == 200
+        self.counts[f"change {response.status}"] += 1
+        self.edition += response.status == 200
 
 
-async def _pause(until: asyncio.Event, seconds: float) -> None:
+async def _pause(stop_requested: asyncio.Event, seconds: float) -> None:
     try:
         async with asyncio.timeout(seconds):
-            await until.wait()
+            await stop_requested.wait()
     except TimeoutError:
         pass
--- a/pepperrun/soak/records.py
+++ b/pepperrun/soak/records.py
@@ -23,14 +23,14 @@
 
     id: str
     worker: str
-    began: int
-    ended: int
+    started_ns: int
+    ended_ns: int
     end: RunEnd
-    takes: int = 0  # how long its work takes, if nothing cuts it
+    duration_ns: int = 0  # how long its work takes, if nothing cuts it
 
 
 @dataclass
-class Sent:
+class SentRequest:
     """One request, as its client saw it.
 
     Attributes
@@ -43,23 +43,23 @@
         Whether the answer has a worker's `Postmark`.
     problem : str
         What is wrong with a success: another request's, a changed body.
-    left : int
+    disconnected_ns : int
         When its client left without its answer; 0 where it stayed.
-    way : str
+    disconnect_kind : str
         How it left.
     """
 
     id: str
     gateway: str
     is_safe: bool
-    sent: int
-    deadline: int
-    ended: int = 0
+    sent_ns: int
+    deadline_ns: int
+    ended_ns: int = 0
     status: int = 0
     is_from_worker: bool = False
     problem: str = ""
-    left: int = 0
-    way: str = ""
+    disconnected_ns: int = 0
+    disconnect_kind: str = ""
 
 
 @dataclass
@@ -67,13 +67,13 @@
     """A SIGTERM to a gatekeeper; `ended` 0 while the process runs."""
 
     gateway: str
-    told: int
-    ended: int = 0
+    signalled_ns: int
+    ended_ns: int = 0
 
 
 def read_runs(files: Iterable[Path]) -> list[Run]:
     """Return the runs that workers recorded; a last line that was cut short is passed over."""
-    began: dict[tuple[str, str, int], int] = {}
+    unfinished: dict[tuple[str, str, int], int] = {}
     runs: list[Run] = []
     for file in files:
         for line in file.read_text().splitlines():
@@ -83,8 +83,8 @@
                 continue
             key = (row["id"], row["worker"], row["began"])
             if "ended" not in row:
-                began[key] = row.get("takes", 0)
+                unfinished[key] = row.get("takes", 0)
                 continue
-            takes = began.pop(key, 0)
-            runs.append(Run(*key, row["ended"], RunEnd(row["end"]), takes))
-    return runs + [Run(*key, 0, RunEnd.WORKING, takes) for key, takes in began.items()]
+            duration_ns = unfinished.pop(key, 0)
+            runs.append(Run(*key, row["ended"], RunEnd(row["end"]), duration_ns))
+    return runs + [Run(*key, 0, RunEnd.WORKING, duration_ns) for key, duration_ns in unfinished.items()]
--- a/pepperrun/soak/run.py
+++ b/pepperrun/soak/run.py
@@ -14,13 +14,13 @@
 from pepperrun.operator.local_cluster import HOST, ZONES, LocalCluster, Sizes
 from pepperrun.soak.clients import Client, Route, Target
 from pepperrun.soak.judge import Finding, judge
-from pepperrun.soak.records import Sent, read_runs
-from pepperrun.soak.series import Series
+from pepperrun.soak.planned_work import PlannedWork
+from pepperrun.soak.records import SentRequest, read_runs
 
-LONG, SHORT = "history", "booking"
-WORK_MS = 500.0  # mean of a worker's work; long-tailed
-TRIES = 2
-SHOWN = 10  # findings on the screen; the report has all
+SAFE_SERVICE, UNSAFE_SERVICE = "history", "booking"
+MEAN_WORK_MS = 500.0  # mean of a worker's work; long-tailed
+MAX_ATTEMPTS = 2
+MAX_PRINTED_FINDINGS = 10  # findings on the screen; the report has all
 
 
 @dataclass(frozen=True)
@@ -66,7 +66,7 @@
             f"left: {', '.join(f'{how}: {count}' for how, count in sorted(self.left.items()))}",
             f"planned: {planned}",
             f"{len(self.findings)} findings",
-            *(f"{one.rule}: {one.text}" for one in self.findings[:SHOWN]),
+            *(f"{one.rule}: {one.text}" for one in self.findings[:MAX_PRINTED_FINDINGS]),
         ]
         return "\n".join(rows)
 
@@ -74,8 +74,8 @@
 def routes(deadline_ms: int) -> tuple[Route, ...]:
     """Return the routes that clients use; both services work as long."""
     return (
-        Route(HOST, f"/{LONG}/", True, deadline_ms, 0.7),
-        Route(HOST, f"/{SHORT}/", False, deadline_ms, 0.3),
+        Route(HOST, f"/{SAFE_SERVICE}/", True, deadline_ms, 0.7),
+        Route(HOST, f"/{UNSAFE_SERVICE}/", False, deadline_ms, 0.3),
     )
 
 
@@ -84,31 +84,49 @@
     columns = ["name", "depot", "prefix", "route_kind", "deadline_ms", "target_ms", "tries", "line"]
     deadline_ms = 12000 + number % 100
     rows: list[list[object]] = [
-        [f"r-{LONG}", HOST, f"/{LONG}/", "safe", deadline_ms, 3000, TRIES, LONG],
-        [f"r-{SHORT}", HOST, f"/{SHORT}/", "unsafe", deadline_ms, 3000, TRIES, SHORT],
+        [
+            f"r-{SAFE_SERVICE}",
+            HOST,
+            f"/{SAFE_SERVICE}/",
+            "safe",
+            deadline_ms,
+            3000,
+            MAX_ATTEMPTS,
+            SAFE_SERVICE,
+        ],
+        [
+            f"r-{UNSAFE_SERVICE}",
+            HOST,
+            f"/{UNSAFE_SERVICE}/",
+            "unsafe",
+            deadline_ms,
+            3000,
+            MAX_ATTEMPTS,
+            UNSAFE_SERVICE,
+        ],
     ]
     return {"columns": columns, "rows": rows}
 
 
-def soak(options: Options, folder: str | None) -> Report:
+def run_soak(options: Options, folder: str | None) -> Report:
     """Play one run; its settings, logs, records and report are in the folder, a new one if left out."""
-    where = Path(folder).resolve() if folder else Path(tempfile.mkdtemp(prefix="pepperrun-soak-"))
-    sizes = Sizes(options.cores, options.gateways, options.workers, (LONG, SHORT))
-    records = where / "records"
+    run_directory = Path(folder).resolve() if folder else Path(tempfile.mkdtemp(prefix="pepperrun-soak-"))
+    sizes = Sizes(options.cores, options.gateways, options.workers, (SAFE_SERVICE, UNSAFE_SERVICE))
+    records = run_directory / "records"
     records.mkdir(parents=True, exist_ok=True)
-    worker_options = ("--work", f"{WORK_MS:g}", "--berths", "6", "--record", f"{records}/{{name}}.jsonl")
-    cluster = LocalCluster(sizes, where, options.grace_s, worker_options)
+    worker_options = ("--work", f"{MEAN_WORK_MS:g}", "--berths", "6", "--record", f"{records}/{{name}}.jsonl")
+    cluster = LocalCluster(sizes, run_directory, options.grace_s, worker_options)
     try:
         cluster.start()
-        report = asyncio.run(_play(options, cluster, records))
+        report = asyncio.run(_run(options, cluster, records))
     finally:
         cluster.shut_down()
-    (where / "report.json").write_text(json.dumps(asdict(report), indent=1))
+    (run_directory / "report.json").write_text(json.dumps(asdict(report), indent=1))
     return report
 
 
-async def _play(options: Options, cluster: LocalCluster, records: Path) -> Report:
-    rng, sent = random.Random(options.seed), list[Sent]()
+async def _run(options: Options, cluster: LocalCluster, records: Path) -> Report:
+    rng, sent = random.Random(options.seed), list[SentRequest]()
     directory = [(ip, cluster.ports["directory_port"]) for ip in cluster.cores]
     regions = sorted(set(ZONES.values()))
     clients = []
@@ -117,30 +135,34 @@
             directory, regions[number % len(regions)], routes(12000), cluster.key, options.leave_share
         )
         clients.append(Client(f"c{number}", target, random.Random(rng.random()), sent))
-    series = Series(cluster, random.Random(rng.random()), options.at_once, options.gap_s)
-    no_series, no_clients = asyncio.Event(), asyncio.Event()
-    began = time.monotonic_ns()  # what ran before are the cluster's own tries
-    await series.change(changed_routes)  # from now on what may not repeat is known as such
+    planned_work = PlannedWork(cluster, random.Random(rng.random()), options.at_once, options.gap_s)
+    stop_work, stop_clients = asyncio.Event(), asyncio.Event()
+    started_ns = time.monotonic_ns()  # what ran before are the cluster's own tries
+    await planned_work.change(changed_routes)  # from now on what may not repeat is known as such
     async with asyncio.TaskGroup() as group:
         for client in clients:
-            group.create_task(client.run(no_clients))
-        working = group.create_task(series.run(no_series, changed_routes))
+            group.create_task(client.run(stop_clients))
+        work_task = group.create_task(planned_work.run(stop_work, changed_routes))
         await asyncio.sleep(options.seconds)
-        no_series.set()
-        await working  # clients go on until the last roll has ended
-        no_clients.set()
-    read_back = await series.read_back()
-    report = _judged(options, series, sent, records, began)
-    if read_back < series.edition:
-        text = f"{series.edition} was acknowledged, {read_back} is read back"
-        report.findings.append(Finding("CONFIG", str(series.edition), text))
+        stop_work.set()
+        await work_task  # clients go on until the last roll has ended
+        stop_clients.set()
+    edition = await planned_work.read_edition()
+    report = _build_report(options, planned_work, sent, records, started_ns)
+    if edition < planned_work.edition:
+        text = f"{planned_work.edition} was acknowledged, {edition} is read back"
+        report.findings.append(Finding("CONFIG", str(planned_work.edition), text))
     return report
 
 
-def _judged(options: Options, series: Series, sent: list[Sent], records: Path, began: int) -> Report:
-    runs = [one for one in read_runs(sorted(records.glob("*.jsonl"))) if one.began >= began]
-    findings = judge(sent, runs, series.stops, int(options.grace_s * 1e9))
-    findings += [Finding("GRACE", name, f"{name} outlived its grace") for name in series.late]
-    statuses = Counter(str(one.status or "no answer") for one in sent if not one.left)
-    left = Counter(one.way for one in sent if one.left)
-    return Report(options, len(sent), dict(statuses), len(runs), dict(left), dict(series.counts), findings)
+def _build_report(
+    options: Options, planned_work: PlannedWork, sent: list[SentRequest], records: Path, started_ns: int
+) -> Report:
+    runs = [one for one in read_runs(sorted(records.glob("*.jsonl"))) if one.started_ns >= started_ns]
+    findings = judge(sent, runs, planned_work.stops, int(options.grace_s * 1e9))
+    findings += [Finding("GRACE", name, f"{name} outlived its grace") for name in planned_work.overdue]
+    statuses = Counter(str(one.status or "no answer") for one in sent if not one.disconnected_ns)
+    left = Counter(one.disconnect_kind for one in sent if one.disconnected_ns)
+    return Report(
+        options, len(sent), dict(statuses), len(runs), dict(left), dict(planned_work.counts), findings
+    )
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -8,9 +8,9 @@
 import pytest
 from standins import HOST, Front, StandIn, going, line, ok
 
-from pepperrun.metrics import Sample, collectd, graphite, process_samples, read_metrics, samples
+from pepperrun.metrics import Sample, collectd, gateway_samples, graphite, process_samples, read_metrics
 
-SOME = [Sample("platform.requests.served", 12, True), Sample("platform.connections.clients", 2.5, False)]
+SAMPLES = [Sample("platform.requests.served", 12, True), Sample("platform.connections.clients", 2.5, False)]
 
 
 class Sink:
@@ -35,18 +35,18 @@
         sink = Sink()
         server = await asyncio.start_server(sink.serve, HOST, 0)
         port = server.sockets[0].getsockname()[1]
-        reporter = graphite.reporter((HOST, port), "site.n0", 10.0, lambda: SOME)
+        reporter = graphite.reporter((HOST, port), "site.n0", 10.0, lambda: SAMPLES)
         reporter.now_s = lambda: 1700000000
         await reporter.report()
         assert await sink.lines.get() == "site.n0.platform.requests.served 12 1700000000\n"
         assert await sink.lines.get() == "site.n0.platform.connections.clients 2.5 1700000000\n"
-        link = reporter.link
+        connection = reporter.connection
         sink.writers[0].transport.abort()
-        while link.transport is not None:
+        while connection.transport is not None:
             await asyncio.sleep(0)
         await reporter.report()
         assert (await sink.lines.get()).startswith("site.n0.platform.requests.served 12 ")
-        reporter.link.transport.abort()
+        reporter.connection.transport.abort()
         server.close()
 
     going(test)
@@ -57,11 +57,11 @@
         sink = Sink(b"0 Success: 1 value has been dispatched.\n", b"-1 No such type.\n")
         path = str(tmp_path / "collectd.sock")
         server = await asyncio.start_unix_server(sink.serve, path)
-        reporter = collectd.reporter(path, "front.example", "pepperrun", 10.0, lambda: SOME)
+        reporter = collectd.reporter(path, "front.example", "pepperrun", 10.0, lambda: SAMPLES)
         reporter.now_s = lambda: 1700000000
         heard: asyncio.Queue[str] = asyncio.Queue()
-        log = reporter.heard
-        reporter.heard = lambda text: (log(text), heard.put_nowait(text))
+        log = reporter.on_line
+        reporter.on_line = lambda text: (log(text), heard.put_nowait(text))
         await reporter.report()
         assert await sink.lines.get() == (
             'PUTVAL "front.example/pepperrun-platform/derive-requests_served" interval=10 1700000000:12\n'
@@ -70,7 +70,7 @@
             'PUTVAL "front.example/pepperrun-platform/gauge-connections_clients" interval=10 1700000000:2.5\n'
         )
         assert [await heard.get(), await heard.get()][1] == "-1 No such type."
-        reporter.link.transport.abort()
+        reporter.connection.transport.abort()
         server.close()
 
     going(test)
@@ -82,9 +82,9 @@
         gone = await asyncio.start_server(lambda r, w: None, HOST, 0)
         port = gone.sockets[0].getsockname()[1]
         gone.close()
-        reporter = graphite.reporter((HOST, port), "p", 10.0, lambda: SOME)
+        reporter = graphite.reporter((HOST, port), "p", 10.0, lambda: SAMPLES)
         await reporter.report()
-        assert reporter.link is None
+        assert reporter.connection is None
 
         async def deaf(reader, writer):
             writer.transport.pause_reading()
@@ -94,8 +94,8 @@
         reporter = graphite.reporter((HOST, port), "p", 10.0, lambda: many)
         for _ in range(40):
             await reporter.report()
-        assert reporter.link.transport.get_write_buffer_size() < 1 << 20  # memory does not grow with it
-        reporter.link.transport.abort()
+        assert reporter.connection.transport.get_write_buffer_size() < 1 << 20  # memory does not grow with it
+        reporter.connection.transport.abort()
         server.close()
 
     going(test)
@@ -110,7 +110,9 @@
         for _ in range(3):
             client.ask()
             await client.answer()
-        got = {s.name: s.value for s in samples("platform", front.gatekeeper, front.side, front.listener)}
+        got = {
+            s.name: s.value for s in gateway_samples("platform", front.gatekeeper, front.side, front.listener)
+        }
         assert got["platform.requests.served"] == got["platform.attempts.ok"] == 3
         assert got["platform.connections.clients"] == got["platform.connections.backends"] == 1
         assert got["platform.requests.out_of_time"] == got["platform.requests.held"] == 0
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -12,15 +12,17 @@
 from pepperrun import operatorctl
 from pepperrun.operator.toy_workers import Worker
 from pepperrun.soak.judge import judge
-from pepperrun.soak.records import Run, RunEnd, Sent, Stop, read_runs
+from pepperrun.soak.records import Run, RunEnd, SentRequest, Stop, read_runs
 
 SECOND = 1_000_000_000
 GRACE = 6 * SECOND
 
 
-def sent(at: float = 0.0, ended: float = 2.0, status: int = 503, **more: object) -> Sent:
+def sent(at: float = 0.0, ended: float = 2.0, status: int = 503, **more: object) -> SentRequest:
     """A request to g1 with 12 s, answered by its gatekeeper."""
-    one = Sent("q1", "g1", True, int(at * SECOND), int((at + 12) * SECOND), int(ended * SECOND), status)
+    one = SentRequest(
+        "q1", "g1", True, int(at * SECOND), int((at + 12) * SECOND), int(ended * SECOND), status
+    )
     for name, value in more.items():
         setattr(one, name, value)
     return one
@@ -54,9 +56,11 @@
     assert [found.rule for found in judge([one], runs, [STOP], GRACE)] == rules
 
 
-def left(number: int, is_safe: bool = True) -> Sent:
+def left(number: int, is_safe: bool = True) -> SentRequest:
     """A request whose client left a second after it asked."""
-    return Sent(f"q{number}", "g1", is_safe, 0, 12 * SECOND, SECOND, left=SECOND, way="close")
+    return SentRequest(
+        f"q{number}", "g1", is_safe, 0, 12 * SECOND, SECOND, disconnected_ns=SECOND, disconnect_kind="close"
+    )
 
 
 def worked(
