--- a/pepperrun/operator/core_client.py
+++ b/pepperrun/operator/core_client.py
@@ -44,7 +44,7 @@
         if not addresses:
             raise PepperrunError("bad-address", "calling the core", "no control address is given")
         self.addresses, self.timeout_s, self.clock, self.sleep = addresses, timeout_s, clock, sleep
-        self.preferred = 0
+        self.preferred = 0  # index of the address that gave the last final response; tried first
 
     def call(
         self, method: str, path: str, body: bytes = b"", headers: Mapping[str, str] | None = None
