--- a/pepperrun/model/__init__.py
+++ b/pepperrun/model/__init__.py
@@ -1,1 +1,1 @@
-"""A model of what a gatekeeper serves, in virtual time and with the real decision module. No I/O."""
+"""Simulation of gatekeepers and nodes in virtual time, with the real decision module. Does no I/O."""
--- a/pepperrun/model/actors.py
+++ b/pepperrun/model/actors.py
@@ -1,4 +1,4 @@
-"""Nodes and gatekeepers' senders in virtual time."""
+"""Nodes and gatekeeper processes in virtual time."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class SimulationContext(Protocol):
-    """What a sender needs of the day that it plays in."""
+    """What a gatekeeper process uses of its simulation."""
 
     fleet: Fleet
     scheduler: Scheduler
@@ -27,165 +27,179 @@
 
 
 class SimulatedNode:
-    """A node, its events, and whom to tell."""
+    """A node with its events; it reports the outcome of each attempt to the gatekeeper's process.
+
+    `in_flight`: admitted attempts without an outcome, by key.
+    """
 
     def __init__(self, scheduler: Scheduler, number: int, zone: str, cell: int, node: Node) -> None:
         self.scheduler, self.number, self.zone, self.cell, self.node = scheduler, number, zone, cell, node
         self.up = True
         self.state = BackendState.READY
-        self.told: dict[Any, tuple[GatekeeperProcess, AnyExchange, int, Request]] = {}
+        self.in_flight: dict[Any, tuple[GatekeeperProcess, AnyExchange, int, Request]] = {}
         self.timer: Handle | None = None
-        self.turned_away = 0
-        self.most_held = 0
-        self.busy_before = 0.0
+        self.rejected = 0
+        self.max_pending = 0
+        self.earlier_busy_ns = 0.0
 
     def arrive(
-        self, key: Any, sender: GatekeeperProcess, exchange: AnyExchange, attempt: int, request: Request
+        self, key: Any, process: GatekeeperProcess, exchange: AnyExchange, attempt: int, request: Request
     ) -> None:
-        """An attempt's last byte is here."""
+        """Receives the last byte of an attempt."""
         if not self.up:
-            sender.over(exchange, attempt, self, Outcome.CONNECT_FAILED)
+            process.send_outcome(exchange, attempt, self, Outcome.CONNECT_FAILED)
             return
-        self.step()
-        if key in sender.given_up:
-            sender.given_up.discard(key)
+        self.advance()
+        if key in process.abandoned:
+            process.abandoned.discard(key)
             return
         if self.node.arrive(self.scheduler.now, key, request.work_ns) is Admission.REJECTED:
-            self.turned_away += 1
-            sender.over(exchange, attempt, self, Outcome.FULL)
+            self.rejected += 1
+            process.send_outcome(exchange, attempt, self, Outcome.FULL)
         else:
             request.admitted_attempts += 1
-            self.told[key] = sender, exchange, attempt, request
-            self.most_held = max(self.most_held, self.node.pending())
-        self._arm()
-
-    def give_up(self, key: Any) -> None:
-        """The gatekeeper has stopped waiting."""
-        if self.up and key in self.told:
-            self.step()
+            self.in_flight[key] = process, exchange, attempt, request
+            self.max_pending = max(self.max_pending, self.node.pending())
+        self._schedule_next_event()
+
+    def cancel_attempt(self, key: Any) -> None:
+        """Cancels an attempt for which the gatekeeper no longer waits."""
+        if self.up and key in self.in_flight:
+            self.advance()
             self.node.cancel(self.scheduler.now, key)
-            self.told.pop(key, None)
-            self._arm()
+            self.in_flight.pop(key, None)
+            self._schedule_next_event()
 
-    def step(self) -> None:
-        """Works up to now."""
+    def advance(self) -> None:
+        """Lets the node work up to the current time, and reports the completed attempts."""
         for key in self.node.advance(self.scheduler.now):
-            told = self.told.pop(key, None)
-            if told is not None:
-                sender, exchange, attempt, request = told
-                sender.over(exchange, attempt, self, Outcome.OK, request.true_units)
+            pending = self.in_flight.pop(key, None)
+            if pending is not None:
+                process, exchange, attempt, request = pending
+                process.send_outcome(exchange, attempt, self, Outcome.OK, request.true_units)
 
-    def _arm(self) -> None:
+    def _schedule_next_event(self) -> None:
         if self.timer is not None:
             self.timer.cancel()
         due = self.node.next_event_at()
-        self.timer = self.scheduler.at(due, self._due) if due is not None else None
+        self.timer = self.scheduler.at(due, self._on_timer) if due is not None else None
 
-    def _due(self) -> None:
-        self.step()
-        self._arm()
+    def _on_timer(self) -> None:
+        self.advance()
+        self._schedule_next_event()
 
-    def die(self) -> None:
-        """The process ends: what it held is reset, new connections are refused."""
-        self.step()
+    def stop(self) -> None:
+        """Ends the node's process: resets its pending attempts and refuses new connections."""
+        self.advance()
         self.up = False
         self.node.drop_all()
-        told, self.told = self.told, {}
-        for sender, exchange, attempt, _ in told.values():
-            sender.over(exchange, attempt, self, Outcome.RESET)
-        self._arm()
-
-    def start_cold(self) -> None:
-        """A new process on the same machine."""
-        self.busy_before += self.node.busy_ns
+        in_flight, self.in_flight = self.in_flight, {}
+        for process, exchange, attempt, _ in in_flight.values():
+            process.send_outcome(exchange, attempt, self, Outcome.RESET)
+        self._schedule_next_event()
+
+    def restart(self) -> None:
+        """Starts a new process, not warmed up, on the same machine."""
+        self.earlier_busy_ns += self.node.busy_ns
         self.node = Node(self.node.spec, self.node.speed, self.scheduler.now, warm=False)
         self.up, self.state = True, BackendState.READY
 
 
 class GatekeeperProcess:
-    """A gatekeeper's side towards nodes, in virtual time."""
+    """The process of one gatekeeper: its `Backends` interface to the nodes, and its CPU time.
+
+    `timers`: time-out and node of each attempt in flight. `abandoned`: attempts that were abandoned before
+    the node had received them; the node drops them on arrival.
+    """
 
-    def __init__(self, day: SimulationContext, number: int) -> None:
-        self.day, self.number = day, number
+    def __init__(self, simulation: SimulationContext, number: int) -> None:
+        self.simulation, self.number = simulation, number
         self.gatekeeper: Gatekeeper | None = None
-        self.zone = day.zones[number % len(day.zones)]
-        self.given_up: set[Any] = set()
+        self.zone = simulation.zones[number % len(simulation.zones)]
+        self.abandoned: set[Any] = set()
         self.timers: dict[tuple[int, int, int], tuple[Handle, SimulatedNode]] = {}
         self.busy_until = 0
         self.busy_ns = 0
-        self.most_open = 0
+        self.max_in_flight = 0
 
-    def delay(self, node: SimulatedNode) -> int:
-        """One way."""
-        network = self.day.fleet.network
+    def network_delay(self, node: SimulatedNode) -> int:
+        """Draws the one-way delay to a node, in ns."""
+        network = self.simulation.fleet.network
         mean = network.delay_ms if node.zone == self.zone else network.cross_zone_ms
-        return int(mean * MS * self.day.jitter())
+        return int(mean * MS * self.simulation.jitter())
 
     def send(self, exchange: AnyExchange, attempt: int, backend: int, timeout_ns: int) -> None:
-        """For the gatekeeper: starts an attempt."""
-        node = self.day.nodes[backend]
+        """Sends an attempt to a node, with a time-out. Called by the gatekeeper."""
+        node = self.simulation.nodes[backend]
         key = self.number, id(exchange), attempt
-        give_up = self.day.scheduler.after(
-            timeout_ns, self._timed_out, exchange, attempt, node, Outcome.TIMEOUT
+        timer = self.simulation.scheduler.after(
+            timeout_ns, self._abandon, exchange, attempt, node, Outcome.TIMEOUT
         )
-        self.timers[key] = give_up, node
-        self.most_open = max(self.most_open, len(self.timers))
-        self.day.scheduler.after(
-            self.delay(node), node.arrive, key, self, exchange, attempt, exchange.request
+        self.timers[key] = timer, node
+        self.max_in_flight = max(self.max_in_flight, len(self.timers))
+        self.simulation.scheduler.after(
+            self.network_delay(node), node.arrive, key, self, exchange, attempt, exchange.request
         )
 
     def cancel(self, exchange: AnyExchange, attempt: int) -> None:
-        """For the gatekeeper: stops waiting."""
-        held = self.timers.get((self.number, id(exchange), attempt))
-        if held is not None:
-            self.day.scheduler.after(0, self._timed_out, exchange, attempt, held[1], Outcome.CANCELLED)
+        """Cancels an attempt. Called by the gatekeeper."""
+        pending = self.timers.get((self.number, id(exchange), attempt))
+        if pending is not None:
+            self.simulation.scheduler.after(
+                0, self._abandon, exchange, attempt, pending[1], Outcome.CANCELLED
+            )
 
     def withdraw(self, exchange: AnyExchange) -> None:
-        """For the gatekeeper: nothing waits for a connection, as connections are not modelled."""
+        """Does nothing: connections are not modelled, so no request waits for one."""
 
     def close_idle(self, backend: int) -> None:
-        """Connections are not modelled."""
+        """Does nothing: connections are not modelled."""
 
-    def _timed_out(self, exchange: AnyExchange, attempt: int, node: SimulatedNode, outcome: Outcome) -> None:
+    def _abandon(self, exchange: AnyExchange, attempt: int, node: SimulatedNode, outcome: Outcome) -> None:
         key = self.number, id(exchange), attempt
-        held = self.timers.pop(key, None)
-        if held is None:
+        pending = self.timers.pop(key, None)
+        if pending is None:
             return
-        held[0].cancel()
-        if key not in node.told:
-            self.given_up.add(key)  # still on its way
-        self.day.scheduler.after(self.delay(node), self._stop, node, key)
-        self._ended(exchange, attempt, node, outcome, 0.0)
+        pending[0].cancel()
+        if key not in node.in_flight:
+            self.abandoned.add(key)  # the node has not received the attempt yet
+        self.simulation.scheduler.after(self.network_delay(node), self._cancel_at_node, node, key)
+        self._end_attempt(exchange, attempt, node, outcome, 0.0)
 
-    def _stop(self, node: SimulatedNode, key: Any) -> None:
-        self.given_up.discard(key)
-        node.give_up(key)
+    def _cancel_at_node(self, node: SimulatedNode, key: Any) -> None:
+        self.abandoned.discard(key)
+        node.cancel_attempt(key)
 
-    def over(
+    def send_outcome(
         self, exchange: AnyExchange, attempt: int, node: SimulatedNode, outcome: Outcome, units: float = 0.0
     ) -> None:
-        """A node's answer sets out."""
-        self.day.scheduler.after(self.delay(node), self._arrived, exchange, attempt, node, outcome, units)
+        """Sends the outcome of an attempt from the node to this process."""
+        self.simulation.scheduler.after(
+            self.network_delay(node), self._outcome_received, exchange, attempt, node, outcome, units
+        )
 
-    def _arrived(
+    def _outcome_received(
         self, exchange: AnyExchange, attempt: int, node: SimulatedNode, outcome: Outcome, units: float
     ) -> None:
-        held = self.timers.pop((self.number, id(exchange), attempt), None)
-        if held is not None:
-            held[0].cancel()
-            self._ended(exchange, attempt, node, outcome, units)
+        pending = self.timers.pop((self.number, id(exchange), attempt), None)
+        if pending is not None:
+            pending[0].cancel()
+            self._end_attempt(exchange, attempt, node, outcome, units)
 
-    def _ended(
+    def _end_attempt(
         self, exchange: AnyExchange, attempt: int, node: SimulatedNode, outcome: Outcome, units: float
     ) -> None:
         assert self.gatekeeper is not None
         self.gatekeeper.attempt_ended(exchange, attempt, node.number, outcome, True, units)
 
-    def work(self, share: float) -> int:
-        """CPU time for a part of a request's handling; when it is done."""
-        now = self.day.scheduler.now
+    def spend_cpu(self, share: float) -> int:
+        """Spends the share of a request's CPU time; returns when that work is done, in ns."""
+        now = self.simulation.scheduler.now
         cost = int(
-            self.day.fleet.gatekeepers.cpu_ms * MS * share / min(1.0, self.day.fleet.gatekeepers.cores)
+            self.simulation.fleet.gatekeepers.cpu_ms
+            * MS
+            * share
+            / min(1.0, self.simulation.fleet.gatekeepers.cores)
         )
         self.busy_until = max(now, self.busy_until) + cost
         self.busy_ns += cost
--- a/pepperrun/model/day.py
+++ b/pepperrun/model/day.py
@@ -1,4 +1,4 @@
-"""What a day in virtual time is made of and what it came to: load, faults, settings, results."""
+"""Input and output of a simulated day: load, faults, settings of gatekeepers, results."""
 
 from __future__ import annotations
 
@@ -20,10 +20,11 @@
 
 @dataclass(slots=True, frozen=True)
 class Fault:
-    """Something that befalls nodes. `share` of the nodes of `zone` (all zones where empty), from `at_s` on.
+    """A fault of `node_share` of the nodes of `zone` (all zones if empty), from `at_s` seconds on.
 
-    lost: they are cut off and reset, back and cold after `for_s` (never where 0). restart: they end and start
-    cold at once. drain: they finish what they have and go for good.
+    lost: the nodes reset their requests and are unreachable. They restart, not warmed up, after `duration_s`
+    seconds (never if 0). restart: the processes end and start again after 0.5 s, not warmed up. drain: the
+    nodes finish their pending requests and leave for good after 10 s.
     """
 
     kind: Literal["lost", "restart", "drain"]
@@ -34,23 +35,27 @@
 
 
 def parse_fault(text: str) -> Fault:
-    """`what:at_s[:for_s[:zone[:share]]]`; ValueError where it is no fault."""
-    what, *rest = text.split(":")
+    """Parses `kind:at_s[:duration_s[:zone[:node_share]]]`. Raises ValueError if the text is invalid."""
+    kind, *rest = text.split(":")
     try:
-        at, last, zone, part = (*rest, *("", "0", "", "1")[len(rest) :])
-        fault = Fault(cast(Any, what), float(at), float(last or 0), zone, float(part))
+        at, duration, zone, share = (*rest, *("", "0", "", "1")[len(rest) :])
+        fault = Fault(cast(Any, kind), float(at), float(duration or 0), zone, float(share))
     except ValueError:
-        raise ValueError(f"--fault: {text!r} is not WHAT:AT_S[:FOR_S[:ZONE[:SHARE]]]") from None
-    if what not in ("lost", "restart", "drain"):
-        raise ValueError(f"--fault: {what!r} is not one of lost, restart, drain")
+        raise ValueError(f"--fault: {text!r} is not KIND:AT_S[:FOR_S[:ZONE[:SHARE]]]") from None
+    if kind not in ("lost", "restart", "drain"):
+        raise ValueError(f"--fault: {kind!r} is not one of lost, restart, drain")
     if not (0 <= fault.at_s < 1e6 and 0 <= fault.duration_s < 1e6 and 0 < fault.node_share <= 1):
-        raise ValueError(f"--fault: {text!r} is out of range")
+        raise ValueError(f"--fault: a number of {text!r} is out of range")
     return fault
 
 
 @dataclass(slots=True)
 class Request:
-    """One request of the load. Times in ns from the day's start; work in ns of a core at speed 1."""
+    """One request of the load, and its result.
+
+    `arrival_ns` counts from the start of the day; work is in ns of a core at speed 1. `spread` and `first`
+    are those of `core.interface.Request`. `submissions`: attempts of the client, including retries.
+    """
 
     arrival_ns: int
     gatekeeper: int
@@ -64,35 +69,35 @@
     first: int
     work_ns: float
     submissions: int = 0
-    admitted_attempts: int = 0  # attempts that reached a node
+    admitted_attempts: int = 0  # attempts that a node admitted
     latency_ns: int | None = None
     end: str = ""
 
 
 @dataclass(slots=True)
 class DayResult:
-    """What a day came to."""
+    """Result of a simulated day."""
 
     requests: list[Request]
     service_level: ServiceLevel
     seconds: float
     end_counts: dict[str, int]
     outcome_counts: dict[str, int]
-    node_utilisation: list[float]  # of each node, over the day
+    node_utilisation: list[float]  # of each node, mean over the day
     peak_usage: dict[str, float] = field(default_factory=dict)
-    latency_ms: dict[str, dict[str, float]] = field(default_factory=dict)  # by class, ms
+    latency_ms: dict[str, dict[str, float]] = field(default_factory=dict)  # percentiles by class
     event_count: int = 0
 
     def summary(self) -> dict[str, Any]:
-        """For JSON."""
-        one = self.service_level
+        """Returns the result as a table for JSON."""
+        level = self.service_level
         return {
-            "service": round(one.combined, 4),
-            "whole": round(one.overall, 4),
-            "worst_10_s": round(one.worst_window, 4),
-            "worst_plan": round(one.worst_plan, 4),
-            "by_plan": {name: round(value, 4) for name, value in one.by_plan.items()},
-            "by_class": {name: round(value, 4) for name, value in one.by_class.items()},
+            "service": round(level.combined, 4),
+            "whole": round(level.overall, 4),
+            "worst_10_s": round(level.worst_window, 4),
+            "worst_plan": round(level.worst_plan, 4),
+            "by_plan": {name: round(value, 4) for name, value in level.by_plan.items()},
+            "by_class": {name: round(value, 4) for name, value in level.by_class.items()},
             "times_ms": self.latency_ms,
             "requests": len(self.requests),
             "ends": self.end_counts,
@@ -105,7 +110,7 @@
 def gatekeeper_settings(
     me: int, fleet: Fleet, classes: Sequence[Class], plans: Sequence[Plan], zones: Sequence[str], zone: str
 ) -> Settings:
-    """What a gatekeeper of the fleet is told, as the configuration tool would write it."""
+    """Returns the settings of gatekeeper `me`, as the configuration tool would write them."""
     kinds = list(fleet.kind.values())
     return Settings(
         me=me,
@@ -113,16 +118,16 @@
         zone=zones.index(zone) if zone in zones else 0,
         classes=tuple(
             RequestClass(
-                kind.name,
-                int(kind.wanted_ms * MS),
-                int(kind.deadline_ms * MS),
-                Repeat(kind.repeat),
-                Group.CELL if kind.repeat == "keyed" else Group.ALL,
-                10 * SECOND if kind.repeat == "keyed" else 0,
-                kind.worth,
-                kind.late_worth,
+                cls.name,
+                int(cls.wanted_ms * MS),
+                int(cls.deadline_ms * MS),
+                Repeat(cls.repeat),
+                Group.CELL if cls.repeat == "keyed" else Group.ALL,
+                10 * SECOND if cls.repeat == "keyed" else 0,
+                cls.worth,
+                cls.late_worth,
             )
-            for kind in classes
+            for cls in classes
         ),
         plans=tuple(
             ModulePlan(
@@ -159,19 +164,22 @@
 def requests_from_entries(
     entries: Sequence[Entry], classes: Sequence[Class], fleet: Fleet, seed: int
 ) -> list[Request]:
-    """The load of a capture, with work drawn for each request from the fleet's `[work.CLASS]`."""
+    """Returns the load of a capture, with work drawn for each request from the fleet's `[work.CLASS]`.
+
+    Raises ValueError if the fleet has no work for a class.
+    """
     random = numpy.random.default_rng([seed, 1])
-    works = []
-    for kind in classes:
-        work = fleet.work.get(kind.name)
+    work_by_class = []
+    for cls in classes:
+        work = fleet.work.get(cls.name)
         if work is None:
-            raise ValueError(f"work.{kind.name}: missing (`pepperrun plan fit` estimates it)")
-        works.append((work, draw_lognormal(work.mean_ms * MS, work.cv, len(entries), random)))
-    out = []
-    for position, entry in enumerate(entries):
-        work, drawn = works[entry.cls]
+            raise ValueError(f"work.{cls.name}: missing (`pepperrun plan fit` estimates it)")
+        work_by_class.append((work, draw_lognormal(work.mean_ms * MS, work.cv, len(entries), random)))
+    requests = []
+    for index, entry in enumerate(entries):
+        work, draws = work_by_class[entry.cls]
         units = entry.true_units or entry.units
-        out.append(
+        requests.append(
             Request(
                 entry.at_us * 1000,
                 entry.gatekeeper % fleet.gatekeepers.count,
@@ -183,20 +191,24 @@
                 entry.budget_us * 1000,
                 min(entry.spread, fleet.gatekeepers.count),
                 entry.first % fleet.gatekeepers.count,
-                drawn[position] * units**work.by_units,
+                draws[index] * units**work.by_units,
             )
         )
-    return out
+    return requests
 
 
 def latency_by_class(load: Sequence[Request], classes: Sequence[Class]) -> dict[str, dict[str, float]]:
-    """Median and 99th percentile of what was served, by class, in ms."""
-    found = {}
-    for number, kind in enumerate(classes):
-        took = sorted(one.latency_ns / MS for one in load if one.cls == number and one.latency_ns is not None)
-        if took:
-            found[kind.name] = {
-                "p50": round(took[len(took) // 2], 2),
-                "p99": round(took[len(took) * 99 // 100], 2),
+    """Returns the median and 99th percentile latency of served requests, by class, in ms."""
+    percentiles = {}
+    for number, cls in enumerate(classes):
+        latencies = sorted(
+            request.latency_ns / MS
+            for request in load
+            if request.cls == number and request.latency_ns is not None
+        )
+        if latencies:
+            percentiles[cls.name] = {
+                "p50": round(latencies[len(latencies) // 2], 2),
+                "p99": round(latencies[len(latencies) * 99 // 100], 2),
             }
-    return found
+    return percentiles
--- a/pepperrun/model/load.py
+++ b/pepperrun/model/load.py
@@ -1,4 +1,4 @@
-"""A day's load drawn from a description of customers: for trying fleets before there is a capture."""
+"""Random load drawn from a description of customers, for planning a fleet before a capture exists."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from pepperrun.capture.format import Class, Entry, Plan
 
-US = 1_000_000
+US_PER_S = 1_000_000
 
 
 @dataclass(slots=True, frozen=True)
@@ -36,32 +36,32 @@
 def draw_load(
     spec: LoadSpec, classes: Sequence[Class], shares: Sequence[float], plans: Sequence[Plan], seed: int
 ) -> list[Entry]:
-    """The day's requests, each plan taking as many units inside the quotas as the next."""
+    """Draws the requests of a day. Each plan gets the same rate of units inside the quotas."""
     random = numpy.random.default_rng([seed, 4])
     entries: list[Entry] = []
     customer = 0
     for number, plan in enumerate(plans):
-        wanted = spec.inside_rate / len(plans)
-        while wanted > 0:
+        remaining_rate = spec.inside_rate / len(plans)
+        while remaining_rate > 0:
             customer += 1
-            kind = random.random()
-            use = 0.95 if kind < spec.full_share else float(random.uniform(0.15, 0.6))
-            rate = min(plan.rate * use, wanted)
-            wanted -= rate
-            if spec.full_share <= kind < spec.full_share + spec.heavy_share:
+            category = random.random()
+            use = 0.95 if category < spec.full_share else float(random.uniform(0.15, 0.6))
+            rate = min(plan.rate * use, remaining_rate)
+            remaining_rate -= rate
+            if spec.full_share <= category < spec.full_share + spec.heavy_share:
                 rate = plan.rate * spec.heavy_factor
             weights = random.dirichlet([2.0] * spec.gatekeepers)
             count = int(random.poisson(rate / spec.mean_units * spec.seconds))
-            base = random.random(count)
-            # The swing: times are moved so that the middle of the day is denser.
-            times = base - spec.rate_swing / (2 * numpy.pi) * numpy.sin(2 * numpy.pi * base) * -1.0
-            kinds = random.choice(len(classes), size=count, p=shares)
+            uniform = random.random(count)
+            # Shifts the times so that the rate is highest in the middle of the day.
+            times = uniform - spec.rate_swing / (2 * numpy.pi) * numpy.sin(2 * numpy.pi * uniform) * -1.0
+            request_classes = random.choice(len(classes), size=count, p=shares)
             units = numpy.clip(random.geometric(1 / spec.mean_units, count), 1, spec.max_units)
             gatekeepers = random.choice(spec.gatekeepers, size=count, p=weights)
-            for at, cls, unit, gatekeeper in zip(times, kinds, units, gatekeepers, strict=True):
+            for at, cls, unit, gatekeeper in zip(times, request_classes, units, gatekeepers, strict=True):
                 entries.append(
                     Entry(
-                        int(min(max(at, 0.0), 1.0) * spec.seconds * US),
+                        int(min(max(at, 0.0), 1.0) * spec.seconds * US_PER_S),
                         int(cls),
                         number,
                         customer,
--- a/pepperrun/model/simulate.py
+++ b/pepperrun/model/simulate.py
@@ -1,4 +1,4 @@
-"""A day in virtual time: load, gatekeepers with the real decision module, nodes and what befalls them."""
+"""Simulates a day in virtual time: load, gatekeepers with the real decision module, nodes, faults."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class Simulation:
-    """One day."""
+    """Simulation of one day. Runs once, and writes the results into the requests of `load`."""
 
     def __init__(
         self,
@@ -40,34 +40,34 @@
         self.zones = fleet.zones()
         self.nodes: list[SimulatedNode] = []
         for group in fleet.nodes:
-            kind = fleet.kind[group.kind].to_spec(group.kind)
-            for speed in draw_speeds(kind, group.count, self.random):
+            spec = fleet.kind[group.kind].to_spec(group.kind)
+            for speed in draw_speeds(spec, group.count, self.random):
                 number = len(self.nodes)
-                node = Node(kind, speed, self.scheduler.now)
+                node = Node(spec, speed, self.scheduler.now)
                 self.nodes.append(SimulatedNode(self.scheduler, number, group.zone, number // 4, node))
-        self.senders = [GatekeeperProcess(self, number) for number in range(fleet.gatekeepers.count)]
+        self.processes = [GatekeeperProcess(self, number) for number in range(fleet.gatekeepers.count)]
         loop = SchedulerLoop(self.scheduler)
-        for sender in self.senders:
-            settings = gatekeeper_settings(sender.number, fleet, classes, plans, self.zones, sender.zone)
-            sender.gatekeeper = Gatekeeper(
+        for process in self.processes:
+            settings = gatekeeper_settings(process.number, fleet, classes, plans, self.zones, process.zone)
+            process.gatekeeper = Gatekeeper(
                 settings,
-                seed * 1000 + sender.number,
+                seed * 1000 + process.number,
                 self.scheduler.clock,
                 cast(Any, loop),
-                send_to_peer=partial(self._tell, sender.number),
+                send_to_peer=partial(self._send_to_peer, process.number),
                 log=lambda text: None,
             )
-            sender.gatekeeper.backends = sender
-            sender.gatekeeper.backend_list_received(BackendList(ListKind.FULL, self._lines()))
+            process.gatekeeper.backends = process
+            process.gatekeeper.backend_list_received(BackendList(ListKind.FULL, self._backends()))
         self._faults = list(faults)
 
     def jitter(self) -> float:
-        """Around 1, drawn by the thousand."""
+        """Returns a random factor with mean 1. Draws 4096 factors at a time."""
         if not self._jitter:
             self._jitter = self.random.gamma(16.0, 1 / 16.0, 4096).tolist()
         return self._jitter.pop()
 
-    def _lines(self) -> tuple[Backend, ...]:
+    def _backends(self) -> tuple[Backend, ...]:
         return tuple(
             Backend(
                 node.number,
@@ -80,18 +80,18 @@
             if node.state is not BackendState.GONE
         )
 
-    def _list_changed(self) -> None:
-        """Discovery tells everybody, late."""
-        for sender in self.senders:
-            assert sender.gatekeeper is not None
-            lines = BackendList(ListKind.FULL, self._lines())
-            late = int(self.fleet.network.list_s * SECOND * self.jitter())
-            self.scheduler.after(late, sender.gatekeeper.backend_list_received, lines)
+    def _publish_backend_list(self) -> None:
+        """Sends the current backend list to all gatekeepers, each after the delay of discovery."""
+        for process in self.processes:
+            assert process.gatekeeper is not None
+            backends = BackendList(ListKind.FULL, self._backends())
+            delay = int(self.fleet.network.list_s * SECOND * self.jitter())
+            self.scheduler.after(delay, process.gatekeeper.backend_list_received, backends)
 
-    def _tell(self, me: int, peer: int, data: bytes) -> None:
+    def _send_to_peer(self, me: int, peer: int, data: bytes) -> None:
         network = self.fleet.network
-        if self.random.random() >= network.peer_loss and 0 <= peer < len(self.senders):
-            other = self.senders[peer].gatekeeper
+        if self.random.random() >= network.peer_loss and 0 <= peer < len(self.processes):
+            other = self.processes[peer].gatekeeper
             assert other is not None
             self.scheduler.after(
                 int(network.peer_ms * MS * self.jitter()), other.peer_message_received, me, data
@@ -99,114 +99,123 @@
 
     # Load.
 
-    def _ask(self, request: Request, number: int) -> None:
-        sender = self.senders[number]
-        taken_at = sender.work(0.6)
-        self.scheduler.at(taken_at, self._take, request, sender, self.scheduler.now)
+    def _receive(self, request: Request, number: int) -> None:
+        process = self.processes[number]
+        submit_at = process.spend_cpu(0.6)
+        self.scheduler.at(submit_at, self._submit, request, process, self.scheduler.now)
 
-    def _take(self, request: Request, sender: GatekeeperProcess, asked: int) -> None:
-        assert sender.gatekeeper is not None
+    def _submit(self, request: Request, process: GatekeeperProcess, received_at: int) -> None:
+        assert process.gatekeeper is not None
         request.submissions += 1
         exchange: AnyExchange = Exchange(
             request,
-            lambda final: self._final(request, sender, asked, final),
+            lambda final: self._on_final(request, process, received_at, final),
             cls=request.cls,
             plan=request.plan,
             customer=request.customer,
-            started=asked,
-            deadline=asked + request.budget_ns,
+            started=received_at,
+            deadline=received_at + request.budget_ns,
             units=request.units,
             spread=request.spread,
             first=request.first,
         )
-        sender.gatekeeper.submit(exchange)
+        process.gatekeeper.submit(exchange)
 
-    def _final(self, request: Request, sender: GatekeeperProcess, asked: int, final: Final[Any]) -> None:
-        done = sender.work(0.4)
+    def _on_final(
+        self, request: Request, process: GatekeeperProcess, received_at: int, final: Final[Any]
+    ) -> None:
+        done = process.spend_cpu(0.4)
         request.end = final.end.value
         start = self.scheduler.start + request.arrival_ns
         if final.end is End.SERVED:
-            took = done + int(self.fleet.network.delay_ms * MS) - start
-            request.latency_ns = took if done - asked <= request.budget_ns else None
+            latency_ns = done + int(self.fleet.network.delay_ms * MS) - start
+            request.latency_ns = latency_ns if done - received_at <= request.budget_ns else None
             return
         clients = self.fleet.clients
         if request.submissions <= clients.retries:
             wait = int(clients.backoff_ms * MS * self.jitter())
             if final.wait_ns > 0 and self.random.random() < clients.honour:
                 wait = max(wait, final.wait_ns)
-            number = (request.first + int(self.random.integers(request.spread))) % len(self.senders)
-            self.scheduler.after(wait, self._ask, request, number)
+            number = (request.first + int(self.random.integers(request.spread))) % len(self.processes)
+            self.scheduler.after(wait, self._receive, request, number)
 
-    # What befalls nodes.
+    # Faults of nodes.
 
-    def _hit(self, fault: Fault) -> None:
-        mine = [node for node in self.nodes if node.up and fault.zone in ("", node.zone)]
-        count = round(len(mine) * fault.node_share)
-        chosen = [mine[int(at)] for at in self.random.permutation(len(mine))[:count]]
+    def _inject(self, fault: Fault) -> None:
+        candidates = [node for node in self.nodes if node.up and fault.zone in ("", node.zone)]
+        count = round(len(candidates) * fault.node_share)
+        chosen = [candidates[int(index)] for index in self.random.permutation(len(candidates))[:count]]
         for node in chosen:
             if fault.kind == "drain":
                 node.state = BackendState.DRAINING
-                self.scheduler.after(10 * SECOND, self._gone, node)
+                self.scheduler.after(10 * SECOND, self._end_drain, node)
                 continue
-            node.die()
+            node.stop()
             if fault.kind == "restart":
-                self.scheduler.after(SECOND // 2, node.start_cold)
-                self.scheduler.after(SECOND // 2, self._list_changed)
+                self.scheduler.after(SECOND // 2, node.restart)
+                self.scheduler.after(SECOND // 2, self._publish_backend_list)
             else:
                 node.state = BackendState.GONE
                 if fault.duration_s > 0:
-                    self.scheduler.after(int(fault.duration_s * SECOND), self._back, node)
-        self._list_changed()
+                    self.scheduler.after(int(fault.duration_s * SECOND), self._recover, node)
+        self._publish_backend_list()
 
-    def _gone(self, node: SimulatedNode) -> None:
-        node.die()
+    def _end_drain(self, node: SimulatedNode) -> None:
+        node.stop()
         node.state = BackendState.GONE
-        self._list_changed()
+        self._publish_backend_list()
 
-    def _back(self, node: SimulatedNode) -> None:
-        node.start_cold()
-        self._list_changed()
+    def _recover(self, node: SimulatedNode) -> None:
+        node.restart()
+        self._publish_backend_list()
 
     def run(self) -> DayResult:
-        """Plays the day to its end and a deadline more."""
+        """Simulates until the longest deadline and 1 s after the last arrival; returns the result."""
         for request in self.load:
             self.scheduler.at(
-                self.scheduler.start + request.arrival_ns, self._ask, request, request.gatekeeper
+                self.scheduler.start + request.arrival_ns, self._receive, request, request.gatekeeper
             )
         for fault in self._faults:
-            self.scheduler.at(self.scheduler.start + int(fault.at_s * SECOND), self._hit, fault)
+            self.scheduler.at(self.scheduler.start + int(fault.at_s * SECOND), self._inject, fault)
         last = max((request.arrival_ns for request in self.load), default=0)
-        longest = max(int(kind.deadline_ms * MS) for kind in self.classes)
+        longest = max(int(cls.deadline_ms * MS) for cls in self.classes)
         self.scheduler.run(self.scheduler.start + last + longest + SECOND)
         span = last or SECOND
-        asks = [
-            RequestResult(one.arrival_ns, one.cls, one.plan, one.customer, one.true_units, one.latency_ns)
-            for one in self.load
+        results = [
+            RequestResult(
+                request.arrival_ns,
+                request.cls,
+                request.plan,
+                request.customer,
+                request.true_units,
+                request.latency_ns,
+            )
+            for request in self.load
         ]
-        gatekeepers = [sender.gatekeeper for sender in self.senders if sender.gatekeeper is not None]
+        gatekeepers = [process.gatekeeper for process in self.processes if process.gatekeeper is not None]
         outcomes: Counter[str] = Counter()
         for gatekeeper in gatekeepers:
-            outcomes.update({one.value: count for one, count in gatekeeper.outcomes.items() if count})
-        used = [
-            (node.busy_before + node.node.busy_ns) / (node.node.spec.cores * node.node.speed * span)
+            outcomes.update({outcome.value: count for outcome, count in gatekeeper.outcomes.items() if count})
+        utilisation = [
+            (node.earlier_busy_ns + node.node.busy_ns) / (node.node.spec.cores * node.node.speed * span)
             for node in self.nodes
         ]
-        arrived = sum(outcomes.values()) or 1
+        attempts = sum(outcomes.values()) or 1
         return DayResult(
             self.load,
-            service_level(asks, self.classes, self.plans),
+            service_level(results, self.classes, self.plans),
             span / SECOND,
-            dict(Counter(one.end or "unanswered" for one in self.load)),
+            dict(Counter(request.end or "unanswered" for request in self.load)),
             dict(outcomes),
-            used,
+            utilisation,
             {
-                "node_work": sum(used) / max(1, len(used)),
+                "node_work": sum(utilisation) / max(1, len(utilisation)),
                 "node_held": max(
-                    (n.most_held / (n.node.spec.slots + n.node.spec.queue) for n in self.nodes), default=0.0
+                    (n.max_pending / (n.node.spec.slots + n.node.spec.queue) for n in self.nodes), default=0.0
                 ),
-                "turned_away": sum(node.turned_away for node in self.nodes) / arrived,
-                "gatekeeper_cpu": max(sender.busy_ns for sender in self.senders) / span,
-                "gatekeeper_descriptors": max(sender.most_open for sender in self.senders)
+                "turned_away": sum(node.rejected for node in self.nodes) / attempts,
+                "gatekeeper_cpu": max(process.busy_ns for process in self.processes) / span,
+                "gatekeeper_descriptors": max(process.max_in_flight for process in self.processes)
                 / max(1, self.fleet.gatekeepers.descriptors // 2),
             },
             latency_by_class(self.load, self.classes),
