--- a/pepperrun/cli/plan.py
+++ b/pepperrun/cli/plan.py
@@ -102,7 +102,7 @@
                 found["breaks"] = planner.find_bottleneck(goal, FACTORS)
                 found["losses"] = planner.losses()
                 found["sensitivity"] = planner.sensitivity()
-            found["days"], found["seconds"] = planner.days, round(time.monotonic() - start, 1)
+            found["days"], found["seconds"] = planner.simulated_days, round(time.monotonic() - start, 1)
         finally:
             planner.close()
         return found
--- a/pepperrun/planner/__init__.py
+++ b/pepperrun/planner/__init__.py
@@ -1,1 +1,1 @@
-"""The capacity planner: what breaks first, how many nodes a goal needs, what the loss of a zone does."""
+"""The capacity planner: the first bottleneck, the nodes that a goal needs, the effect of losing a zone."""
--- a/pepperrun/planner/result.py
+++ b/pepperrun/planner/result.py
@@ -1,4 +1,4 @@
-"""What `pepperrun plan nodes --json` writes, as types: `pepperrun plan schema` prints their JSON Schema."""
+"""Types of the output of `pepperrun plan nodes --json`; `pepperrun plan schema` prints their JSON Schema."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 
 class Times(msgspec.Struct, forbid_unknown_fields=True):
-    """Of served requests, in ms from the client's first try; means over seeds."""
+    """Latency percentiles of served requests, in ms from the client's first attempt; means over seeds."""
 
     p50: float
     p99: float
 
 
 class Digest(msgspec.Struct, forbid_unknown_fields=True):
-    """One variant over all seeds. `busiest`: of each resource the share in use."""
+    """Results of one variant over all seeds. `busiest`: share of each resource in use."""
 
     service: Interval
     whole: Interval
@@ -34,14 +34,14 @@
 
 
 class Step(Digest, forbid_unknown_fields=True, kw_only=True):
-    """The fleet as it is under a multiple of the load."""
+    """The current fleet under a multiple of the load."""
 
     load: float
     exhausted: list[str]
 
 
 class First(msgspec.Struct, forbid_unknown_fields=True):
-    """What is exhausted first, and at how many times the load."""
+    """The resource exhausted first, and the multiple of the load at which it is."""
 
     load: float
     what: str
@@ -49,7 +49,7 @@
 
 
 class Breaks(msgspec.Struct, forbid_unknown_fields=True):
-    """What breaks first."""
+    """Results by multiple of the load, and the first bottleneck."""
 
     steps: list[Step]
     first: First | None
@@ -57,7 +57,7 @@
 
 
 class Fewest(msgspec.Struct, forbid_unknown_fields=True):
-    """The fewest nodes that meet the goal; None where not even `most` do."""
+    """The fewest nodes that meet the goal; None if `most` nodes miss the goal."""
 
     goal: float
     nodes: int | None
@@ -67,14 +67,14 @@
 
 
 class Losses(msgspec.Struct, forbid_unknown_fields=True):
-    """What befalls the fleet at its busiest moment, in seconds from the capture's start."""
+    """Results of faults at the busiest moment, `at_s` seconds after the capture's start."""
 
     at_s: float
     losses: dict[str, Digest]
 
 
 class PlanResult(msgspec.Struct, forbid_unknown_fields=True):
-    """The whole answer. With `--only` the parts not asked for are missing."""
+    """The complete result. With `--only`, the parts that were not requested are missing."""
 
     nodes: int
     goal: float
