--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -1,4 +1,4 @@
-"""The model: nodes against plain arithmetic, a seed and its run, faults, and the planner on it."""
+"""The model: nodes against plain arithmetic, reproducible runs, faults, and the planner."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 def finish(node: Node, until: int) -> list[tuple[int, object]]:
-    """Steps a node as its owner would; when each was done."""
+    """Advances a node at its events up to a time; returns the completion time of each request."""
     done = []
     while (due := node.next_event_at()) is not None and due <= until:
         done += [(due, key) for key in node.advance(due)]
@@ -40,7 +40,7 @@
     node = Node(NodeSpec(cores=2, slots=10), 1.0, 0)
     for key, work in (("a", 10 * MS), ("b", 10 * MS), ("c", 10 * MS), ("d", 20 * MS)):
         assert node.arrive(0, key, work) is Admission.RUNNING
-    # Four on two cores run at half speed; the last goes on alone at full speed from 20 ms on.
+    # Four requests on two cores run at half speed; from 20 ms on the last one runs alone at full speed.
     assert [(round(at / MS), key) for at, key in finish(node, S)] == [
         (20, "a"),
         (20, "b"),
@@ -50,32 +50,33 @@
     assert round(node.busy_ns / MS) == 50
 
 
-def test_a_cold_node_warms_up_and_slots_queue_and_cancel_hold():
-    kind = NodeSpec(cores=1, slots=1, queue=1, warmup_min_speed=0.5, warmup_ns=S)
-    node = Node(kind, 1.0, 0, warm=False)
+def test_warm_up_slots_queue_and_cancellation_of_a_new_node():
+    spec = NodeSpec(cores=1, slots=1, queue=1, warmup_min_speed=0.5, warmup_ns=S)
+    node = Node(spec, 1.0, 0, warm=False)
     assert [node.arrive(0, key, 100 * MS) for key in "abc"] == [
         Admission.RUNNING,
         Admission.QUEUED,
         Admission.REJECTED,
     ]
-    assert not node.cancel(0, "a") and node.cancel(0, "b")  # running work goes on, waiting work does not
+    # A cancelled request continues if it runs, and is dropped if it is queued.
+    assert not node.cancel(0, "a") and node.cancel(0, "b")
     assert node.arrive(0, "d", 100 * MS) is Admission.QUEUED
     ((first, _), (second, _)) = finish(node, S)
     assert 150 * MS < first < 200 * MS and 100 * MS < second - first < first
-    stops = Node(NodeSpec(cores=1, slots=1, queue=1, cancel_running=True), 1.0, 0)
-    stops.arrive(0, "a", 100 * MS), stops.arrive(0, "b", 10 * MS)
-    assert stops.cancel(0, "a") and finish(stops, S) == [(10 * MS + 1, "b")]
+    cancelling = Node(NodeSpec(cores=1, slots=1, queue=1, cancel_running=True), 1.0, 0)
+    cancelling.arrive(0, "a", 100 * MS), cancelling.arrive(0, "b", 10 * MS)
+    assert cancelling.cancel(0, "a") and finish(cancelling, S) == [(10 * MS + 1, "b")]
 
 
-def test_a_node_that_warms_by_work_does_so_by_what_it_has_done_and_never_slower_than_by_time():
-    kind = NodeSpec(cores=1, slots=1, queue=9, warmup_min_speed=0.5, warmup_ns=10 * S, warmup_work_ns=S)
-    idle, busy = Node(kind, 1.0, 0, warm=False), Node(kind, 1.0, 0, warm=False)
+def test_warm_up_by_work_is_at_least_as_fast_as_by_time():
+    spec = NodeSpec(cores=1, slots=1, queue=9, warmup_min_speed=0.5, warmup_ns=10 * S, warmup_work_ns=S)
+    idle, busy = Node(spec, 1.0, 0, warm=False), Node(spec, 1.0, 0, warm=False)
     for key in range(8):
         busy.arrive(0, key, 250 * MS)
     finish(busy, 2 * S), finish(idle, 2 * S)
     assert idle.speed_fraction(2 * S) == pytest.approx(0.6) and busy.speed_fraction(2 * S) == 1.0
-    # Half of the work done, half of the way; steps of 100 ms make it a little late.
-    half = Node(kind, 1.0, 0, warm=False)
+    # Half of the work gives half of the warm-up; steps of 100 ms make it slightly late.
+    half = Node(spec, 1.0, 0, warm=False)
     half.arrive(0, "a", 500 * MS)
     assert finish(half, 2 * S)[0][0] < S and half.speed_fraction(S) == pytest.approx(0.75, abs=0.01)
     assert half.speed_fraction(10 * S) == 1.0
@@ -84,31 +85,31 @@
 @given(
     st.lists(st.tuples(st.integers(0, 50), st.integers(1, 80)), min_size=1, max_size=25), st.integers(1, 4)
 )
-def test_a_node_does_the_work_that_it_took_and_no_more(arrivals, cores):
-    node, now, took, done = Node(NodeSpec(cores=cores, slots=5, queue=6), 1.0, 0), 0, 0, []
+def test_a_node_completes_each_admitted_request_once(arrivals, cores):
+    node, now, admitted, done = Node(NodeSpec(cores=cores, slots=5, queue=6), 1.0, 0), 0, 0, []
     for number, (gap, work) in enumerate(arrivals):
         done += [key for _, key in finish(node, now + gap * MS)]
         now += gap * MS
         if node.arrive(now, number, work * MS) is not Admission.REJECTED:
-            took += 1
+            admitted += 1
     done += [key for _, key in finish(node, now + 10 * S)]
-    assert len(done) == len(set(done)) == took and node.pending() == 0
+    assert len(done) == len(set(done)) == admitted and node.pending() == 0
     assert node.busy_ns <= cores * (now + 10 * S)
 
 
-def test_service_counts_worth_in_time_inside_the_quotas():
+def test_service_level_counts_value_in_time_inside_the_quotas():
     plans = (Plan("p", 1.0, 2.0, 0, 0, 1.0, 0.0, 0.0),)
-    asks = [RequestResult(at * S // 2, 0, 0, 1, 1.0, 100 * MS) for at in range(20)]
-    good = inside_quota(asks, plans)
-    assert good[:2] == [True, True] and sum(good) == 2 + 9  # the burst, and one a second after it
-    late = [RequestResult(one.sent_at, 0, 0, one.customer, 1.0, 700 * MS) for one in asks]
+    results = [RequestResult(at * S // 2, 0, 0, 1, 1.0, 100 * MS) for at in range(20)]
+    admitted = inside_quota(results, plans)
+    assert admitted[:2] == [True, True] and sum(admitted) == 2 + 9  # the burst, then one per second
+    late = [RequestResult(one.sent_at, 0, 0, one.customer, 1.0, 700 * MS) for one in results]
     assert (
-        service_level(asks, CLASSES, plans).combined == 1.0
+        service_level(results, CLASSES, plans).combined == 1.0
         and service_level(late, CLASSES, plans).combined == 0.0
     )
     half = [
         RequestResult(one.sent_at, 0, 0, number, 1.0, None if number % 2 else MS)
-        for number, one in enumerate(asks)
+        for number, one in enumerate(results)
     ]
     assert service_level(half, CLASSES, plans).overall == 0.5
 
@@ -117,35 +118,35 @@
     return draw_load(LoadSpec(seconds, inside), CLASSES, (0.8, 0.2), PLANS, seed)
 
 
-def day(faults: tuple[Fault, ...] = (), nodes: int = 4, inside: float = 60.0, seed: int = 1):
+def simulate_day(faults: tuple[Fault, ...] = (), nodes: int = 4, inside: float = 60.0, seed: int = 1):
     fleet = resized(parse_fleet(FLEET), nodes)
     load = requests_from_entries(entries(inside=inside), CLASSES, fleet, seed)
     return Simulation(load, CLASSES, PLANS, fleet, seed, faults).run()
 
 
-def test_the_same_seed_gives_the_same_day_and_another_gives_another():
-    one, two, other = day(), day(), day(seed=2)
+def test_a_seed_determines_the_result_of_a_day():
+    one, two, other = simulate_day(), simulate_day(), simulate_day(seed=2)
     assert [(r.end, r.latency_ns) for r in one.requests] == [(r.end, r.latency_ns) for r in two.requests]
     assert [r.latency_ns for r in one.requests] != [r.latency_ns for r in other.requests]
     assert all(r.end for r in one.requests) and one.service_level.combined > 0.8
 
 
-def test_faults_and_want_of_nodes_cost_service_and_every_request_has_one_end():
-    seeds = (1, 2, 3)  # a day of four seconds tells little alone
-    calm = sum(day(seed=seed).service_level.combined for seed in seeds) / len(seeds)
+def test_faults_and_too_few_nodes_lower_the_service_level_and_each_request_ends():
+    seeds = (1, 2, 3)  # one day of four seconds varies too much
+    without_faults = sum(simulate_day(seed=seed).service_level.combined for seed in seeds) / len(seeds)
     for faults in (
         (Fault("lost", 1.0, 0.0, "a"),),
         (Fault("restart", 1.0),),
         (Fault("drain", 1.0, 0.0, "", 0.5), Fault("lost", 2.0, 1.0, "b", 0.5)),
     ):
-        hit = [day(faults, seed=seed) for seed in seeds]
-        assert sum(one.service_level.combined for one in hit) / len(seeds) < calm + 0.02
-        assert all(request.end for one in hit for request in one.requests)
-    assert day(nodes=1, inside=200.0).service_level.combined < calm - 0.2
+        with_faults = [simulate_day(faults, seed=seed) for seed in seeds]
+        assert sum(one.service_level.combined for one in with_faults) / len(seeds) < without_faults + 0.02
+        assert all(request.end for one in with_faults for request in one.requests)
+    assert simulate_day(nodes=1, inside=200.0).service_level.combined < without_faults - 0.2
 
 
 @pytest.mark.parametrize("text", ["gone:1", "lost", "lost:x", "lost:1:2:a:7", "restart:-1", "drain:nan"])
-def test_a_fault_that_cannot_be_is_refused(text):
+def test_an_invalid_fault_is_rejected(text):
     with pytest.raises(ValueError, match="--fault"):
         parse_fault(text)
 
@@ -166,7 +167,7 @@
         ("[network]", "[network", "TOML"),
     ],
 )
-def test_a_fleet_that_cannot_be_names_its_key(old, new, key):
+def test_an_invalid_fleet_is_rejected_with_its_key(old, new, key):
     with pytest.raises(ValueError, match=key):
         parse_fleet(FLEET.replace(old, new))
 
@@ -180,7 +181,7 @@
     return path
 
 
-def test_plan_answers_and_bad_input_ends_in_one_line(tmp_path, capsys):
+def test_plan_nodes_reports_results_and_names_invalid_input(tmp_path, capsys):
     path, fleet = captured(tmp_path), tmp_path / "fleet.toml"
     fleet.write_text(FLEET)
     out = tmp_path / "out.json"
@@ -192,18 +193,18 @@
     assert code == 0 and "fewest nodes for 0.5" in capsys.readouterr().out
     assert 1 <= found["fewest"]["nodes"] <= 6
     assert {"zone a lost", "zone b lost", "all restarted cold"} <= set(found["losses"]["losses"])
-    whole = msgspec.convert(found, PlanResult)  # as `plan schema` says
-    assert whole.today.times_ms["slot-search"].p50 > 0
+    typed = msgspec.convert(found, PlanResult)  # matches the schema that `plan schema` prints
+    assert typed.today.times_ms["slot-search"].p50 > 0
     assert main(["plan", "schema"]) == 0 and "PlanResult" in capsys.readouterr().out
     assert len(found["breaks"]["steps"]) == 6 and "work +10%" in found["sensitivity"]
     capsys.readouterr()
     fleet.write_text(FLEET.replace("[work.booking-confirm]", "[work.other]"))
     assert main(arguments) == 2
     assert "work.booking-confirm" in capsys.readouterr().err
-    assert main(["plan", "fit", str(path)]) == 2  # no attempts in it
+    assert main(["plan", "fit", str(path)]) == 2  # the capture has no attempts
 
 
-def test_fit_finds_what_the_nodes_were_made_of():
+def test_fit_estimates_the_work_and_speeds_of_the_nodes():
     import numpy
 
     random = numpy.random.default_rng(1)
