--- a/features/versions.feature
+++ b/features/versions.feature
@@ -10,10 +10,11 @@
     And this version's hello has every field that the other reads
 
     Examples:
-      | version   |
-      | first     |
-      | landing-6 |
-      | landing-8 |
+      | version    |
+      | first      |
+      | landing-6  |
+      | landing-8  |
+      | landing-11 |
 
   Scenario: Kinds that are not known are passed over on every link
     When a kind that is not known comes to a gatekeeper, to a publisher, to cells and to the agreement
@@ -25,10 +26,11 @@
     Then each is answered, with every field that it was answered before
 
     Examples:
-      | version   |
-      | first     |
-      | landing-6 |
-      | landing-8 |
+      | version    |
+      | first      |
+      | landing-6  |
+      | landing-8  |
+      | landing-11 |
 
   Scenario Outline: A gatekeeper of this version follows a core machine of the version before
     Given what version "<version>" said
@@ -37,10 +39,11 @@
     And what it holds is known to be fresh
 
     Examples:
-      | version   |
-      | first     |
-      | landing-6 |
-      | landing-8 |
+      | version    |
+      | first      |
+      | landing-6  |
+      | landing-8  |
+      | landing-11 |
 
   Scenario Outline: News go through where one side is of another version
     When a gatekeeper and a core machine talk while <what>
@@ -59,10 +62,11 @@
     And the rows of this version begin with the columns of that one
 
     Examples:
-      | version   |
-      | first     |
-      | landing-6 |
-      | landing-8 |
+      | version    |
+      | first      |
+      | landing-6  |
+      | landing-8  |
+      | landing-11 |
 
   Scenario Outline: Core machines of two versions agree
     Given three core machines of which one <how>
@@ -79,10 +83,11 @@
     Then each of its messages of the agreement is read, and this version says the same kinds
 
     Examples:
-      | version   |
-      | first     |
-      | landing-6 |
-      | landing-8 |
+      | version    |
+      | first      |
+      | landing-6  |
+      | landing-8  |
+      | landing-11 |
 
   Scenario Outline: Gateway probers of two versions find each other
     Given what version "<version>" said
@@ -91,10 +96,11 @@
     And its datagrams are the same, byte by byte, when read and written again
 
     Examples:
-      | version   |
-      | first     |
-      | landing-6 |
-      | landing-8 |
+      | version    |
+      | first      |
+      | landing-6  |
+      | landing-8  |
+      | landing-11 |
 
   Scenario Outline: The disk of the version before is read
     Given what version "<version>" said
@@ -102,23 +108,34 @@
     Then it remembers its disk id, its promise and what it had taken, and counts one start more
 
     Examples:
-      | version   |
-      | first     |
-      | landing-6 |
-      | landing-8 |
+      | version    |
+      | first      |
+      | landing-6  |
+      | landing-8  |
+      | landing-11 |
 
   Scenario: A disk of a later version is left as it is
     When a core machine starts on a disk of a later format
     Then it refuses to start, and the disk is as it was
 
-  Scenario: Gatekeepers of two versions tell each other what tenants have used
-    Given what version "landing-8" said
+  Scenario Outline: Gatekeepers of two versions tell each other what tenants have used
+    Given what version "<version>" said
     When a gatekeeper hears the counts of the version before
     Then it leaves less of the tenant's quota than one that hears nothing
     And those counts are the same, byte by byte, when read and written again
 
-  Scenario: An operator's tools and processes of two versions
-    Given what version "landing-8" said
+    Examples:
+      | version    |
+      | landing-8  |
+      | landing-11 |
+
+  Scenario Outline: An operator's tools and processes of two versions
+    Given what version "<version>" said
     When an operator of this version is shown what its processes hold
     Then the text names each process, its number and its workers
     And this version's processes show every field that those did
+
+    Examples:
+      | version    |
+      | landing-8  |
+      | landing-11 |
