--- a/pepperrun/simulation/conversations/__init__.py
+++ b/pepperrun/simulation/conversations/__init__.py
@@ -1,1 +1,1 @@
-"""Drawn conversations of scripted clients and workers with a real data plane over loopback sockets."""
+"""Drawn HTTP conversations of scripted clients and workers with a real data plane over loopback sockets."""
--- a/pepperrun/simulation/conversations/__main__.py
+++ b/pepperrun/simulation/conversations/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m pepperrun.simulation.conversations`: plays drawn conversations and says what they broke."""
+"""`python -m pepperrun.simulation.conversations`: runs drawn conversations and prints violated rules."""
 
 from __future__ import annotations
 
@@ -11,18 +11,24 @@
 from pepperrun.simulation.conversations.interruptions import all_interruptions
 from pepperrun.simulation.conversations.scripts import draw_script
 
-PROGRESS_INTERVAL = 1000  # conversations between two lines of progress
+PROGRESS_INTERVAL = 1000  # conversations per progress line
 
 
 def main() -> int:
-    """Plays them; 1 if a rule was broken."""
+    """Runs the conversations that the flags select. Returns 1 if a rule was violated, else 0."""
     parser = argparse.ArgumentParser(prog="conversations", description=__doc__)
     parser.add_argument("--count", type=int, default=1000)
     parser.add_argument("--first", type=int, default=1, help="the first seed")
-    parser.add_argument("--cuts", action="store_true", help="a break after each byte, in place of drawn ones")
-    parser.add_argument("--bug", choices=sorted(BUGS), default="", help="put this bug in")
-    parser.add_argument("--go-on", action="store_true", help="also after a rule was broken")
-    parser.add_argument("--show", action="store_true", help="all that workers and clients saw")
+    parser.add_argument(
+        "--cuts",
+        action="store_true",
+        help="run the conversations that break off after each byte instead of drawn ones",
+    )
+    parser.add_argument("--bug", choices=sorted(BUGS), default="", help="run with this bug injected")
+    parser.add_argument("--go-on", action="store_true", help="continue after a violated rule")
+    parser.add_argument(
+        "--show", action="store_true", help="print everything that workers and clients received"
+    )
     arguments = parser.parse_args()
     seeds = range(arguments.first, arguments.first + arguments.count)
     scripts = all_interruptions() if arguments.cuts else (draw_script(seed) for seed in seeds)
@@ -43,16 +49,16 @@
                     break
             if played % PROGRESS_INTERVAL == 0:
                 print(f"played={played} wrong={failed} s={time.monotonic() - started_at:.0f}", flush=True)
-    drawn = "cuts" if arguments.cuts else f"first={arguments.first}"
+    selection = "cuts" if arguments.cuts else f"first={arguments.first}"
     print(
-        f"conversations={played} {drawn} bug={arguments.bug or 'none'} requests={requests} "
+        f"conversations={played} {selection} bug={arguments.bug or 'none'} requests={requests} "
         f"ran={ran} wrong={failed} s={time.monotonic() - started_at:.1f}"
     )
     return 1 if failed else 0
 
 
 def show(conversation: Conversation) -> None:
-    """What was seen, for a reader."""
+    """Prints what workers received and what clients sent and received."""
     record = conversation.record
     for event in conversation.script.events:
         print("happening", event)
--- a/pepperrun/simulation/conversations/bugs.py
+++ b/pepperrun/simulation/conversations/bugs.py
@@ -1,4 +1,4 @@
-"""Bugs that are put in by a switch, to see that the judge finds them."""
+"""Bugs that `--bug NAME` injects, to check that the judge finds them."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def _ignore_attempt_ids() -> Patches:
-    """An answer is taken for that of the request that waits, whatever its Attempt-Id."""
+    """Accepts any response for the pending request, whatever its Attempt-Id."""
     return [
         mock.patch.object(WorkerWire, "is_foreign", lambda *_: False),
         mock.patch.object(WorkerWire, "is_surplus", lambda *_: False),
@@ -32,7 +32,7 @@
 
 
 def _reuse_after_surplus() -> Patches:
-    """What came behind an answer stays for the next, and an answer without an id is taken for it."""
+    """Reuses a connection with unread bytes behind a response; accepts a response without an Attempt-Id."""
 
     def release(self: Connection, response: Any) -> None:
         self.responses, self.response_started_at = self.responses + 1, 0
@@ -54,12 +54,12 @@
 
 
 def _retry_after_reset() -> Patches:
-    """A connection that broke before any answer is taken for one on which nothing was asked."""
+    """Treats a connection lost before any response as one that never carried the request."""
     return [mock.patch.object(Connection, "_broken_outcome", lambda self: Outcome.CONNECT_FAILED)]
 
 
 def _reject_after_run() -> Patches:
-    """What may have run is refused."""
+    """Rejects a request that may have run, with a status that says it did not run."""
     answer = Front.answer
 
     def reject(self: Front, exchange: Any, final: Any) -> Any:
@@ -70,12 +70,12 @@
 
 
 def _complete_truncated() -> Patches:
-    """An answer whose worker broke off is ended as if it were whole."""
+    """Ends a response that its worker truncated as if the response were complete."""
     return [mock.patch.object(BodyStream, "fail", lambda self: self.finish())]
 
 
 def _pass_encoded() -> Patches:
-    """No look at whether a worker's answer is encoded or tells its length."""
+    """Skips the checks whether a worker's response is content-encoded and whether its length is delimited."""
     classify = WorkerWire.classify
 
     def lenient(self: WorkerWire, attempt: Any, response: Any) -> Any:
@@ -93,12 +93,12 @@
 
 
 def _read_during_response() -> Patches:
-    """The next request is read while a long answer is on its way, and answered in the middle of it."""
+    """Reads the next request while a long response is being sent, and answers inside that response."""
     return [mock.patch.object(HttpConnection, "_has_pending_answer", _has_pending_request)]
 
 
 def _trust_any_rejection() -> Patches:
-    """A refusal without an id is believed on a connection that has brought answers before."""
+    """Accepts a rejection without an Attempt-Id on a connection that has already carried responses."""
 
     def is_foreign(self: WorkerWire, attempt: Any, response: Any) -> bool:
         attempt_id = response.headers.get(b"attempt-id")
@@ -110,17 +110,20 @@
 
 
 def _retry_on_same_connection() -> Patches:
-    """What a worker refused may go to it again on the same connection, where a late second no is its own."""
+    """Retries a rejected request on the same connection.
+
+    There a late duplicate of the first rejection is read as the response to the retry.
+    """
     return [mock.patch.object(UpstreamClient, "_served_same_request", lambda *_: False)]
 
 
 def _strip_all_named_fields() -> Patches:
-    """What `Connection` names is dropped, also where a client or worker can't do without it."""
+    """Drops every field that `Connection` names, also the end-to-end fields that clients and workers need."""
     return [mock.patch.object(front, "END_TO_END", frozenset[bytes]())]
 
 
 def _reject_timed_out() -> Patches:
-    """A request whose time is up is refused, though a worker is at work on it."""
+    """Rejects a request at its deadline as not run, though a worker is running it."""
     answer = Front.answer
 
     def reject(self: Front, exchange: Any, final: Any) -> Any:
@@ -130,12 +133,12 @@
 
 
 def _keep_abandoned_attempts() -> Patches:
-    """The decisions close the request of a client who has left, and leave its attempts out."""
+    """Closes the request of a disconnected client without cancelling its attempts."""
     return [mock.patch.object(Gateway, "_cancel_abandoned", lambda *_: None)]
 
 
 def _ignore_hangups() -> Patches:
-    """Nobody watches a connection that is not read."""
+    """Does not watch connections that are not being read for a disconnect."""
     return [mock.patch.object(HangupWatch, "watch", lambda *_: None)]
 
 
@@ -158,7 +161,7 @@
 
 @contextmanager
 def injected_bug(name: str) -> Iterator[None]:
-    """This bug is there for as long as the context lasts; "" for none."""
+    """Injects the named bug for the duration of the context; "" injects none."""
     patches = BUGS[name]() if name else []
     for patch in patches:
         patch.start()
--- a/pepperrun/simulation/conversations/client.py
+++ b/pepperrun/simulation/conversations/client.py
@@ -1,4 +1,4 @@
-"""A scripted client: sends as drawn and keeps every byte that came back."""
+"""A scripted HTTP client that sends requests as drawn and records every byte received."""
 
 from __future__ import annotations
 
@@ -10,23 +10,23 @@
 from pepperrun.simulation.conversations.scripts import ClientStep, RequestSpec
 from pepperrun.simulation.conversations.worker import loopback_address, reset
 
-RESPONSE_TIMEOUT_S = 30.0  # past the deadline, for an answer; long against all that the data plane waits for
+RESPONSE_TIMEOUT_S = 30.0  # far longer than any time-out of the data plane
 
 
 @dataclass
 class SentRequest:
-    """One request as it went out."""
+    """A request as its client sent it. `complete`: all its bytes were written."""
 
     spec: RequestSpec
     sent_at: float
     complete: bool = False
-    abandoned: bool = False  # the client broke off
-    disconnected_at: float = 0.0  # when it did
+    abandoned: bool = False  # the client disconnected before its response
+    disconnected_at: float = 0.0  # time of the disconnect; 0 if there was none
 
 
 @dataclass
 class ClientResponse:
-    """An answer on a client's connection. `complete`: it ends as its framing says."""
+    """A response that a client received. `complete`: the response ends as its framing says."""
 
     status: int
     fields: list[tuple[bytes, bytes]]
@@ -35,20 +35,20 @@
     interim: bool = False
 
     def value(self, name: bytes) -> bytes | None:
-        """The first value of a field."""
+        """Returns the first value of a field, None if there is none."""
         return next((value for key, value in self.fields if key.lower() == name), None)
 
 
 class ClientConnection(asyncio.Protocol):
-    """A connection to the front."""
+    """A client's connection to the data plane."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.loop = loop
         self.transport: asyncio.Transport | None = None
         self.sent_requests: list[SentRequest] = []
         self.data = bytearray()
-        self.ended_at = 0.0  # when the other side closed, or the connection broke
-        self.was_reset = False  # by a reset
+        self.ended_at = 0.0  # time of the peer's close or the connection's loss
+        self.was_reset = False  # the connection was lost with an error
         self.changed = asyncio.Event()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -70,17 +70,17 @@
         self.changed.set()
 
     def responses(self) -> tuple[list[ClientResponse], bytes]:
-        """What has come, read as answers; and what is left over."""
+        """Returns the responses received so far, and the bytes that form no response."""
         return parse_responses(
             bytes(self.data), [one.spec.method for one in self.sent_requests], self.ended_at > 0
         )
 
     def completed_count(self) -> int:
-        """How many whole answers have come."""
+        """Returns the number of complete final responses."""
         return sum(one.complete and not one.interim for one in self.responses()[0])
 
     async def wait_until(self, condition: Callable[[], bool], limit_s: float) -> None:
-        """Waits for something of this connection, or its end."""
+        """Waits until `condition` holds, the connection ends, or `limit_s` seconds have passed."""
         try:
             async with asyncio.timeout(limit_s):
                 while not condition() and not self.ended_at:
@@ -92,7 +92,7 @@
 
 @dataclass
 class ScriptedClient:
-    """Plays turns, one connection after another."""
+    """Runs the steps of one client, on one connection at a time."""
 
     loop: asyncio.AbstractEventLoop
     port: int
@@ -100,7 +100,7 @@
     connections: list[ClientConnection] = field(default_factory=list)
 
     async def run(self) -> None:
-        """All turns, and the wait for what is still out."""
+        """Runs all steps and waits for the pending responses."""
         connection: ClientConnection | None = None
         for step in self.steps:
             if connection is not None and not step.pipelined:
@@ -128,7 +128,7 @@
 
     @staticmethod
     async def _await_responses(connection: ClientConnection) -> None:
-        """Until all that was asked is answered, or nothing more can be waited for."""
+        """Waits until every request has its response, unless the client has disconnected."""
         if not connection.sent_requests or connection.sent_requests[-1].abandoned:
             return
         await connection.wait_until(
@@ -183,14 +183,17 @@
 
 
 def parse_responses(data: bytes, methods: list[bytes], ended: bool) -> tuple[list[ClientResponse], bytes]:
-    """Reads what a client got, strictly; the left-over is what forms no answer."""
+    """Parses what a client received, strictly.
+
+    Returns the responses and the remaining bytes that form no response.
+    """
     out: list[ClientResponse] = []
     at = final_count = 0
     while at < len(data):
         end = data.find(b"\r\n\r\n", at)
         if end < 0:
             beginning = data[at : at + 9]
-            if b"HTTP/1.1 "[: len(beginning)] == beginning:  # a head that is cut off
+            if b"HTTP/1.1 "[: len(beginning)] == beginning:  # a truncated head
                 out.append(ClientResponse(0, [], b"", False))
                 return out, b""
             return out, data[at:]
@@ -214,7 +217,10 @@
 
 
 def _parse_body(response: ClientResponse, data: bytes, at: int, method: bytes, ended: bool) -> int:
-    """Where the body ends; -1 for one that is cut off, or that lasts until the connection ends."""
+    """Parses the body into `response`.
+
+    Returns the offset of its end; -1 for a truncated body or one that lasts until the connection ends.
+    """
     length, transfer_coding = response.value(b"content-length"), response.value(b"transfer-encoding")
     if method == b"HEAD" or response.status in (204, 304):
         return at
--- a/pepperrun/simulation/conversations/conversation.py
+++ b/pepperrun/simulation/conversations/conversation.py
@@ -1,4 +1,4 @@
-"""Plays one conversation: puts up a data plane, its workers and its clients, and judges what they saw."""
+"""Runs one conversation: starts a data plane, workers and clients, and checks what they observed."""
 
 from __future__ import annotations
 
@@ -26,16 +26,16 @@
 from pepperrun.simulation.conversations.worker import ReceivedRequest, ScriptedWorker, loopback_address, reset
 
 TIME_LIMIT_S = 900.0  # of virtual time for a conversation
-SETTLE_S = 12.0  # what was promised not to run is awaited for so long
+SETTLE_S = 12.0  # waits so long for late runs of requests whose status promised that they would not run
 DRAIN_GRACE_S = 8.0
 IDLE_LIMIT_MS = 5000
-RETRY_BUDGET = 10.0  # saved up for second workers: they are what is to be seen
+RETRY_BUDGET = 10.0  # enough from the start that retries on a second worker are exercised
 HOUR_NS = 3600 * 10**9
 
 
 @cache
 def settings() -> Settings:
-    """Of a gatekeeper alone."""
+    """Returns the settings of a single gateway."""
     self_settings = {
         "station": "g1",
         "role": "gateway",
@@ -56,7 +56,7 @@
 
 
 def initial_state() -> dict[str, Any]:
-    """The configuration in force at the beginning."""
+    """Returns the initial replicated configuration."""
     splits = [{"line": "one", "share": 50}, {"line": "two", "share": 50}]
     routes = [
         _route("safe", "safe", "one"),
@@ -80,14 +80,14 @@
 
 @dataclass
 class WorkerSlot:
-    """Where a worker is, and the life that the data plane knows there."""
+    """A worker's address and zone with its current incarnation."""
 
     worker: ScriptedWorker
     zone: str
 
 
 class Conversation:
-    """One script on its stage."""
+    """One script with its data plane, workers and clients."""
 
     def __init__(self, script: Script) -> None:
         self.script, self.loops = script, SteppedLoops()
@@ -100,9 +100,9 @@
         self.plane: DataPlane | None = None
         self.clients: list[ScriptedClient] = []
 
-    # The data plane's side: each call runs in its loop.
+    # Calls into the data plane, which run in its event loop.
 
-    def _in_plane(self, call: Callable[[], Any]) -> None:
+    def _call_in_plane(self, call: Callable[[], Any]) -> None:
         self.loops.plane.call_soon(call)
 
     async def _start_data_plane(self) -> None:
@@ -127,7 +127,7 @@
         address = f"{loopback_address()}:{worker.port}"
         self.plane.on_workers([Worker(worker.id, worker.service, address, zone, state=state)])
 
-    # The others' side.
+    # Workers, events and clients, which run in the other event loop.
 
     def _next_reply(self) -> ReplySpec:
         replies = self.script.replies
@@ -141,7 +141,7 @@
         worker = ScriptedWorker(id, service, self.loops.peers, self._next_reply, self.received)
         slot = WorkerSlot(await worker.start(port), zone)
         self.slots.append(slot)
-        self._in_plane(lambda: self._announce(worker, zone))
+        self._call_in_plane(lambda: self._announce(worker, zone))
         return slot
 
     async def _apply_event(self, event: ScriptedEvent) -> None:
@@ -154,26 +154,26 @@
                 self.record.frozen.append((loops.now, loops.now + event.duration_s))
             case "drain":
                 self.record.drains.append((loops.now, DRAIN_GRACE_S))
-                self._in_plane(
+                self._call_in_plane(
                     lambda: loops.plane.create_task(
                         drain(plane.listener, DRAIN_GRACE_S, plane.has_pending_requests, plane.expire_all)
                     )
                 )
             case "reread":
-                self._in_plane(lambda: plane.reload_settings(settings()))
+                self._call_in_plane(lambda: plane.reload_settings(settings()))
             case "move":
                 item = dict(self.state["routes"]["once"], line="two")
                 self.state = dict(self.state, routes=self.state["routes"] | {"once": item})
-                self._in_plane(self._apply_configuration)
+                self._call_in_plane(self._apply_configuration)
             case "revoke":
                 senders = {name: one for name, one in self.state["senders"].items() if name != "bob"}
                 self.state = dict(self.state, senders=senders)
-                self._in_plane(self._apply_configuration)
+                self._call_in_plane(self._apply_configuration)
             case "restart" | "hand-on":
                 await self._replace_worker(event)
 
     async def _replace_worker(self, event: ScriptedEvent) -> None:
-        """A worker dies and another life, of its own service or of another, has its address."""
+        """Stops a worker and starts a new incarnation at its address, of the same service or of the other."""
         slot = self.rng.choice(self.slots)
         old = slot.worker
         service = old.service if event.kind == "restart" else {"one": "two"}.get(old.service, "one")
@@ -181,15 +181,15 @@
         self.slots.remove(slot)
         try:
             await self._start_worker(service, slot.zone, old.port)
-        except OSError:  # another has taken the port meanwhile
+        except OSError:  # another process has taken the port
             return
         await asyncio.sleep(event.notify_delay_s)
-        self._in_plane(lambda: self._announce(old, slot.zone, WorkerState.GONE))
+        self._call_in_plane(lambda: self._announce(old, slot.zone, WorkerState.GONE))
 
     async def _run_clients(self) -> None:
         for service, zone in (("one", "a"), ("one", "b"), ("two", "a")):
             await self._start_worker(service, zone)
-        await asyncio.sleep(0.001)  # the data plane has heard of them
+        await asyncio.sleep(0.001)  # until the data plane has received the announcements
         assert self.plane is not None
         port = self.plane.listener.address[1]
         loop = self.loops.peers
@@ -213,7 +213,7 @@
         return [connection for client in self.clients for connection in client.connections]
 
     def run(self) -> list[str]:
-        """The rules that were broken."""
+        """Runs the conversation; returns the violated rules and crashes."""
         loops = self.loops
         try:
             loops.run(self._start_data_plane(), loops.plane, TIME_LIMIT_S)
@@ -226,5 +226,5 @@
 
 
 def draw_conversation(seed: int) -> Conversation:
-    """One conversation, drawn from its seed, ready to be played."""
+    """Returns the conversation drawn from this seed, ready to run."""
     return Conversation(draw_script(seed))
--- a/pepperrun/simulation/conversations/interruptions.py
+++ b/pepperrun/simulation/conversations/interruptions.py
@@ -1,4 +1,4 @@
-"""Conversations in which one side breaks off after each single byte of a request or an answer."""
+"""Conversations in which one side breaks off after each single byte of a request or a response."""
 
 from __future__ import annotations
 
@@ -16,16 +16,15 @@
 
 KEY = b"stamp-ann-1"
 INTERRUPT_KINDS = ("reset", "close")
-MAX_REQUEST_BYTES = 320  # bytes: more than the data plane sends a worker for the request below
-PIPELINED_REQUESTS = (
-    3  # requests behind one that is at work, each with a body of BEHIND bytes: more than is read ahead
-)
+MAX_REQUEST_BYTES = 320  # more than the data plane sends to a worker for the request below
+# Requests behind a running one; with these bodies they are more than the data plane reads ahead.
+PIPELINED_REQUESTS = 3
 PIPELINED_BODY_BYTES = 9000
-MAX_RESPONSE_BYTES = 240  # bytes: more than any answer below has
+MAX_RESPONSE_BYTES = 240  # more than any response below has
 
 
 def request(id: bytes, route: bytes, body: bytes = b"hello", chunked: bool = False) -> RequestSpec:
-    """A plain request."""
+    """Returns a well-formed POST request with this Attempt-Id and route prefix."""
     name = route.strip(b"/").decode()
     framing = b"Transfer-Encoding: chunked" if chunked else b"Content-Length: %d" % len(body)
     lines = b"Host: %b\r\nAttempt-Id: %b\r\nAuthorization: Token %b\r\n%b" % (HOST_NAME, id, KEY, framing)
@@ -35,12 +34,12 @@
 
 
 def _three_steps(route: bytes, chunked: bool = False) -> list[ClientStep]:
-    """One before, so that connections are kept ones, the one that breaks, and one after."""
+    """Returns three steps: one so that connections are reused ones, the interrupted one and one after it."""
     return [ClientStep(request(b"c%d" % number, route, chunked=chunked)) for number in range(3)]
 
 
 def client_interruptions(route: bytes) -> Iterator[Script]:
-    """The client breaks off."""
+    """Yields scripts whose client breaks off after each byte of its request."""
     for chunked in (False, True):
         length = len(_three_steps(route, chunked)[1].spec.raw)
         for at in range(length + 1):
@@ -51,13 +50,13 @@
 
 
 def request_interruptions(route: bytes) -> Iterator[Script]:
-    """The worker breaks off while it reads."""
+    """Yields scripts whose worker resets after each byte of the request it reads."""
     for at in range(MAX_REQUEST_BYTES):
         yield Script(1, [_three_steps(route)], replies=[ReplySpec(), ReplySpec(interrupt_request_at=at)])
 
 
 def response_interruptions(route: bytes) -> Iterator[Script]:
-    """The worker breaks off while it answers."""
+    """Yields scripts whose worker breaks off after each byte of its response."""
     for framing in ("length", "chunks", "end"):
         for at in range(MAX_RESPONSE_BYTES):
             for kind in INTERRUPT_KINDS:
@@ -66,7 +65,7 @@
 
 
 def client_disconnects(route: bytes) -> Iterator[Script]:
-    """The client leaves while its request is at work, alone or with others sent behind it."""
+    """Yields scripts whose client disconnects while its request runs, with or without pipelined requests."""
     for kind in (*INTERRUPT_KINDS, "half"):
         for reply in (
             ReplySpec(delay_s=3.0),
@@ -93,7 +92,7 @@
 
 
 def all_interruptions() -> Iterator[Script]:
-    """All of them."""
+    """Yields all these scripts, for the unsafe and the safe route."""
     for route in (b"/once/", b"/safe/"):
         yield from client_disconnects(route)
         yield from client_interruptions(route)
--- a/pepperrun/simulation/conversations/judge.py
+++ b/pepperrun/simulation/conversations/judge.py
@@ -1,4 +1,4 @@
-"""The judge: sees what clients sent and got, and what reached workers. Nothing else."""
+"""Checks a conversation against the rules, from what clients sent and received and workers received only."""
 
 from __future__ import annotations
 
@@ -9,27 +9,30 @@
 from pepperrun.simulation.conversations.scripts import KEYS, SMUGGLED
 from pepperrun.simulation.conversations.worker import ReceivedRequest
 
-NOT_RUN_STATUSES = (408, 421, 429, 503)
-GATEWAY_STATUSES = (400, 401, 404, 413, 431, 501, 502, 504, *NOT_RUN_STATUSES)
+NOT_RUN_STATUSES = (408, 421, 429, 503)  # promise that the request has not run and never will
+GATEWAY_STATUSES = (400, 401, 404, 413, 431, 501, 502, 504, *NOT_RUN_STATUSES)  # sent by the gateway itself
 PER_HOP = (b"connection", b"transfer-encoding", b"te", b"upgrade", b"keep-alive", b"expect")
 GATEWAY_FIELDS = (b"expect-worker", b"deadline-ms", b"attempt-id", b"host")
 LOST_SLACK_S = 1.0
-ABANDON_LIMIT_S = 0.5  # after its client has left nothing reaches a worker, nor is one still at work
+ABANDON_LIMIT_S = 0.5  # after the disconnect no worker may receive the request or still run it
 
 
 @dataclass
 class Record:
-    """What was seen of a conversation. `allowed`: services that some configuration gave a route."""
+    """What was observed of a conversation.
+
+    `allowed_services`: the services of each route in any configuration that was in force.
+    """
 
     connections: list[ClientConnection]
     received: list[ReceivedRequest]
     allowed_services: dict[str, set[str]]
-    drains: list[tuple[float, float]] = field(default_factory=list)  # when told, and the grace
-    frozen: list[tuple[float, float]] = field(default_factory=list)  # from and to
+    drains: list[tuple[float, float]] = field(default_factory=list)  # start and grace period
+    frozen: list[tuple[float, float]] = field(default_factory=list)  # start and end
 
 
 class Judge:
-    """Names the rules that a conversation broke."""
+    """Finds the rules that a conversation violated."""
 
     def __init__(self, record: Record) -> None:
         self.record = record
@@ -46,7 +49,7 @@
         self.run_counts = Counter(one.id for one in record.received if one.ran)
 
     def check(self) -> list[str]:
-        """The broken rules, each with what shows it."""
+        """Returns the violated rules, each with its evidence."""
         for received in self.record.received:
             self._check_received(received)
         for id, count in self.run_counts.items():
@@ -59,7 +62,7 @@
     def _report(self, rule: str, text: str) -> None:
         self.violations.append(f"{rule}: {text}")
 
-    # What reached workers.
+    # What workers received.
 
     def _check_received(self, received: ReceivedRequest) -> None:
         sent = self.sent_by_id.get(received.id)
@@ -71,13 +74,13 @@
         spec = sent.spec
         if spec.malformed:
             self._report(
-                "UNASKED", f"{received.id!r} can't be read, and reached {received.worker}: {spec.head!r}"
+                "UNASKED", f"{received.id!r} is malformed and reached {received.worker}: {spec.head!r}"
             )
         body_matches = received.body == spec.body or not received.ran
         if (received.method, received.target) != (spec.method, spec.target) or not body_matches:
             self._report("UNASKED", f"{received.id!r} was changed: {received.method!r} {received.target!r}")
         if received.ran and not sent.complete and not sent.abandoned:
-            self._report("UNASKED", f"{received.id!r} ran before it was sent whole")
+            self._report("UNASKED", f"{received.id!r} ran before it was sent completely")
         self._check_fields(received, sent)
         if received.ran and spec.idempotent and (disconnected_at := self.disconnected_at.get(received.id)):
             self._check_abandoned(received, disconnected_at)
@@ -102,7 +105,10 @@
                 self._report("UNASKED", f"{received.id!r} has {len(received.values(name))} of {name!r}")
 
     def _check_abandoned(self, received: ReceivedRequest, disconnected_at: float) -> None:
-        """Work that goes on without its client; what may not be repeated has to."""
+        """Reports work on an idempotent request after its client disconnected.
+
+        Other requests must run to the end.
+        """
         until = disconnected_at + ABANDON_LIMIT_S
         if any(start <= until and disconnected_at <= end for start, end in self.record.frozen):
             return
@@ -119,17 +125,17 @@
                 f"{received.worker} was at work on {received.id!r} {after} after its client disconnected",
             )
 
-    # What clients got.
+    # What clients received.
 
     def _check_connection(self, connection: ClientConnection) -> None:
         responses, leftover = connection.responses()
         if leftover:
-            self._report("MIXED", f"bytes that are no answer: {leftover[:80]!r}")
+            self._report("MIXED", f"bytes that form no response: {leftover[:80]!r}")
         finals = [one for one in responses if not one.interim]
         if len(responses) - len(finals) > sum(one.spec.expects_continue for one in connection.sent_requests):
-            self._report("MIXED", "an interim answer that nobody waits for")
+            self._report("MIXED", "an interim response that no client expects")
         if len(finals) > len(connection.sent_requests):
-            self._report("MIXED", f"{len(finals)} answers to {len(connection.sent_requests)} requests")
+            self._report("MIXED", f"{len(finals)} responses to {len(connection.sent_requests)} requests")
         for number, sent in enumerate(connection.sent_requests):
             response = finals[number] if number < len(finals) else None
             if response is not None and response.status < 0:
@@ -153,26 +159,27 @@
                 received.id == id and received.status == response.status for received in self.record.received
             ):
                 self._report(
-                    "MIXED", f"{id!r} got {response.status}, which is no answer of the gatekeeper's own"
+                    "MIXED",
+                    f"{id!r} got {response.status}, which neither a worker sent nor the gateway sends",
                 )
             return
         expected_reply = self.by_postmark.get(postmark)
         if expected_reply is None or expected_reply.id != id:
             self._report(
-                "MIXED", f"{id!r} got an answer of {expected_reply.id if expected_reply else postmark!r}"
+                "MIXED", f"{id!r} got the response to {expected_reply.id if expected_reply else postmark!r}"
             )
         elif response.status != expected_reply.status:
             self._report("MIXED", f"{id!r} got {response.status}, its worker gave {expected_reply.status}")
         elif spec.method != b"HEAD" and response.body != expected_reply.response_body:
             self._report(
                 "MIXED",
-                f"{id!r} got another body: {len(response.body)} of {len(expected_reply.response_body)}",
+                f"{id!r} got a different body: {len(response.body)} of {len(expected_reply.response_body)}",
             )
         elif 200 <= response.status < 300 and not expected_reply.valid:
-            self._report("MIXED", f"{id!r} got {response.status} of a spoilt answer")
+            self._report("MIXED", f"{id!r} got {response.status} of an invalid response")
 
     def _check_truncated(self, sent: SentRequest, response: ClientResponse) -> None:
-        """An answer that ended early: so much of it must be the right one's."""
+        """Checks that a truncated response is a prefix of the right one."""
         postmark = response.value(b"postmark")
         if postmark is None or not response.body:
             return
@@ -182,10 +189,13 @@
             or expected_reply.id != sent.spec.id
             or not expected_reply.response_body.startswith(response.body)
         ):
-            self._report("MIXED", f"{sent.spec.id!r} got the beginning of another answer")
+            self._report("MIXED", f"{sent.spec.id!r} got the beginning of another response")
 
     def _check_lost(self, connection: ClientConnection, sent: SentRequest) -> None:
-        """It reached a worker, which answered it as it should: its client must have a whole answer."""
+        """Reports a request that workers answered validly, but whose client got no complete response.
+
+        Exempt are responses in the second half of a drain's grace, near a freeze or after the deadline.
+        """
         if sent.abandoned or any(one.abandoned for one in connection.sent_requests) or not sent.complete:
             return
         attempts = [one for one in self.record.received if one.id == sent.spec.id]
@@ -198,4 +208,7 @@
         if any(start <= last + LOST_SLACK_S and sent.sent_at <= end for start, end in self.record.frozen):
             return
         if last <= sent.sent_at + sent.spec.deadline_ms / 1000:
-            self._report("LOST", f"{sent.spec.id!r} was answered by its worker, and its client got no answer")
+            self._report(
+                "LOST",
+                f"{sent.spec.id!r} was answered by its worker, but its client got no complete response",
+            )
--- a/pepperrun/simulation/conversations/scripts.py
+++ b/pepperrun/simulation/conversations/scripts.py
@@ -1,4 +1,4 @@
-"""What is drawn: requests with their bytes, how clients send them, how workers answer, what else happens."""
+"""Scripts of conversations, drawn from a seed: requests, how they are sent, worker replies, other events."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 SMUGGLED = b"smuggled"
 ROUTES = {b"/safe/": "safe", b"/once/": "once", b"/open/": "open", b"/split/": "split", b"/none/": "none"}
 UNSAFE_ROUTES = ("once", "split")
-LONG_BODY_BYTES = 70_000  # bytes: more than is held of a body
+LONG_BODY_BYTES = 70_000  # more than is buffered of a body
 
 Headers = list[tuple[bytes, bytes]]
 
 
 @dataclass
 class RequestSpec:
-    """A request as its client means it, and the bytes it sends for it."""
+    """A request as its client intends it, and the bytes sent for it."""
 
     id: bytes
     method: bytes
@@ -27,40 +27,40 @@
     key: bytes | None
     body: bytes
     head: bytes
-    framed_body: bytes  # with its framing
-    malformed: bool = False  # can be read in two ways, or not at all: no worker may run it
+    framed_body: bytes  # the body with its framing
+    malformed: bool = False  # ambiguous or unparsable: no worker may run it
     deadline_ms: int = 2000
     expects_continue: bool = False
 
     @property
     def raw(self) -> bytes:
-        """All its bytes."""
+        """Returns all bytes of the request."""
         return self.head + self.framed_body
 
     @property
     def idempotent(self) -> bool:
-        """May it run more than once?"""
+        """Whether the request may run more than once."""
         return self.route not in UNSAFE_ROUTES
 
 
 @dataclass
 class ClientStep:
-    """One request of a client's script. `break_at`: bytes after which it goes wrong."""
+    """One request of a client's script. `interrupt_at`: bytes after which the client breaks off."""
 
     spec: RequestSpec
     pause_s: float = 0.0
     pipelined: bool = False
-    new_connection: bool = False  # on a new connection
+    new_connection: bool = False
     split_offsets: tuple[int, ...] = ()
     split_pause_s: float = 0.0
     interrupt_at: int | None = None
     interrupt_kind: str = "reset"
-    interrupt_delay_s: float = 0.0  # between its last byte and the break
+    interrupt_delay_s: float = 0.0  # between the last byte sent and the break
 
 
 @dataclass
 class ReplySpec:
-    """What a worker does with one request."""
+    """How a worker treats one request."""
 
     kind: str = "answer"  # answer | not-run | silence
     status: int = 200
@@ -71,35 +71,36 @@
     postmark: bool = True
     split_offsets: tuple[int, ...] = ()
     delay_s: float = 0.0
-    interrupt_at: int | None = None  # bytes of the answer after which the connection breaks
+    interrupt_at: int | None = None  # bytes of the response after which the worker breaks off
     interrupt_kind: str = "reset"
-    interrupt_request_at: int | None = None  # bytes of the request after which it breaks: nothing is run
-    resend_previous: bool = False  # the answer before is sent again in the place of this one
+    # Bytes of the request after which the worker resets the connection; nothing runs.
+    interrupt_request_at: int | None = None
+    resend_previous: bool = False  # sends the previous response again, right before this one
     surplus: bytes = b""
     surplus_delay_s: float = 0.0
     close: bool = False
     idle_close_s: float = -1.0
-    early: bool = False  # answers before the body is whole
+    early: bool = False  # answers before the body is complete
 
 
 @dataclass
 class ScriptedEvent:
-    """Something beside clients and workers."""
+    """A change around the conversation, such as a frozen process, a drain or a replaced worker."""
 
     at_s: float
     kind: str  # freeze | drain | reread | move | revoke | restart | hand-on
     duration_s: float = 0.0
-    notify_delay_s: float = 0.0  # how much later the data plane hears of it
+    notify_delay_s: float = 0.0  # delay until the data plane is notified
 
 
 @dataclass
 class Script:
-    """A conversation."""
+    """The script of a conversation."""
 
     seed: int
     clients: list[list[ClientStep]]
     events: list[ScriptedEvent] = field(default_factory=list)
-    replies: list[ReplySpec] | None = None  # in order, and then as a worker should; None: drawn
+    replies: list[ReplySpec] | None = None  # in order, then default replies; None: drawn
 
 
 def _chunked(rng: random.Random, body: bytes) -> bytes:
@@ -113,13 +114,13 @@
 
 
 def _smuggled_request(number: int) -> bytes:
-    """A request that stands inside another's body."""
+    """Returns a request to embed in another request's body."""
     lines = b"GET /once/in HTTP/1.1\r\nHost: %b\r\nAttempt-Id: %b-%d\r\n" % (HOST_NAME, SMUGGLED, number)
     return lines + b"Authorization: Token stamp-ann-1\r\n\r\n"
 
 
 def _unusual_fields(rng: random.Random) -> Headers:
-    """Fields that are well formed, and that a worker must not see, or must see as they are."""
+    """Draws well-formed fields that a worker must not receive, or must receive unchanged."""
     return rng.choice(
         (
             [(b"Sender", b"eve")],
@@ -139,7 +140,7 @@
 
 
 def _malform(rng: random.Random, spec: RequestSpec, number: int) -> None:
-    """Makes it one that can't be read, or that could be read in two ways, with another inside."""
+    """Makes the request unparsable or ambiguous, with a smuggled request behind it."""
     smuggled = _smuggled_request(number)
     start, _, rest = spec.head.partition(b"\r\n")
     bare = rest.replace(b"Content-Length: %d\r\n" % len(spec.body), b"").replace(
@@ -166,7 +167,7 @@
         b"Transfer-Encoding: chunked\r\n\r\n5\r\nhelloworld\r\n0\r\n\r\n",
     )
     spec.malformed, spec.body = True, b""
-    if rng.random() < 0.15:  # it can be read, and says too much: what follows would be a request of its own
+    if rng.random() < 0.15:  # parsable but contradictory: bytes behind it would be a separate request
         duplicate = rng.choice((b"Attempt-Id: second\r\n\r\n", b"Deadline-Ms: soon\r\n\r\n"))
         spec.head, spec.framed_body = start + b"\r\n" + fields + duplicate, b""
     else:
@@ -174,7 +175,7 @@
 
 
 def draw_request(rng: random.Random, conversation: int, number: int) -> RequestSpec:
-    """One request."""
+    """Draws a request with its fields, body and framing."""
     id = b"i%d-%d" % (conversation, number)
     method = rng.choice((b"GET", b"GET", b"POST", b"PUT", b"HEAD", b"DELETE"))
     prefix = rng.choices(list(ROUTES), (5, 8, 2, 2, 1))[0]
@@ -217,12 +218,12 @@
 def _draw_split_offsets(rng: random.Random, length: int) -> tuple[int, ...]:
     if length < 2 or rng.random() < 0.7:
         return ()
-    near = min(length - 1, 600)  # heads are where splits matter most
+    near = min(length - 1, 600)  # splits matter most inside the head
     return tuple(sorted({rng.randint(1, near if rng.random() < 0.8 else length - 1) for _ in range(3)}))
 
 
 def draw_step(rng: random.Random, conversation: int, number: int) -> ClientStep:
-    """A request and how it is sent."""
+    """Draws a request and how its client sends it."""
     step = ClientStep(draw_request(rng, conversation, number))
     length = len(step.spec.raw)
     step.pause_s = rng.choice((0.0, 0.0, 0.0, 0.002, 0.3, 1.1, 3.9, 4.0, 4.8, 5.0))
@@ -232,7 +233,7 @@
     step.split_pause_s = rng.choice((0.0, 0.001, 0.05, 0.9))
     if rng.random() < 0.12:
         step.interrupt_at = rng.randint(0, length if rng.random() < 0.3 else min(length, 500))
-        if step.spec.method == b"HEAD":  # who has not said so gets an answer with a body
+        if step.spec.method == b"HEAD":  # before the method is complete, the response may have a body
             step.interrupt_at = max(step.interrupt_at, len(b"HEAD "))
         step.interrupt_kind = rng.choice(("reset", "close", "half", "silence"))
     return step
@@ -252,7 +253,7 @@
 
 
 def draw_reply(rng: random.Random) -> ReplySpec:
-    """What a worker does; mostly, but for one thing or two, as it should."""
+    """Draws a worker's reply, with at most two faults."""
     reply = ReplySpec(size=rng.choice((0, 1, 10, 10, 2000, 9000, LONG_BODY_BYTES, 300_000)))
     reply.framing = rng.choice(("length", "length", "chunks"))
     reply.delay_s = rng.choice((0.0, 0.0, 0.0, 0.01, 0.3, 1.0))
@@ -261,7 +262,7 @@
     for _ in range(rng.choice((0, 0, 1, 1, 1, 2))):
         _add_fault(rng, reply)
     if reply.framing in ("longer", "bad-chunks"):
-        reply.surplus = b""  # it would be the rest of the body
+        reply.surplus = b""  # surplus bytes would be read as the rest of the body
     return reply
 
 
@@ -302,14 +303,14 @@
 
 
 def draw_event(rng: random.Random) -> ScriptedEvent:
-    """Something beside clients and workers."""
+    """Draws an event."""
     kinds = ("freeze", "drain", "reread", "move", "revoke", "restart", "restart", "hand-on", "hand-on")
     at_s, kind = rng.choice((0.0, 0.005, 0.3, 1.0, 4.0)), rng.choice(kinds)
     return ScriptedEvent(at_s, kind, rng.choice((0.5, 2.0, 6.0, 20.0)), rng.choice((0.0, 0.2, 3.0)))
 
 
 def draw_script(seed: int) -> Script:
-    """A conversation."""
+    """Draws the script of a conversation from its seed."""
     rng = random.Random(seed)
     number, clients = 0, []
     for _ in range(rng.choice((1, 1, 2, 3))):
--- a/pepperrun/simulation/conversations/worker.py
+++ b/pepperrun/simulation/conversations/worker.py
@@ -1,4 +1,4 @@
-"""A scripted worker: reads requests by itself and answers each as drawn; keeps what it saw."""
+"""A scripted HTTP worker with its own parser, which replies as drawn and records what it received."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
 from pepperrun.simulation.conversations.scripts import Headers, ReplySpec
 
 _NO_LINGER = struct.pack("ii", 1, 0)
-READ_WINDOW_S = 0.5  # a data plane that runs has read an answer by then
-SPLIT_PAUSE_S = 0.002  # between the pieces of an answer
+READ_WINDOW_S = 0.5  # within this time a running data plane has read a response
+SPLIT_PAUSE_S = 0.002  # between the parts of a split response
 
 
 def loopback_address() -> str:
-    """A loopback address that only this process uses: ports that it has given up go to nobody else."""
+    """Returns a loopback address of this process only, so that no other process gets its released ports."""
     pid = os.getpid()
     return f"127.{1 + pid // 62500 % 250}.{1 + pid // 250 % 250}.{1 + pid % 250}"
 
 
 def reset(transport: asyncio.Transport) -> None:
-    """Ends a connection with a reset."""
+    """Aborts a connection with a TCP reset."""
     sock = transport.get_extra_info("socket")
     if sock is not None:
         with contextlib.suppress(OSError):
@@ -36,7 +36,7 @@
 
 @dataclass
 class ReceivedRequest:
-    """A request that reached a worker whole, and what was meant as its answer."""
+    """A request that a worker received, and the response that the worker intended."""
 
     received_at: float
     worker: str
@@ -51,18 +51,18 @@
     status: int = 0
     postmark: bytes = b""
     response_body: bytes = b""
-    valid: bool = False  # it may be given to the client as a success
-    completed_at: float = 0.0  # when the whole answer, and nothing wrong, had been written
-    aborted: bool = False  # the worker itself broke off
-    ended_at: float = 0.0  # when its work ended: the last byte was written, or the connection was lost
+    valid: bool = False  # may be forwarded to the client as a success
+    completed_at: float = 0.0  # time at which the complete response had been written without fault
+    aborted: bool = False  # the worker itself broke off its response
+    ended_at: float = 0.0  # end of the run: last byte written or connection lost
 
     def values(self, name: bytes) -> list[bytes]:
-        """All values of a field."""
+        """Returns all values of a field."""
         return [value for key, value in self.fields if key.lower() == name]
 
 
 class ScriptedWorker:
-    """One life of a worker at an address."""
+    """One incarnation of a worker at an address."""
 
     def __init__(
         self,
@@ -78,7 +78,7 @@
         self.port = 0
 
     async def start(self, port: int = 0) -> ScriptedWorker:
-        """Listens."""
+        """Starts to listen, on any free port by default."""
         self.server = await self.loop.create_server(
             lambda: WorkerConnection(self), loopback_address(), port, reuse_address=True
         )
@@ -86,7 +86,7 @@
         return self
 
     def stop(self) -> None:
-        """Dies."""
+        """Stops listening and resets all connections, as a crash does."""
         if self.server is not None:
             self.server.close()
         for connection in list(self.connections):
@@ -94,7 +94,8 @@
                 reset(connection.transport)
         for received in self.log:
             if received.worker == self.id and received.completed_at >= self.loop.time() - READ_WINDOW_S:
-                received.aborted, received.completed_at = True, 0.0  # the reset may have overtaken it
+                # The reset may have overtaken the response.
+                received.aborted, received.completed_at = True, 0.0
 
 
 _FIELDS = re.compile(rb"([^:\r\n]+):[ \t]*([^\r\n]*?)[ \t]*(?:\r\n|\Z)")
@@ -107,15 +108,13 @@
         self.worker = worker
         self.transport: asyncio.Transport | None = None
         self.buffer = bytearray()
-        self.reply: ReplySpec | None = None  # what is drawn for the request that has begun to come
-        self.request_bytes = 0  # bytes of it
+        self.reply: ReplySpec | None = None  # drawn for the request that is being received
+        self.request_bytes = 0  # received of the current request
         self.busy = False
-        self.mid_response = False  # a part of an answer is out
-        self.ignores_input = (
-            False  # it has answered before the request was whole: what still comes is the rest of it
-        )
+        self.mid_response = False  # part of a response has been written
+        self.ignores_input = False  # after an early response: what follows is the rest of its request
         self.current: ReceivedRequest | None = None
-        self.previous_response = b""  # the answer before, as it was written
+        self.previous_response = b""  # as written, for `resend_previous`
         self.timers: list[asyncio.TimerHandle] = []
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -184,7 +183,7 @@
             self.current.ended_at, self.current = self.worker.loop.time(), None
 
     def _encode(self, reply: ReplySpec, received: ReceivedRequest) -> bytes:
-        """The answer as it goes out."""
+        """Returns the bytes of the response, and records the intended response in `received`."""
         rejected = reply.kind == "not-run"
         filler = (b"%b|%b|" % (received.postmark, received.id) + b"w" * reply.size)[: reply.size]
         received.response_body = b"" if rejected or reply.status in (204, 304) else filler
@@ -211,7 +210,7 @@
             fields.append((b"Content-Length", b"%d" % (len(body) + 9)))
         elif framing == "shorter":
             fields.append((b"Content-Length", b"%d" % (len(body) - 1)))
-            received.response_body = body[:-1]  # the byte behind it belongs to no answer
+            received.response_body = body[:-1]  # the byte behind it belongs to no response
         elif framing != "end":
             fields.append((b"Transfer-Encoding", b"chunked"))
         if framing in ("chunks", "bad-chunks"):
@@ -227,7 +226,7 @@
         return b"HTTP/1.1 %d Said\r\n%b\r\n%b" % (reply.status, lines, body)
 
     def _write(self, reply: ReplySpec, received: ReceivedRequest, data: bytes, at: int) -> None:
-        """The next piece, and what follows the last one."""
+        """Writes the next part of the response; after the last part, finishes the request."""
         transport = self.transport
         if transport is None or transport.is_closing():
             received.aborted = received.aborted or not transport
@@ -260,7 +259,7 @@
         if not received.aborted and not reply.early:
             received.completed_at = loop.time()
         self.previous_response = data
-        self.mid_response = reply.framing in ("longer", "bad-chunks")  # it is never whole
+        self.mid_response = reply.framing in ("longer", "bad-chunks")  # such a response is never complete
         if reply.surplus and not reply.surplus_delay_s:
             self._write_surplus(reply.surplus)
         elif reply.surplus:
@@ -273,13 +272,16 @@
         self._read()
 
     def _write_surplus(self, surplus: bytes) -> None:
-        """Bytes that belong to no request; not inside an answer, where they would be a part of it."""
+        """Writes bytes that belong to no request, but never inside a partly written response."""
         if self.transport is not None and not self.mid_response:
             self.transport.write(surplus)
 
 
 def pop_request(buffer: bytearray, early: bool) -> tuple[bytes, bytes, bool] | None:
-    """Takes a whole request off: head, body, True. With `early`, as soon as its head is there: False."""
+    """Removes a complete request from the buffer; returns its head, its body and True.
+
+    With `early`, a request with a complete head only is removed too; its body is then empty, with False.
+    """
     at = buffer.find(b"\r\n\r\n")
     if at < 0:
         return None
@@ -317,5 +319,5 @@
 
 
 def drawing(rng: random.Random, draw: Callable[[random.Random], ReplySpec]) -> Callable[[], ReplySpec]:
-    """Draws replies one after another."""
+    """Returns a function that draws one reply after another."""
     return lambda: draw(rng)
--- a/tests/test_conversations.py
+++ b/tests/test_conversations.py
@@ -1,4 +1,4 @@
-"""No answer reaches another caller, nothing unrepeatable runs twice: drawn and exhaustive conversations."""
+"""No response reaches another client, no unsafe request runs twice: drawn and exhaustive conversations."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 DRAWN = 240  # conversations
 RANDOMS = st.integers(0, 2**32).map(random.Random)
-# The first drawn conversation in which each bug shows.
+# Seed of the first drawn conversation that shows each bug.
 FOUND_AT = {
     "ids-not-compared": 9,
     "reused-after-surplus": 17,
@@ -48,18 +48,19 @@
     "per-hop-takes-all": 4,
     "late-counts-as-refused": 1,
 }
-# Drawn clients hardly ever leave after the last byte of a request; in how many of `leaves` each bug shows.
-FOUND_IN_LEAVES = {"runs-outlive-clients": 36, "closes-unheard": 12}
+# Drawn clients hardly ever disconnect after the last byte of a request, so these bugs show only in
+# `client_disconnects`: the number of its scripts in which each shows.
+FOUND_IN_CLIENT_DISCONNECTS = {"runs-outlive-clients": 36, "closes-unheard": 12}
 
 
 @pytest.mark.parametrize("first", range(1, DRAWN, 40))
-def test_drawn_conversations_break_no_rule(first):
+def test_drawn_conversations_violate_no_rule(first):
     for seed in range(first, first + 40):
         assert draw_conversation(seed).run() == [], f"seed {seed}"
 
 
-class Conversing(RuleBasedStateMachine):
-    """Requests, workers' doings and what else happens, step by step; played and judged at the end."""
+class ConversationMachine(RuleBasedStateMachine):
+    """Adds requests, replies and events step by step; the conversation is run and checked at the end."""
 
     def __init__(self):
         super().__init__()
@@ -67,16 +68,16 @@
         self.number = 0
 
     @rule(client=st.integers(0, 2), rng=RANDOMS)
-    def ask(self, client, rng):
+    def add_request(self, client, rng):
         self.script.clients[client].append(draw_step(rng, 1, self.number))
         self.number += 1
 
     @rule(rng=RANDOMS)
-    def work(self, rng):
+    def add_reply(self, rng):
         self.script.replies.append(draw_reply(rng))
 
     @rule(rng=RANDOMS)
-    def happen(self, rng):
+    def add_event(self, rng):
         if len(self.script.events) < 3:
             self.script.events.append(draw_event(rng))
 
@@ -85,13 +86,13 @@
             assert Conversation(self.script).run() == []
 
 
-def test_conversations_made_step_by_step_break_no_rule():
+def test_conversations_built_step_by_step_violate_no_rule():
     bounds = settings(max_examples=120, stateful_step_count=16, deadline=None, derandomize=True)
-    run_state_machine_as_test(Conversing, settings=bounds)
+    run_state_machine_as_test(ConversationMachine, settings=bounds)
 
 
-@pytest.mark.parametrize("bug", sorted(set(BUGS) - set(FOUND_IN_LEAVES)))
-def test_the_judge_finds_each_bug(bug):
+@pytest.mark.parametrize("bug", sorted(set(BUGS) - set(FOUND_IN_CLIENT_DISCONNECTS)))
+def test_judge_finds_each_bug(bug):
     with injected_bug(bug):
         assert draw_conversation(FOUND_AT[bug]).run()
     assert draw_conversation(FOUND_AT[bug]).run() == []
@@ -100,36 +101,36 @@
 @pytest.mark.parametrize(
     "interruptions", [client_interruptions, request_interruptions, response_interruptions]
 )
-def test_a_break_after_each_byte_breaks_no_rule(interruptions):
-    """Every third on an unsafe route here; `--cuts` plays them all, on both kinds of route."""
+def test_an_interruption_after_each_byte_violates_no_rule(interruptions):
+    """Runs every third script on an unsafe route; `--cuts` runs them all, on both kinds of route."""
     for script in islice(interruptions(b"/once/"), 0, None, 3):
         assert Conversation(script).run() == []
 
 
 @pytest.mark.parametrize("route", [b"/once/", b"/safe/"])
-def test_clients_who_leave_while_their_requests_are_at_work_break_no_rule(route):
+def test_clients_that_disconnect_while_their_requests_run_violate_no_rule(route):
     for number, script in enumerate(client_disconnects(route)):
         assert Conversation(script).run() == [], f"script {number}"
 
 
-@pytest.mark.parametrize("bug", sorted(FOUND_IN_LEAVES))
-def test_the_judge_finds_each_bug_that_shows_when_clients_leave(bug):
+@pytest.mark.parametrize("bug", sorted(FOUND_IN_CLIENT_DISCONNECTS))
+def test_judge_finds_each_bug_that_shows_when_clients_disconnect(bug):
     with injected_bug(bug):
         found = [Conversation(script).run() for script in client_disconnects(b"/safe/")]
-    assert sum(any("GONE" in text for text in broken) for broken in found) == FOUND_IN_LEAVES[bug]
+    assert sum(any("GONE" in text for text in broken) for broken in found) == FOUND_IN_CLIENT_DISCONNECTS[bug]
 
 
-def test_the_judge_reads_answers_strictly():
-    whole = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"
-    assert parse_responses(whole * 2 + b"x", [b"GET", b"GET"], False)[1] == b"x"
-    for cut in range(1, len(whole)):
-        (got,), left = parse_responses(whole[:cut], [b"GET"], True)
-        assert not got.complete and not left
-    assert parse_responses(whole, [b"HEAD"], False)[1] == b"hi"
+def test_parse_responses_is_strict():
+    complete = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"
+    assert parse_responses(complete * 2 + b"x", [b"GET", b"GET"], False)[1] == b"x"
+    for cut in range(1, len(complete)):
+        (response,), leftover = parse_responses(complete[:cut], [b"GET"], True)
+        assert not response.complete and not leftover
+    assert parse_responses(complete, [b"HEAD"], False)[1] == b"hi"
 
 
-def test_the_gatekeeper_frozen_in_the_middle_runs_nothing_twice():
-    """It wakes long after the clients' time is up, and after the worker has fallen silent."""
+def test_a_frozen_gateway_runs_nothing_twice():
+    """The gateway resumes long after the clients' deadlines, and after a worker stopped answering."""
     for at_s in (0.0, 0.0015, 0.005, 0.3):
         steps = [ClientStep(request(b"c%d" % number, b"/once/"), pipelined=True) for number in range(3)]
         replies = [ReplySpec(delay_s=0.3), ReplySpec(kind="silence"), ReplySpec()]
@@ -137,23 +138,24 @@
         assert conversation.run() == []
 
 
-# What was found with them, each by itself.
+# Regression tests of faults that the drawn conversations found.
 
 
-def test_a_request_sent_ahead_of_a_long_answers_end_is_not_answered_inside_it():
+def test_a_pipelined_request_is_not_answered_inside_a_long_response():
     async def test():
         cluster = Cluster(route("r", "/p/"))
-        begun = b"HTTP/1.1 200 OK\r\nAttempt-Id: i1\r\nPostmark: p\r\nContent-Length: 200000\r\n\r\n"
+        head = b"HTTP/1.1 200 OK\r\nAttempt-Id: i1\r\nPostmark: p\r\nContent-Length: 200000\r\n\r\n"
 
-        async def long(server, reader, writer):
-            writer.write(begun + b"x" * 100_000)
+        async def long_response(server, reader, writer):
+            writer.write(head + b"x" * 100_000)
             await wait_then(b"y" * 100_000)(server, reader, writer)
 
-        worker = await StandIn(long, ok(b"second", b"i2")).start()
+        worker = await StandIn(long_response, ok(b"second", b"i2")).start()
         cluster.add_worker("w1", worker.port)
         client = await cluster.ask()
         await client.reader.readuntil(b"\r\n\r\n")
-        await cluster.ask("/none", client=client, Attempt_Id="i2")  # would be answered at once
+        # Needs no worker, so the gateway could answer at once.
+        await cluster.ask("/none", client=client, Attempt_Id="i2")
         await cluster.ask(client=client, Attempt_Id="i3")
         assert await client.reader.readexactly(100_000) == b"x" * 100_000
         worker.go.set()
@@ -163,19 +165,20 @@
     going(test)
 
 
-def test_a_refusal_without_an_id_counts_only_as_a_connections_first_answer():
+def test_a_rejection_without_an_id_is_accepted_only_as_first_response_of_a_connection():
     async def test():
         cluster = Cluster(route("r", "/p/", route_kind="unsafe"))
         cluster.plane.gatekeeper.gateway.retry_budget.level = 1.0
-        # Its own answer to the second comes late; what stands in its place belongs to nothing.
-        stray = wait_then(b"")
-        no = answer(503, b"", b"Not-Run: 1")
+        # The worker's own response to the second request is late; the rejection in its place
+        # belongs to no request.
+        late_response = wait_then(b"")
+        rejection = answer(503, b"", b"Not-Run: 1")
 
-        async def second(server, reader, writer):
-            writer.write(no)
-            await stray(server, reader, writer)
+        async def reject_late(server, reader, writer):
+            writer.write(rejection)
+            await late_response(server, reader, writer)
 
-        worker, other = await StandIn(ok(), second).start(), await StandIn(ok(b"twice", b"i2")).start()
+        worker, other = await StandIn(ok(), reject_late).start(), await StandIn(ok(b"twice", b"i2")).start()
         cluster.add_worker("w1", worker.port)
         assert (await (await cluster.ask()).answer())[0] == 200
         cluster.add_worker("w2", other.port, zone="b")
@@ -185,15 +188,15 @@
     going(test)
 
 
-def test_a_refused_request_does_not_go_to_its_worker_again_on_the_same_connection():
-    """There the late second refusal of the first try would be read as the answer to the second."""
+def test_a_rejected_request_is_not_retried_on_the_same_connection():
+    """There a late duplicate of the first rejection would be read as the response to the retry."""
 
     async def test():
         cluster = Cluster(route("r", "/p/", route_kind="unsafe"))
-        further = cluster.plane.gatekeeper.gateway.retry_budget
-        further.depth = further.level = 10.0
-        no = answer(503, b"", b"Not-Run: 1", b"Attempt-Id: i1")
-        workers = [await StandIn(no, no + ok()).start() for _ in range(2)]
+        retry_budget = cluster.plane.gatekeeper.gateway.retry_budget
+        retry_budget.depth = retry_budget.level = 10.0
+        rejection = answer(503, b"", b"Not-Run: 1", b"Attempt-Id: i1")
+        workers = [await StandIn(rejection, rejection + ok()).start() for _ in range(2)]
         for number, worker in enumerate(workers):
             cluster.add_worker(f"w{number}", worker.port)
         await (await cluster.ask()).answer()
@@ -203,11 +206,11 @@
     going(test)
 
 
-def test_connection_does_not_take_what_goes_from_end_to_end():
+def test_connection_header_does_not_remove_end_to_end_fields():
     async def test():
         cluster = Cluster(route("r", "/p/"))
-        named = b"Connection: Postmark, attempt-id, x-own"
-        worker = await StandIn(ok(b"fine", b"i1", named, b"X-Own: 1")).start()
+        connection_field = b"Connection: Postmark, attempt-id, x-own"
+        worker = await StandIn(ok(b"fine", b"i1", connection_field, b"X-Own: 1")).start()
         cluster.add_worker("w1", worker.port)
         client = await cluster.ask(Connection="Host, Attempt-Id, x-own", X_Own="1")
         status, fields, _ = await client.answer()
@@ -218,18 +221,20 @@
     going(test)
 
 
-@pytest.mark.parametrize("told", ["Token k1\r\nAuthorization: Token k1", "Basic x, token k1", "Token gone 2"])
-def test_a_key_among_others_is_not_shown_to_a_worker(told):
+@pytest.mark.parametrize(
+    "authorization", ["Token k1\r\nAuthorization: Token k1", "Basic x, token k1", "Token gone 2"]
+)
+def test_a_key_among_other_credentials_does_not_reach_a_worker(authorization):
     async def test():
         cluster, worker = Cluster(route("r", "/p/", unstamped=True)), await StandIn(ok()).start()
         cluster.add_worker("w1", worker.port)
-        assert (await (await cluster.ask(key=None, Authorization=told)).answer())[0] == 200
+        assert (await (await cluster.ask(key=None, Authorization=authorization)).answer())[0] == 200
         assert b"uthorization" not in worker.heads[0]
 
     going(test)
 
 
-def test_an_answer_to_head_has_no_body_also_where_the_request_can_not_be_read():
+def test_a_response_to_head_has_no_body_even_for_a_malformed_request():
     async def test():
         cluster = Cluster(route("r", "/p/"))
         for bad in (b"Content-Length: x", b"Transfer-Encoding: y", b"Bad Name: 1"):
@@ -241,8 +246,8 @@
     going(test)
 
 
-def test_what_is_sent_behind_the_last_request_does_not_cost_its_answer():
-    """A close on bytes that are unread is a reset, which may overtake the answer's end."""
+def test_bytes_behind_the_last_request_do_not_lose_its_response():
+    """Closing a socket with unread bytes sends a reset, which may overtake the end of the response."""
 
     async def test():
         cluster = Cluster(route("r", "/p/"))
