--- a/pepperrun/soak/__init__.py
+++ b/pepperrun/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Soak runs: the real programs on loopback under planned work in overlapping series, each request judged."""
+"""Soak runs: the real programs on loopback under overlapping planned work; each request is checked."""
--- a/pepperrun/soak/clients.py
+++ b/pepperrun/soak/clients.py
@@ -1,4 +1,4 @@
-"""Clients of a soak run: they ask the directory, keep connections until these end, record each request."""
+"""Clients of a soak run, which resolve gateways, keep connections until they end and record each request."""
 
 from __future__ import annotations
 
@@ -21,15 +21,13 @@
 
 CONNECT_TIMEOUT_S = 1.0
 RESOLVE_TIMEOUT_S = 1.0
-DEADLINE_MARGIN_S = (
-    1.0  # past a request's deadline a client waits so much longer, then it counts as unanswered
-)
-PAUSE_S = 0.05  # after a failure
+DEADLINE_MARGIN_S = 1.0  # waited past a request's deadline before it counts as unanswered
+PAUSE_S = 0.05  # after a failed connect; mean between two requests
 
 
 @dataclass(frozen=True)
 class Route:
-    """A route that clients use."""
+    """A route that clients request. `share`: its weight in the draw of routes."""
 
     host: str
     prefix: str
@@ -40,17 +38,17 @@
 
 @dataclass(frozen=True)
 class Target:
-    """Where clients begin: the directory's addresses, the routes, the key of their tenant."""
+    """What clients need to know: the directory's addresses, the routes, their tenant's key."""
 
     directory: list[Address]
     region: str
     routes: tuple[Route, ...]
     key: str
-    disconnect_share: float = 0.0  # of requests whose clients leave before the answer
+    disconnect_share: float = 0.0  # of requests whose clients disconnect before the response
 
 
 class Client:
-    """One client: a request after the other, on one connection for as long as that lasts."""
+    """A client that sends one request after another, on one connection for as long as it lasts."""
 
     def __init__(self, name: str, target: Target, rng: random.Random, sent: list[SentRequest]) -> None:
         self.name, self.target, self.rng, self.sent = name, target, rng, sent
@@ -61,7 +59,7 @@
         self.count = 0
 
     async def run(self, stop_requested: asyncio.Event) -> None:
-        """Send until told to stop, then let go of the connection."""
+        """Send requests until `stop_requested` is set, then close the connection."""
         while not stop_requested.is_set():
             if not await self._ensure_connected():
                 await asyncio.sleep(PAUSE_S)
@@ -70,10 +68,10 @@
             await asyncio.sleep(self.rng.expovariate(1 / PAUSE_S))
         self._close()
 
-    # Where to.
+    # Discovery and connections.
 
     async def _ensure_connected(self) -> bool:
-        """Whether there is a connection; an open one is used until it ends."""
+        """Return whether there is a connection; an open one is reused until it ends."""
         if self.streams is not None:
             return True
         if time.monotonic() >= self.resolve_at or not self.addresses:
@@ -85,7 +83,7 @@
             async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 self.streams = await asyncio.open_connection(*self.address)
         except OSError:
-            self.addresses.remove(self.address)  # skipped until the directory is asked again
+            self.addresses.remove(self.address)  # skipped until the next call of the directory
             return False
         return True
 
@@ -108,7 +106,7 @@
             status, fields = await _read_head(reader)
             body = await reader.readexactly(int(fields["content-length"]))
             if status != 200:
-                raise ValueError(f"the directory says {status}")
+                raise ValueError(f"the directory answered with status {status}")
             data = json.loads(body)
             return list(data["addresses"]), float(data["ttl_s"])
         finally:
@@ -150,7 +148,7 @@
         return request
 
     async def _disconnect(self, request: SentRequest, route: Route, kind: DisconnectKind) -> None:
-        """Leave without the answer, and without those to what is sent behind it."""
+        """Disconnect without the response, and without those to the requests pipelined behind this one."""
         assert self.streams is not None
         abandoned = [request]
         if kind.pipelines:
@@ -159,7 +157,7 @@
             self.streams[1].write(
                 b"".join(self._encode(follower, route, padding) for follower in abandoned[1:])
             )
-            await asyncio.sleep(0)  # the system has taken them
+            await asyncio.sleep(0)  # the kernel has taken the bytes
         now_ns = time.monotonic_ns()
         for each in abandoned:
             each.disconnected_ns, each.disconnect_kind, each.ended_ns = now_ns, kind, now_ns
@@ -174,7 +172,7 @@
         return head + b"\r\n" + (b"" if route.is_safe else b"body")
 
     async def _exchange(self, request: SentRequest, route: Route) -> bool:
-        """Send one request and take its answer; whether the connection can be used again."""
+        """Send one request and read its response; return whether the connection can be reused."""
         assert self.streams is not None
         reader, writer = self.streams
         target = f"{route.prefix}{request.id}"
@@ -199,10 +197,13 @@
 
 
 def _find_problem(id: str, target: str, answer: dict[str, str], body: bytes) -> str:
-    """Say what is wrong with a success, by the mark that its worker set over id and body."""
+    """Return what is wrong with a success; "" if nothing.
+
+    The worker's `Postmark` is a digest of the request's id and the response body.
+    """
     digest = hashlib.blake2s(id.encode() + body, digest_size=8).hexdigest()
     if answer.get("attempt-id") != id:
-        return f"the answer is of {answer.get('attempt-id')}"
+        return f"the response belongs to {answer.get('attempt-id')}"
     if answer.get("postmark") != digest or target.encode() not in body:
-        return "the body is not the worker's"
+        return "the body does not match the worker's Postmark or the target"
     return ""
--- a/pepperrun/soak/command.py
+++ b/pepperrun/soak/command.py
@@ -1,4 +1,4 @@
-"""The operator's command `soak`: its options, the run, the report and the exit code."""
+"""The operator's command `soak`: its options, its printed report and its exit code."""
 
 from __future__ import annotations
 
@@ -10,21 +10,21 @@
 
 EXIT_OK, EXIT_FINDINGS = 0, 1
 OPTION_HELP = {
-    "seed": "what the run follows from",
-    "seconds": "for which the series go on",
+    "seed": "seed of all random draws",
+    "seconds": "seconds of planned work",
     "cores": "control nodes",
-    "gateways": "gatekeepers",
-    "workers": "toy workers of each service",
-    "clients": "clients, each with a connection",
-    "at_once": "gatekeepers that are stopped in one step of a roll",
-    "gap_s": "seconds between two steps",
-    "grace_s": "seconds from SIGTERM on",
-    "leave_share": "of the requests, whose clients leave before the answer",
+    "gateways": "gateways",
+    "workers": "toy workers per service",
+    "clients": "clients, each with one connection",
+    "at_once": "gateways restarted in one step of a rolling restart",
+    "gap_s": "seconds between two steps of a rolling restart",
+    "grace_s": "grace period in seconds, from SIGTERM",
+    "leave_share": "share of the requests whose clients disconnect before the response",
 }
 
 
 def run_command(arguments: argparse.Namespace) -> int:
-    """Play one run and print its report."""
+    """Run the soak test and print its report; return the exit code."""
     options = Options(**{option.name: getattr(arguments, option.name) for option in fields(Options)})
     report = run_soak(options, arguments.keep)
     print(report.text())
@@ -33,7 +33,7 @@
 
 def register(commands: Any) -> None:
     """Add the command to those of `operatorctl`."""
-    text = "run a small system under planned work in series, and judge each request"
+    text = "run a small system under overlapping planned work and check each request"
     parser = commands.add_parser("soak", help=text, description=text)
     parser.set_defaults(does=run_command)
     for option in fields(Options):
@@ -43,5 +43,7 @@
             flag, dest=option.name, type=type(option.default), default=option.default, help=help_text
         )
     parser.add_argument(
-        "--keep", metavar="DIR", help="settings, logs, records and report go there (else a new one)"
+        "--keep",
+        metavar="DIR",
+        help="directory for settings, logs, records and the report (default: a new temporary one)",
     )
--- a/pepperrun/soak/judge.py
+++ b/pepperrun/soak/judge.py
@@ -1,6 +1,6 @@
-"""Judges of a soak run: the pages' rules by what clients and workers saw, nothing of the program asked.
+"""Checks a soak run against the documented rules, from the records of clients and workers only.
 
-All that happens in a run is planned work, so that no time is exempt for troubles.
+A run has planned work only and no faults, so no time is exempt from the rules.
 """
 
 from __future__ import annotations
@@ -11,24 +11,21 @@
 
 from pepperrun.soak.records import Run, RunEnd, SentRequest, Stop
 
-NOT_RUN_STATUSES = (408, 421, 429, 503)  # the request has not run and never will
-CUT_ALLOWED_AFTER = 5 / 6  # of the grace: what is still at work then may be cut
-DEADLINE_SLACK_NS = (
-    100_000_000  # an answer may come so much before a client's time is over, to be there by then
-)
-OBSERVATION_DELAY_NS = 1_000_000_000  # a client may see the end of a process so much later
-STOP_WINDOW_NS = 10_000_000_000  # a stop that was told before is not shown with a request
-EARLY_FRACTION = 0.5  # of the grace: if it was sent by then
-ABANDON_LIMIT_NS = (
-    500_000_000  # after its client has left no request reaches a worker, nor is one still at work
-)
-ALLOWED_ABANDONED_RUNS = 3  # requests that may all the same
-ALLOWED_ABANDONED_FRACTION = 0.25  # of the runs that would have lasted so long: so many may all the same
+NOT_RUN_STATUSES = (408, 421, 429, 503)  # promise that the request has not run and never will
+CUT_ALLOWED_AFTER = 5 / 6  # share of the grace period; requests that still run then may be cut
+# A response may be sent so long before the client's deadline, to arrive in time.
+DEADLINE_SLACK_NS = 100_000_000
+OBSERVATION_DELAY_NS = 1_000_000_000  # a client may notice the end of a process so much later
+STOP_WINDOW_NS = 10_000_000_000  # earlier stops are left out of a request's timeline
+EARLY_FRACTION = 0.5  # share of the grace period; only requests sent by then may be lost at its end
+ABANDON_LIMIT_NS = 500_000_000  # after the disconnect no worker may start the request or still run it
+ALLOWED_ABANDONED_RUNS = 3  # requests tolerated in a soak run
+ALLOWED_ABANDONED_FRACTION = 0.25  # tolerated share of the runs that would have lasted longer than the limit
 
 
 @dataclass(frozen=True)
 class Finding:
-    """A rule that was broken, and the request's whole way."""
+    """A violated rule with the timeline of its request."""
 
     rule: str
     id: str
@@ -38,13 +35,13 @@
 def judge(
     sent: Sequence[SentRequest], runs: Sequence[Run], stops: Sequence[Stop], grace_ns: int
 ) -> list[Finding]:
-    """Return what broke a rule: LOST, TWICE, REFUSED, MIXED, UNASKED, GONE, CUT."""
+    """Return the violations of the rules LOST, TWICE, REFUSED, MIXED, UNASKED, GONE, CUT."""
     by_id: dict[str, list[Run]] = defaultdict(list)
     for run in sorted(runs, key=lambda run: run.started_ns):
         by_id[run.id].append(run)
     known_ids = {request.id for request in sent}
     found = [
-        Finding("UNASKED", id, f"{id} ran at {by_id[id][0].worker}, nobody sent it")
+        Finding("UNASKED", id, f"{id} ran at {by_id[id][0].worker}, but no client sent it")
         for id in by_id
         if id not in known_ids
     ]
@@ -71,7 +68,7 @@
     by_id: Mapping[str, Sequence[Run]],
     stops_by_gateway: Mapping[str, Sequence[Stop]],
 ) -> list[Finding]:
-    """Work for clients who have left, where it is more than the rule allows."""
+    """Return the runs for disconnected clients, where there are more than the rule allows."""
     started_late, still_running, long_runs = list[SentRequest](), list[SentRequest](), 0
     for request in disconnected:
         for run in by_id.get(request.id, []):
@@ -116,7 +113,7 @@
 
 
 def _may_cut(request: SentRequest, run: Run, stops: Sequence[Stop], grace_ns: int) -> bool:
-    """Return whether its time is over, or its gatekeeper's."""
+    """Return whether the request's deadline or its gateway's grace period was over when the run was cut."""
     if run.ended_ns >= request.deadline_ns - DEADLINE_SLACK_NS:
         return True
     return any(
@@ -128,16 +125,15 @@
 
 
 def _is_lost(request: SentRequest, runs: Sequence[Run], stops: Sequence[Stop], grace_ns: int) -> bool:
-    """No complete answer of a worker for a request that was passed on, and no reason that the rule allows."""
+    """Return whether a forwarded request got no worker's complete response without an allowed reason."""
     if request.ended_ns >= request.deadline_ns - DEADLINE_SLACK_NS:
         return False
     last = runs[-1]
     if last.end is RunEnd.ANSWERED and request.status:
-        return False  # its worker had ended: an answer in its place cut nothing
+        return False  # the run had ended: the gateway's response in its place cut nothing
     for stop in stops:
-        stopped_ns = (
-            stop.ended_ns or stop.signalled_ns + grace_ns
-        )  # who answers later is another process at its address
+        # A later response is from the next process at the address.
+        stopped_ns = stop.ended_ns or stop.signalled_ns + grace_ns
         was_early = request.sent_ns <= min(stopped_ns, stop.signalled_ns + EARLY_FRACTION * grace_ns)
         if (
             was_early
@@ -150,15 +146,15 @@
 
 
 def timeline(request: SentRequest, runs: Sequence[Run], stops: Sequence[Stop]) -> str:
-    """Return a request's way, ms from its sending."""
+    """Return the events of a request as text, in milliseconds since it was sent."""
     kind = "safe" if request.is_safe else "unsafe"
     rows: list[tuple[int, str]] = [(0, f"{kind} {request.id} sent to {request.gateway}")]
     for run in runs:
-        rows.append((run.started_ns - request.sent_ns, f"{run.worker} runs it"))
+        rows.append((run.started_ns - request.sent_ns, f"{run.worker} starts to run it"))
         if run.ended_ns:
             rows.append((run.ended_ns - request.sent_ns, f"its run ends: {run.end}"))
     status = (
-        f"left by {request.disconnect_kind}"
+        f"disconnected by {request.disconnect_kind}"
         if request.disconnected_ns
         else request.status or "no complete answer"
     )
--- a/pepperrun/soak/planned_work.py
+++ b/pepperrun/soak/planned_work.py
@@ -1,4 +1,4 @@
-"""Planned work in series that overlap: gatekeepers rolled, settings read again, time-outs changed."""
+"""Overlapping planned work: rolling restarts, settings reloads, kills of control nodes, time-out changes."""
 
 from __future__ import annotations
 
@@ -16,16 +16,19 @@
 from pepperrun.operator.local_cluster import Child, LocalCluster
 from pepperrun.soak.records import Stop
 
-GRACE_MARGIN_S = 20.0  # past its grace a process that has not ended is a finding, and is killed
-MEAN_RELOAD_INTERVAL_S = 0.7  # between two SIGHUPs
-CHANGE_INTERVAL_S = 0.3  # between two changes
-CALL_TIMEOUT_S = 10.0  # for one change
-CONTROL_NODE_DOWNTIME_S = 0.5  # a killed control node is down for so long
+GRACE_MARGIN_S = 20.0  # a process that runs longer past its grace period is a finding and is killed
+MEAN_RELOAD_INTERVAL_S = 0.7  # between two SIGHUPs, each to one gateway
+CHANGE_INTERVAL_S = 0.3  # between two configuration changes
+CALL_TIMEOUT_S = 10.0  # for one call of the control plane
+CONTROL_NODE_DOWNTIME_S = 0.5  # between the kill of a control node and its restart
 MEAN_KILL_INTERVAL_S = 2.0
 
 
 class PlannedWork:
-    """All series of one run. `stops` and `counts` are what was done; `late` names who outlived its grace."""
+    """The planned work of one run.
+
+    `stops` and `counts` say what was done; `overdue` names the processes that outlived their grace period.
+    """
 
     def __init__(self, cluster: LocalCluster, rng: random.Random, at_once: int, gap_s: float) -> None:
         self.cluster, self.rng, self.at_once, self.gap_s = cluster, rng, at_once, gap_s
@@ -34,10 +37,13 @@
         self.stops: list[Stop] = []
         self.overdue: list[str] = []
         self.counts: Counter[str] = Counter()
-        self.caller, self.edition = CoreClient(cluster.control_addresses, CALL_TIMEOUT_S), 1
+        self.core_client, self.edition = CoreClient(cluster.control_addresses, CALL_TIMEOUT_S), 1
 
     async def run(self, stop_requested: asyncio.Event, routes: Callable[[int], dict[str, object]]) -> None:
-        """All series until told to stop; a roll that is under way is ended. `routes(n)`: the n-th change."""
+        """Do all kinds of work until `stop_requested` is set; a restart step under way is completed.
+
+        `routes(n)` returns the n-th change of the routes.
+        """
         async with asyncio.TaskGroup() as group:
             group.create_task(self._roll_gateways(stop_requested))
             group.create_task(self._reload_settings(stop_requested))
@@ -56,7 +62,7 @@
                 await _pause(stop_requested, self.gap_s)
 
     async def restart(self, child: Child) -> None:
-        """SIGTERM, wait for the end, and start again."""
+        """Send SIGTERM, wait until the process ends, and start it again."""
         process = child.process
         assert process is not None
         stop = Stop(child.ip, time.monotonic_ns())
@@ -80,7 +86,7 @@
             await _pause(stop_requested, self.rng.expovariate(1 / MEAN_RELOAD_INTERVAL_S))
 
     async def _kill_control_nodes(self, stop_requested: asyncio.Event) -> None:
-        """Control nodes are killed one at a time: the others are a quorum, and nobody is to notice."""
+        """Kill control nodes one at a time: the others are a quorum, so no client may notice."""
         while not stop_requested.is_set():
             await _pause(stop_requested, self.rng.uniform(MEAN_KILL_INTERVAL_S / 2, MEAN_KILL_INTERVAL_S * 2))
             child = self.rng.choice(self.control_nodes)
@@ -94,9 +100,9 @@
             self.cluster.launch(child)
 
     async def read_edition(self) -> int:
-        """Return the edition that the control plane holds; 0 where none says so."""
+        """Return the configuration edition of the control plane; 0 if it can't be read."""
         try:
-            response = await asyncio.to_thread(self.caller.call, "GET", "/timetable/read")
+            response = await asyncio.to_thread(self.core_client.call, "GET", "/timetable/read")
         except PepperrunError:
             return 0
         return int(json.loads(response.body)["edition"]) if response.status == 200 else 0
@@ -109,11 +115,13 @@
             await _pause(stop_requested, CHANGE_INTERVAL_S)
 
     async def change(self, routes: Callable[[int], dict[str, object]]) -> None:
-        """One change on top of the last; one that got no answer is sent again by the next call."""
+        """Make a change on top of the last; the next call repeats a change that got no response."""
         body = {"edition": self.edition + 1, "upsert": {"routes": routes(self.edition)}}
         headers, data = {"Based-On": str(self.edition)}, json.dumps(body).encode()
         try:
-            response = await asyncio.to_thread(self.caller.call, "POST", "/timetable/amend", data, headers)
+            response = await asyncio.to_thread(
+                self.core_client.call, "POST", "/timetable/amend", data, headers
+            )
         except PepperrunError:
             self.counts["change without an answer"] += 1
             return
--- a/pepperrun/soak/records.py
+++ b/pepperrun/soak/records.py
@@ -1,4 +1,4 @@
-"""What clients, workers and whoever stops processes saw. Times are of the machine's steady clock, ns."""
+"""Records by clients, workers and the planned work. Times are of the machine's monotonic clock, in ns."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
     """How a worker's run of a request ended."""
 
     ANSWERED = "answered"
-    CUT = "cut"  # its connection closed while the worker was at work
-    WORKING = "working"  # not ended by the end of the record
+    CUT = "cut"  # the connection closed while the worker ran the request
+    WORKING = "working"  # still running at the end of the record
 
 
 @dataclass(frozen=True)
@@ -26,27 +26,27 @@
     started_ns: int
     ended_ns: int
     end: RunEnd
-    duration_ns: int = 0  # how long its work takes, if nothing cuts it
+    duration_ns: int = 0  # intended duration of the work, if nothing cuts the run
 
 
 @dataclass
 class SentRequest:
-    """One request, as its client saw it.
+    """One request, as its client observed it.
 
     Attributes
     ----------
     gateway : str
-        Address of the machine that it was sent to.
+        Address of the gateway that received the request.
     status : int
-        Of the answer; 0 where the connection ended without a complete one.
+        Of the response; 0 if the connection ended without a complete one.
     is_from_worker : bool
-        Whether the answer has a worker's `Postmark`.
+        Whether the response has a worker's `Postmark`.
     problem : str
-        What is wrong with a success: another request's, a changed body.
+        What is wrong with a success: the response of another request, or a changed body.
     disconnected_ns : int
-        When its client left without its answer; 0 where it stayed.
+        When the client disconnected without the response; 0 if it stayed.
     disconnect_kind : str
-        How it left.
+        How the client disconnected.
     """
 
     id: str
@@ -64,7 +64,7 @@
 
 @dataclass
 class Stop:
-    """A SIGTERM to a gatekeeper; `ended` 0 while the process runs."""
+    """A SIGTERM to a gateway; `ended_ns` is 0 while the process runs."""
 
     gateway: str
     signalled_ns: int
@@ -72,7 +72,7 @@
 
 
 def read_runs(files: Iterable[Path]) -> list[Run]:
-    """Return the runs that workers recorded; a last line that was cut short is passed over."""
+    """Return the runs that workers recorded; a truncated last line is skipped."""
     unfinished: dict[tuple[str, str, int], int] = {}
     runs: list[Run] = []
     for file in files:
--- a/pepperrun/soak/run.py
+++ b/pepperrun/soak/run.py
@@ -1,4 +1,4 @@
-"""One soak run: a local cluster, clients and series from a seed; the report and the exit code."""
+"""One soak run: a local cluster, clients and planned work drawn from a seed, and the report."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 from pepperrun.soak.records import SentRequest, read_runs
 
 SAFE_SERVICE, UNSAFE_SERVICE = "history", "booking"
-MEAN_WORK_MS = 500.0  # mean of a worker's work; long-tailed
+MEAN_WORK_MS = 500.0  # of a worker's run; the distribution is long-tailed
 MAX_ATTEMPTS = 2
-MAX_PRINTED_FINDINGS = 10  # findings on the screen; the report has all
+MAX_PRINTED_FINDINGS = 10  # the report has all
 
 
 @dataclass(frozen=True)
 class Options:
-    """What a run follows from. `at_once`, `gap_s`: of the rolls."""
+    """Options of a run; `at_once` and `gap_s` are those of the rolling restarts."""
 
     seed: int = 1
     seconds: float = 30.0
@@ -41,7 +41,7 @@
 
 @dataclass
 class Report:
-    """What came of a run."""
+    """Results of a run."""
 
     options: Options
     requests: int = 0
@@ -53,11 +53,11 @@
 
     @property
     def is_good(self) -> bool:
-        """Whether no rule was broken and something was served."""
+        """Whether no rule was violated and at least one request succeeded."""
         return not self.findings and self.by_status.get("200", 0) > 0
 
     def text(self) -> str:
-        """As lines."""
+        """Return the report as lines of text."""
         statuses = ", ".join(f"{status}: {count}" for status, count in sorted(self.by_status.items()))
         planned = ", ".join(f"{what}: {count}" for what, count in sorted(self.planned.items()))
         rows = [
@@ -72,7 +72,7 @@
 
 
 def routes(deadline_ms: int) -> tuple[Route, ...]:
-    """Return the routes that clients use; both services work as long."""
+    """Return the routes that clients request; the work of both services takes equally long."""
     return (
         Route(HOST, f"/{SAFE_SERVICE}/", True, deadline_ms, 0.7),
         Route(HOST, f"/{UNSAFE_SERVICE}/", False, deadline_ms, 0.3),
@@ -80,7 +80,7 @@
 
 
 def changed_routes(number: int) -> dict[str, object]:
-    """Return the n-th change: other time-outs, far above any work."""
+    """Return the n-th change: other deadlines, far longer than any work."""
     columns = ["name", "depot", "prefix", "route_kind", "deadline_ms", "target_ms", "tries", "line"]
     deadline_ms = 12000 + number % 100
     rows: list[list[object]] = [
@@ -109,7 +109,10 @@
 
 
 def run_soak(options: Options, folder: str | None) -> Report:
-    """Play one run; its settings, logs, records and report are in the folder, a new one if left out."""
+    """Do one run and return its report.
+
+    Settings, logs, records and the report are written to `folder`, a new temporary one if None.
+    """
     run_directory = Path(folder).resolve() if folder else Path(tempfile.mkdtemp(prefix="pepperrun-soak-"))
     sizes = Sizes(options.cores, options.gateways, options.workers, (SAFE_SERVICE, UNSAFE_SERVICE))
     records = run_directory / "records"
@@ -137,20 +140,20 @@
         clients.append(Client(f"c{number}", target, random.Random(rng.random()), sent))
     planned_work = PlannedWork(cluster, random.Random(rng.random()), options.at_once, options.gap_s)
     stop_work, stop_clients = asyncio.Event(), asyncio.Event()
-    started_ns = time.monotonic_ns()  # what ran before are the cluster's own tries
-    await planned_work.change(changed_routes)  # from now on what may not repeat is known as such
+    started_ns = time.monotonic_ns()  # earlier runs are of the cluster's own readiness requests
+    await planned_work.change(changed_routes)  # from here on the unsafe route is configured as unsafe
     async with asyncio.TaskGroup() as group:
         for client in clients:
             group.create_task(client.run(stop_clients))
         work_task = group.create_task(planned_work.run(stop_work, changed_routes))
         await asyncio.sleep(options.seconds)
         stop_work.set()
-        await work_task  # clients go on until the last roll has ended
+        await work_task  # clients continue until the last restart step has ended
         stop_clients.set()
     edition = await planned_work.read_edition()
     report = _build_report(options, planned_work, sent, records, started_ns)
     if edition < planned_work.edition:
-        text = f"{planned_work.edition} was acknowledged, {edition} is read back"
+        text = f"{planned_work.edition} was acknowledged as edition, but {edition} is read back"
         report.findings.append(Finding("CONFIG", str(planned_work.edition), text))
     return report
 
@@ -160,7 +163,7 @@
 ) -> Report:
     runs = [one for one in read_runs(sorted(records.glob("*.jsonl"))) if one.started_ns >= started_ns]
     findings = judge(sent, runs, planned_work.stops, int(options.grace_s * 1e9))
-    findings += [Finding("GRACE", name, f"{name} outlived its grace") for name in planned_work.overdue]
+    findings += [Finding("GRACE", name, f"{name} outlived its grace period") for name in planned_work.overdue]
     statuses = Counter(str(one.status or "no answer") for one in sent if not one.disconnected_ns)
     left = Counter(one.disconnect_kind for one in sent if one.disconnected_ns)
     return Report(
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""Soak runs: the judges by made-up records, and a short run of the real programs."""
+"""Soak runs: the rules checked on made-up records, and a short run of the real programs."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def sent(at: float = 0.0, ended: float = 2.0, status: int = 503, **more: object) -> SentRequest:
-    """A request to g1 with 12 s, answered by its gatekeeper."""
+    """Returns a request to g1 with a deadline of 12 s, answered by its gateway."""
     one = SentRequest(
         "q1", "g1", True, int(at * SECOND), int((at + 12) * SECOND), int(ended * SECOND), status
     )
@@ -32,38 +32,40 @@
     return Run("q1", worker, int(began * SECOND), int(ended * SECOND), end)
 
 
-STOP = Stop("g1", SECOND)  # a second after the request
+STOP = Stop("g1", SECOND)  # one second after the request
 
 
 @pytest.mark.parametrize(
     ("one", "runs", "rules"),
     [
-        (sent(), [run()], ["LOST"]),  # the incident: 503 over a run that is cut
+        (sent(), [run()], ["LOST"]),  # the incident: a 503 although a run was cut
         (sent(status=0), [run()], ["LOST"]),  # the connection ends without an answer
-        (sent(status=0), [], []),  # it crossed the closing, and was not passed on
+        (sent(status=0), [], []),  # crossed the close on the wire and was not forwarded
         (sent(status=200, is_from_worker=True), [run(end=RunEnd.ANSWERED)], []),
-        (sent(status=503), [run(end=RunEnd.ANSWERED)], []),  # the worker had ended: nothing was cut
-        (sent(ended=6.5, status=504), [run(ended=6.5)], []),  # in the last sixth of the grace
-        (sent(at=4.5, ended=6.5, status=504), [run(began=4.6, ended=6.5)], ["LOST"]),  # taken too late
-        (sent(ended=11.99, status=504), [run(ended=12.0)], []),  # its time was over
-        (sent(ended=11.5, status=504), [run(ended=11.5)], ["LOST"]),  # of the process that came after
+        (sent(status=503), [run(end=RunEnd.ANSWERED)], []),  # the run had ended: nothing was cut
+        (sent(ended=6.5, status=504), [run(ended=6.5)], []),  # in the last sixth of the grace period
+        # Sent in the second half of the grace period, so its end does not excuse the loss.
+        (sent(at=4.5, ended=6.5, status=504), [run(began=4.6, ended=6.5)], ["LOST"]),
+        (sent(ended=11.99, status=504), [run(ended=12.0)], []),  # its deadline had passed
+        # Answered by the next process at the address.
+        (sent(ended=11.5, status=504), [run(ended=11.5)], ["LOST"]),
         (sent(ended=12.0, status=504, is_safe=False), [run(), run(1.0, worker="w2")], ["TWICE"]),
         (sent(is_safe=False), [run()], ["REFUSED"]),
         (sent(status=200, is_from_worker=True, problem="of another"), [run()], ["MIXED"]),
     ],
 )
-def test_the_judges_know_what_a_stop_may_cut_and_what_not(one, runs, rules):
+def test_judge_reports_requests_that_a_stop_must_not_cut(one, runs, rules):
     assert [found.rule for found in judge([one], runs, [STOP], GRACE)] == rules
 
 
-def left(number: int, is_safe: bool = True) -> SentRequest:
-    """A request whose client left a second after it asked."""
+def disconnected(number: int, is_safe: bool = True) -> SentRequest:
+    """Returns a request whose client disconnected one second after it was sent."""
     return SentRequest(
         f"q{number}", "g1", is_safe, 0, 12 * SECOND, SECOND, disconnected_ns=SECOND, disconnect_kind="close"
     )
 
 
-def worked(
+def run_of(
     number: int, ended: float, end: RunEnd = RunEnd.CUT, takes: float = 5.0, began: float = 0.1
 ) -> Run:
     return Run(f"q{number}", "w1", int(began * SECOND), int(ended * SECOND), end, int(takes * SECOND))
@@ -72,32 +74,34 @@
 @pytest.mark.parametrize(
     ("runs", "found"),
     [
-        ([worked(one, 1.2) for one in range(8)], 0),
-        ([worked(one, 5.0, RunEnd.ANSWERED) for one in range(8)], 8),  # the incident
-        ([worked(one, 5.0) for one in range(3)] + [worked(one, 1.2) for one in range(3, 8)], 0),  # a few may
-        ([worked(one, 5.0) for one in range(4)] + [worked(one, 1.2) for one in range(4, 8)], 4),
-        ([worked(one, 1.4, RunEnd.ANSWERED, takes=1.3) for one in range(8)], 0),  # it would not have lasted
-        ([worked(one, 1.8, began=1.6) for one in range(8)], 8),  # reached a worker after its client had left
+        ([run_of(one, 1.2) for one in range(8)], 0),
+        ([run_of(one, 5.0, RunEnd.ANSWERED) for one in range(8)], 8),  # the incident
+        # Three are tolerated.
+        ([run_of(one, 5.0) for one in range(3)] + [run_of(one, 1.2) for one in range(3, 8)], 0),
+        ([run_of(one, 5.0) for one in range(4)] + [run_of(one, 1.2) for one in range(4, 8)], 4),
+        # The work ends by itself before the limit.
+        ([run_of(one, 1.4, RunEnd.ANSWERED, takes=1.3) for one in range(8)], 0),
+        ([run_of(one, 1.8, began=1.6) for one in range(8)], 8),  # started after the client had disconnected
     ],
 )
-def test_the_judge_knows_what_goes_on_without_its_client(runs, found):
-    broken = judge([left(number) for number in range(8)], runs, [], GRACE)
+def test_judge_reports_work_that_continues_after_its_client_disconnected(runs, found):
+    broken = judge([disconnected(number) for number in range(8)], runs, [], GRACE)
     assert [one.rule for one in broken] == ["GONE"] * found
 
 
-def test_what_may_not_be_repeated_goes_on_without_its_client_and_is_cut_by_the_end_of_a_grace_only():
-    cut, stop = worked(0, 7.5), Stop("g1", 2 * SECOND, 8 * SECOND)
-    assert [one.rule for one in judge([left(0, False)], [cut], [], GRACE)] == ["CUT"]
-    assert judge([left(0, False)], [cut], [stop], GRACE) == []
-    assert judge([left(0, False)], [worked(0, 5.0, RunEnd.ANSWERED)], [], GRACE) == []
+def test_unsafe_work_outlives_its_client_and_may_be_cut_only_by_the_end_of_a_grace_period():
+    cut, stop = run_of(0, 7.5), Stop("g1", 2 * SECOND, 8 * SECOND)
+    assert [one.rule for one in judge([disconnected(0, False)], [cut], [], GRACE)] == ["CUT"]
+    assert judge([disconnected(0, False)], [cut], [stop], GRACE) == []
+    assert judge([disconnected(0, False)], [run_of(0, 5.0, RunEnd.ANSWERED)], [], GRACE) == []
 
 
-def test_a_run_that_nobody_sent_is_found():
+def test_judge_reports_a_run_that_no_client_sent():
     (found,) = judge([], [run()], [], GRACE)
     assert found.rule == "UNASKED" and "w1" in found.text
 
 
-def test_a_record_whose_last_line_is_cut_is_read(tmp_path):
+def test_a_record_with_a_truncated_last_line_is_read(tmp_path):
     file = tmp_path / "w1.jsonl"
     ended = {"id": "a", "worker": "w1", "began": 1, "ended": 2, "end": "cut"}
     begun = [{"id": "a", "worker": "w1", "began": 1}, {"id": "b", "worker": "w1", "began": 3}]
@@ -105,8 +109,8 @@
     assert read_runs([file]) == [Run("a", "w1", 1, 2, RunEnd.CUT), Run("b", "w1", 3, 0, RunEnd.WORKING)]
 
 
-def test_a_toy_worker_begins_nothing_for_a_caller_who_left_while_it_waited_for_a_slot():
-    """Found by seed 135 of the soak: begun long after its client had left, on a connection closed before."""
+def test_a_toy_worker_starts_no_request_whose_client_disconnected_while_waiting_for_a_slot():
+    """Found by soak seed 135: the run started on a closed connection, long after its client disconnected."""
 
     async def test():
         record = io.StringIO()
@@ -131,8 +135,8 @@
     going(test)
 
 
-def test_a_short_soak_of_planned_work_breaks_no_rule(tmp_path, capsys):
-    """Real processes: gatekeepers rolled, settings read again and time-outs changed while clients ask."""
+def test_a_short_soak_of_planned_work_violates_no_rule(tmp_path, capsys):
+    """Real processes: gateways restart, settings reload and time-outs change while clients send requests."""
     words = ["soak", "--seed", "5", "--seconds", "12", "--gateways", "3", "--workers", "2", "--clients", "12"]
     code = operatorctl.main([*words, "--keep", str(tmp_path)])
     report = json.loads((tmp_path / "report.json").read_text())
