--- a/pepperrun/metrics/__init__.py
+++ b/pepperrun/metrics/__init__.py
@@ -1,4 +1,4 @@
-"""Figures of the running program, for Graphite and collectd."""
+"""Metrics of the running process, sent to Graphite and collectd."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Sample:
-    """A figure; `counts`: it only grows while the program runs."""
+    """A metric's value. `is_counter`: the value only grows while the process runs."""
 
     name: str
     value: float
@@ -32,7 +32,7 @@
 def gateway_samples(
     name: str, gatekeeper: Gatekeeper, upstream: UpstreamClient, listener: Listener | None
 ) -> list[Sample]:
-    """The figures of a core and its front. Names are dotted, the core's first."""
+    """Returns the metrics of a core and its listener, with dotted names that begin with the core's name."""
     requests = [
         Sample(f"{name}.requests.{end.value.replace(' ', '_')}", count, True)
         for end, count in gatekeeper.counts.items()
@@ -52,7 +52,7 @@
 
 
 def process_samples() -> list[Sample]:
-    """The figures of the process."""
+    """Returns the metrics of the process: CPU seconds and peak memory in KiB."""
     usage = resource.getrusage(resource.RUSAGE_SELF)
     return [
         Sample("process.cpu_seconds", round(usage.ru_utime + usage.ru_stime, 3), True),
@@ -62,7 +62,7 @@
 
 @dataclass(slots=True, frozen=True)
 class MetricsConfig:
-    """Where the figures go and how often."""
+    """Where metrics are sent and how often."""
 
     interval_s: float
     prefix: str
@@ -72,13 +72,13 @@
 
 
 def read_metrics(text: str) -> MetricsConfig:
-    """The metrics file; ValueError names a bad key."""
+    """Parses the metrics file. Raises ValueError, which names the invalid key."""
     table = json_object(text, "metrics: ")
     known_keys(table, "graphite collectd interval_s prefix host")
     graphite = address(table, "graphite") if table.get("graphite") else None
     collectd = get(table, "collectd", str)
     if graphite is None and not collectd:
-        raise ValueError("graphite: neither it nor collectd is given")
+        raise ValueError("graphite: set graphite or collectd")
     interval = get(table, "interval_s", float, 10.0)
     if not 0.1 <= interval <= 3600:
         raise ValueError("interval_s: must be from 0.1 to 3600")
@@ -90,7 +90,7 @@
 
 
 class MetricsConnection(BufferedConnection):
-    """A connection on which lines go out; `heard` is given each line that comes back."""
+    """A connection to a metrics sink; `on_line` receives each line that the sink sends back."""
 
     def __init__(self, on_line: Callable[[str], None]) -> None:
         super().__init__(MAX_UNREAD_BYTES)
@@ -107,7 +107,10 @@
 
 
 class Reporter:
-    """Sends the figures at each interval. A sink that is away or slow costs figures, never requests."""
+    """Sends the metrics at each interval.
+
+    An unreachable or slow sink loses metrics but never affects requests.
+    """
 
     def __init__(
         self,
@@ -123,7 +126,7 @@
         self.connection: MetricsConnection | None = None
 
     def on_line(self, line: str) -> None:
-        """An answer line; Graphite gives none, collectd a status below 0 for what it did not take."""
+        """Logs a rejection: collectd sends a status below 0 for a rejected line, Graphite sends no lines."""
         if line.startswith("-"):
             log_message(self.name, f"{self.name}: {line}")
 
@@ -134,7 +137,7 @@
             await self.report()
 
     async def report(self) -> None:
-        """One round."""
+        """Sends all metrics once, connecting first if necessary."""
         if (
             self.connection is None
             or self.connection.transport is None
@@ -144,11 +147,11 @@
                 async with asyncio.timeout(CONNECT_TIMEOUT_S):
                     _, self.connection = await self.connect(lambda: MetricsConnection(self.on_line))
             except OSError as error:
-                log_message(self.name, f"{self.name}: {error or 'no connection in time'}")
+                log_message(self.name, f"{self.name}: {error or 'connection timed out'}")
                 return
         transport = self.connection.transport if self.connection is not None else None
         if transport is None or transport.get_write_buffer_size() > MAX_UNSENT_BYTES:
-            log_message(self.name, f"{self.name}: does not take its lines")
+            log_message(self.name, f"{self.name}: metrics dropped, the sink does not read its connection")
             return
         text = "".join(line + "\n" for line in self.format_lines(self.collect_samples(), self.now_s()))
         transport.write(text.encode())
--- a/pepperrun/metrics/collectd.py
+++ b/pepperrun/metrics/collectd.py
@@ -1,4 +1,4 @@
-"""collectd's plain text protocol, as its unixsock plugin speaks it: `PUTVAL`, a line each."""
+"""collectd's plain text protocol of its unixsock plugin: one `PUTVAL` line per metric."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 
 def format_lines(host: str, plugin: str, interval_s: float, samples: list[Sample], now_s: int) -> list[str]:
-    """The lines of a round. The identifier is host/plugin-instance/type-instance."""
+    """Returns the lines of one report. The identifier is host/plugin-instance/type-instance."""
     lines = []
     for sample in samples:
         core, _, name = sample.name.partition(".")
         value_type = "derive" if sample.is_counter else "gauge"
-        # A derive is a whole number to collectd.
+        # collectd accepts only integers for the type derive.
         value = f"{int(sample.value)}" if sample.is_counter else f"{sample.value:.15g}"
         identifier = f"{host}/{plugin}-{core}/{value_type}-{name.replace('.', '_')}"
         lines.append(f'PUTVAL "{identifier}" interval={interval_s:g} {now_s}:{value}')
@@ -25,7 +25,7 @@
 def reporter(
     path: str, host: str, plugin: str, interval_s: float, collect_samples: Callable[[], list[Sample]]
 ) -> Reporter:
-    """Sends to the socket of collectd's unixsock plugin."""
+    """Returns a reporter that sends to the socket of collectd's unixsock plugin."""
     loop = asyncio.get_running_loop()
     return Reporter(
         "collectd",
--- a/pepperrun/metrics/graphite.py
+++ b/pepperrun/metrics/graphite.py
@@ -1,4 +1,4 @@
-"""Graphite's plaintext protocol: `path value timestamp`, a line each, over TCP."""
+"""Graphite's plaintext protocol: one line `path value timestamp` per metric, over TCP."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 
 def format_lines(prefix: str, samples: list[Sample], now_s: int) -> list[str]:
-    """The lines of a round."""
+    """Returns the lines of one report."""
     return [f"{prefix}.{sample.name} {sample.value:.15g} {now_s}" for sample in samples]
 
 
 def reporter(
     to: Address, prefix: str, interval_s: float, collect_samples: Callable[[], list[Sample]]
 ) -> Reporter:
-    """Sends to a carbon listener."""
+    """Returns a reporter that sends to a carbon listener."""
     loop = asyncio.get_running_loop()
     return Reporter(
         "graphite",
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -1,4 +1,4 @@
-"""Graphite's plaintext lines and collectd's PUTVAL, against stand-ins that listen for them."""
+"""Graphite's plaintext lines and collectd's PUTVAL lines, received by test sinks."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Sink:
-    """Takes lines, and answers each with the next of `answers`."""
+    """A metrics sink that records lines and answers each with the next of `answers`."""
 
     def __init__(self, *answers: bytes) -> None:
         self.answers = list(answers)
@@ -30,7 +30,7 @@
         writer.close()
 
 
-def test_graphite_gets_a_line_for_each_figure_and_again_after_a_lost_connection():
+def test_graphite_gets_a_line_per_metric_and_again_after_a_lost_connection():
     async def test():
         sink = Sink()
         server = await asyncio.start_server(sink.serve, HOST, 0)
@@ -52,16 +52,16 @@
     going(test)
 
 
-def test_collectd_gets_putval_and_what_it_did_not_take_is_logged(tmp_path, capsys):
+def test_collectd_gets_putval_lines_and_its_rejections_are_logged(tmp_path, capsys):
     async def test():
         sink = Sink(b"0 Success: 1 value has been dispatched.\n", b"-1 No such type.\n")
         path = str(tmp_path / "collectd.sock")
         server = await asyncio.start_unix_server(sink.serve, path)
         reporter = collectd.reporter(path, "front.example", "pepperrun", 10.0, lambda: SAMPLES)
         reporter.now_s = lambda: 1700000000
-        heard: asyncio.Queue[str] = asyncio.Queue()
+        received: asyncio.Queue[str] = asyncio.Queue()
         log = reporter.on_line
-        reporter.on_line = lambda text: (log(text), heard.put_nowait(text))
+        reporter.on_line = lambda text: (log(text), received.put_nowait(text))
         await reporter.report()
         assert await sink.lines.get() == (
             'PUTVAL "front.example/pepperrun-platform/derive-requests_served" interval=10 1700000000:12\n'
@@ -69,7 +69,7 @@
         assert await sink.lines.get() == (
             'PUTVAL "front.example/pepperrun-platform/gauge-connections_clients" interval=10 1700000000:2.5\n'
         )
-        assert [await heard.get(), await heard.get()][1] == "-1 No such type."
+        assert [await received.get(), await received.get()][1] == "-1 No such type."
         reporter.connection.transport.abort()
         server.close()
 
@@ -77,24 +77,24 @@
     assert "No such type" in capsys.readouterr().err
 
 
-def test_a_sink_that_is_away_or_does_not_read_costs_figures_only(capsys):
+def test_an_unreachable_or_stalled_sink_loses_metrics_only(capsys):
     async def test():
-        gone = await asyncio.start_server(lambda r, w: None, HOST, 0)
-        port = gone.sockets[0].getsockname()[1]
-        gone.close()
+        closed = await asyncio.start_server(lambda r, w: None, HOST, 0)
+        port = closed.sockets[0].getsockname()[1]
+        closed.close()
         reporter = graphite.reporter((HOST, port), "p", 10.0, lambda: SAMPLES)
         await reporter.report()
         assert reporter.connection is None
 
-        async def deaf(reader, writer):
+        async def stalled(reader, writer):
             writer.transport.pause_reading()
 
-        server = await asyncio.start_server(deaf, HOST, port)
+        server = await asyncio.start_server(stalled, HOST, port)
         many = [Sample("x" * 1000, 1, False)] * 400
         reporter = graphite.reporter((HOST, port), "p", 10.0, lambda: many)
         for _ in range(40):
             await reporter.report()
-        assert reporter.connection.transport.get_write_buffer_size() < 1 << 20  # memory does not grow with it
+        assert reporter.connection.transport.get_write_buffer_size() < 1 << 20  # the buffer stays bounded
         reporter.connection.transport.abort()
         server.close()
 
@@ -102,7 +102,7 @@
     assert "graphite" in capsys.readouterr().err
 
 
-def test_the_figures_follow_what_happens():
+def test_metrics_count_requests_attempts_and_connections():
     async def test():
         front, worker = Front(), await StandIn(ok()).start()
         front.list(line("w", worker.port))
@@ -131,6 +131,6 @@
         ({"host": "a/b"}, "host"),
     ],
 )
-def test_a_bad_file_names_its_key(changes, key):
+def test_the_error_of_an_invalid_file_names_its_key(changes, key):
     with pytest.raises(ValueError, match=f"^{key}: "):
         read_metrics(json.dumps({"graphite": f"{HOST}:2003"} | changes))
