--- a/benchmarks/capture_cost.py
+++ b/benchmarks/capture_cost.py
@@ -14,7 +14,7 @@
 sys.path.insert(0, str(Path(__file__).parent.parent))
 
 from pepperrun.bench.rig import HOST, Rig, usage  # noqa: E402
-from pepperrun.capture.format import read  # noqa: E402
+from pepperrun.capture.format import decode_capture  # noqa: E402
 
 
 def run(rate: float, seconds: float, folder: str | None) -> tuple[float, int]:
@@ -26,7 +26,9 @@
         before = usage(rig.gatekeeper.pid).cpu_s
         asked = askers.ask(rate=rate, seconds=seconds, seed=2)
         spent = usage(rig.gatekeeper.pid).cpu_s - before
-    found = sum(len(read(path.read_bytes()).entries) for path in Path(folder or "/nowhere").glob("*.prcap"))
+    found = sum(
+        len(decode_capture(path.read_bytes()).entries) for path in Path(folder or "/nowhere").glob("*.prcap")
+    )
     return spent / asked["asked"] * 1e6, found
 
 
--- a/benchmarks/capture_stall.py
+++ b/benchmarks/capture_stall.py
@@ -15,7 +15,7 @@
 sys.path.insert(0, str(Path(__file__).parent.parent))
 
 from pepperrun.bench.rig import HOST, Rig, usage  # noqa: E402
-from pepperrun.capture.format import read  # noqa: E402
+from pepperrun.capture.format import decode_capture  # noqa: E402
 
 
 def main() -> int:
@@ -53,7 +53,7 @@
             rig.gatekeeper.send_signal(signal.SIGTERM)
             rig.gatekeeper.wait(30)
             lines = [line for line in rig.lines if "dropped" in line]
-        found = [read(path.read_bytes()) for path in sorted(captures.glob("*.prcap"))]
+        found = [decode_capture(path.read_bytes()) for path in sorted(captures.glob("*.prcap"))]
         held, dropped = sum(len(one.entries) for one in found), max(one.dropped for one in found)
         print(
             f"asked {asked}: captured {held} and dropped {dropped}; last line: {lines[-1] if lines else '-'}"
--- a/benchmarks/planner_days.py
+++ b/benchmarks/planner_days.py
@@ -17,7 +17,7 @@
 
 from pepperrun.bench.replay import replay  # noqa: E402
 from pepperrun.capture.edit import merge, scale  # noqa: E402
-from pepperrun.capture.format import Class, Plan, read, write  # noqa: E402
+from pepperrun.capture.format import Class, Plan, decode_capture, encode_capture  # noqa: E402
 from pepperrun.model.day import Fault, requests_from_entries  # noqa: E402
 from pepperrun.model.fleet import Fleet, parse_fleet, resized  # noqa: E402
 from pepperrun.model.load import LoadSpec, draw_load  # noqa: E402
@@ -83,7 +83,7 @@
         base = replay(
             requests_from_entries(drawn, CLASSES, fleet, 1), CLASSES, PLANS, fleet, 1, capture=Path(folder)
         )
-        captured = merge([read(path.read_bytes()) for path in sorted(Path(folder).glob("*.prcap"))])
+        captured = merge([decode_capture(path.read_bytes()) for path in sorted(Path(folder).glob("*.prcap"))])
     print(f"captured {len(captured.entries)} of {base['requests']} requests; remarks: {captured.remarks}")
     fitted = fit_capture(captured)
     for name, work in fitted["work"].items():
@@ -113,7 +113,9 @@
         results = list(threads.map(measured, todo))
     with ProcessPoolExecutor() as pool:
         questions = [
-            SimulationTask(write(scale(captured, factor, seed=number)), resized(fleet, nodes), seed, faults)
+            SimulationTask(
+                encode_capture(scale(captured, factor, seed=number)), resized(fleet, nodes), seed, faults
+            )
             for number, (_, factor, nodes, faults) in todo
             for seed in SEEDS
         ]
--- a/pepperrun/bench/stalling.py
+++ b/pepperrun/bench/stalling.py
@@ -37,16 +37,16 @@
         self.file.close()
 
 
-def stalling(files_in: Files, stall: Path) -> Files:
+def stalling(rotating_files: Files, stall: Path) -> Files:
     """The recorder's files, on that disk."""
 
-    def files(folder: Path, name: str, most_files: int) -> Callable[[int], BinaryIO]:
-        open_file = files_in(folder, name, most_files)
+    def files(folder: Path, name: str, max_files: int) -> Callable[[int], BinaryIO]:
+        open_file = rotating_files(folder, name, max_files)
         return lambda start_ns: cast(BinaryIO, cast(Any, StallingFile(open_file(start_ns), stall)))
 
     return files
 
 
 if __name__ == "__main__":
-    recorder.files_in = stalling(recorder.files_in, Path(os.environ["STALL_FILE"]))
+    recorder.rotating_files = stalling(recorder.rotating_files, Path(os.environ["STALL_FILE"]))
     sys.exit(main(sys.argv[1:]))
--- a/pepperrun/capture/edit.py
+++ b/pepperrun/capture/edit.py
@@ -10,10 +10,10 @@
 import msgspec
 import numpy
 
-from pepperrun.capture.format import Capture, Entry, FormatError, Worker, replaced
+from pepperrun.capture.format import Capture, Entry, FormatError, Worker, replace_fields
 
-GAP_US = 5_000_000  # silence of a gatekeeper that is worth a remark
-PATIENCE = 20  # times the usual time between two requests that counts as a gap, too
+MIN_GAP_US = 5_000_000  # silence of a gatekeeper that is worth a remark
+MIN_GAP_MEDIANS = 20  # times the usual time between two requests that counts as a gap, too
 
 
 def merge(captures: Sequence[Capture]) -> Capture:
@@ -49,16 +49,16 @@
                 msgspec.structs.replace(attempt, worker=renumbered[attempt.worker])
                 for attempt in entry.attempts
             )
-            out.entries.append(replaced(entry, at_us=entry.at_us + shift, attempts=attempts))
+            out.entries.append(replace_fields(entry, at_us=entry.at_us + shift, attempts=attempts))
         if capture.entries:
             times = [entry.at_us + shift for entry in capture.entries]
             spans.append((header.number, min(times), max(times)))
     out.entries.sort(key=lambda entry: (entry.at_us, entry.gatekeeper))
-    out.remarks += _missing(spans, out.header.gatekeepers)
+    out.remarks += _find_missing(spans, out.header.gatekeepers)
     return out
 
 
-def _missing(spans: list[tuple[int, int, int]], gatekeepers: int) -> list[str]:
+def _find_missing(spans: list[tuple[int, int, int]], gatekeepers: int) -> list[str]:
     remarks = []
     have = {number for number, _, _ in spans}
     for number in range(gatekeepers):
@@ -68,7 +68,7 @@
     for (number, _, end), (after, start, _) in zip(spans, spans[1:], strict=False):
         if number == after and start < end:
             remarks.append(f"gatekeeper {number}: two files of one spell, or its clock has stepped back")
-        if number == after and start - end > GAP_US:
+        if number == after and start - end > MIN_GAP_US:
             remarks.append(f"gatekeeper {number}: nothing from {end / 1e6:.1f} s to {start / 1e6:.1f} s")
     return remarks
 
@@ -79,9 +79,11 @@
         raise FormatError("a spell starts at 0 or later and ends after its start")
     start, end = int(start_s * 1e6), int(end_s * 1e6)
     header = msgspec.structs.replace(capture.header, start_ns=capture.header.start_ns + start * 1000)
-    out = _like(capture, header)
+    out = _copy_without_entries(capture, header)
     out.entries = [
-        replaced(entry, at_us=entry.at_us - start) for entry in capture.entries if start <= entry.at_us < end
+        replace_fields(entry, at_us=entry.at_us - start)
+        for entry in capture.entries
+        if start <= entry.at_us < end
     ]
     return out
 
@@ -110,7 +112,7 @@
     by_class = [(classes or {}).get(one.name, 1.0) for one in header.classes]
     by_plan = [(plans or {}).get(one.name, 1.0) for one in header.plans]
     random = numpy.random.default_rng(seed)
-    out = _like(capture, header)
+    out = _copy_without_entries(capture, header)
     for entry in capture.entries:
         times = factor * by_class[entry.cls] * by_plan[entry.plan]
         count = int(times) + (random.random() < times - int(times))
@@ -121,8 +123,8 @@
             later = int(random.integers(0, 50_000))
             customer = entry.customer
             if random.random() < 0.5:
-                customer = _hashed(customer, copy.to_bytes(4, "big"))
-            out.entries.append(replaced(entry, at_us=entry.at_us + later, customer=customer))
+                customer = _rehash_customer(customer, copy.to_bytes(4, "big"))
+            out.entries.append(replace_fields(entry, at_us=entry.at_us + later, customer=customer))
     out.entries.sort(key=lambda entry: (entry.at_us, entry.gatekeeper))
     return out
 
@@ -134,39 +136,41 @@
     header = msgspec.structs.replace(
         capture.header, gatekeeper=f"gatekeeper-{capture.header.number}", key_id="anonymous"
     )
-    out = _like(capture, header)
+    out = _copy_without_entries(capture, header)
     zones = sorted({worker.zone for worker in capture.workers.values()})
     out.workers = {
         number: Worker(number, f"worker-{number}", f"zone-{zones.index(worker.zone)}")
         for number, worker in capture.workers.items()
     }
-    out.entries = [replaced(entry, customer=_hashed(entry.customer, key)) for entry in capture.entries]
+    out.entries = [
+        replace_fields(entry, customer=_rehash_customer(entry.customer, key)) for entry in capture.entries
+    ]
     return out
 
 
-def _hashed(customer: int, key: bytes) -> int:
+def _rehash_customer(customer: int, key: bytes) -> int:
     digest = hashlib.blake2b(customer.to_bytes(8, "big"), digest_size=8, key=key[:64]).digest()
     return int.from_bytes(digest, "big") >> 31  # a customer's number is below 2^33
 
 
-def _like(capture: Capture, header: Any) -> Capture:
+def _copy_without_entries(capture: Capture, header: Any) -> Capture:
     out = Capture(header)
     out.workers, out.dropped = dict(capture.workers), capture.dropped
     out.remarks, out.complete = list(capture.remarks), capture.complete
     return out
 
 
-def gaps(entries: Sequence[Entry]) -> list[tuple[float, float]]:
+def find_gaps(entries: Sequence[Entry]) -> list[tuple[float, float]]:
     """Spells without a request that are far longer than usual, in seconds."""
     if len(entries) < 3:
         return []
     times = numpy.array([entry.at_us for entry in entries])
     between = numpy.diff(times)
-    long = max(GAP_US, PATIENCE * float(numpy.median(between)))
+    long = max(MIN_GAP_US, MIN_GAP_MEDIANS * float(numpy.median(between)))
     return [(float(times[at]) / 1e6, float(times[at + 1]) / 1e6) for at in numpy.nonzero(between > long)[0]]
 
 
-def summary(capture: Capture) -> dict[str, Any]:
+def summarize(capture: Capture) -> dict[str, Any]:
     """What a capture holds, for `show`."""
     entries, header = capture.entries, capture.header
     span = (entries[-1].at_us - entries[0].at_us) / 1e6 if len(entries) > 1 else 0.0
@@ -195,7 +199,7 @@
         "attempts": dict(outcomes),
         "units_guessed": round(sum(entry.units for entry in entries), 3),
         "units_true": round(sum(entry.true_units for entry in entries), 3),
-        "gaps_s": gaps(entries),
+        "gaps_s": find_gaps(entries),
         "complete": capture.complete,
         "remarks": capture.remarks,
     }
--- a/pepperrun/capture/format.py
+++ b/pepperrun/capture/format.py
@@ -18,8 +18,8 @@
 
 MAGIC = b"PRCAPT1\n"
 VERSION = 1
-MOST_FRAME = 4 * 1024 * 1024
-MOST_PAYLOAD = 64 * 1024 * 1024
+MAX_FRAME_BYTES = 4 * 1024 * 1024
+MAX_DECOMPRESSED_BYTES = 64 * 1024 * 1024
 _FRAME = struct.Struct(">II")
 
 
@@ -114,22 +114,22 @@
     until_us: int
 
 
-_header: msgspec.msgpack.Decoder[Header] = msgspec.msgpack.Decoder(Header)
-_footer: msgspec.msgpack.Decoder[Footer] = msgspec.msgpack.Decoder(Footer)
-_block: msgspec.msgpack.Decoder[Block] = msgspec.msgpack.Decoder(Block)
+_header_decoder: msgspec.msgpack.Decoder[Header] = msgspec.msgpack.Decoder(Header)
+_footer_decoder: msgspec.msgpack.Decoder[Footer] = msgspec.msgpack.Decoder(Footer)
+_block_decoder: msgspec.msgpack.Decoder[Block] = msgspec.msgpack.Decoder(Block)
 _encoder = msgspec.msgpack.Encoder()
 T = TypeVar("T")
 
 
-def frame(kind: bytes, what: msgspec.Struct) -> bytes:
+def encode_frame(kind: bytes, what: msgspec.Struct) -> bytes:
     """A frame; `kind` is one byte: H, B or F."""
     payload = kind + zlib.compress(_encoder.encode(what), 1)
     return _FRAME.pack(len(payload), zlib.crc32(payload)) + payload
 
 
-def opening(header: Header) -> bytes:
+def encode_file_start(header: Header) -> bytes:
     """How a file begins."""
-    return MAGIC + frame(b"H", header)
+    return MAGIC + encode_frame(b"H", header)
 
 
 class Capture:
@@ -144,14 +144,14 @@
         self.remarks: list[str] = []
 
 
-def _frames(data: bytes) -> Iterator[tuple[int, bytes, bytes]]:
+def _decode_frames(data: bytes) -> Iterator[tuple[int, bytes, bytes]]:
     at = len(MAGIC)
     while at < len(data):
         if at + _FRAME.size > len(data):
             raise FormatError(f"cut off at byte {at}")
         length, crc = _FRAME.unpack_from(data, at)
         payload = data[at + _FRAME.size : at + _FRAME.size + length]
-        if length > MOST_FRAME or not length:
+        if length > MAX_FRAME_BYTES or not length:
             raise FormatError(f"a frame of {length} bytes at byte {at}")
         if len(payload) < length:
             raise FormatError(f"cut off at byte {at}")
@@ -159,11 +159,11 @@
             raise FormatError(f"wrong checksum at byte {at}")
         unpacker = zlib.decompressobj()
         try:
-            body = unpacker.decompress(payload[1:], MOST_PAYLOAD)
+            body = unpacker.decompress(payload[1:], MAX_DECOMPRESSED_BYTES)
         except zlib.error as error:
             raise FormatError(f"{error} at byte {at}") from None
         if unpacker.unconsumed_tail:
-            raise FormatError(f"a frame that unpacks to over {MOST_PAYLOAD} bytes at byte {at}")
+            raise FormatError(f"a frame that unpacks to over {MAX_DECOMPRESSED_BYTES} bytes at byte {at}")
         yield at, payload[:1], body
         at += _FRAME.size + length
 
@@ -175,12 +175,12 @@
         raise FormatError(f"{error} at byte {at}") from None
 
 
-def read(data: bytes) -> Capture:
+def decode_capture(data: bytes) -> Capture:
     """A file. One that is cut off or spoilt gives what stands before that, and a remark; without a header, or
     of another version, it is refused with `FormatError`."""
     if data[: len(MAGIC)] != MAGIC:
         raise FormatError("not a capture")
-    frames = _frames(data)
+    frames = _decode_frames(data)
     try:
         at, kind, body = next(frames)
     except StopIteration:
@@ -193,9 +193,9 @@
         raise FormatError(f"no header: {error}") from None
     if version != VERSION:
         raise FormatError(f"version {version!r}: this program reads version {VERSION}")
-    capture = Capture(_decode(_header, body, at))
+    capture = Capture(_decode(_header_decoder, body, at))
     try:
-        _rest(frames, capture)
+        _read_frames(frames, capture)
     except FormatError as error:
         capture.remarks.append(str(error))
     if not capture.complete and not capture.remarks:
@@ -203,11 +203,11 @@
     return capture
 
 
-def _rest(frames: Iterable[tuple[int, bytes, bytes]], capture: Capture) -> None:
+def _read_frames(frames: Iterable[tuple[int, bytes, bytes]], capture: Capture) -> None:
     header, latest = capture.header, 0
     for at, kind, body in frames:
         if kind == b"B":
-            block = _decode(_block, body, at)
+            block = _decode(_block_decoder, body, at)
             for worker in block.workers:
                 capture.workers[worker.number] = worker
             for entry in block.entries:
@@ -218,7 +218,7 @@
                 latest = max(latest, entry.at_us)
                 capture.entries.append(entry)
         elif kind == b"F":
-            footer = _decode(_footer, body, at)
+            footer = _decode(_footer_decoder, body, at)
             capture.dropped, capture.complete = footer.dropped, True
             if footer.written != len(capture.entries):
                 capture.remarks.append(f"{footer.written} entries were written, {len(capture.entries)} read")
@@ -226,18 +226,18 @@
             raise FormatError(f"an unknown frame at byte {at}")
 
 
-def write(capture: Capture, each: int = 512) -> bytes:
+def encode_capture(capture: Capture, each: int = 512) -> bytes:
     """A whole file."""
     entries, workers = capture.entries, tuple(capture.workers.values())
-    parts = [opening(capture.header)]
+    parts = [encode_file_start(capture.header)]
     for start in range(0, max(1, len(entries)), each):
         some = tuple(entries[start : start + each])
-        parts.append(frame(b"B", Block(workers if start == 0 else (), some)))
+        parts.append(encode_frame(b"B", Block(workers if start == 0 else (), some)))
     until = entries[-1].at_us if entries else 0
-    parts.append(frame(b"F", Footer(len(entries), capture.dropped, until)))
+    parts.append(encode_frame(b"F", Footer(len(entries), capture.dropped, until)))
     return b"".join(parts)
 
 
-def replaced(entry: Entry, **changes: Any) -> Entry:
+def replace_fields(entry: Entry, **changes: Any) -> Entry:
     """An entry with some fields changed."""
     return msgspec.structs.replace(entry, **changes)
--- a/pepperrun/capture/recorder.py
+++ b/pepperrun/capture/recorder.py
@@ -18,18 +18,18 @@
 from pepperrun.exchange import Exchange
 from pepperrun.log import log_message
 
-BATCH = 128  # packed at a time: the writer holds the interpreter for half a millisecond
-EVERY_S = 1.0  # a part of a batch waits no longer than this
-MOST_WAITING = 32  # batches that the writer has not taken: the bound on memory
-MOST_CUSTOMERS = 50_000  # whose hashes are kept
-CLOSE_S = 2.0  # for the last batches at the end
-KEY_FILE = "capture.key"
-Raw = tuple[Any, ...]
+BATCH_SIZE = 128  # packed at a time: the writer holds the interpreter for half a millisecond
+MAX_BATCH_AGE_S = 1.0  # a part of a batch waits no longer than this
+MAX_QUEUED_BATCHES = 32  # batches that the writer has not taken: the bound on memory
+MAX_CACHED_HASHES = 50_000  # whose hashes are kept
+CLOSE_TIMEOUT_S = 2.0  # for the last batches at the end
+KEY_FILE_NAME = "capture.key"
+RawRecord = tuple[Any, ...]
 
 
-def key_of(folder: Path) -> bytes:
+def load_or_create_key(folder: Path) -> bytes:
     """The folder's key; made where there is none. Copied to other gatekeepers' folders, customers match."""
-    path = folder / KEY_FILE
+    path = folder / KEY_FILE_NAME
     try:
         key = path.read_bytes()
     except FileNotFoundError:
@@ -41,7 +41,7 @@
     return key
 
 
-def header_of(settings: Settings, name: str, start_ns: int, key: bytes) -> Header:
+def create_header(settings: Settings, name: str, start_ns: int, key: bytes) -> Header:
     """What a file of this gatekeeper says first."""
     ms = 1_000_000
     return Header(
@@ -89,30 +89,30 @@
         settings: Settings,
         name: str,
         key: bytes,
-        place_of: Callable[[int], tuple[str, str]],
+        name_and_zone_of: Callable[[int], tuple[str, str]],
         open_file: Callable[[int], BinaryIO],
         clock: Callable[[], int],
-        most_bytes: int = 64 * 1024 * 1024,
-        most_s: float = 3600.0,
+        max_file_bytes: int = 64 * 1024 * 1024,
+        max_file_s: float = 3600.0,
     ) -> None:
-        self.settings, self.name, self.key, self.place_of = settings, name, key, place_of
+        self.settings, self.name, self.key, self.name_and_zone_of = settings, name, key, name_and_zone_of
         self.open_file, self.clock = open_file, clock
-        self.most_bytes, self.most_s = most_bytes, most_s
-        self.taken = self.dropped = 0  # on the loop's thread
+        self.max_file_bytes, self.max_file_s = max_file_bytes, max_file_s
+        self.received = self.dropped = 0  # on the loop's thread
         self.written = self.lost = 0  # on the writer's: to files, and batches that a file did not take
-        self._batch: list[Raw] = []
-        self._since = time.monotonic()
-        self._queue: queue.Queue[list[Raw] | None] = queue.Queue(MOST_WAITING)
-        self._customers: dict[int, int] = {}
-        self._current: list[Raw] = []  # the writer's: handed over and in no file yet
-        self._thread = threading.Thread(target=self._run, name="capture", daemon=True)
+        self._batch: list[RawRecord] = []
+        self._last_flush = time.monotonic()
+        self._queue: queue.Queue[list[RawRecord] | None] = queue.Queue(MAX_QUEUED_BATCHES)
+        self._hashes: dict[int, int] = {}
+        self._unwritten: list[RawRecord] = []  # the writer's: handed over and in no file yet
+        self._thread = threading.Thread(target=self._write_files, name="capture", daemon=True)
         self._thread.start()
 
     # On the loop's thread.
 
-    def take(self, exchange: Exchange[Any, Any]) -> None:
+    def record(self, exchange: Exchange[Any, Any]) -> None:
         """An exchange is over, its attempts ended. Costs a tuple; packing is the writer's."""
-        self.taken += 1
+        self.received += 1
         now = time.monotonic()
         self._batch.append(
             (
@@ -130,12 +130,12 @@
                 exchange.trace,
             )
         )
-        if len(self._batch) >= BATCH or now - self._since >= EVERY_S:
+        if len(self._batch) >= BATCH_SIZE or now - self._last_flush >= MAX_BATCH_AGE_S:
             self.flush(now)
 
     def flush(self, now: float | None = None) -> None:
         """Hands the batch to the writer, or drops it where that is too far behind."""
-        self._since = time.monotonic() if now is None else now
+        self._last_flush = time.monotonic() if now is None else now
         batch, self._batch = self._batch, []
         if not batch:
             return
@@ -149,25 +149,25 @@
         """Writes what is waiting, for a moment; what is not written by then counts as dropped."""
         self.flush()
         try:
-            self._queue.put(None, timeout=CLOSE_S)
+            self._queue.put(None, timeout=CLOSE_TIMEOUT_S)
         except queue.Full:
             return
-        self._thread.join(CLOSE_S)
+        self._thread.join(CLOSE_TIMEOUT_S)
 
     # On the writer's.
 
-    def _run(self) -> None:
-        open_on = True
-        while open_on:
+    def _write_files(self) -> None:
+        more = True
+        while more:
             file = None
             try:
                 start = self.clock()
                 file = self.open_file(start)
-                open_on = self._write_file(file, start)
+                more = self._write_file(file, start)
             except OSError as error:  # the disk is full or gone: later batches may fit again
-                self.lost += len(self._current)
+                self.lost += len(self._unwritten)
                 log_message("capture", f"capture: {error}")
-                open_on = self._next()
+                more = self._next_batch()
             finally:
                 if file is not None:
                     try:
@@ -175,34 +175,34 @@
                     except OSError as error:
                         log_message("capture", f"capture: {error}")
 
-    def _next(self) -> bool:
+    def _next_batch(self) -> bool:
         """Waits for the next batch; False at the end."""
         batch = self._queue.get()
-        self._current = batch or []
+        self._unwritten = batch or []
         return batch is not None
 
     def _write_file(self, file: BinaryIO, start: int) -> bool:
         """Until the file is big or old enough, or the end, which gives False."""
-        data = capture_format.opening(header_of(self.settings, self.name, start, self.key))
+        data = capture_format.encode_file_start(create_header(self.settings, self.name, start, self.key))
         file.write(data)
         size, count, latest, began, more = len(data), 0, 0, time.monotonic(), True
         numbers: dict[int, int] = {}
         while more:
-            if self._current:
-                block = self._pack(self._current, start, numbers)
-                data = capture_format.frame(b"B", block)
+            if self._unwritten:
+                block = self._create_block(self._unwritten, start, numbers)
+                data = capture_format.encode_frame(b"B", block)
                 file.write(data)
-                size, count = size + len(data), count + len(self._current)
-                self.written += len(self._current)
-                self._current = []
+                size, count = size + len(data), count + len(self._unwritten)
+                self.written += len(self._unwritten)
+                self._unwritten = []
                 latest = max(latest, *(entry.at_us for entry in block.entries))
-            more = self._next()
-            if size >= self.most_bytes or time.monotonic() - began >= self.most_s:
+            more = self._next_batch()
+            if size >= self.max_file_bytes or time.monotonic() - began >= self.max_file_s:
                 break
-        file.write(capture_format.frame(b"F", Footer(count, self.dropped + self.lost, latest)))
+        file.write(capture_format.encode_frame(b"F", Footer(count, self.dropped + self.lost, latest)))
         return more
 
-    def _pack(self, batch: list[Raw], start: int, numbers: dict[int, int]) -> Block:
+    def _create_block(self, batch: list[RawRecord], start: int, numbers: dict[int, int]) -> Block:
         new: list[Worker] = []
         entries = []
         for began, cls, plan, customer, units, cost, deadline, end, finished, spread, first, trace in batch:
@@ -210,7 +210,7 @@
             for backend, sent, outcome, ended in trace or ():
                 if backend not in numbers:
                     numbers[backend] = len(numbers)
-                    new.append(Worker(numbers[backend], *self.place_of(backend)))
+                    new.append(Worker(numbers[backend], *self.name_and_zone_of(backend)))
                 attempts.append(
                     Attempt(
                         numbers[backend],
@@ -224,7 +224,7 @@
                     (began - start) // 1000,
                     cls,
                     plan,
-                    self._hash(customer),
+                    self._hash_customer(customer),
                     units,
                     cost,
                     (deadline - began) // 1000,
@@ -238,24 +238,24 @@
             )
         return Block(tuple(new), tuple(entries))
 
-    def _hash(self, customer: int) -> int:
-        got = self._customers.get(customer)
+    def _hash_customer(self, customer: int) -> int:
+        got = self._hashes.get(customer)
         if got is None:
-            if len(self._customers) >= MOST_CUSTOMERS:
-                self._customers.clear()
+            if len(self._hashes) >= MAX_CACHED_HASHES:
+                self._hashes.clear()
             data = customer.to_bytes(8, "big")
             digest = hashlib.blake2b(data, digest_size=8, key=self.key).digest()
-            got = self._customers[customer] = int.from_bytes(digest, "big") >> 31
+            got = self._hashes[customer] = int.from_bytes(digest, "big") >> 31
         return got
 
 
-def files_in(folder: Path, name: str, most_files: int) -> Callable[[int], BinaryIO]:
+def rotating_files(folder: Path, name: str, max_files: int) -> Callable[[int], BinaryIO]:
     """Files of one gatekeeper in a folder, named by their start; the oldest go when there are too many."""
     safe = "".join(char if char.isalnum() or char in "-_" else "_" for char in name)
 
     def open_file(start_ns: int) -> BinaryIO:
         old = sorted(folder.glob(f"{safe}-*.prcap"))
-        for path in old[: max(0, len(old) + 1 - most_files)]:
+        for path in old[: max(0, len(old) + 1 - max_files)]:
             path.unlink(missing_ok=True)
         path = folder / f"{safe}-{start_ns // 1_000_000:015d}.prcap"
         return open(path, "xb", buffering=0)
--- a/pepperrun/cli/capture.py
+++ b/pepperrun/cli/capture.py
@@ -15,21 +15,21 @@
 
 def load(path: Path) -> Any:
     """A capture file; one line and exit 2 where it can't be read."""
-    from pepperrun.capture.format import read
+    from pepperrun.capture.format import decode_capture
 
     try:
-        return read(path.read_bytes())
+        return decode_capture(path.read_bytes())
     except (OSError, ValueError) as error:
         raise click.ClickException(f"{path}: {error}") from None
 
 
 def save(capture: Any, path: Path) -> int:
     """Writes a capture, all or nothing; 1 where it comes with remarks."""
-    from pepperrun.capture.format import write
+    from pepperrun.capture.format import encode_capture
 
     new = path.with_name(path.name + ".new")
     try:
-        new.write_bytes(write(capture))
+        new.write_bytes(encode_capture(capture))
         os.replace(new, path)
     except OSError as error:
         raise click.ClickException(f"{path}: {error}") from None
@@ -61,9 +61,9 @@
 @click.option("--json", "as_json", is_flag=True, help="One JSON object on standard output.")
 def show(file: Path, as_json: bool) -> int:
     """What a capture holds. Exits with 1 where something of it is missing."""
-    from pepperrun.capture.edit import summary
+    from pepperrun.capture.edit import summarize
 
-    what = summary(load(file))
+    what = summarize(load(file))
     if as_json:
         click.echo(json.dumps(what))
     else:
--- a/pepperrun/planner/plan.py
+++ b/pepperrun/planner/plan.py
@@ -49,9 +49,9 @@
 
 def simulate_task(task: SimulationTask) -> dict[str, Any]:
     """Simulates the day of a task; returns its summary."""
-    from pepperrun.capture.format import read
+    from pepperrun.capture.format import decode_capture
 
-    capture = read(task.capture)
+    capture = decode_capture(task.capture)
     header = capture.header
     load = requests_from_entries(capture.entries, header.classes, task.fleet, task.seed)
     simulation = Simulation(load, header.classes, header.plans, task.fleet, task.seed, task.faults)
@@ -76,11 +76,11 @@
     def __init__(
         self, capture: Capture, fleet: Fleet, seeds: Sequence[int], jobs: int, report_progress: Progress
     ) -> None:
-        from pepperrun.capture.format import write
+        from pepperrun.capture.format import encode_capture
 
         if not capture.entries:
             raise ValueError("the capture contains no requests")
-        self.capture, self.packed = capture, write(capture)
+        self.capture, self.packed = capture, encode_capture(capture)
         self.fleet, self.seeds, self.report_progress = fleet, tuple(seeds), report_progress
         for cls in capture.header.classes:
             if cls.name not in fleet.work and any(
@@ -115,9 +115,9 @@
 
     def scaled_capture(self, factor: float) -> bytes:
         """Returns the encoded capture with the load multiplied by a factor."""
-        from pepperrun.capture.format import write
+        from pepperrun.capture.format import encode_capture
 
-        return self.packed if factor == 1.0 else write(scale(self.capture, factor, seed=1))
+        return self.packed if factor == 1.0 else encode_capture(scale(self.capture, factor, seed=1))
 
     def find_bottleneck(self, goal: float, factors: Sequence[float]) -> dict[str, Any]:
         """Finds the first load factor at which service misses the goal, and the first exhausted resource."""
@@ -238,11 +238,11 @@
                 for cls, old in self.fleet.work.items()
             }
             variants[name] = self.packed, msgspec.structs.replace(self.fleet, work=work)
-        from pepperrun.capture.format import write
+        from pepperrun.capture.format import encode_capture
 
         for cls in self.capture.header.classes:
             variants[f"{cls.name} +20%"] = (
-                write(scale(self.capture, 1.0, {cls.name: 1.2}, seed=1)),
+                encode_capture(scale(self.capture, 1.0, {cls.name: 1.2}, seed=1)),
                 self.fleet,
             )
         summaries = self.run_variants([(packed, fleet, ()) for packed, fleet in variants.values()])
--- a/pepperrun/serve.py
+++ b/pepperrun/serve.py
@@ -239,17 +239,17 @@
 def check_capture(folder: str) -> None:
     """Checks that captures can be written to a folder; raises ValueError or OSError if not."""
     try:
-        from pepperrun.capture.recorder import key_of
+        from pepperrun.capture.recorder import load_or_create_key
     except ImportError as error:
         raise ValueError(f"--capture: {error} (pip install 'pepperrun[capture]')") from None
     if not os.path.isdir(folder):
         raise ValueError(f"--capture: {folder} is not a folder")
-    key_of(Path(folder))
+    load_or_create_key(Path(folder))
 
 
 def create_recorder(folder: str, name: str, core: Core, clock: Clock) -> Recorder:
     """Starts to record a core's requests in the folder; workers are recorded with their names and zones."""
-    from pepperrun.capture.recorder import Recorder, files_in, key_of
+    from pepperrun.capture.recorder import Recorder, load_or_create_key, rotating_files
 
     directory = core.directory
 
@@ -259,9 +259,14 @@
 
     path = Path(folder)
     recorder = Recorder(
-        core.settings, name, key_of(path), name_and_zone, files_in(path, name, MAX_CAPTURE_FILES), clock
+        core.settings,
+        name,
+        load_or_create_key(path),
+        name_and_zone,
+        rotating_files(path, name, MAX_CAPTURE_FILES),
+        clock,
     )
-    core.gatekeeper.observer = recorder.take
+    core.gatekeeper.observer = recorder.record
     return recorder
 
 
--- a/tests/test_capture.py
+++ b/tests/test_capture.py
@@ -26,10 +26,16 @@
     Header,
     Plan,
     Worker,
-    read,
-    write,
+    decode_capture,
+    encode_capture,
+)
+from pepperrun.capture.recorder import (
+    BATCH_SIZE,
+    MAX_QUEUED_BATCHES,
+    Recorder,
+    load_or_create_key,
+    rotating_files,
 )
-from pepperrun.capture.recorder import BATCH, MOST_WAITING, Recorder, files_in, key_of
 
 KEY = b"k" * 32
 HEADER = Header(
@@ -66,16 +72,16 @@
 
 def test_a_capture_comes_back_as_it_was():
     capture = sample()
-    again = read(write(capture, each=7))
+    again = decode_capture(encode_capture(capture, each=7))
     assert (again.header, again.entries, again.workers) == (capture.header, capture.entries, capture.workers)
     assert again.complete and not again.remarks
 
 
 def test_cut_off_anywhere_it_gives_what_stands_before():
-    data, whole = write(sample(20), each=5), sample(20).entries
+    data, whole = encode_capture(sample(20), each=5), sample(20).entries
     for end in range(len(data)):
         try:
-            capture = read(data[:end])
+            capture = decode_capture(data[:end])
         except FormatError:
             assert end < 300  # within the header
             continue
@@ -85,10 +91,10 @@
 
 @given(st.integers(0, 5000), st.integers(1, 255))
 def test_one_changed_byte_is_never_believed(at, change):
-    data = bytearray(write(sample(20), each=5))
+    data = bytearray(encode_capture(sample(20), each=5))
     data[at % len(data)] ^= change
     try:
-        capture = read(bytes(data))
+        capture = decode_capture(bytes(data))
     except FormatError:
         return
     assert capture.remarks and capture.entries == sample(20).entries[: len(capture.entries)]
@@ -98,7 +104,7 @@
 def test_garbage_is_refused_in_words(data):
     for text in (data, capture_format.MAGIC + data):
         with pytest.raises(FormatError):
-            read(text)
+            decode_capture(text)
 
 
 def test_another_version_and_what_contradicts_itself_are_told():
@@ -106,13 +112,13 @@
 
     newer = msgspec.structs.replace(HEADER, version=2)
     with pytest.raises(FormatError, match="version 2"):
-        read(capture_format.opening(newer))
+        decode_capture(capture_format.encode_file_start(newer))
     bad = sample(3)
-    bad.entries[1] = capture_format.replaced(bad.entries[1], cls=9)
-    assert "class 9" in read(write(bad)).remarks[0]
+    bad.entries[1] = capture_format.replace_fields(bad.entries[1], cls=9)
+    assert "class 9" in decode_capture(encode_capture(bad)).remarks[0]
     bad = sample(3)
     del bad.workers[1]
-    assert "without a name" in read(write(bad)).remarks[0]
+    assert "without a name" in decode_capture(encode_capture(bad)).remarks[0]
 
 
 def test_files_of_several_gatekeepers_become_one_and_what_is_missing_is_named():
@@ -182,16 +188,16 @@
 def test_a_stalled_disk_costs_records_that_are_counted_and_no_more_memory():
     file = Stalled()
     recorder = Recorder(SETTINGS, "n0", KEY, lambda backend: ("w", "a"), lambda start: file, lambda: 0)
-    total = BATCH * (MOST_WAITING + 20) + 5
+    total = BATCH_SIZE * (MAX_QUEUED_BATCHES + 20) + 5
     for number in range(total):
-        recorder.take(exchange_of(number))
+        recorder.record(exchange_of(number))
     recorder.flush()
-    held = recorder._queue.qsize() * BATCH
-    assert held <= MOST_WAITING * BATCH and recorder.dropped > 0
+    held = recorder._queue.qsize() * BATCH_SIZE
+    assert held <= MAX_QUEUED_BATCHES * BATCH_SIZE and recorder.dropped > 0
     dropped = recorder.dropped
     file.go.set()
     recorder.close()
-    capture = read(file.kept)
+    capture = decode_capture(file.kept)
     assert capture.complete and not capture.remarks
     assert len(capture.entries) == recorder.written == total - dropped and capture.dropped == dropped
     assert capture.entries[0].attempts == (Attempt(0, "out", 0, -1),)
@@ -214,40 +220,43 @@
         return files[-1]
 
     recorder = Recorder(SETTINGS, "n0", KEY, lambda backend: ("w", "a"), open_file, lambda: 0)
-    for number in range(3 * BATCH):
-        recorder.take(exchange_of(number))
+    for number in range(3 * BATCH_SIZE):
+        recorder.record(exchange_of(number))
     recorder.close()
-    assert (recorder.lost, recorder.written) == (BATCH, 2 * BATCH) and len(files) == 2
-    second = read(files[1].getvalue())
-    assert len(second.entries) == 2 * BATCH and second.dropped == BATCH
+    assert (recorder.lost, recorder.written) == (BATCH_SIZE, 2 * BATCH_SIZE) and len(files) == 2
+    second = decode_capture(files[1].getvalue())
+    assert len(second.entries) == 2 * BATCH_SIZE and second.dropped == BATCH_SIZE
 
 
 def test_files_are_rotated_and_the_oldest_go(tmp_path):
-    opened = files_in(tmp_path, "n/0", 2)
+    opened = rotating_files(tmp_path, "n/0", 2)
     for start in (1, 2, 3):
         opened(start * SECOND).close()
     assert [path.name for path in sorted(tmp_path.iterdir())] == [
         "n_0-000000000002000.prcap",
         "n_0-000000000003000.prcap",
     ]
-    assert key_of(tmp_path) == key_of(tmp_path) and (tmp_path / "capture.key").stat().st_mode & 0o077 == 0
+    assert (
+        load_or_create_key(tmp_path) == load_or_create_key(tmp_path)
+        and (tmp_path / "capture.key").stat().st_mode & 0o077 == 0
+    )
 
 
 def test_a_gatekeeper_records_what_it_took_and_each_attempt(tmp_path):
     async def test():
         front, bad, good = Front(), await StandIn(reset).start(), await StandIn(ok()).start()
         front.list(line("bad", bad.port), line("good", good.port))
-        key = key_of(tmp_path)
+        key = load_or_create_key(tmp_path)
         place = front.directory
         recorder = Recorder(
             SETTINGS,
             "n0",
             key,
             lambda backend: (place.names[backend], place.endpoints[backend].zone),
-            files_in(tmp_path, "n0", 9),
+            rotating_files(tmp_path, "n0", 9),
             front.clock,
         )
-        front.gatekeeper.observer = recorder.take
+        front.gatekeeper.observer = recorder.record
         client = await front.client()
         for status in (200, 429):
             client.ask(plan="tight")
@@ -256,7 +265,7 @@
             await asyncio.sleep(0)
         recorder.close()
         (path,) = tmp_path.glob("*.prcap")
-        capture = read(path.read_bytes())
+        capture = decode_capture(path.read_bytes())
         capture.entries.sort(key=lambda entry: entry.at_us)  # a refusal is over before an attempt that is out
         assert [entry.end for entry in capture.entries] == ["served", "refused"]
         names = {worker.number: worker.name for worker in capture.workers.values()}
@@ -275,13 +284,13 @@
 
 def test_the_command_shows_edits_and_refuses(tmp_path, capsys):
     path, out = tmp_path / "a.prcap", tmp_path / "b.prcap"
-    path.write_bytes(write(sample(100)))
+    path.write_bytes(encode_capture(sample(100)))
     assert main(["capture", "show", "--json", str(path)]) == 0
     assert json.loads(capsys.readouterr().out)["requests"] == 100
     assert main(["capture", "cut", str(path), "--to", "5", "--out", str(out)]) == 0
     assert main(["capture", "scale", str(out), "--by", "2", "--out", str(out)]) == 0
     assert main(["capture", "anonymise", str(out), "--out", str(out)]) == 0
-    assert len(read(out.read_bytes()).entries) == 100
+    assert len(decode_capture(out.read_bytes()).entries) == 100
     assert main(["capture", "merge", str(path), "--out", str(out)]) == 1  # a gatekeeper's file is missing
     path.write_bytes(path.read_bytes()[:-30])
     assert main(["capture", "show", str(path)]) == 1
@@ -297,7 +306,7 @@
     stall, taken = tmp_path / "stall", tmp_path / "taken"
     stall.touch()
 
-    def files(folder: Path, name: str, most: int):
+    def files(folder: Path, name: str, max_files: int):
         return lambda start: (folder / name).open("wb", buffering=0)
 
     file = stalling(files, stall)(tmp_path, "taken", 1)(0)
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from pepperrun.__main__ import main
-from pepperrun.capture.format import Capture, Class, Header, Plan, Worker, write
+from pepperrun.capture.format import Capture, Class, Header, Plan, Worker, encode_capture
 from pepperrun.model.day import Fault, parse_fault, requests_from_entries
 from pepperrun.model.fleet import parse_fleet, resized
 from pepperrun.model.load import LoadSpec, draw_load
@@ -177,7 +177,7 @@
     capture = Capture(header)
     capture.entries = entries(seconds, inside)
     path = tmp_path / "day.prcap"
-    path.write_bytes(write(capture))
+    path.write_bytes(encode_capture(capture))
     return path
 
 
--- a/tests/test_recorded.py
+++ b/tests/test_recorded.py
@@ -14,7 +14,7 @@
 import pytest
 from helpers import FREE, RATE, Driver, Outcome, Send, only
 
-from pepperrun.capture.format import read as read_capture
+from pepperrun.capture.format import decode_capture
 from pepperrun.consensus.register import ChangeResult
 from pepperrun.consensus.replica import Replica
 from pepperrun.consensus.state import Ballot
@@ -132,5 +132,5 @@
 
 
 def test_a_recorded_capture_is_read_complete() -> None:
-    capture = read_capture((RECORDED / "day.prcap").read_bytes())
+    capture = decode_capture((RECORDED / "day.prcap").read_bytes())
     assert capture.complete and not capture.remarks and len(capture.entries) == 25
