--- a/pepperrun/capture/__init__.py
+++ b/pepperrun/capture/__init__.py
@@ -1,1 +1,1 @@
-"""Captured load: what a gatekeeper took and what came of it. `docs/CAPTURE.md` has the format."""
+"""Captured load: the requests of a gatekeeper and their results. `docs/CAPTURE.md` describes the format."""
--- a/pepperrun/capture/format.py
+++ b/pepperrun/capture/format.py
@@ -1,10 +1,10 @@
 """The capture format, version 1. Does no I/O.
 
-A file is eight bytes of magic and frames; a frame is a length and a CRC-32 of its payload (both big-endian,
-32 bits) and the payload: a byte of its kind, and zlib over MessagePack. The first frame is a `Header`, the
-last a `Footer` (missing in a file that was cut off), those between are `Block`s. Structs are arrays on the
-wire: fields may be added at the end with a default and are skipped by older readers; anything else is another
-version.
+A file is eight magic bytes followed by frames. A frame is the length and the CRC-32 of its payload (both
+big-endian, 32 bits) followed by the payload: one byte for the kind, then MessagePack compressed with zlib.
+The first frame is a `Header`, the last a `Footer` (missing in a truncated file), the frames between are
+`Block`s. Structs are encoded as arrays: fields may be added at the end with a default, and older readers skip
+them. Any other change needs a new version.
 """
 
 from __future__ import annotations
@@ -18,28 +18,36 @@
 
 MAGIC = b"PRCAPT1\n"
 VERSION = 1
-MAX_FRAME_BYTES = 4 * 1024 * 1024
+MAX_FRAME_BYTES = 4 * 1024 * 1024  # compressed payload
 MAX_DECOMPRESSED_BYTES = 64 * 1024 * 1024
 _FRAME = struct.Struct(">II")
 
 
 class FormatError(ValueError):
-    """A file that can't be a capture; the text says where it stops making sense."""
+    """Data that is not a valid capture. The message says what is wrong and, within frames, at which byte."""
 
 
 class Class(msgspec.Struct, array_like=True, frozen=True):
-    """A class of requests, times in ms."""
+    """A class of requests. Times are in ms.
+
+    `worth` and `late_worth`: the value of an answer within the latency target `wanted_ms` and after it.
+    """
 
     name: str
     wanted_ms: float
     deadline_ms: float
-    repeat: str  # safe, keyed, unsafe
+    repeat: str  # whether a request may run again: safe, keyed, unsafe
     worth: float
     late_worth: float = 0.0
 
 
 class Plan(msgspec.Struct, array_like=True, frozen=True):
-    """A plan: units a second and at once for each customer over all gatekeepers."""
+    """Quotas of each customer of a plan, summed over all gatekeepers.
+
+    `rate` (units/s) and `burst` (units) form the quota, `ceiling_rate` (units/s) and `ceiling_depth` (units)
+    the hard rate limit. `price`: factor on a request's value. `over_worth` and `over_cost`: factor on the
+    value, and cost, of a request beyond the quota.
+    """
 
     name: str
     rate: float
@@ -52,20 +60,28 @@
 
 
 class Header(msgspec.Struct, array_like=True, frozen=True):
-    """What holds for a whole file. `start_ns` is Unix time, from which entries count."""
+    """The gatekeeper and the settings of a whole file.
+
+    `start_ns` is Unix time; the times of entries are relative to it. `number` is that of the gatekeeper,
+    `gatekeepers` how many there are.
+    """
 
     version: int
     gatekeeper: str
     number: int
     gatekeepers: int
     start_ns: int
-    key_id: str  # customers of files with one id can be told to be the same
+    key_id: str  # id of the hash key; customers can be matched across files with the same id
     classes: tuple[Class, ...]
     plans: tuple[Plan, ...]
 
 
 class Attempt(msgspec.Struct, array_like=True, frozen=True, gc=False):
-    """One attempt: worker's number in the file, its outcome, sent and ended in us after the request came."""
+    """One attempt of a request. Times are in us after the arrival of the request.
+
+    `worker` is the worker's number in the file. An attempt that was still in flight has the outcome "out" and
+    an `ended_us` of -1.
+    """
 
     worker: int
     outcome: str
@@ -74,25 +90,28 @@
 
 
 class Entry(msgspec.Struct, array_like=True, frozen=True, gc=False):
-    """One request. Times in us; `at_us` counts from the file's start, the rest from `at_us`."""
+    """One request. Times are in us: `at_us` is relative to the file's start, all others to `at_us`.
+
+    The customer uses `spread` gatekeepers, from number `first` on, modulo their number.
+    """
 
     at_us: int
     cls: int
     plan: int
-    customer: int  # hashed with the key
-    units: float  # as guessed
-    true_units: float  # 0 where not known
-    budget_us: int
-    end: str
-    took_us: int
+    customer: int  # keyed hash of the customer's number
+    units: float  # as estimated before the request ran
+    true_units: float  # as reported with the response; 0 if unknown
+    budget_us: int  # time until the deadline
+    end: str  # how the request ended, a value of `exchange.End`
+    took_us: int  # time until the final answer
     spread: int
     first: int
     attempts: tuple[Attempt, ...] = ()
-    gatekeeper: int = 0  # its number; a merged file holds those of several
+    gatekeeper: int = 0  # number of the gatekeeper; a merged file has entries of several
 
 
 class Worker(msgspec.Struct, array_like=True, frozen=True):
-    """A worker's number in this file, its name and its zone."""
+    """A worker. `number` identifies the worker within this file only."""
 
     number: int
     name: str
@@ -100,14 +119,17 @@
 
 
 class Block(msgspec.Struct, array_like=True, frozen=True):
-    """Some entries, and the workers that they are the first to name."""
+    """A batch of entries, and the workers that no earlier block of the file has named."""
 
     workers: tuple[Worker, ...]
     entries: tuple[Entry, ...]
 
 
 class Footer(msgspec.Struct, array_like=True, frozen=True):
-    """The file's last word: entries written to it, and dropped since the recorder's start."""
+    """The last frame: how many entries the file has, and how many were dropped since the recorder's start.
+
+    `until_us` is the latest `at_us` of the entries.
+    """
 
     written: int
     dropped: int
@@ -121,19 +143,23 @@
 T = TypeVar("T")
 
 
-def encode_frame(kind: bytes, what: msgspec.Struct) -> bytes:
-    """A frame; `kind` is one byte: H, B or F."""
-    payload = kind + zlib.compress(_encoder.encode(what), 1)
+def encode_frame(kind: bytes, content: msgspec.Struct) -> bytes:
+    """Returns the bytes of a frame. `kind` is one byte: H (header), B (block) or F (footer)."""
+    payload = kind + zlib.compress(_encoder.encode(content), 1)
     return _FRAME.pack(len(payload), zlib.crc32(payload)) + payload
 
 
 def encode_file_start(header: Header) -> bytes:
-    """How a file begins."""
+    """Returns the magic bytes and the header frame, with which a file begins."""
     return MAGIC + encode_frame(b"H", header)
 
 
 class Capture:
-    """A file's contents. `remarks`: what is missing or odd; `complete`: it has its footer."""
+    """The decoded contents of a file.
+
+    `dropped`: entries that the recorder dropped. `complete`: the file has a footer. `remarks`: texts for the
+    operator about what is missing or inconsistent.
+    """
 
     def __init__(self, header: Header) -> None:
         self.header = header
@@ -145,44 +171,46 @@
 
 
 def _decode_frames(data: bytes) -> Iterator[tuple[int, bytes, bytes]]:
-    at = len(MAGIC)
-    while at < len(data):
-        if at + _FRAME.size > len(data):
-            raise FormatError(f"cut off at byte {at}")
-        length, crc = _FRAME.unpack_from(data, at)
-        payload = data[at + _FRAME.size : at + _FRAME.size + length]
+    offset = len(MAGIC)
+    while offset < len(data):
+        if offset + _FRAME.size > len(data):
+            raise FormatError(f"file is truncated at byte {offset}")
+        length, crc = _FRAME.unpack_from(data, offset)
+        payload = data[offset + _FRAME.size : offset + _FRAME.size + length]
         if length > MAX_FRAME_BYTES or not length:
-            raise FormatError(f"a frame of {length} bytes at byte {at}")
+            raise FormatError(f"invalid frame length of {length} bytes at byte {offset}")
         if len(payload) < length:
-            raise FormatError(f"cut off at byte {at}")
+            raise FormatError(f"file is truncated at byte {offset}")
         if zlib.crc32(payload) != crc:
-            raise FormatError(f"wrong checksum at byte {at}")
-        unpacker = zlib.decompressobj()
+            raise FormatError(f"wrong checksum at byte {offset}")
+        decompressor = zlib.decompressobj()
         try:
-            body = unpacker.decompress(payload[1:], MAX_DECOMPRESSED_BYTES)
+            body = decompressor.decompress(payload[1:], MAX_DECOMPRESSED_BYTES)
         except zlib.error as error:
-            raise FormatError(f"{error} at byte {at}") from None
-        if unpacker.unconsumed_tail:
-            raise FormatError(f"a frame that unpacks to over {MAX_DECOMPRESSED_BYTES} bytes at byte {at}")
-        yield at, payload[:1], body
-        at += _FRAME.size + length
+            raise FormatError(f"{error} at byte {offset}") from None
+        if decompressor.unconsumed_tail:
+            raise FormatError(f"frame exceeds {MAX_DECOMPRESSED_BYTES} bytes decompressed at byte {offset}")
+        yield offset, payload[:1], body
+        offset += _FRAME.size + length
 
 
-def _decode(decoder: msgspec.msgpack.Decoder[T], body: bytes, at: int) -> T:
+def _decode(decoder: msgspec.msgpack.Decoder[T], body: bytes, offset: int) -> T:
     try:
         return decoder.decode(body)
     except (msgspec.DecodeError, RecursionError) as error:
-        raise FormatError(f"{error} at byte {at}") from None
+        raise FormatError(f"{error} at byte {offset}") from None
 
 
 def decode_capture(data: bytes) -> Capture:
-    """A file. One that is cut off or spoilt gives what stands before that, and a remark; without a header, or
-    of another version, it is refused with `FormatError`."""
+    """Decodes a file. A truncated or corrupt file gives the entries before the fault, and a remark.
+
+    Raises FormatError if the magic bytes or the header are missing or invalid, or the version is another.
+    """
     if data[: len(MAGIC)] != MAGIC:
-        raise FormatError("not a capture")
+        raise FormatError("not a capture file")
     frames = _decode_frames(data)
     try:
-        at, kind, body = next(frames)
+        offset, kind, body = next(frames)
     except StopIteration:
         raise FormatError("no header") from None
     if kind != b"H":
@@ -190,54 +218,60 @@
     try:
         version = msgspec.msgpack.decode(body)[0]
     except (msgspec.DecodeError, TypeError, IndexError, KeyError, RecursionError) as error:
-        raise FormatError(f"no header: {error}") from None
+        raise FormatError(f"invalid header: {error}") from None
     if version != VERSION:
-        raise FormatError(f"version {version!r}: this program reads version {VERSION}")
-    capture = Capture(_decode(_header_decoder, body, at))
+        raise FormatError(f"version {version!r} is not supported; this program reads version {VERSION}")
+    capture = Capture(_decode(_header_decoder, body, offset))
     try:
         _read_frames(frames, capture)
     except FormatError as error:
         capture.remarks.append(str(error))
     if not capture.complete and not capture.remarks:
-        capture.remarks.append("no footer: it was still being written, or cut off between two blocks")
+        capture.remarks.append(
+            "no footer: the file was still being written, or was truncated between two blocks"
+        )
     return capture
 
 
 def _read_frames(frames: Iterable[tuple[int, bytes, bytes]], capture: Capture) -> None:
-    header, latest = capture.header, 0
-    for at, kind, body in frames:
+    header, last_at_us = capture.header, 0
+    for offset, kind, body in frames:
         if kind == b"B":
-            block = _decode(_block_decoder, body, at)
+            block = _decode(_block_decoder, body, offset)
             for worker in block.workers:
                 capture.workers[worker.number] = worker
             for entry in block.entries:
                 if not (0 <= entry.cls < len(header.classes) and 0 <= entry.plan < len(header.plans)):
-                    raise FormatError(f"an entry of class {entry.cls}, plan {entry.plan} at byte {at}")
+                    raise FormatError(
+                        f"entry with an unknown class {entry.cls} or plan {entry.plan} at byte {offset}"
+                    )
                 if any(attempt.worker not in capture.workers for attempt in entry.attempts):
-                    raise FormatError(f"an attempt at a worker without a name at byte {at}")
-                latest = max(latest, entry.at_us)
+                    raise FormatError(f"attempt at a worker without a name at byte {offset}")
+                last_at_us = max(last_at_us, entry.at_us)
                 capture.entries.append(entry)
         elif kind == b"F":
-            footer = _decode(_footer_decoder, body, at)
+            footer = _decode(_footer_decoder, body, offset)
             capture.dropped, capture.complete = footer.dropped, True
             if footer.written != len(capture.entries):
-                capture.remarks.append(f"{footer.written} entries were written, {len(capture.entries)} read")
+                capture.remarks.append(
+                    f"{footer.written} entries according to the footer, but {len(capture.entries)} were read"
+                )
         else:
-            raise FormatError(f"an unknown frame at byte {at}")
+            raise FormatError(f"unknown frame kind at byte {offset}")
 
 
-def encode_capture(capture: Capture, each: int = 512) -> bytes:
-    """A whole file."""
+def encode_capture(capture: Capture, entries_per_block: int = 512) -> bytes:
+    """Returns the bytes of a complete file, with `entries_per_block` entries in each block."""
     entries, workers = capture.entries, tuple(capture.workers.values())
-    parts = [encode_file_start(capture.header)]
-    for start in range(0, max(1, len(entries)), each):
-        some = tuple(entries[start : start + each])
-        parts.append(encode_frame(b"B", Block(workers if start == 0 else (), some)))
-    until = entries[-1].at_us if entries else 0
-    parts.append(encode_frame(b"F", Footer(len(entries), capture.dropped, until)))
-    return b"".join(parts)
+    chunks = [encode_file_start(capture.header)]
+    for start in range(0, max(1, len(entries)), entries_per_block):
+        chunk = tuple(entries[start : start + entries_per_block])
+        chunks.append(encode_frame(b"B", Block(workers if start == 0 else (), chunk)))
+    last_at_us = entries[-1].at_us if entries else 0
+    chunks.append(encode_frame(b"F", Footer(len(entries), capture.dropped, last_at_us)))
+    return b"".join(chunks)
 
 
 def replace_fields(entry: Entry, **changes: Any) -> Entry:
-    """An entry with some fields changed."""
+    """Returns a copy of an entry with the given fields replaced."""
     return msgspec.structs.replace(entry, **changes)
--- a/tests/test_capture.py
+++ b/tests/test_capture.py
@@ -1,4 +1,4 @@
-"""Captures: written whole or dropped and counted, read as far as they are good, made into others."""
+"""Captures: the file format and its damage, the recorder with slow and full disks, and the edits."""
 
 from __future__ import annotations
 
@@ -70,15 +70,15 @@
     return capture
 
 
-def test_a_capture_comes_back_as_it_was():
+def test_an_encoded_capture_decodes_to_the_same_contents():
     capture = sample()
-    again = decode_capture(encode_capture(capture, each=7))
+    again = decode_capture(encode_capture(capture, entries_per_block=7))
     assert (again.header, again.entries, again.workers) == (capture.header, capture.entries, capture.workers)
     assert again.complete and not again.remarks
 
 
-def test_cut_off_anywhere_it_gives_what_stands_before():
-    data, whole = encode_capture(sample(20), each=5), sample(20).entries
+def test_a_truncated_file_gives_the_blocks_before_the_truncation():
+    data, all_entries = encode_capture(sample(20), entries_per_block=5), sample(20).entries
     for end in range(len(data)):
         try:
             capture = decode_capture(data[:end])
@@ -86,12 +86,12 @@
             assert end < 300  # within the header
             continue
         assert capture.remarks and not capture.complete
-        assert capture.entries == whole[: len(capture.entries)] and len(capture.entries) % 5 == 0
+        assert capture.entries == all_entries[: len(capture.entries)] and len(capture.entries) % 5 == 0
 
 
 @given(st.integers(0, 5000), st.integers(1, 255))
-def test_one_changed_byte_is_never_believed(at, change):
-    data = bytearray(encode_capture(sample(20), each=5))
+def test_one_changed_byte_is_always_detected(at, change):
+    data = bytearray(encode_capture(sample(20), entries_per_block=5))
     data[at % len(data)] ^= change
     try:
         capture = decode_capture(bytes(data))
@@ -101,13 +101,13 @@
 
 
 @given(st.binary(max_size=200))
-def test_garbage_is_refused_in_words(data):
+def test_invalid_data_raises_format_error(data):
     for text in (data, capture_format.MAGIC + data):
         with pytest.raises(FormatError):
             decode_capture(text)
 
 
-def test_another_version_and_what_contradicts_itself_are_told():
+def test_other_versions_are_rejected_and_inconsistent_entries_reported():
     import msgspec
 
     newer = msgspec.structs.replace(HEADER, version=2)
@@ -121,7 +121,7 @@
     assert "without a name" in decode_capture(encode_capture(bad)).remarks[0]
 
 
-def test_files_of_several_gatekeepers_become_one_and_what_is_missing_is_named():
+def test_merge_joins_gatekeepers_and_reports_missing_files_overlaps_and_gaps():
     merged = edit.merge([sample(gatekeeper=1, shift_s=1), sample()])
     times = [entry.at_us for entry in merged.entries]
     assert times == sorted(times) and len(times) == 80 and not merged.remarks
@@ -130,53 +130,53 @@
         "w1",
         "shared",
     }
-    told = edit.merge([sample(), sample(shift_s=1), sample(shift_s=30, key_id="other")]).remarks
+    remarks = edit.merge([sample(), sample(shift_s=1), sample(shift_s=30, key_id="other")]).remarks
     assert [
-        any(what in remark for remark in told)
-        for what in ("gatekeeper 1: no file", "stepped", "nothing from")
+        any(text in remark for remark in remarks)
+        for text in ("gatekeeper 1: no file", "stepped", "no requests from")
     ]
-    assert any("another key" in remark for remark in told)
-    with pytest.raises(FormatError, match="other classes"):
+    assert any("its hash key differs" in remark for remark in remarks)
+    with pytest.raises(FormatError, match="classes or plans differ"):
         edit.merge([sample(), sample(classes=HEADER.classes[:1])])
 
 
 def test_cut_scale_and_anonymise():
     capture = sample(400)
-    spell = edit.cut(capture, 10, 20)
-    assert len(spell.entries) == 100 and spell.entries[0].at_us == 0
+    period = edit.cut(capture, 10, 20)
+    assert len(period.entries) == 100 and period.entries[0].at_us == 0
     for factor in (0.5, 1.0, 2.5):
-        got = len(edit.scale(capture, factor, seed=3).entries)
-        assert abs(got - 400 * factor) <= 40 * factor
+        count = len(edit.scale(capture, factor, seed=3).entries)
+        assert abs(count - 400 * factor) <= 40 * factor
     assert edit.scale(capture, 2.5, seed=3).entries == edit.scale(capture, 2.5, seed=3).entries
-    only = edit.scale(capture, 1.0, {"confirm": 0.0}, {"large": 3.0}).entries
-    assert {entry.cls for entry in only} == {0}
+    scaled = edit.scale(capture, 1.0, {"confirm": 0.0}, {"large": 3.0}).entries
+    assert {entry.cls for entry in scaled} == {0}
     with pytest.raises(FormatError, match="'nosuch'"):
         edit.scale(capture, 1.0, {"nosuch": 2.0})
-    hidden = edit.anonymise(capture, KEY)
-    assert {worker.name for worker in hidden.workers.values()} == {"worker-0", "worker-1"}
-    before, after = ([entry.customer for entry in one.entries] for one in (capture, hidden))
+    anonymised = edit.anonymise(capture, KEY)
+    assert {worker.name for worker in anonymised.workers.values()} == {"worker-0", "worker-1"}
+    before, after = ([entry.customer for entry in one.entries] for one in (capture, anonymised))
     assert len(set(zip(before, after, strict=True))) == len(set(after)) == 5 and not set(before) & set(after)
 
 
-class Stalled(io.BytesIO):
-    """A disk that takes the header and then nothing, until it is let go."""
+class StalledFile(io.BytesIO):
+    """A file that accepts the header and blocks each later write until `resume` is set, at most 20 s each."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.go, self.kept, self.writes = threading.Event(), b"", 0
+        self.resume, self.content, self.writes = threading.Event(), b"", 0
 
     def write(self, data: bytes) -> int:  # type: ignore[override]
         self.writes += 1
         if self.writes > 1:
-            self.go.wait(20)
-        self.kept += data
+            self.resume.wait(20)
+        self.content += data
         return len(data)
 
     def close(self) -> None:
         pass
 
 
-def exchange_of(number: int) -> object:
+def create_exchange(number: int) -> object:
     from pepperrun.exchange import End, Exchange
 
     exchange = Exchange(None, print, cls=0, plan=0, customer=number, started=number, deadline=number + SECOND)
@@ -185,28 +185,28 @@
     return exchange
 
 
-def test_a_stalled_disk_costs_records_that_are_counted_and_no_more_memory():
-    file = Stalled()
+def test_a_stalled_disk_drops_and_counts_requests_and_memory_stays_bounded():
+    file = StalledFile()
     recorder = Recorder(SETTINGS, "n0", KEY, lambda backend: ("w", "a"), lambda start: file, lambda: 0)
     total = BATCH_SIZE * (MAX_QUEUED_BATCHES + 20) + 5
     for number in range(total):
-        recorder.record(exchange_of(number))
+        recorder.record(create_exchange(number))
     recorder.flush()
-    held = recorder._queue.qsize() * BATCH_SIZE
-    assert held <= MAX_QUEUED_BATCHES * BATCH_SIZE and recorder.dropped > 0
+    queued = recorder._queue.qsize() * BATCH_SIZE
+    assert queued <= MAX_QUEUED_BATCHES * BATCH_SIZE and recorder.dropped > 0
     dropped = recorder.dropped
-    file.go.set()
+    file.resume.set()
     recorder.close()
-    capture = decode_capture(file.kept)
+    capture = decode_capture(file.content)
     assert capture.complete and not capture.remarks
     assert len(capture.entries) == recorder.written == total - dropped and capture.dropped == dropped
     assert capture.entries[0].attempts == (Attempt(0, "out", 0, -1),)
 
 
-def test_a_full_disk_costs_what_it_did_not_take_and_the_next_file_has_the_rest():
+def test_a_full_disk_loses_the_failed_batch_and_the_next_file_has_the_rest():
     files = []
 
-    class Full(io.BytesIO):
+    class FullFile(io.BytesIO):
         def write(self, data: bytes) -> int:  # type: ignore[override]
             if len(files) == 1 and self.tell():
                 raise OSError(28, "No space left on device")
@@ -216,19 +216,19 @@
             pass
 
     def open_file(start: int) -> io.BytesIO:
-        files.append(Full())
+        files.append(FullFile())
         return files[-1]
 
     recorder = Recorder(SETTINGS, "n0", KEY, lambda backend: ("w", "a"), open_file, lambda: 0)
     for number in range(3 * BATCH_SIZE):
-        recorder.record(exchange_of(number))
+        recorder.record(create_exchange(number))
     recorder.close()
     assert (recorder.lost, recorder.written) == (BATCH_SIZE, 2 * BATCH_SIZE) and len(files) == 2
     second = decode_capture(files[1].getvalue())
     assert len(second.entries) == 2 * BATCH_SIZE and second.dropped == BATCH_SIZE
 
 
-def test_files_are_rotated_and_the_oldest_go(tmp_path):
+def test_files_are_rotated_and_the_oldest_are_deleted(tmp_path):
     opened = rotating_files(tmp_path, "n/0", 2)
     for start in (1, 2, 3):
         opened(start * SECOND).close()
@@ -242,17 +242,17 @@
     )
 
 
-def test_a_gatekeeper_records_what_it_took_and_each_attempt(tmp_path):
+def test_a_gatekeeper_records_its_requests_and_each_attempt(tmp_path):
     async def test():
         front, bad, good = Front(), await StandIn(reset).start(), await StandIn(ok()).start()
         front.list(line("bad", bad.port), line("good", good.port))
         key = load_or_create_key(tmp_path)
-        place = front.directory
+        directory = front.directory
         recorder = Recorder(
             SETTINGS,
             "n0",
             key,
-            lambda backend: (place.names[backend], place.endpoints[backend].zone),
+            lambda backend: (directory.names[backend], directory.endpoints[backend].zone),
             rotating_files(tmp_path, "n0", 9),
             front.clock,
         )
@@ -266,7 +266,8 @@
         recorder.close()
         (path,) = tmp_path.glob("*.prcap")
         capture = decode_capture(path.read_bytes())
-        capture.entries.sort(key=lambda entry: entry.at_us)  # a refusal is over before an attempt that is out
+        # The rejected request can be recorded first: the served one is recorded when its attempts have ended.
+        capture.entries.sort(key=lambda entry: entry.at_us)
         assert [entry.end for entry in capture.entries] == ["served", "refused"]
         names = {worker.number: worker.name for worker in capture.workers.values()}
         outcomes = [(names[a.worker], a.outcome) for entry in capture.entries for a in entry.attempts]
@@ -282,7 +283,7 @@
     going(test)
 
 
-def test_the_command_shows_edits_and_refuses(tmp_path, capsys):
+def test_the_command_shows_and_edits_captures_and_rejects_invalid_input(tmp_path, capsys):
     path, out = tmp_path / "a.prcap", tmp_path / "b.prcap"
     path.write_bytes(encode_capture(sample(100)))
     assert main(["capture", "show", "--json", str(path)]) == 0
@@ -302,7 +303,7 @@
     assert Path(out).exists()
 
 
-def test_a_disk_of_the_benchmarks_stalls_for_as_long_as_its_file_is_there(tmp_path):
+def test_the_stalling_file_of_the_benchmarks_blocks_writes_while_the_stall_file_exists(tmp_path):
     stall, taken = tmp_path / "stall", tmp_path / "taken"
     stall.touch()
 
@@ -310,10 +311,10 @@
         return lambda start: (folder / name).open("wb", buffering=0)
 
     file = stalling(files, stall)(tmp_path, "taken", 1)(0)
-    looked = threading.Event()
-    writer = threading.Thread(target=lambda: (looked.set(), file.write(b"late")))
+    started = threading.Event()
+    writer = threading.Thread(target=lambda: (started.set(), file.write(b"late")))
     writer.start()
-    assert looked.wait(5) and taken.read_bytes() == b""
+    assert started.wait(5) and taken.read_bytes() == b""
     stall.unlink()
     writer.join(5)
     assert not writer.is_alive() and taken.read_bytes() == b"late"
