--- a/pepperrun/assembly.py
+++ b/pepperrun/assembly.py
@@ -158,7 +158,7 @@
 def create_parking(
     config: ClientsConfig, clock: Clock, sockets: int, auth_sockets: int
 ) -> tuple[ParkingManager, int]:
-    """Returns the lot that parks client connections and the limit on connections to workers.
+    """Returns the manager that parks client connections, and the limit on connections to workers.
 
     The limit is a sixth of the descriptors. Raises the process's soft limit on descriptors to the hard one.
     """
--- a/pepperrun/parking/__init__.py
+++ b/pepperrun/parking/__init__.py
@@ -1,5 +1,6 @@
-"""Parked connections: those that hold no request cost a record of some dozen bytes each.
+"""Parks idle client connections: one without a request in progress costs a record of some dozen bytes.
 
-`rings`, `wheel`, `ledger` and `budget` decide and do no I/O; `lot` owns the descriptors that this process
-holds, `holders` and `holder` those that other processes keep for it, `listener` puts them behind a front.
+`linked_lists`, `timer_wheel`, `connection_table` and `budget` decide and do no I/O. `parked_sockets` and
+`manager` own the descriptors in this process; `holders` and `holder` are the two ends of the processes that
+hold further descriptors; `listener` attaches parking to a front's listening socket.
 """
--- a/pepperrun/parking/budget.py
+++ b/pepperrun/parking/budget.py
@@ -1,16 +1,16 @@
-"""How much of each kind of work one turn of the loop may take on."""
+"""Limits how much work of each kind one turn of the event loop does."""
 
 from __future__ import annotations
 
-SMOOTHING_FACTOR = 0.2  # of a new measurement in what an item is held to cost
-MAX_ITEM_COST_NS = 1_000_000  # one item measured while the process was not scheduled is no guide
+SMOOTHING_FACTOR = 0.2  # weight of a new measurement in the estimated cost of an item
+MAX_ITEM_COST_NS = 1_000_000  # a measurement while the process was not scheduled says nothing about the item
 
 
 class Budget:
-    """Bounds a turn by time: so many items as fit into it by what they have cost lately.
+    """Limits a turn by time: allows as many items as fit into it at their recent cost.
 
-    Counts alone would not do: a wake costs a hundred times a timer that is merely moved, and machines differ
-    by as much as the loads on them do.
+    A fixed number of items would not do: waking a connection costs a hundred times as much as moving a timer,
+    and machines differ as much as their loads.
     """
 
     def __init__(self, turn_ns: int, max_items: int = 1024, initial_cost_ns: int = 20_000) -> None:
@@ -19,12 +19,12 @@
         self.costs_ns: dict[str, float] = {}
 
     def allowed_items(self, kind: str) -> int:
-        """Items of a kind that this turn may take on; one at least, so that all get done."""
+        """Returns how many items of a kind a turn may process; at least one, so that none waits forever."""
         cost_ns = max(1.0, self.costs_ns.get(kind, self.initial_cost_ns))
         return max(1, min(self.max_items, int(self.turn_ns / cost_ns)))
 
     def record_cost(self, kind: str, count: int, duration_ns: int) -> None:
-        """So many items took that long."""
+        """Records that `count` items of a kind took `duration_ns` together."""
         if count <= 0 or duration_ns < 0:
             return
         cost_ns = min(MAX_ITEM_COST_NS, duration_ns / count)
--- a/pepperrun/parking/config.py
+++ b/pepperrun/parking/config.py
@@ -1,4 +1,4 @@
-"""The operators' file on clients' connections, read as JSON: the serving path starts lean."""
+"""Reads the operators' file on client connections. It is JSON, which needs few imports at the start."""
 
 from __future__ import annotations
 
@@ -18,47 +18,47 @@
 
 @dataclass(slots=True, frozen=True)
 class ClientsConfig:
-    """Times of clients' connections in nanoseconds, and how many there may be."""
+    """Time-outs of client connections in nanoseconds, and limits on their number."""
 
-    idle_ns: int  # silent between requests
-    first_byte_ns: int  # silent after connecting
-    request_ns: int  # from a request's first byte until it is whole
-    park_after_ns: int  # silent for this long, a connection gives up all but its record
-    give_way_ns: int  # a new connection has this long to ask before it gives way to others
-    most: int
-    most_asking: int
-    most_here: int  # descriptors of connections in the serving process; 0: what its limit leaves
-    holders: int  # processes that keep silent connections beyond that
-    turn_ns: int  # of the loop's time for each kind of upkeep at a time
-    backlog: int
+    idle_ns: int  # time-out of a connection that is idle between requests
+    first_byte_ns: int  # time-out of a connection that has sent nothing since it was made
+    request_ns: int  # time-out from the first byte of a request until the request is complete
+    park_after_ns: int  # a connection that is idle for this long is parked: only its record is kept
+    give_way_ns: int  # a new connection is not evicted for others before this time has passed
+    most: int  # limit on all connections
+    most_asking: int  # limit on active connections: those with transport, protocol and buffer
+    most_here: int  # limit on the serving process's descriptors of connections; 0: what its own limit leaves
+    holders: int  # processes that hold idle connections beyond that limit
+    turn_ns: int  # time for each kind of upkeep in one turn of the event loop
+    backlog: int  # of the listening sockets
 
 
 def _number(
-    table: Mapping[str, Any], key: str, kind: type, default: float, least: float, most: float
+    table: Mapping[str, Any], key: str, value_type: type, default: float, minimum: float, maximum: float
 ) -> int | float:
-    value: int | float = get(table, key, kind, default)
-    if kind is int and isinstance(table.get(key), float) and table[key] != value:
-        raise ValueError(f"{key}: not a whole number")
-    if not least <= value <= most:
-        raise ValueError(f"{key}: must be from {least:g} to {most:g}")
+    value: int | float = get(table, key, value_type, default)
+    if value_type is int and isinstance(table.get(key), float) and table[key] != value:
+        raise ValueError(f"{key}: not an integer")
+    if not minimum <= value <= maximum:
+        raise ValueError(f"{key}: must be from {minimum:g} to {maximum:g}")
     return value
 
 
 def read_clients(text: str) -> ClientsConfig:
-    """The clients file; ValueError names a bad key."""
+    """Returns the settings of a clients file. Raises ValueError, which names the key, if one is invalid."""
     table = json_object(text, "clients: ")
     known_keys(table, KEYS)
 
-    def ns(key: str, default: float, least: float, most: float) -> int:
-        return int(_number(table, key, float, default, least, most) * SECOND)
+    def nanoseconds(key: str, default: float, minimum: float, maximum: float) -> int:
+        return int(_number(table, key, float, default, minimum, maximum) * SECOND)
 
     most = int(_number(table, "most", int, 4096, 1, 10_000_000))
     config = ClientsConfig(
-        idle_ns=ns("idle_s", 3600, 0.05, 7 * 86400),
-        first_byte_ns=ns("first_byte_s", 30, 0.05, 7 * 86400),
-        request_ns=ns("request_s", 10, 0.05, 3600),
-        park_after_ns=ns("park_after_s", 1, 0, 3600),
-        give_way_ns=ns("give_way_after_s", 0.25, 0, 60),
+        idle_ns=nanoseconds("idle_s", 3600, 0.05, 7 * 86400),
+        first_byte_ns=nanoseconds("first_byte_s", 30, 0.05, 7 * 86400),
+        request_ns=nanoseconds("request_s", 10, 0.05, 3600),
+        park_after_ns=nanoseconds("park_after_s", 1, 0, 3600),
+        give_way_ns=nanoseconds("give_way_after_s", 0.25, 0, 60),
         most=most,
         most_asking=int(_number(table, "most_asking", int, min(512, most), 1, 100_000)),
         most_here=int(_number(table, "most_here", int, 0, 0, 10_000_000)),
--- a/pepperrun/parking/connection_table.py
+++ b/pepperrun/parking/connection_table.py
@@ -1,8 +1,8 @@
-"""What is known of each connection that holds no request, and what is to become of it. Does no I/O.
+"""The state of each connection by descriptor: its record, timers, eviction order and wake queues. No I/O.
 
-The key of a record is the connection's descriptor: the system gives the lowest free ones, so arrays by
-descriptor are dense and no table leads from one to the other. A number that is closed and used again at once
-is told apart by its generation wherever it may have been written down in between.
+The key of a record is the connection's descriptor. The system assigns the lowest free numbers, so arrays
+indexed by descriptor are dense, and no mapping from connection to index is needed. A descriptor number that
+is closed and used again is told apart by its generation, which the wake queues store with the number.
 """
 
 from __future__ import annotations
@@ -16,49 +16,50 @@
 from pepperrun.parking.linked_lists import LinkedLists
 from pepperrun.parking.timer_wheel import TimerWheel
 
-GROWTH = 1024
-CHECK_INTERVAL_NS = 1_000_000_000  # between looks at a connection that is being served
-RECENT_NS = 5_000_000_000  # a connection used within this time is in use, and goes before those long silent
-LONG_SILENT_EVERY = 4  # of so many turns one goes to those long silent, whoever else waits
-RESERVED_DIVISOR = 8  # this part of `most_asking` is kept for connections in use
+GROWTH = 1024  # entries that the arrays gain beyond the number needed
+CHECK_INTERVAL_NS = 1_000_000_000  # between checks of an active connection
+RECENT_NS = (
+    5_000_000_000  # a connection used within this time counts as in use and is resumed before long idle ones
+)
+LONG_IDLE_EVERY = 4  # one of this many resumes goes to a long idle connection, whatever else waits
+RESERVED_DIVISOR = 8  # the fraction 1/8 of `most_asking` is reserved for connections in use
 
 
 class State(IntEnum):
-    """Where a descriptor stands."""
+    """State of a descriptor."""
 
     FREE = 0
-    PARKED = 1  # silent: a record and nothing else
-    WAITING = 2  # has spoken, and is to be taken up
-    ACTIVE = 3  # has transport, protocol and buffer
+    PARKED = 1  # idle: only a record is kept
+    WAITING = 2  # has unread input and waits to be resumed
+    ACTIVE = 3  # resumed: has transport, protocol and buffer
 
 
 class EvictionRank(IntEnum):
-    """Who gives way first: the lowest, and of one rank who has been silent longest."""
+    """Eviction order: the lowest rank first, and within a rank the longest idle connection first."""
 
-    NEVER_ANSWERED = 0  # has never sent a byte
-    NO_EXCHANGE = 1  # has had answers, none of which took an exchange: asked whether this gatekeeper is ready
+    NEVER_ANSWERED = 0  # has had no response
+    NO_EXCHANGE = 1  # has had responses but no exchange: has only asked whether this gatekeeper is ready
     ONE_EXCHANGE = 2
     MORE_EXCHANGES = 3
 
 
-PARTIAL_LIST = len(
-    EvictionRank
-)  # the ring of those that have sent a part of a request: their time is short as it is
+# The list of connections with a partial request. They are not evicted: their time-out is short anyway.
+PARTIAL_LIST = len(EvictionRank)
 
 
 @dataclass(slots=True, frozen=True)
 class Record:
-    """A connection between two requests, as it passes from one holder to the next."""
+    """State of a parked connection, as it is passed from one process to another."""
 
-    listener_index: int  # the number of the front that it came through
+    listener_index: int  # index of the listener that accepted the connection
     rank: EvictionRank
-    last_used_at: int  # when it was last used, in nanoseconds; for one that never was, when it was made
-    buffered: bytes = b""  # a part of a request
-    first_byte_at: int = 0  # when its first byte came
+    last_used_at: int  # time of the last use in ns; of the accept if there was none
+    buffered: bytes = b""  # a partial request
+    first_byte_at: int = 0  # when the first byte of the partial request arrived, in ns
 
 
 class ConnectionTable:
-    """The records, their timers and their order. Times are nanoseconds on one clock."""
+    """Records, timers and eviction order of all connections. Times are in ns on one clock."""
 
     def __init__(self, config: ClientsConfig, now: int) -> None:
         self.config = config
@@ -67,15 +68,15 @@
         self.states = bytearray()
         self.listener_indices = bytearray()
         self.ranks = bytearray()
-        self.generation = array("H")
+        self.generations = array("H")
         self.last_used_at = array("q")
         self.partial_requests: dict[int, tuple[bytes, int]] = {}
-        self.woken_at: dict[int, int] = {}  # waiting, and since when
-        # Key and generation in the order of waking: connections in use, and those that were long silent.
+        self.woken_at: dict[int, int] = {}  # of waiting connections, when their input arrived
+        # Key and generation in the order of waking: connections in use, and those that were long idle.
         self.wake_queues: tuple[deque[tuple[int, int]], deque[tuple[int, int]]] = deque(), deque()
         self.resume_count = 0
         self.parked_count = self.active_count = 0
-        self.rank_counts = [0] * (len(EvictionRank) + 1)  # parked ones by ring
+        self.rank_counts = [0] * (len(EvictionRank) + 1)  # parked connections by list
 
     def __len__(self) -> int:
         return self.parked_count + self.active_count + len(self.woken_at)
@@ -88,15 +89,15 @@
         self.states.extend(bytes(missing))
         self.listener_indices.extend(bytes(missing))
         self.ranks.extend(bytes(missing))
-        self.generation.extend(array("H", [0]) * missing)
+        self.generations.extend(array("H", [0]) * missing)
         self.last_used_at.extend(array("q", [0]) * missing)
         self.timers.grow(capacity + missing)
         self.eviction_order.grow(capacity + missing)
 
-    # Parked.
+    # Parking.
 
     def park(self, key: int, record: Record) -> None:
-        """A descriptor that had no record, or was taken up, is silent from now on."""
+        """Parks a connection; a previous record of the descriptor is removed."""
         self._reserve(key)
         if self.states[key] != State.FREE:
             self.remove(key)
@@ -120,11 +121,11 @@
     def _expires_at(self, key: int) -> int:
         if key in self.partial_requests:
             return self.partial_requests[key][1] + self.config.request_ns
-        silent = self.ranks[key] == EvictionRank.NEVER_ANSWERED
-        return self.last_used_at[key] + (self.config.first_byte_ns if silent else self.config.idle_ns)
+        never_answered = self.ranks[key] == EvictionRank.NEVER_ANSWERED
+        return self.last_used_at[key] + (self.config.first_byte_ns if never_answered else self.config.idle_ns)
 
     def record(self, key: int) -> Record:
-        """What is known of a parked or waiting connection."""
+        """Returns the record of a parked or waiting connection."""
         buffered, first_byte_at = self.partial_requests.get(key, (b"", 0))
         return Record(
             self.listener_indices[key],
@@ -135,11 +136,11 @@
         )
 
     def expires_at(self, key: int) -> int | None:
-        """When its time is up."""
+        """Returns when the timer of a connection is due, in ns; None if it has none."""
         return self.timers.due_at(key) if key < len(self.states) else None
 
     def remove(self, key: int) -> None:
-        """The descriptor is closed or passed on: its number may mean another connection from now on."""
+        """Removes a connection that is closed or passed on; its number may now be used for another one."""
         match self.states[key] if key < len(self.states) else State.FREE:
             case State.PARKED:
                 self._unpark(key)
@@ -152,7 +153,7 @@
         self.timers.cancel(key)
         self.partial_requests.pop(key, None)
         self.states[key] = State.FREE
-        self.generation[key] = (self.generation[key] + 1) & 0xFFFF
+        self.generations[key] = (self.generations[key] + 1) & 0xFFFF
 
     def _unpark(self, key: int) -> None:
         self.eviction_order.remove(key)
@@ -162,24 +163,25 @@
     # Waking.
 
     def wake(self, key: int, now: int) -> bool:
-        """A parked connection has spoken; False for one that is not parked (an event that came too late)."""
+        """Queues a parked connection that has input; False if it is not parked (the event came too late)."""
         if key >= len(self.states) or self.states[key] != State.PARKED:
             return False
         self._unpark(key)
         self.timers.cancel(key)
         self.states[key] = State.WAITING
         self.woken_at[key] = now
-        long_silent = now - self.last_used_at[key] >= RECENT_NS
-        self.wake_queues[long_silent].append((key, self.generation[key]))
+        long_idle = now - self.last_used_at[key] >= RECENT_NS
+        self.wake_queues[long_idle].append((key, self.generations[key]))
         return True
 
     def resume_next(self) -> tuple[int, Record, int] | None:
-        """Who is next, its record and when it woke, if it may be taken up now; it then is.
+        """Makes the next waiting connection active; returns its key, its record and when it woke.
 
-        Ten thousand that wake at once must not delay a client that is in the middle of its work, whose
-        connection happened to be parked: connections in use go first, and have some places to themselves.
+        Returns None if no connection waits or the limit on active ones is reached. Connections in use go
+        first and have some capacity reserved: 10,000 connections that wake at once must not delay a client
+        that is in the middle of its work and whose connection happened to be parked.
         """
-        in_use, silent = self.wake_queues
+        in_use, idle = self.wake_queues
         limit = self.config.most_asking
         if self.active_count >= limit:
             return None
@@ -187,13 +189,13 @@
             while queue and not self._is_waiting(*queue[0]):
                 queue.popleft()
         self.resume_count += 1
-        may_resume_silent = bool(silent) and self.active_count < limit - limit // RESERVED_DIVISOR
-        if may_resume_silent and (not in_use or self.resume_count % LONG_SILENT_EVERY == 0):
-            return self._resume(silent.popleft()[0])
+        may_resume_idle = bool(idle) and self.active_count < limit - limit // RESERVED_DIVISOR
+        if may_resume_idle and (not in_use or self.resume_count % LONG_IDLE_EVERY == 0):
+            return self._resume(idle.popleft()[0])
         return self._resume(in_use.popleft()[0]) if in_use else None
 
     def _is_waiting(self, key: int, generation: int) -> bool:
-        return self.states[key] == State.WAITING and self.generation[key] == generation
+        return self.states[key] == State.WAITING and self.generations[key] == generation
 
     def _resume(self, key: int) -> tuple[int, Record, int]:
         record, woken_at = self.record(key), self.woken_at.pop(key)
@@ -203,42 +205,44 @@
         return key, record, woken_at
 
     def is_crowded(self) -> bool:
-        """Do some wait because as many as may ask have been taken up?"""
+        """Whether connections wait while only the reserved capacity for active ones, or none, is left."""
         limit = self.config.most_asking
         return bool(self.woken_at) and self.active_count >= limit - limit // RESERVED_DIVISOR
 
-    # Taken up.
+    # Active connections.
 
     def schedule_check(self, key: int, check_at: int) -> None:
-        """When to look again at a connection that is taken up."""
+        """Sets when an active connection is to be checked next."""
         if self.states[key] == State.ACTIVE:
             self.timers.insert(key, check_at)
 
-    # Time.
+    # Timers.
 
     def expire_due(self, now: int, limit: int) -> list[tuple[int, State]]:
-        """Whose time is up, at most so many looked at. Parked ones still are parked, and have no timer."""
+        """Returns the connections whose timer is due, after looking at no more than `limit` timers.
+
+        Parked ones among them stay parked, without a timer.
+        """
         self.timers.advance(now)
         expired = []
         for key in self.timers.take_due(now, limit):
             state = State(self.states[key])
-            if (
-                state is State.PARKED and (expires_at := self._expires_at(key)) > now
-            ):  # counted by other times since
+            # The time-outs have changed since the timer was set.
+            if state is State.PARKED and (expires_at := self._expires_at(key)) > now:
                 self.timers.insert(key, expires_at)
                 continue
             expired.append((key, state))
         return expired
 
     def apply_config(self, config: ClientsConfig) -> None:
-        """Other times and limits hold from now on, for those that are parked too."""
+        """Applies new time-outs and limits, also to connections that are parked already."""
         self.config = config
         self.timers.hand_out_all()
 
     # At the limit.
 
     def eviction_candidates(self, count: int, now: int) -> list[int]:
-        """Parked connections that are missed least, at most `count`."""
+        """Returns up to `count` parked connections, those whose loss matters least first."""
         chosen: list[int] = []
         for rank in EvictionRank:
             for key in self.eviction_order.members(rank):
@@ -248,15 +252,16 @@
                     rank is EvictionRank.NEVER_ANSWERED
                     and now - self.last_used_at[key] < self.config.give_way_ns
                 ):
-                    break  # it has only just come, and those behind it later still
+                    break  # too new to be evicted, and those behind it are newer
                 chosen.append(key)
         return chosen
 
     def hand_over_candidates(self, count: int, now: int) -> list[int]:
-        """Whom to hand to another process: those least likely to speak soon, at most `count`.
+        """Returns up to `count` parked connections to hand to another process, the least likely to wake soon.
 
-        First whoever has been silent for long, whatever the rank; then those who ask seldom. One with a part
-        of a request is about to speak, and stays.
+        Long idle ones are chosen first, whatever their rank. If there are none, those with fewer exchanges
+        come first and those without a response last. A connection with a partial request stays: its client
+        is about to send the rest.
         """
         chosen: list[int] = []
         for rank in EvictionRank:
--- a/pepperrun/parking/holders.py
+++ b/pepperrun/parking/holders.py
@@ -1,4 +1,4 @@
-"""The gatekeeper's side of the processes that keep silent connections for it."""
+"""The gatekeeper's side of the holder processes, which hold idle connections for it."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 from pepperrun.parking.connection_table import Record
 from pepperrun.parking.wire import Kind
 
-RESTART_DELAY_S = 1.0  # before a holder that has died is started again
-MESSAGES_PER_TURN = 1  # taken in a turn: each may bring 64 connections
-RESERVED_DESCRIPTORS = 32  # descriptors of a holder that are not connections
+RESTART_DELAY_S = 1.0  # before a holder that has exited is started again
+MESSAGES_PER_TURN = 1  # per turn of the event loop: each may bring 64 connections
+RESERVED_DESCRIPTORS = 32  # descriptors of a holder that are not for connections
 
 
 class HolderProcess:
-    """One holder process and the pair to it."""
+    """One holder process and the socket pair to it."""
 
     def __init__(
         self,
@@ -54,21 +54,21 @@
         self.max_connections = times.most
         self.sent_count = self.returned_count = self.lost_count = 0
         self.report = wire.Report(0, 0, 0, 0, 0, 0, 0)
-        self.evictions_requested = 0  # messages that asked to give way
-        self.done = False
+        self.evictions_requested = 0  # EVICT messages
+        self.is_done = False
         self.send(wire.encode_times(times), [])
         loop.add_reader(self.control, self._receive)
 
     def connection_count(self) -> int:
-        """Connections that it has, as far as it has told."""
+        """Returns the number of connections it holds, by its last report."""
         return max(0, self.sent_count - self.returned_count - self.report.expired - self.report.closed)
 
     def lowest_rank(self) -> int | None:
-        """The lowest rank of which it has some, as far as it has told."""
+        """Returns the lowest rank of its connections by its last report; None if it holds none."""
         return next((rank for rank, count in enumerate(self.report.by_rank()) if count), None)
 
     def send(self, data: bytes, fds: list[int]) -> bool:
-        """A message and descriptors, which stay open here; False where the pair takes nothing now."""
+        """Sends a message with descriptors, which stay open here; False if the pair takes nothing now."""
         rights = [(socket.SOL_SOCKET, socket.SCM_RIGHTS, array.array("i", fds))] if fds else []
         try:
             self.control.sendmsg([data], rights)
@@ -95,19 +95,18 @@
                 return
             try:
                 kind, payload = wire.decode(data)
-            except ValueError as error:  # nothing from another process raises out of a callback
+            except ValueError as error:  # another process must not make a callback raise
                 for fd in fds:
                     os.close(fd)
-                log_message("holder", f"holder {self.number}: a message that can't be read: {error}")
+                log_message("holder", f"holder {self.number}: dropped an invalid message: {error}")
                 continue
             if kind is Kind.RETURN and isinstance(payload, list):
                 self.returned_count += len(payload)
-                if len(fds) < len(
-                    payload
-                ):  # out of descriptors here: the system delivers the first ones only
+                # If this process runs out of descriptors, the system delivers only the first ones.
+                if len(fds) < len(payload):
                     self.lost_count += len(payload) - len(fds)
                     log_message(
-                        "holder", f"{len(payload) - len(fds)} connections were lost for want of descriptors"
+                        "holder", f"{len(payload) - len(fds)} connections were lost: no descriptors were left"
                     )
                 for fd, record in zip(fds, payload, strict=False):
                     self.owner.on_returned(fd, record)
@@ -115,18 +114,21 @@
                 self.report = payload
                 self.owner.on_report()
             elif kind is Kind.DONE:
-                self.done = True
+                self.is_done = True
                 self.owner.on_report()
 
     def close(self) -> None:
-        """Ends it: what it holds is closed by the system."""
+        """Closes the pair. The process then exits, and the system closes the connections it holds."""
         if self.control.fileno() >= 0:
             self.loop.remove_reader(self.control)
             self.control.close()
 
 
 class HolderPool:
-    """All holders. `returned` is given each connection that has spoken, `reported` is told of news."""
+    """All holder processes.
+
+    Calls `on_returned` with each connection that has input, and `on_report` after each report or exit.
+    """
 
     def __init__(
         self,
@@ -140,32 +142,31 @@
         self.loop, self.offset_ns, self.times, self.count = loop, offset_ns, times, count
         self.on_returned, self.on_report = on_returned, on_report
         self.holders: list[HolderProcess] = []
-        self.closing = False
-        self.lost_count = self.closed_count = (
-            0  # connections of holders that have died; closed by those that have ended
-        )
+        self.is_closing = False
+        # Connections of holders that have died; those closed by holders that have ended.
+        self.lost_count = self.closed_count = 0
         for number in range(count):
             self._start(number)
 
     def _start(self, number: int) -> None:
-        if self.closing:
+        if self.is_closing:
             return
         try:
             self.holders.append(HolderProcess(self.loop, self, number, self.offset_ns, self.times))
         except OSError as error:
-            log_message("holder", f"holder {number} can't be started: {error}")
+            log_message("holder", f"holder {number} cannot be started, trying again: {error}")
             self.loop.call_later(RESTART_DELAY_S, self._start, number)
 
     def connection_count(self) -> int:
-        """Connections in all holders."""
+        """Returns the number of connections in all holders."""
         return sum(holder.connection_count() for holder in self.holders)
 
     def has_capacity(self) -> bool:
-        """Does any take more?"""
+        """Whether any holder takes more connections."""
         return any(holder.connection_count() < holder.max_connections for holder in self.holders)
 
     def hand_over(self, batch: list[tuple[int, Record]]) -> bool:
-        """Hands copies of descriptors to the holder that has fewest; False where none takes them."""
+        """Sends copies of descriptors to the holder with the fewest connections; False if none takes them."""
         for holder in sorted(self.holders, key=HolderProcess.connection_count):
             if holder.connection_count() + len(batch) > holder.max_connections:
                 return False
@@ -176,13 +177,16 @@
         return False
 
     def lowest_rank(self) -> int | None:
-        """The lowest rank that a holder holds; None where none holds any."""
+        """Returns the lowest rank of the connections in all holders; None if they hold none."""
         return min(
             (rank for holder in self.holders if (rank := holder.lowest_rank()) is not None), default=None
         )
 
     def evict(self, count: int) -> bool:
-        """Asks the holder with most of the lowest rank to close some; True if one has been asked."""
+        """Asks the holder with the most connections of the lowest rank to close `count`.
+
+        Returns True if it was asked, or if an earlier request to a holder is still pending.
+        """
         if any(holder.evictions_requested > holder.report.evictions_handled for holder in self.holders):
             return True
         lowest_rank = self.lowest_rank()
@@ -194,23 +198,23 @@
         return is_sent
 
     def apply_times(self, times: wire.Times) -> None:
-        """Other times hold from now on."""
+        """Sends new time-outs to all holders."""
         self.times = times
         self._broadcast(wire.encode_times(times))
 
     def drain(self) -> None:
-        """Those that have been served and say nothing are closed."""
+        """Lets holders close idle connections that have had a response."""
         self._broadcast(wire.encode_plain(Kind.DRAIN))
 
     def finish(self) -> None:
-        """All that say nothing are closed, the rest come back."""
-        self.closing = True
+        """Lets holders close all idle connections, return the others, and exit."""
+        self.is_closing = True
         self._broadcast(wire.encode_plain(Kind.FINISH))
 
     def _broadcast(self, data: bytes) -> None:
         for holder in list(self.holders):
             if not holder.send(data, []):
-                # The pair is full, which it is for moments only: said again until it is taken.
+                # The pair is full, which passes soon: the message is sent again until the pair takes it.
                 self.loop.call_later(0.02, self._resend, holder, data)
 
     def _resend(self, holder: HolderProcess, data: bytes) -> None:
@@ -218,16 +222,16 @@
             self.loop.call_later(0.02, self._resend, holder, data)
 
     def is_finished(self) -> bool:
-        """Has each given back or closed all?"""
-        return all(holder.done for holder in self.holders)
+        """Whether each holder has returned or closed all its connections."""
+        return all(holder.is_done for holder in self.holders)
 
     def on_holder_exit(self, holder: HolderProcess) -> None:
-        """A holder has gone: its connections are closed, and a new one takes its place."""
+        """Handles the exit of a holder: its connections are closed, and a new holder is started."""
         self.holders.remove(holder)
-        if not holder.done:
+        if not holder.is_done:
             lost = holder.connection_count()
             self.lost_count += lost
-            log_message("holder", f"holder {holder.number} has ended with {lost} connections")
+            log_message("holder", f"holder {holder.number} has exited; {lost} connections were lost")
         self._reap(holder)
         self.loop.call_later(RESTART_DELAY_S, self._start, holder.number)
         self.on_report()
@@ -237,8 +241,8 @@
             self.loop.call_later(0.1, self._reap, holder)
 
     def close(self) -> None:
-        """Ends all."""
-        self.closing = True
+        """Ends all holder processes."""
+        self.is_closing = True
         for holder in self.holders:
             holder.close()
         for holder in self.holders:
--- a/pepperrun/parking/linked_lists.py
+++ b/pepperrun/parking/linked_lists.py
@@ -1,4 +1,4 @@
-"""Rings of small numbers: doubly linked lists in two arrays, eight bytes a number and no object each."""
+"""Circular doubly linked lists of small integers in two arrays: eight bytes per integer and no objects."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 
 
 class LinkedLists:
-    """`count` lists over the keys 0, 1, 2, …; a key is in one of them at most.
+    """`count` lists over the keys 0, 1, 2, …; each key is in at most one of them.
 
-    Every operation is O(1) but `membership`. A list's head is a link of its own at the arrays' front, so that
-    emptying one list into another moves four links however many keys it holds.
+    Every operation but `members` and `grow` is O(1). The head of each list is a node of its own at the start
+    of the arrays, so appending a whole list to another changes four links, however many keys it has.
     """
 
     __slots__ = ("count", "next", "prev")
@@ -21,7 +21,7 @@
         self.prev = array("i", range(count))
 
     def grow(self, keys: int) -> None:
-        """Makes room for the keys below `keys`."""
+        """Extends the arrays for the keys below `keys`."""
         missing = self.count + keys - len(self.next)
         if missing > 0:
             unlinked = array("i", [-1]) * missing
@@ -29,7 +29,7 @@
             self.prev.extend(unlinked)
 
     def append(self, list_index: int, key: int) -> None:
-        """Puts a key that is in no ring at the end of one."""
+        """Appends a key, which must not be in any list, to a list."""
         node = key + self.count
         last = self.prev[list_index]
         self.next[last] = self.prev[list_index] = node
@@ -37,7 +37,7 @@
         self.next[node] = list_index
 
     def remove(self, key: int) -> int:
-        """Takes a key out; the ring that this left empty, or -1. A key that is in none changes nothing."""
+        """Removes a key from its list, if it is in one; returns the list that this left empty, or -1."""
         node = key + self.count
         after = self.next[node]
         if after < 0:
@@ -48,16 +48,16 @@
         return before if before == after and before < self.count else -1
 
     def contains(self, key: int) -> bool:
-        """Is the key in a ring?"""
+        """Whether the key is in a list."""
         node = key + self.count
         return node < len(self.next) and self.next[node] >= 0
 
     def first(self, list_index: int) -> int:
-        """The key at the front, or -1."""
+        """Returns the first key of a list, or -1 if it is empty."""
         return self.next[list_index] - self.count if self.next[list_index] != list_index else -1
 
     def move_all(self, list_index: int, target: int) -> None:
-        """Appends all of a ring to another and leaves it empty."""
+        """Appends all keys of a list to another one and leaves the list empty."""
         first, last = self.next[list_index], self.prev[list_index]
         if first == list_index:
             return
@@ -67,7 +67,7 @@
         self.next[list_index] = self.prev[list_index] = list_index
 
     def members(self, list_index: int) -> Iterator[int]:
-        """The keys from the front on; the ring must not change meanwhile."""
+        """Yields the keys of a list in order; the list must not change meanwhile."""
         node = self.next[list_index]
         while node != list_index:
             yield node - self.count
--- a/pepperrun/parking/listener.py
+++ b/pepperrun/parking/listener.py
@@ -1,4 +1,4 @@
-"""A front's listening socket whose connections start parked."""
+"""A listener whose accepted connections start parked."""
 
 from __future__ import annotations
 
@@ -23,14 +23,17 @@
 
 
 def has_pending_connection(sock: socket.socket) -> bool:
-    """Does a connection wait to be accepted?"""
+    """Whether a connection waits to be accepted."""
     poll = select.poll()
     poll.register(sock, select.POLLIN)
     return bool(poll.poll(0))
 
 
 class ParkingListener(Listener):
-    """Accepts into a lot. What is taken up is a connection like any other, with the operators' times."""
+    """Adds accepted connections to a parking manager.
+
+    A resumed connection is like any other, but has the time-outs of the operators' file.
+    """
 
     def __init__(
         self,
@@ -48,7 +51,7 @@
 
     @property
     def timeouts(self) -> ClientTimeouts:
-        """The operators' times, as they are now."""
+        """The current time-outs of the operators' file."""
         config = self.parking.config
         return ClientTimeouts(
             config.first_byte_ns,
@@ -67,7 +70,7 @@
         return self.parking.total()
 
     def _accept(self) -> None:
-        """As many as the turn's budget allows; the loop calls again while more are there."""
+        """Accepts as many as the turn's budget allows; the loop calls this again while others wait."""
         limit, count, start = self.parking.budget.allowed_items("accept"), 0, time.perf_counter_ns()
         now = self.clock()
         while count < limit and self._accept_one(now):
@@ -78,7 +81,7 @@
     def _accept_one(self, now: int) -> bool:
         assert self.socket is not None
         if not self.parking.has_capacity():
-            if not has_pending_connection(self.socket):  # nobody has to give way for nobody
+            if not has_pending_connection(self.socket):  # no eviction is needed while no connection waits
                 return False
             if not self.parking.ensure_capacity():
                 self._pause_accepting()
@@ -87,7 +90,7 @@
             sock, _ = self.socket.accept()
         except (BlockingIOError, InterruptedError, ConnectionAbortedError):
             return False
-        except OSError as error:  # no descriptor or memory for it now
+        except OSError as error:  # no descriptor or memory for the connection now
             log_message("accept", f"accept: {error}")
             self.parking.on_descriptor_shortage()
             self._pause_accepting()
@@ -98,19 +101,19 @@
         return True
 
     def _pause_accepting(self) -> None:
-        """Accepts no more until a connection ends, or for a moment."""
+        """Stops accepting until capacity is free or `SHORTAGE_RETRY_S` has passed."""
         self._stop_accepting()
         self.parking.is_accept_paused = True
         self.loop.call_later(SHORTAGE_RETRY_S, self.parking.resume_accepting)
 
     def restore_client(self, snapshot: ConnectionSnapshot, woken_at: int) -> asyncio.BufferedProtocol:
-        """The protocol of a connection that is taken up, as it was."""
+        """Returns the protocol of a resumed connection, in the state of the snapshot."""
         client = self.client_factory(self)
         client.restore(snapshot, woken_at)  # type: ignore[attr-defined]
         return client
 
     def resume_accepting(self) -> None:
-        """There may be room again."""
+        """Accepts again: there may be capacity."""
         self._start_accepting()
 
     def add(self, client: Client) -> None:
@@ -125,10 +128,10 @@
         self.parking.on_answered(client)  # type: ignore[arg-type]
 
     def on_capacity_freed(self) -> None:
-        """A connection has ended: the lot sees to it."""
+        """Does nothing: the manager resumes accepting when a connection ends."""
 
     def _sweep(self) -> None:
-        """The wheel looks after times."""
+        """Does nothing: the manager's timers end connections."""
 
     async def drain(self, accept_s: float = DRAIN_ACCEPT_S, linger_s: float = DRAIN_LINGER_S) -> None:
         self.draining = True
--- a/pepperrun/parking/manager.py
+++ b/pepperrun/parking/manager.py
@@ -1,8 +1,8 @@
-"""All clients' connections of a gatekeeper that parks them: takes up who speaks, parks who is silent.
+"""Manages all client connections of a gatekeeper that parks them: parks idle ones, resumes those with input.
 
-One epoll instance holds the silent connections' descriptors and is itself watched by the loop, so that a
-silent connection is in no selector, timer heap or set of the loop: 16,000 of them cost no work until they
-speak or their time is up. Each kind of work is done in bounded turns, between which the loop serves others.
+One epoll instance holds the descriptors of the parked connections and is itself watched by the event loop.
+So a parked connection is in no selector, timer heap or set of the loop: 16,000 of them cost no work until
+they have input or time out. Each kind of work is done in bounded turns, between which the loop serves others.
 """
 
 from __future__ import annotations
@@ -25,16 +25,16 @@
 from pepperrun.parking.holders import RESERVED_DESCRIPTORS, HolderPool
 from pepperrun.parking.parked_sockets import ParkedSockets
 
-HAND_OVER_FRACTION = 3, 4  # past this part of the descriptors here, the longest silent go to holders
-BATCHES_PER_TURN = 4  # batches handed over
-EVICTION_BATCH = 64  # connections at a time
-MIN_CHECK_INTERVAL_NS = SECOND // 50  # between looks at one connection that is taken up, at least
-IDLE_SCAN_S = 0.02  # between looks for idle ones among all that are taken up, while others wait
-SHORTAGE_RETRY_S = 0.1  # when the system has no descriptor or memory for a connection
+HAND_OVER_FRACTION = 3, 4  # with more than 3/4 of the descriptors here in use, idle ones go to holders
+BATCHES_PER_TURN = 4  # batches handed over to holders in a turn
+EVICTION_BATCH = 64  # connections evicted or closed at a time
+MIN_CHECK_INTERVAL_NS = SECOND // 50  # minimum time between checks of an active connection
+IDLE_SCAN_S = 0.02  # between scans of all active connections for idle ones, while others wait
+SHORTAGE_RETRY_S = 0.1  # accepting pauses for this time at a limit, or without descriptors or memory
 
 
 def record_from_snapshot(listener_index: int, snapshot: ConnectionSnapshot) -> Record:
-    """What is kept of a connection."""
+    """Returns the record that is kept of a connection with this snapshot."""
     responses, exchanges, last_used_at, buffered, first_byte_at = snapshot
     rank = (
         EvictionRank(min(EvictionRank.MORE_EXCHANGES, EvictionRank.NO_EXCHANGE + exchanges))
@@ -45,7 +45,7 @@
 
 
 def snapshot_from_record(record: Record) -> ConnectionSnapshot:
-    """The other way."""
+    """Returns the snapshot that restores a parked connection. Its counts are the lowest of the rank."""
     responses = 0 if record.rank is EvictionRank.NEVER_ANSWERED else 1
     return (
         responses,
@@ -57,17 +57,18 @@
 
 
 def break_reference_cycle(transport: asyncio.Transport | None) -> None:
-    """Lets go of a transport that will read no more at once, not at the collector's next full round.
+    """Lets a closed transport be freed at once rather than at the garbage collector's next full run.
 
-    The loop's transport refers to itself through a bound method. Thousands of them that are given up in a
-    second made the collector stop the loop for 50 ms. Where the loop has no such attribute nothing changes.
+    The loop's transport refers to itself through a bound method. When thousands of transports were given up
+    in a second, the collector stopped the loop for 50 ms. Without effect if the transport has no such
+    attribute.
     """
     if transport is not None:
         vars(transport).pop("_read_ready_cb", None)
 
 
 class Client(Protocol):
-    """A connection that is taken up, as the lot sees it."""
+    """An active connection, as the manager uses it."""
 
     transport: asyncio.Transport | None
     fd: int
@@ -95,7 +96,7 @@
 
 
 class ParkingManager:
-    """Owns the records, the holders and the timers; fronts register and bring new connections."""
+    """Owns the records, holders and timers of connections; listeners register and add new connections."""
 
     def __init__(
         self,
@@ -120,45 +121,46 @@
                 self.resume_accepting,
             )
         self.draining = False
-        self.is_accept_paused = False  # a front waits for room
-        self.resumed_count = 0  # connections taken up from a record
-        self.handed_over_count = 0
+        self.is_accept_paused = False  # a listener waits for capacity
+        self.resumed_count = 0  # connections resumed from a record
+        self.handed_over_count = 0  # connections handed over to holders
         self._tasks: set[asyncio.Task[None]] = set()
         self._timer: asyncio.TimerHandle | None = None
         self._timer_at: int | None = None
         self._is_serving_scheduled = self._is_hand_over_scheduled = False
-        self._idle_fds: deque[int] = deque()  # answered while others waited, in that order
+        self._idle_fds: deque[int] = deque()  # answered while others waited, oldest first
         self._scan_timer: asyncio.TimerHandle | None = None
-        self._last_batch = (
-            0,
-            0,
-        )  # how many were taken up last, and when, if the loop came straight back from it
+        # How many connections were resumed last, and when, if others still wait.
+        self._last_batch = 0, 0
         loop.add_reader(self.sockets.epoll.fileno(), self._on_events)
 
-    # Room.
+    # Capacity.
 
     def total(self) -> int:
-        """Connections in all, here and with holders."""
+        """Returns the number of all connections, here and in holders."""
         return len(self.table) + (self.holders.connection_count() if self.holders is not None else 0)
 
     def has_capacity(self) -> bool:
-        """Is there room for one more?"""
+        """Whether one more connection fits without an eviction."""
         return self.total() < self.config.most and len(self.table) < self.max_here
 
     def ensure_capacity(self) -> bool:
-        """Is there room for one more, if those that are missed least give way?"""
+        """Whether one more connection fits now, after the eviction of others if necessary.
+
+        False also while connections are being handed over to holders or evicted by them.
+        """
         if self.has_capacity():
             return True
         can_hand_over = (
             self.holders is not None and self.holders.has_capacity() and self.table.parked_count > 0
         )
         if can_hand_over and self.total() < self.config.most:
-            self.schedule_upkeep()  # only here it is full: nobody gives way while others can be handed over
+            self.schedule_upkeep()  # only this process is full: handing over needs no eviction
             return False
         limit = min(EVICTION_BATCH, 1 + self.config.most // 4)
         candidates = self.table.eviction_candidates(limit, self.clock())
         if len(self.table) < self.max_here and self.holders is not None:
-            # Of one rank those with holders have been silent longer: they were handed over for that.
+            # Within a rank, connections in holders have been idle longer: that is why they were handed over.
             lowest = self.holders.lowest_rank()
             lowest_here = self.table.ranks[candidates[0]] if candidates else len(EvictionRank)
             if lowest is not None and lowest <= lowest_here and self.holders.evict(limit):
@@ -169,24 +171,24 @@
         return False
 
     def on_descriptor_shortage(self) -> None:
-        """The system has no descriptor for a connection: some give way, for what is taken needs some too."""
+        """Evicts some connections, as the system has no descriptor: active ones need descriptors too."""
         self.sockets.evict(self.table.eviction_candidates(EVICTION_BATCH, self.clock()))
 
     def resume_accepting(self) -> None:
-        """Accepting may go on, if there is room."""
+        """Lets the listeners accept again after a pause; they check the capacity themselves."""
         if self.is_accept_paused:
             self.is_accept_paused = False
             for listener in self.listeners:
                 listener.resume_accepting()
 
-    # New, silent and speaking ones.
+    # New connections, and those with input.
 
     def add(self, fd: int, listener_index: int, now: int) -> None:
-        """A new connection, which has said nothing yet."""
+        """Parks a new connection."""
         self.sockets.add(fd, Record(listener_index, EvictionRank.NEVER_ANSWERED, now))
 
     def schedule_upkeep(self) -> None:
-        """After connections were added or parked: timers and holders see to them."""
+        """Sets the timer and schedules handing over; called after connections were added or parked."""
         self._arm_timer()
         if self.holders is not None and not self._is_hand_over_scheduled and self._is_nearly_full():
             self._is_hand_over_scheduled = True
@@ -199,7 +201,7 @@
         self.resume_accepting()
 
     def _on_returned(self, fd: int, record: Record) -> None:
-        """A holder gives a connection back: it has spoken."""
+        """Queues a connection that a holder returned because it has input."""
         self.table.park(fd, record)
         self.table.wake(fd, self.clock())
         self._schedule_serving()
@@ -214,17 +216,18 @@
         self._resume_waiting()
 
     def _resume_waiting(self) -> None:
-        """Takes up a bounded number of those that have spoken.
+        """Resumes a bounded number of waiting connections.
 
-        What one costs shows only in the turns that follow, when its transport is made and its request is read
-        and answered: while some still wait, the time from one turn to the next is what the last ones took.
+        Most of the cost of one arises in the turns that follow, when its transport is made and its request is
+        read and answered. So while others wait, the time from one call to the next counts as the cost of the
+        connections resumed before.
         """
         start, (count_before, started_before) = time.perf_counter_ns(), self._last_batch
         if count_before:
-            self.budget.record_cost("take up", count_before, start - started_before)
-        limit, count = self.budget.allowed_items("take up"), 0
-        while count < limit and (up := self.table.resume_next()) is not None:
-            self._resume_connection(*up)
+            self.budget.record_cost("resume", count_before, start - started_before)
+        limit, count = self.budget.allowed_items("resume"), 0
+        while count < limit and (resumed := self.table.resume_next()) is not None:
+            self._resume_connection(*resumed)
             count += 1
         self._last_batch = 0, 0
         if self.table.is_crowded():
@@ -259,7 +262,7 @@
             sock.close()
 
     def on_connected(self, client: Client) -> None:
-        """A connection has its transport."""
+        """Registers an active connection that has its transport."""
         assert client.transport is not None
         client.fd = fd = client.transport.get_extra_info("socket").fileno()
         self.clients[fd] = client
@@ -267,7 +270,7 @@
         self._arm_timer()
 
     def on_disconnected(self, client: Client) -> None:
-        """A connection has ended that was taken up; its descriptor is still its own."""
+        """Removes an active connection that has ended; its descriptor is still open."""
         if self.clients.get(client.fd) is client:
             del self.clients[client.fd]
             self.table.remove(client.fd)
@@ -278,13 +281,15 @@
     # Parking.
 
     def _schedule_check(self, fd: int, client: Client) -> None:
-        """When to look at it again: once in a while for all that it did meanwhile, not for each request."""
-        later = self.clock() + max(MIN_CHECK_INTERVAL_NS, min(CHECK_INTERVAL_NS, self.config.park_after_ns))
+        """Sets the next check of an active connection: one from time to time, not one for each request."""
+        check_at = self.clock() + max(
+            MIN_CHECK_INTERVAL_NS, min(CHECK_INTERVAL_NS, self.config.park_after_ns)
+        )
         due = client.expires_at(False)
-        self.table.schedule_check(fd, later if due is None else min(due, later))
+        self.table.schedule_check(fd, check_at if due is None else min(due, check_at))
 
     def _check(self, fd: int) -> None:
-        """A connection that is taken up wants a look."""
+        """Checks an active connection: ends it at its time-out, or parks it if it is idle."""
         client = self.clients.get(fd)
         if client is None:
             return
@@ -294,19 +299,15 @@
             if self.table.states[fd] == State.ACTIVE:
                 self.table.schedule_check(fd, now + CHECK_INTERVAL_NS)
             return
-        last_used_at = client.idle_since()
-        if (
-            last_used_at is None
-            or now - last_used_at < self.config.park_after_ns
-            or not self._park(fd, client)
-        ):
+        idle_since = client.idle_since()
+        if idle_since is None or now - idle_since < self.config.park_after_ns or not self._park(fd, client):
             self._schedule_check(fd, client)
 
     def _park(self, fd: int, client: Client) -> bool:
-        """Gives up a connection's transport, protocol and buffer; False where it can't be done now.
+        """Releases a connection's transport, protocol and buffer; False if that is not possible now.
 
-        The loop's transport closes its descriptor, so a second one to the same connection is kept. What comes
-        between the last look and now stays in the system's buffer: the epoll instance tells at once.
+        The loop's transport closes its descriptor, so a duplicate is kept. Input that came after the last
+        read stays in the system's buffer, and the epoll instance reports it at once.
         """
         transport = client.transport
         if transport is None or transport.is_closing():
@@ -316,7 +317,7 @@
         record = record_from_snapshot(client.listener.index, client.snapshot())
         try:
             parked_fd = os.dup(fd)
-        except OSError:  # no descriptor left: it stays as it is
+        except OSError:  # no descriptor left: the connection stays active
             return False
         del self.clients[fd]
         self.table.remove(fd)
@@ -326,13 +327,13 @@
         return True
 
     def on_answered(self, client: Client) -> None:
-        """A connection has had its answer; if others wait for its place, it is parked before its time."""
+        """Notes that a connection has had its response. While others wait it is parked early."""
         if self.table.is_crowded():
             self._idle_fds.append(client.fd)
             self._schedule_serving()
 
     def _park_idle(self) -> None:
-        """Others wait to be taken up: those that hold no request make way for them, longest idle first."""
+        """Parks idle active connections, longest idle first, as others wait to be resumed."""
         limit = min(len(self.table.woken_at), self.budget.allowed_items("park"))
         count, start = 0, time.perf_counter_ns()
         while count < limit and self._idle_fds:
@@ -342,28 +343,26 @@
         self.budget.record_cost("park", count, time.perf_counter_ns() - start)
         if count:
             self._schedule_serving()
-        elif (
-            self._scan_timer is None
-        ):  # those that were idle before anybody waited: one look at all in a while
+        elif self._scan_timer is None:  # finds those that were idle before others waited
             self._scan_timer = self.loop.call_later(IDLE_SCAN_S, self._find_idle)
 
     def _find_idle(self) -> None:
         self._scan_timer = None
         if self.table.is_crowded():
             idle = [
-                (last_used_at, fd)
-                for fd, one in self.clients.items()
-                if (last_used_at := one.idle_since()) is not None
+                (idle_since, fd)
+                for fd, client in self.clients.items()
+                if (idle_since := client.idle_since()) is not None
             ]
             self._idle_fds = deque(fd for _, fd in sorted(idle))
             self._resume_waiting()
         else:
             self._idle_fds.clear()
 
-    # Time.
+    # Timers.
 
     def _arm_timer(self) -> None:
-        """Sets the loop's timer to the first moment at which something may be due."""
+        """Sets the loop's timer to the first time at which a connection's timer may be due."""
         wake_at = self.table.timers.next_advance_at()
         if wake_at is None or self._timer_at is not None and self._timer_at <= wake_at:
             return
@@ -381,7 +380,7 @@
         self.schedule_upkeep()
         self.resume_accepting()
 
-    # Other processes.
+    # Holder processes.
 
     def _times(self) -> wire.Times:
         config = self.config
@@ -398,7 +397,7 @@
         return len(self.table) * denominator > self.max_here * numerator and self.table.parked_count > 0
 
     def _hand_over(self) -> None:
-        """The longest silent go to holders, a few batches a turn."""
+        """Hands the longest idle connections over to holders, a few batches per turn."""
         self._is_hand_over_scheduled = False
         assert self.holders is not None
         for _ in range(BATCHES_PER_TURN):
@@ -413,16 +412,19 @@
                 break
             self.handed_over_count += len(fds)
             for fd in fds:
-                self.sockets.close(fd)  # the holder has its own
+                self.sockets.close(fd)  # the holder has its own descriptor
         else:
             self._is_hand_over_scheduled = True
             self.loop.call_soon(self._hand_over)
         self.resume_accepting()
 
-    # Changes and the end.
+    # Reloading and shutdown.
 
     def apply_config(self, config: ClientsConfig) -> list[str]:
-        """Other times and limits hold from now on, for what is parked too; the keys that wait for a start."""
+        """Applies new time-outs and limits, also to parked connections.
+
+        Returns the changed keys that take effect only at the next start.
+        """
         deferred = [
             key
             for key in ("holders", "most_here", "backlog")
@@ -438,7 +440,7 @@
         return deferred
 
     async def drain(self) -> None:
-        """Closes what has been served and is silent, in bounded turns."""
+        """Closes idle connections that have had a response, in bounded turns."""
         self.draining = True
         if self.holders is not None:
             self.holders.drain()
@@ -454,13 +456,13 @@
                     break
             if not fds:
                 return
-            self.sockets.evict(fds)  # those with something to say wait to be taken up
+            self.sockets.evict(fds)  # those with input are queued instead
             if self.table.woken_at:
                 self._schedule_serving()
             await asyncio.sleep(0)
 
     async def finish(self) -> None:
-        """Closes all that is silent, and waits until what has spoken is taken up."""
+        """Closes all idle connections and waits until all with input are resumed."""
         if self.holders is not None:
             self.holders.finish()
         while True:
@@ -479,7 +481,7 @@
             await asyncio.sleep(0.005)
 
     def close(self) -> None:
-        """Ends it all."""
+        """Closes all parked and waiting connections and ends the holders."""
         self.loop.remove_reader(self.sockets.epoll.fileno())
         if self._timer is not None:
             self._timer.cancel()
--- a/pepperrun/parking/parked_sockets.py
+++ b/pepperrun/parking/parked_sockets.py
@@ -1,4 +1,4 @@
-"""Descriptors of silent connections in one epoll instance, and what their events and timers bring about."""
+"""Descriptors of parked connections in one epoll instance, with the handling of their events and timers."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 def has_unread_input(fd: int) -> bool:
-    """Has the descriptor bytes that nobody has read?"""
+    """Whether the socket has received bytes that have not been read."""
     count = array.array("i", [0])
     try:
         fcntl.ioctl(fd, termios.FIONREAD, count)
@@ -35,7 +35,10 @@
 
 
 class ParkedSockets:
-    """The silent connections of one process. Owns their descriptors from `put` to `take` or their end."""
+    """The parked connections of one process.
+
+    Owns the descriptor of each from `add` until it is closed, released or resumed.
+    """
 
     def __init__(self, config: ClientsConfig, clock: Callable[[], int]) -> None:
         self.clock = clock
@@ -45,10 +48,10 @@
         self.expired = self.closed_by_client = self.evicted = self.registration_failures = 0
 
     def add(self, fd: int, record: Record) -> bool:
-        """Takes a connection over; False where the system has no memory for it, and it is closed."""
+        """Parks a connection; closes it and returns False if the system has no resources to watch it."""
         try:
             self.epoll.register(fd, WATCHED_EVENTS)
-        except OSError:  # the user's bound on watches, or memory
+        except OSError:  # the limit on watches per user, or no memory
             self.registration_failures += 1
             os.close(fd)
             return False
@@ -56,39 +59,39 @@
         return True
 
     def release(self, fd: int) -> None:
-        """A parked connection goes elsewhere: its descriptor is the caller's."""
+        """Gives up a parked connection; the caller owns its descriptor from now on."""
         self.epoll.unregister(fd)
         self.table.remove(fd)
 
     def close(self, fd: int) -> None:
-        """Ends a parked or waiting connection."""
-        # Closing alone would not do: a copy of the descriptor on its way to another process keeps the watch.
+        """Closes a parked or waiting connection."""
+        # Closing does not end the watch while a copy of the descriptor is on its way to another process.
         if self.table.states[fd] == State.PARKED:
             self.epoll.unregister(fd)
         self.table.remove(fd)
         os.close(fd)
 
     def poll_events(self) -> None:
-        """Takes in a bounded number of events: who has spoken waits to be taken up, who has ended is gone."""
-        limit, start = self.budget.allowed_items("look"), time.perf_counter_ns()
+        """Handles a bounded number of events: queues connections with input and closes those that ended."""
+        limit, start = self.budget.allowed_items("poll"), time.perf_counter_ns()
         now = self.clock()
         events = self.epoll.poll(0, limit)
         for fd, mask in events:
-            # A reset connection takes no answer; one that has ended without a byte wants none.
+            # A reset connection cannot be answered; one that ended without unread input needs no answer.
             if mask & CLOSED_EVENTS or mask & select.EPOLLRDHUP and not has_unread_input(fd):
                 self.closed_by_client += 1
                 self.close(fd)
             else:
                 self.on_readable(fd, now)
-        self.budget.record_cost("look", len(events), time.perf_counter_ns() - start)
+        self.budget.record_cost("poll", len(events), time.perf_counter_ns() - start)
 
     def on_readable(self, fd: int, now: int) -> None:
-        """A parked connection has bytes to read."""
+        """Queues a parked connection that has input and stops watching it."""
         if self.table.wake(fd, now):
             self.epoll.unregister(fd)
 
     def expire_due(self) -> list[int]:
-        """Ends a bounded number of those whose time is up; descriptors that are taken up and want a look."""
+        """Handles a bounded number of due timers: closes parked connections, returns active ones to check."""
         limit, start = self.budget.allowed_items("expire"), time.perf_counter_ns()
         now = self.clock()
         active_fds = []
@@ -106,7 +109,7 @@
         return active_fds
 
     def _expire_parked(self, fd: int, now: int) -> None:
-        if has_unread_input(fd):  # it has spoken, and the loop is late
+        if has_unread_input(fd):  # its request came in time, the loop is late
             self.on_readable(fd, now)
             return
         if fd in self.table.partial_requests:
@@ -116,7 +119,7 @@
         self.close(fd)
 
     def evict(self, fds: Iterable[int]) -> int:
-        """Closes parked connections that have nothing to say; how many."""
+        """Closes those of the parked connections that have no input; returns how many. Queues the others."""
         now, count = self.clock(), 0
         for fd in fds:
             if has_unread_input(fd):
@@ -128,11 +131,11 @@
         return count
 
     def apply_config(self, config: ClientsConfig) -> None:
-        """Other times hold from now on."""
+        """Applies new time-outs and limits, also to connections that are parked already."""
         self.table.apply_config(config)
         self.budget.turn_ns = config.turn_ns
 
     def next_expiry_delay_ns(self) -> int | None:
-        """How long until `expire` has something to do; None while no timer is set."""
+        """Returns how long `expire_due` has nothing to do, in ns; None while no timer is set."""
         wake_at = self.table.timers.next_advance_at()
         return None if wake_at is None else max(0, wake_at - self.clock())
--- a/pepperrun/parking/timer_wheel.py
+++ b/pepperrun/parking/timer_wheel.py
@@ -1,9 +1,9 @@
-"""A hierarchical timer wheel over small numbers (Varghese and Lauck 1987, scheme 7).
+"""A hierarchical timer wheel over small integers (Varghese and Lauck 1987, scheme 7).
 
-Insert, cancel and each step of firing are O(1). It differs from the textbook in one thing: a slot whose time
-has come is not cascaded or fired there and then, but poured whole (four links) onto a ring of what is to be
-looked at, from which `take` works off a bounded number. So 100,000 timers in one slot stall nobody, whether
-they fire together or have to move to a finer level together.
+Insert, cancel and each step of firing are O(1). In one point the wheel differs from the textbook: a slot
+whose time has come is not cascaded or fired at once. The whole slot is appended to a list of pending timers
+(four links change), and each call of `take_due` processes a bounded number of those. So 100,000 timers in
+one slot do not stall the event loop, whether they fire together or move to a finer level together.
 """
 
 from __future__ import annotations
@@ -15,21 +15,23 @@
 BITS_PER_LEVEL = 6
 SLOTS_PER_LEVEL = 1 << BITS_PER_LEVEL
 LEVELS = 4
-PENDING_LIST = LEVELS * SLOTS_PER_LEVEL  # the ring of what is to be looked at
-HAND_OUT_LIST = PENDING_LIST + 1  # and of what is to be handed out whether it is due or not
-TICK_BITS = 24  # a tick is 2^24 ns, 16.8 ms; the top level reaches 78 hours, and what is later goes round
+PENDING_LIST = LEVELS * SLOTS_PER_LEVEL  # the list of timers whose slot has passed, for `take_due`
+HAND_OUT_LIST = PENDING_LIST + 1  # the list of timers that `take_due` returns whether they are due or not
+TICK_BITS = (
+    24  # a tick is 2^24 ns, 16.8 ms; the top level reaches 78 hours, later timers pass through it again
+)
 HORIZON_TICKS = 1 << (BITS_PER_LEVEL * LEVELS)
 
 
 class TimerWheel:
-    """Timers by key, one each. Times are nanoseconds on any clock; one that steps back is waited for."""
+    """One timer per key. Times are in ns on any clock; if it steps back, timers wait until it catches up."""
 
     __slots__ = ("_due_at", "_lists", "_occupied", "count", "tick")
 
     def __init__(self, now: int) -> None:
         self._lists = LinkedLists(HAND_OUT_LIST + 1)
         self._due_at = array("q")
-        self._occupied = [0] * LEVELS  # a bit for each slot that holds something
+        self._occupied = [0] * LEVELS  # per level, a bit for each slot that is not empty
         self.tick = now >> TICK_BITS
         self.count = 0
 
@@ -37,17 +39,17 @@
         return self.count
 
     def grow(self, keys: int) -> None:
-        """Makes room for the keys below `keys`."""
+        """Extends the arrays for the keys below `keys`."""
         self._lists.grow(keys)
         if keys > len(self._due_at):
             self._due_at.extend(array("q", [0]) * (keys - len(self._due_at)))
 
     def due_at(self, key: int) -> int | None:
-        """When the key's timer falls due; None where it has none."""
+        """Returns when the timer of a key is due, in ns; None if the key has no timer."""
         return self._due_at[key] if self._lists.contains(key) else None
 
     def insert(self, key: int, due_at: int) -> None:
-        """Sets the key's timer, in place of the one that it had."""
+        """Sets the timer of a key and replaces a previous one."""
         if self._lists.contains(key):
             self.cancel(key)
         self._due_at[key] = due_at
@@ -55,7 +57,7 @@
         self._place(key, due_at)
 
     def cancel(self, key: int) -> None:
-        """Takes the key's timer away, if it has one."""
+        """Cancels the timer of a key, if it has one."""
         if not self._lists.contains(key):
             return
         self.count -= 1
@@ -64,7 +66,7 @@
             self._occupied[emptied >> BITS_PER_LEVEL] &= ~(1 << (emptied & (SLOTS_PER_LEVEL - 1)))
 
     def _place(self, key: int, due_at: int) -> None:
-        tick = -(-due_at >> TICK_BITS)  # rounded up: none fires early
+        tick = -(-due_at >> TICK_BITS)  # rounded up, so that no timer fires early
         wait = tick - self.tick
         if wait <= 0:
             self._lists.append(PENDING_LIST, key)
@@ -77,7 +79,7 @@
         self._lists.append(level * SLOTS_PER_LEVEL + slot, key)
 
     def advance(self, now: int) -> None:
-        """Moves on to now: the slots passed are looked at by `take`. At most 256 steps, however far."""
+        """Moves on to `now`; timers of the slots passed become pending. At most 256 steps, however far."""
         new, old = now >> TICK_BITS, self.tick
         if new <= old:
             return
@@ -95,9 +97,10 @@
             self._occupied[level] = occupied
 
     def take_due(self, now: int, limit: int) -> list[int]:
-        """Looks at up to `most` timers whose slot has passed; the keys that are due, which have none now.
+        """Processes up to `limit` pending timers; returns the keys of the due ones and ends their timers.
 
-        After `restart` those that were set then come first, due or not.
+        A timer that is not due yet moves to a finer level. After `hand_out_all` the timers that were set at
+        that time come first, due or not.
         """
         due_keys: list[int] = []
         lists = self._lists
@@ -111,7 +114,7 @@
                 break
             lists.remove(key)
             due_at = self._due_at[key]
-            # With a clock that has stepped back a timer may be ahead of a tick that is already past.
+            # After the clock has stepped back, a timer may not be due though its tick has passed.
             if due_at <= now:
                 self.count -= 1
                 due_keys.append(key)
@@ -123,11 +126,11 @@
         return due_keys
 
     def has_pending(self) -> bool:
-        """Is there something for `take` to look at now?"""
+        """Whether `take_due` has timers to process now."""
         return self._lists.first(PENDING_LIST) >= 0 or self._lists.first(HAND_OUT_LIST) >= 0
 
     def hand_out_all(self) -> None:
-        """Every timer is handed out by `take`, to be set anew: what they count from has changed."""
+        """Lets `take_due` return every timer, so that the caller sets it again: time-outs have changed."""
         self._lists.move_all(PENDING_LIST, HAND_OUT_LIST)
         for level in range(LEVELS):
             occupied, self._occupied[level] = self._occupied[level], 0
@@ -136,9 +139,9 @@
                     self._lists.move_all(level * SLOTS_PER_LEVEL + slot, HAND_OUT_LIST)
 
     def next_advance_at(self) -> int | None:
-        """When to `advance` next, in nanoseconds, at the first due tick or sooner; None if nothing is set."""
+        """Returns when to call `advance` next, in ns: the first due tick or earlier; None without timers."""
         if self.has_pending():
-            return 0  # at once; a clock that has stepped back may be far from this tick
+            return 0  # at once: after a step back, the clock may be far from this tick
         ticks = []
         for level in range(LEVELS):
             occupied = self._occupied[level]
--- a/pepperrun/parking/wire.py
+++ b/pepperrun/parking/wire.py
@@ -1,7 +1,7 @@
-"""Messages between the gatekeeper and the processes that keep silent connections for it. Does no I/O.
+"""Messages between the gatekeeper and its holder processes, which hold idle connections. Does no I/O.
 
-Each is one datagram of a Unix SOCK_SEQPACKET pair. A batch of records travels with as many descriptors
-(SCM_RIGHTS), in the same order. Both ends are started from the same files, so there is one version.
+Each message is one datagram of a Unix SOCK_SEQPACKET pair. A batch of records is sent with the same number
+of descriptors (SCM_RIGHTS) in the same order. Both ends run the same files, so there is only one version.
 """
 
 from __future__ import annotations
@@ -12,48 +12,48 @@
 
 from pepperrun.parking.connection_table import EvictionRank, Record
 
-MAX_BATCH = 64  # descriptors in a message; the system's bound is 253
-_HEAD = struct.Struct("<BB")
+MAX_BATCH = 64  # descriptors in a message; the system allows 253
+_HEADER = struct.Struct("<BB")
 _RECORD = struct.Struct("<BBq")
 _TIMES = struct.Struct("<5q")
 _COUNT = struct.Struct("<i")
 _REPORT = struct.Struct("<4i3q")
-MAX_MESSAGE_BYTES = _HEAD.size + MAX_BATCH * _RECORD.size
+MAX_MESSAGE_BYTES = _HEADER.size + MAX_BATCH * _RECORD.size
 
 
 class Kind(IntEnum):
-    """What a message says."""
+    """Kind of a message."""
 
-    KEEP = 1  # to the holder: records with descriptors
-    RETURN = 2  # from the holder: records with descriptors; they have spoken
-    TIMES = 3  # to the holder: other times
-    EVICT = 4  # to the holder: so many are to give way
-    DRAIN = 5  # to the holder: close what has been served and says nothing
-    FINISH = 6  # to the holder: close all that says nothing, give back the rest, and end
-    REPORT = 7  # from the holder: what it holds and what has ended
-    DONE = 8  # from the holder: nothing is left
+    KEEP = 1  # to the holder: records with descriptors to hold
+    RETURN = 2  # from the holder: records with descriptors that have input
+    TIMES = 3  # to the holder: new time-outs
+    EVICT = 4  # to the holder: a number of connections to close
+    DRAIN = 5  # to the holder: close idle connections that have had a response
+    FINISH = 6  # to the holder: close all idle connections, return the others, and exit
+    REPORT = 7  # from the holder: connections that it holds and that have ended
+    DONE = 8  # from the holder: no connection is left
 
 
 @dataclass(slots=True, frozen=True)
 class Report:
-    """What a holder holds, by rank, and what it has closed or seen end since its start."""
+    """The number of connections of a holder by rank, and of those that ended since its start."""
 
     never_answered: int
     no_exchange: int
     one_exchange: int
     more_exchanges: int
     expired: int
-    closed: int
-    evictions_handled: int  # messages that asked to give way
+    closed: int  # closed by their clients, evicted, or lost for want of resources
+    evictions_handled: int  # EVICT messages
 
     def by_rank(self) -> tuple[int, int, int, int]:
-        """Connections by rank."""
+        """Returns the numbers of connections in the order of their ranks."""
         return self.never_answered, self.no_exchange, self.one_exchange, self.more_exchanges
 
 
 @dataclass(slots=True, frozen=True)
 class Times:
-    """What a holder needs of the operators' file, and its limit."""
+    """The settings that a holder needs of the operators' file, and its limit on connections."""
 
     idle_ns: int
     first_byte_ns: int
@@ -66,43 +66,45 @@
 
 
 def encode_records(kind: Kind, batch: list[Record]) -> bytes:
-    """A batch of records that hold no part of a request."""
+    """Encodes a batch of records. Raises ValueError if it is too long or has partial requests."""
     if len(batch) > MAX_BATCH or any(record.buffered for record in batch):
-        raise ValueError("no such batch")
-    head = _HEAD.pack(kind, len(batch))
-    return head + b"".join([_RECORD.pack(one.listener_index, one.rank, one.last_used_at) for one in batch])
+        raise ValueError("batch is too long or has a partial request")
+    header = _HEADER.pack(kind, len(batch))
+    return header + b"".join(
+        [_RECORD.pack(record.listener_index, record.rank, record.last_used_at) for record in batch]
+    )
 
 
-def encode_times(what: Times) -> bytes:
-    """Times that hold from now on."""
-    fields = what.idle_ns, what.first_byte_ns, what.give_way_ns, what.turn_ns, what.most
-    return _HEAD.pack(Kind.TIMES, 0) + _TIMES.pack(*fields)
+def encode_times(settings: Times) -> bytes:
+    """Encodes new time-outs."""
+    fields = settings.idle_ns, settings.first_byte_ns, settings.give_way_ns, settings.turn_ns, settings.most
+    return _HEADER.pack(Kind.TIMES, 0) + _TIMES.pack(*fields)
 
 
 def encode_eviction(count: int) -> bytes:
-    """So many are to give way."""
-    return _HEAD.pack(Kind.EVICT, 0) + _COUNT.pack(count)
+    """Encodes the request to close `count` connections."""
+    return _HEADER.pack(Kind.EVICT, 0) + _COUNT.pack(count)
 
 
 def encode_plain(kind: Kind) -> bytes:
-    """A message that says no more than its kind."""
-    return _HEAD.pack(kind, 0)
+    """Encodes a message without content."""
+    return _HEADER.pack(kind, 0)
 
 
-def encode_report(what: Report) -> bytes:
-    """What a holder holds."""
-    fields = *what.by_rank(), what.expired, what.closed, what.evictions_handled
-    return _HEAD.pack(Kind.REPORT, 0) + _REPORT.pack(*fields)
+def encode_report(current: Report) -> bytes:
+    """Encodes a holder's report."""
+    fields = *current.by_rank(), current.expired, current.closed, current.evictions_handled
+    return _HEADER.pack(Kind.REPORT, 0) + _REPORT.pack(*fields)
 
 
 def decode(data: bytes) -> Message:
-    """A message; ValueError where it can't be one."""
+    """Decodes a message. Raises ValueError if it is invalid."""
     try:
-        number, count = _HEAD.unpack_from(data)
-        kind, rest = Kind(number), data[_HEAD.size :]
+        number, count = _HEADER.unpack_from(data)
+        kind, rest = Kind(number), data[_HEADER.size :]
         if kind in (Kind.KEEP, Kind.RETURN):
             if len(rest) != count * _RECORD.size or count > MAX_BATCH:
-                raise ValueError("records are missing")
+                raise ValueError("the records do not have the announced length")
             return kind, [
                 Record(listener_index, EvictionRank(rank), last_used_at)
                 for listener_index, rank, last_used_at in _RECORD.iter_unpack(rest)
@@ -116,5 +118,5 @@
     except struct.error as error:
         raise ValueError(str(error)) from None
     if rest:
-        raise ValueError("more than belongs to it")
+        raise ValueError("a message of this kind has no content")
     return kind, None
--- a/pepperrun/zones/__init__.py
+++ b/pepperrun/zones/__init__.py
@@ -1,1 +1,1 @@
-"""Failover between zones and regions: what is decided in common, and where load goes by it."""
+"""Agreement between zones and regions: a replicated register without a leader or a disk."""
--- a/pepperrun/zones/register.py
+++ b/pepperrun/zones/register.py
@@ -1,25 +1,26 @@
 """One value that a majority of the voters agrees on, changed in numbered steps. No leader, no disk, no I/O.
 
-Each change is a round of its own (Lamport's Synod, as a register: Rystsov's CASPaxos): ask a
-majority for what it holds, change that, put it to a majority. Rounds are ordered by ballots; who
-has promised a later one refuses an earlier. What this table says is what the code goes by:
+Each change is a round of its own (Lamport's Synod protocol used as a register: Rystsov's CASPaxos). The
+prepare phase learns from a majority what it has accepted, the proposer changes that, and the accept phase
+proposes the result to a majority. Ballots order the rounds: a voter that has promised a ballot rejects all
+lower ones. The code follows this table:
 
-| phase of a round | event | next |
+| phase of a round | event | next phase |
 | --- | --- | --- |
-| IDLE | something is wanted, or a voter asks to be let in | ASKING |
-| ASKING | a majority has promised, nothing is to be changed | IDLE |
-| ASKING | a majority has promised | PUTTING |
-| ASKING | a majority remembers nothing, for BEGIN_NS | PUTTING, in a new epoch |
-| PUTTING | a majority has taken it: it is chosen, all are told | IDLE |
-| ASKING, PUTTING | refused, or nothing for ROUND_NS | WAITING |
-| WAITING | its time is over | IDLE |
-
-A voter remembers nothing after a restart, so each life of it is another voter: the value names the
-lives that vote, and the next round lets in at most one that has come back. A promise, or its taking
-of a value, counts only where the value names that life, and who is let in has no say in that. So an
-answer of the life before, still on its way, counts with no value chosen after it. Lives grow. Only
-where a majority has forgotten everything is there a new beginning, in a later epoch; what some still
-remember goes on in it, what they can not be asked for is void.
+| IDLE | a change is submitted, or a voter asks to join | PREPARING |
+| PREPARING | a majority has promised, and nothing is to be changed | IDLE |
+| PREPARING | a majority has promised | ACCEPTING |
+| PREPARING | a majority has no state, for `BOOTSTRAP_AFTER_NS` | ACCEPTING, in a new epoch |
+| ACCEPTING | a majority has accepted the value: it is chosen, all are notified | IDLE |
+| PREPARING, ACCEPTING | rejected, or no majority within `PHASE_TIMEOUT_NS` | BACKING_OFF |
+| BACKING_OFF | the delay is over | IDLE |
+
+A voter has no state after a restart, so each of its incarnations is another voter. The value names the
+incarnations that vote, and each round lets at most one restarted voter join. A promise or an acceptance
+counts only if the value names the incarnation that sent it, and the incarnation that joins does not count in
+the round that lets it join. So a late answer of a previous incarnation counts for no value chosen after that
+round. Incarnation numbers increase. Only if a majority has lost its state is there a bootstrap, in a higher
+epoch. State that some voters still have is kept in it; state of voters that do not answer is void.
 """
 
 from __future__ import annotations
@@ -32,18 +33,16 @@
 
 from pepperrun.core.clock import SECOND
 
-PHASE_TIMEOUT_NS = SECOND // 4  # for each half of a round: twice the longest way between regions, and more
-MIN_BACKOFF_NS = SECOND // 10  # at least, after a refusal; at random up to twice as long, doubled each time
+PHASE_TIMEOUT_NS = SECOND // 4  # for each phase of a round: more than twice the longest delay between regions
+MIN_BACKOFF_NS = SECOND // 10  # after a rejection; random up to twice this, doubled with each rejection
 MAX_BACKOFF_DOUBLINGS = 4
-JOIN_INTERVAL_NS = SECOND // 2  # between two requests to be let in
-FIRST_VERSION = 1  # the number of a beginning of which nobody remembers anything before
-BOOTSTRAP_AFTER_NS = (
-    2 * SECOND
-)  # a majority has forgotten everything for so long: there is nobody else to ask
+JOIN_INTERVAL_NS = SECOND // 2  # between two requests to join
+FIRST_VERSION = 1  # version of a bootstrap for which no voter has earlier state
+BOOTSTRAP_AFTER_NS = 2 * SECOND  # a majority has had no state for so long: no other voter can be asked
 
 
 class Ballot(NamedTuple):
-    """The order of rounds: a later epoch, then a later round, then the voter that began it."""
+    """Proposal number: ordered by epoch, then by round, then by the number of the proposer."""
 
     epoch: int
     round: int
@@ -54,9 +53,10 @@
 
 
 class Value(NamedTuple):
-    """What is agreed on: `number` grows by one with each change, `lives` are those that vote (0: none).
+    """The agreed value.
 
-    `begins`: a majority had forgotten what was held before it.
+    `version` increases by one with each change. `incarnations` are those of the voters that vote (0: none).
+    `is_bootstrap`: a majority had lost the state before this value.
     """
 
     version: int
@@ -66,20 +66,27 @@
 
 
 class Kind(enum.IntEnum):
-    """What a message is."""
+    """Kind of a message.
 
-    ASK_PROMISE = 0
-    PROMISE = 1  # with what is held
-    BLANK_PROMISE = 2  # nothing is remembered here
-    PROPOSE = 3
-    VALUE_ACCEPTED = 4
-    REJECTED = 5  # with the ballot that was promised to another
-    CHOSEN = 6
-    JOIN = 7  # let this life in
+    The seeded searches of the lab sort messages by these names, so a new name changes what a seed finds.
+    """
+
+    ASK_PROMISE = 0  # prepare
+    PROMISE = 1  # with the value that was accepted last
+    BLANK_PROMISE = 2  # a promise of a voter without state, which does not count as a vote
+    PROPOSE = 3  # accept
+    VALUE_ACCEPTED = 4  # accepted
+    REJECTED = 5  # with the higher ballot that was promised
+    CHOSEN = 6  # notifies of a chosen value
+    JOIN = 7  # asks to let this incarnation join
 
 
 class Message(NamedTuple):
-    """`ballot`: of its round; `at`: the ballot under which `value` was taken, or what was promised."""
+    """A message between two voters.
+
+    `ballot` is that of the round. `reported_ballot` is the ballot at which `value` was accepted or, in a
+    rejection, the one that was promised.
+    """
 
     kind: Kind
     ballot: Ballot
@@ -89,7 +96,7 @@
 
 
 class Phase(enum.Enum):
-    """Of a round of its own."""
+    """Phase of the round that this voter proposes; the module's table lists the transitions."""
 
     IDLE = "idle"
     PREPARING = "asking"
@@ -99,63 +106,64 @@
 
 @dataclass(slots=True)
 class Round:
-    """One that this voter has begun."""
+    """A round that this voter proposes."""
 
     ballot: Ballot
-    promises: dict[int, Message] = field(default_factory=dict)
-    without_state: dict[int, Message] = field(default_factory=dict)
+    promises: dict[int, Message] = field(default_factory=dict)  # by voter
+    without_state: dict[int, Message] = field(default_factory=dict)  # promises of voters without state
     proposed: Value | None = None
-    accepted: dict[int, int] = field(default_factory=dict)
+    accepted: dict[int, int] = field(default_factory=dict)  # incarnations that accepted, by voter
 
 
-Change = Callable[[Any], Any]
+Change = Callable[[Any], Any]  # returns the changed body
 
 
 class Register:
-    """One voter of `count`, in a life of 1 or more. Give it messages and the time; send `out`; read `held`.
+    """One of `voter_count` voters, in an incarnation of 1 or more; its state is in memory only.
 
-    `change` is given the body that is held and returns the one that is wanted, the same one for no change. It
-    must not depend on anything but what this voter knows: it is called once for each round.
+    The caller passes in messages and the time, sends what `take_outgoing` returns, and reads `chosen_value`.
+    `change` gets the current body and returns the wanted one, the same body for no change. It is called in
+    each round and must not depend on anything but what this voter knows.
     """
 
     def __init__(self, own_number: int, voter_count: int, incarnation: int, seed: int, now: int) -> None:
         self.own_number, self.voter_count, self.incarnation = own_number, voter_count, incarnation
         self.rng = random.Random(seed)
         self.promised, self.accepted_ballot = NO_BALLOT, NO_BALLOT
-        self.accepted_value: Value | None = None  # taken, maybe not chosen
-        self.chosen_ballot, self.chosen_value = NO_BALLOT, Value(0, (0,) * voter_count)  # chosen
+        self.accepted_value: Value | None = None  # perhaps not chosen
+        self.chosen_ballot, self.chosen_value = NO_BALLOT, Value(0, (0,) * voter_count)
         self.phase, self.round, self.phase_ends_at, self.rejections = Phase.IDLE, Round(NO_BALLOT), now, 0
-        self.joining: dict[int, int] = {}  # who wants to be let in: its life
+        self.joining: dict[int, int] = {}  # incarnations that ask to join, by voter
         self.next_join_at, self.stateless_since = now, now
-        self.highest_ballot = NO_BALLOT  # the latest ballot that was heard of
+        self.highest_ballot = NO_BALLOT  # in any message received
         self.change: Change | None = None
         self.outgoing: list[tuple[int, Message]] = []
 
-    # What others see.
+    # Interface to the caller.
 
     @property
     def is_voter(self) -> bool:
-        """Does what is chosen name this life?"""
+        """Whether the chosen value names this incarnation, which therefore has state and votes."""
         return self.chosen_value.incarnations[self.own_number] == self.incarnation
 
     def is_majority(self, number: int) -> bool:
-        """Are so many a majority of all voters, those that have not been let in included?"""
+        """Whether `number` is a majority of all voters, including those that have not joined."""
         return 2 * number > self.voter_count
 
     def submit(self, change: Change, now: int) -> None:
-        """Something is to be changed: as soon as there is no other round of its own."""
+        """Submits a change. A round for it starts as soon as this voter proposes no other."""
         self.change = change
         self._start_round(now)
 
     def next_tick_at(self) -> int | None:
-        """When `tick` is to be called at the latest; None while nothing is to be done."""
+        """Returns when `tick` has to be called, in ns; None while nothing is to be done."""
         tick_times = [self.next_join_at] if not self.is_voter else []
         if self.phase is not Phase.IDLE:
             tick_times.append(self.phase_ends_at)
         return min(tick_times, default=None)
 
     def tick(self, now: int) -> None:
-        """Does what is due."""
+        """Asks to join, ends the current phase at its time-out, and starts rounds, as far as due."""
         if not self.is_voter and now >= self.next_join_at:
             self.next_join_at = now + JOIN_INTERVAL_NS
             self._broadcast(Message(Kind.JOIN, NO_BALLOT, self.incarnation))
@@ -176,7 +184,7 @@
     # Messages.
 
     def receive(self, sender: int, message: Message, now: int) -> None:
-        """Takes in a message of another voter; what can't be meant is dropped."""
+        """Handles a message of another voter; drops an invalid one."""
         if not 0 <= sender < self.voter_count or sender == self.own_number:
             return
         if message.value is not None and len(message.value.incarnations) != self.voter_count:
@@ -195,7 +203,7 @@
         elif kind is Kind.JOIN:
             self._on_join(sender, message.incarnation, now)
         elif ballot != self.round.ballot:
-            return  # the answer to a round that is over
+            return  # an answer in a round that is over
         elif (
             kind is Kind.REJECTED
             and self.phase in (Phase.PREPARING, Phase.ACCEPTING)
@@ -241,7 +249,7 @@
         was_voter = self.is_voter
         self.chosen_ballot, self.chosen_value = ballot, value
         if not self.is_voter:
-            if was_voter:  # a new beginning that did not know of this one
+            if was_voter:  # a bootstrap of voters that did not know this incarnation
                 self.stateless_since = self.next_join_at = now
         elif ballot >= self.promised or not was_voter:
             self.promised = max(self.promised, ballot)
@@ -251,20 +259,22 @@
                 del self.joining[voter]
 
     def _on_join(self, sender: int, incarnation: int, now: int) -> None:
-        if self.chosen_value.incarnations[sender] == incarnation:  # it was let in and has not heard of that
+        if (
+            self.chosen_value.incarnations[sender] == incarnation
+        ):  # it has joined and was not notified of that
             self._send(
                 sender,
                 Message(Kind.CHOSEN, self.chosen_ballot, self.incarnation, NO_BALLOT, self.chosen_value),
                 now,
             )
             return
-        # Not a late one of a life before.
+        # A late request of a previous incarnation is ignored.
         if incarnation > max(self.chosen_value.incarnations[sender], self.joining.get(sender, 0)):
             self.joining[sender] = incarnation
         if self.is_voter:
             self._start_round(now)
 
-    # A round of its own.
+    # The round that this voter proposes.
 
     def _start_round(self, now: int, bootstrap: bool = False) -> None:
         if self.phase is not Phase.IDLE or not (self.is_voter or bootstrap):
@@ -273,7 +283,7 @@
             return
         latest = max(self.highest_ballot, self.promised)
         ballot = Ballot(latest.epoch, latest.round + 1, self.own_number)
-        if bootstrap:  # after all that was heard of, and after all that has been forgotten
+        if bootstrap:  # higher than all ballots seen, and than those of previous incarnations
             ballot = Ballot(max(latest.epoch + 1, self.incarnation), 1, self.own_number)
         self.round = Round(ballot)
         self.phase, self.phase_ends_at = Phase.PREPARING, now + PHASE_TIMEOUT_NS
@@ -281,14 +291,14 @@
         self._on_prepare(self.own_number, self.round.ballot, now)
 
     def _try_propose(self, now: int) -> None:
-        """Does a majority of those that vote by the latest value promise? Then that value is changed."""
+        """Proposes the changed latest value, once a majority of the voters that it names has promised."""
         promises = self.round.promises
         latest = self._latest_promise(promises)
         base = latest.value
         if base is None:
             return
         promised_by = [
-            voter for voter, one in promises.items() if base.incarnations[voter] == one.incarnation
+            voter for voter, promise in promises.items() if base.incarnations[voter] == promise.incarnation
         ]
         if not self.is_majority(len(promised_by)):
             return
@@ -299,7 +309,7 @@
             if base.incarnations[voter] < incarnation
         ]
         incarnations = list(base.incarnations)
-        if joiners:  # one at a time, so that majorities before and after have a voter in common
+        if joiners:  # one at a time, so that a majority before and one after have a voter in common
             incarnations[joiners[0]] = self.joining[joiners[0]]
         value = Value(base.version + 1, tuple(incarnations), body)
         if body == base.body and not joiners:
@@ -307,20 +317,20 @@
                 self.change = None
                 self._end_round()
                 return
-            value = base  # taken by some, not known as chosen
+            value = base  # accepted by some, not known as chosen
         self._propose(value, now)
 
     def _latest_promise(self, promises: dict[int, Message]) -> Message:
-        return max(promises.values(), key=lambda one: one.reported_ballot)
+        return max(promises.values(), key=lambda message: message.reported_ballot)
 
     def _may_accept(self, value: Value) -> bool:
-        """A life that is not named has no say; one that has forgotten has it at a beginning only."""
+        """Whether this voter may accept: the value names its incarnation, which has state or bootstraps."""
         return value.incarnations[self.own_number] == self.incarnation and (
             self.is_voter or value.is_bootstrap
         )
 
     def _try_bootstrap(self, now: int, deadline_passed: bool = False) -> None:
-        """A majority remembers nothing: a new beginning, of all that have answered when it is late."""
+        """Proposes a bootstrap if a majority has no state, once all voters replied or the time-out passed."""
         without_state = self.round.without_state
         all_replied = len(without_state) + len(self.round.promises) == self.voter_count
         if not self.is_majority(len(without_state)) or self.is_voter or not (all_replied or deadline_passed):
@@ -329,14 +339,16 @@
         incarnations = tuple(
             replies[voter].incarnation if voter in replies else 0 for voter in range(self.voter_count)
         )
-        # What some remember is not lost.
-        known = max(replies.values(), key=lambda one: one.reported_ballot).value
+        # State that some voters still have is kept.
+        known = max(replies.values(), key=lambda message: message.reported_ballot).value
         value = Value(
             known.version + 1 if known else FIRST_VERSION, incarnations, known.body if known else None, True
         )
-        if known is not None and known.is_bootstrap:  # another has begun: it may have been chosen
+        if (
+            known is not None and known.is_bootstrap
+        ):  # a bootstrap by another voter, which may have been chosen
             same_incarnations = sum(
-                one.incarnation == known.incarnations[voter] for voter, one in replies.items()
+                reply.incarnation == known.incarnations[voter] for voter, reply in replies.items()
             )
             value = known if self.is_majority(same_incarnations) else value
         self._propose(value, now)
@@ -362,16 +374,16 @@
                 self.change = None
             self._broadcast(Message(Kind.CHOSEN, self.round.ballot, self.incarnation, NO_BALLOT, value))
             self._on_chosen(self.round.ballot, value, now)
-            self._start_round(now)  # who still waits to be let in
+            self._start_round(now)  # for those that still wait to join
 
     def _end_round(self) -> None:
         self.phase, self.rejections = Phase.IDLE, 0
 
     def _back_off(self, now: int) -> None:
         self.phase = Phase.BACKING_OFF
-        min_delay = MIN_BACKOFF_NS << min(MAX_BACKOFF_DOUBLINGS, self.rejections)
+        min_delay_ns = MIN_BACKOFF_NS << min(MAX_BACKOFF_DOUBLINGS, self.rejections)
         self.rejections += 1
-        self.phase_ends_at = now + min_delay + int(min_delay * self.rng.random())
+        self.phase_ends_at = now + min_delay_ns + int(min_delay_ns * self.rng.random())
 
     # Sending.
 
@@ -385,6 +397,6 @@
         self.outgoing += [(voter, message) for voter in range(self.voter_count) if voter != self.own_number]
 
     def take_outgoing(self) -> list[tuple[int, Message]]:
-        """What is to be sent, with the receivers."""
-        out, self.outgoing = self.outgoing, []
-        return out
+        """Returns the messages to be sent, each with its receiver, and clears them."""
+        outgoing, self.outgoing = self.outgoing, []
+        return outgoing
--- a/tests/test_parking.py
+++ b/tests/test_parking.py
@@ -1,4 +1,4 @@
-"""Parked connections on real sockets: what is lost, doubled, early or stuck when things go wrong."""
+"""Parked connections on real sockets: nothing is lost, duplicated, early or stuck when things go wrong."""
 
 from __future__ import annotations
 
@@ -29,12 +29,12 @@
 
 
 class ParkingFront(Front):
-    """The gatekeeper of the other tests with its connections in a lot."""
+    """The gatekeeper of the other tests with a parking manager for its connections."""
 
     def __init__(self, here: int = 1000, **changes: object) -> None:
         super().__init__()
         self.listener.close()
-        self.later = 0
+        self.clock_offset = 0
         given = {"idle_s": 100, "park_after_s": 0.02, "most": 1000} | changes
         loop = asyncio.get_running_loop()
         self.parking = ParkingManager(loop, self.now, read_clients(json.dumps(given)), here)
@@ -43,7 +43,7 @@
         self.listener.open((HOST, 0))
 
     def now(self) -> int:
-        return self.clock() + self.later
+        return self.clock() + self.clock_offset
 
     async def until(self, parked: int | None = None, total: int | None = None) -> None:
         while parked not in (None, self.parking.table.parked_count) or total not in (
@@ -53,13 +53,13 @@
             await asyncio.sleep(0.001)
 
     def advance(self, span: int) -> None:
-        """Lets the front's clock jump; the loop's own timer would come after as long in real time."""
-        self.later += span
+        """Moves the front's clock and runs the due timers; the loop's own timer would wait for real time."""
+        self.clock_offset += span
         self.parking._on_timer()
 
 
 @contextlib.asynccontextmanager
-async def parking(**changes: object) -> AsyncIterator[ParkingFront]:
+async def parking_front(**changes: object) -> AsyncIterator[ParkingFront]:
     front = ParkingFront(**changes)
     worker = await StandIn(ok()).start()
     front.list(line("w", worker.port))
@@ -82,12 +82,12 @@
     client.writer.transport.abort()
 
 
-def test_a_connection_parks_between_requests_and_is_the_same_when_taken_up_again():
+def test_a_connection_parks_between_requests_and_has_the_same_state_when_resumed():
     async def test():
-        async with parking() as front:
+        async with parking_front() as front:
             client = await front.client()
             await front.until(parked=1)
-            assert not front.listener.clients  # neither transport nor protocol
+            assert not front.listener.clients  # neither transport nor protocol is left
             for rank in (EvictionRank.ONE_EXCHANGE, EvictionRank.MORE_EXCHANGES, EvictionRank.MORE_EXCHANGES):
                 await served(client)
                 await front.until(parked=1)
@@ -96,33 +96,33 @@
             client.ask("confirm")
             while not front.listener.clients:
                 await asyncio.sleep(0)
-            (taken,) = front.listener.clients
-            assert isinstance(taken, HttpConnection)
-            assert taken.peer_address() == HOST.encode() and not taken.never_answered()
+            (resumed,) = front.listener.clients
+            assert isinstance(resumed, HttpConnection)
+            assert resumed.peer_address() == HOST.encode() and not resumed.never_answered()
             assert (await client.answer())[0] == 200
 
     going(test)
 
 
-def test_bytes_between_the_last_look_and_the_parking_are_served_in_order():
+def test_input_between_the_last_read_and_parking_is_served_in_order():
     async def test():
-        async with parking(park_after_s=10) as front:
+        async with parking_front(park_after_s=10) as front:
             client = await front.client()
             await served(client)
-            ((fd, taken),) = front.parking.clients.items()
-            # Written to the socket now, read by nobody: the loop has not turned since.
+            ((fd, active),) = front.parking.clients.items()
+            # The gatekeeper has not read this input: the loop has not run since it was written.
             sock = client.writer.get_extra_info("socket")
             os.write(sock.fileno(), HEALTH + HEALTH.replace(b"/ready", b"/nowhere") + HEALTH[:9])
-            assert front.parking._park(fd, taken)
+            assert front.parking._park(fd, active)
             assert not front.listener.clients
             assert [(await client.answer())[0] for _ in range(2)] == [200, 404]
 
     going(test)
 
 
-def test_pipelined_requests_are_answered_in_order_and_nothing_parks_over_them():
+def test_pipelined_requests_are_answered_in_order_and_not_lost_by_parking():
     async def test():
-        async with parking(park_after_s=0) as front:
+        async with parking_front(park_after_s=0) as front:
             client = await front.client()
             await front.until(parked=1)
             for _ in range(5):
@@ -135,19 +135,18 @@
     going(test)
 
 
-def test_half_a_request_parks_with_its_bytes_and_its_time_counts_from_the_first():
+def test_a_partial_request_parks_with_its_bytes_and_times_out_from_its_first_byte():
     async def test():
-        async with parking(request_s=5) as front:
+        async with parking_front(request_s=5) as front:
             client, slow = await front.client(), await front.client()
             for one in (client, slow):
                 one.writer.write(HEALTH[:7])
-            ledger = front.parking.table
-            while [held for held, _ in ledger.partial_requests.values()] != [HEALTH[:7]] * 2:
+            table = front.parking.table
+            while [buffered for buffered, _ in table.partial_requests.values()] != [HEALTH[:7]] * 2:
                 await asyncio.sleep(0.001)
             client.writer.write(HEALTH[7:12])
-            while HEALTH[:12] not in [
-                held for held, _ in ledger.partial_requests.values()
-            ]:  # parked again with more
+            # Parked again with more.
+            while HEALTH[:12] not in [buffered for buffered, _ in table.partial_requests.values()]:
                 await asyncio.sleep(0.001)
             began = min(at for _, at in front.parking.table.partial_requests.values())
             client.writer.write(HEALTH[12:])
@@ -162,9 +161,9 @@
     going(test)
 
 
-def test_who_closes_or_resets_while_parked_is_gone_and_the_number_means_the_next():
+def test_a_parked_connection_that_closes_or_resets_is_removed_and_its_descriptor_reused():
     async def test():
-        async with parking() as front:
+        async with parking_front() as front:
             clients = [await front.client() for _ in range(6)]
             await served(clients[0])
             await front.until(parked=6)
@@ -173,7 +172,7 @@
             reset(clients[4])
             await front.until(total=2)
             assert front.parking.sockets.closed_by_client == 4
-            more = [await front.client() for _ in range(4)]  # the same numbers again
+            more = [await front.client() for _ in range(4)]  # the same descriptor numbers again
             await front.until(parked=6)
             for client in [clients[0], clients[5], *more]:
                 await served(client)
@@ -181,46 +180,45 @@
     going(test)
 
 
-def test_a_waiting_connections_number_that_is_closed_and_used_again_is_not_taken_for_it():
+def test_a_reused_descriptor_is_not_taken_for_the_waiting_connection_that_had_it():
     async def test():
-        async with parking() as front:
+        async with parking_front() as front:
             first, late = await front.client(), socket.socket()
             late.setblocking(False)
             await front.until(parked=1)
             (fd,) = front.parking.table.eviction_order.members(EvictionRank.NEVER_ANSWERED)
-            front.parking.sockets.on_readable(
-                fd, front.now()
-            )  # waits to be taken up, and ends before its turn
+            # The connection waits to be resumed, and ends before its turn.
+            front.parking.sockets.on_readable(fd, front.now())
             front.parking.sockets.close(fd)
             assert late.connect_ex(front.listener.address) in (0, errno.EINPROGRESS)
             second = Client(*await asyncio.open_connection(sock=late))
             await front.until(parked=1)
             assert list(front.parking.table.eviction_order.members(EvictionRank.NEVER_ANSWERED)) == [fd]
-            assert front.parking.table.resume_next() is None  # what was queued was the first one
+            assert front.parking.table.resume_next() is None  # the queue entry was of the first connection
             await served(second)
             assert await first.ended()
 
     going(test)
 
 
-def test_hundreds_that_wake_in_one_instant_are_all_served_a_few_at_a_time():
+def test_hundreds_of_connections_that_wake_at_once_are_served_a_few_at_a_time():
     async def test():
-        async with parking(most_asking=8, park_after_s=10) as front:
+        async with parking_front(most_asking=8, park_after_s=10) as front:
             clients = [await front.client() for _ in range(300)]
             await front.until(parked=300)
-            most = 0
+            max_active = 0
             for client in clients:
                 client.ask()
             answers = asyncio.gather(*(client.answer() for client in clients))
             while not answers.done():
-                most = max(most, front.parking.table.active_count)
+                max_active = max(max_active, front.parking.table.active_count)
                 await asyncio.sleep(0)
-            assert {status for status, _, _ in await answers} == {200} and most == 8
+            assert {status for status, _, _ in await answers} == {200} and max_active == 8
 
     going(test)
 
 
-def test_a_waiting_requests_time_runs_from_its_waking():
+def test_the_budget_of_a_waiting_request_starts_when_its_connection_wakes():
     async def test():
         front = ParkingFront(most_asking=1)
         worker = await StandIn(wait_then(ok())).start()
@@ -231,19 +229,19 @@
         second.ask(budget="500m")
         while not front.parking.table.woken_at:
             await asyncio.sleep(0)
-        front.later += 600 * MS  # the first one is still out
+        front.clock_offset += 600 * MS  # the first request is still in flight
         worker.go.set()
         assert (await first.answer())[0] == 200
-        assert (await second.answer())[0] == 504 and len(worker.heads) == 1  # out of time, and not sent on
+        assert (await second.answer())[0] == 504 and len(worker.heads) == 1  # timed out, and not forwarded
         front.listener.close()
         front.parking.close()
 
     going(test)
 
 
-def test_timers_due_together_fire_in_bounded_turns_and_a_clock_that_steps_back_is_waited_for():
+def test_timers_due_together_fire_in_bounded_turns_also_after_the_clock_steps_back():
     async def test():
-        async with parking(idle_s=50, first_byte_s=10) as front:
+        async with parking_front(idle_s=50, first_byte_s=10) as front:
             clients = [await front.client() for _ in range(200)]
             await front.until(parked=200)
             newest = max(front.parking.table.last_used_at)
@@ -259,9 +257,9 @@
     going(test)
 
 
-def test_at_the_limit_silent_ones_give_way_first_and_those_that_ask_often_last():
+def test_at_the_limit_unused_connections_are_evicted_first_and_frequent_users_last():
     async def test():
-        async with parking(most=8, most_asking=4, give_way_after_s=0) as front:
+        async with parking_front(most=8, most_asking=4, give_way_after_s=0) as front:
             often, once, health = [await front.client() for _ in range(3)]
             for client in (often, often, once):
                 await served(client)
@@ -279,18 +277,18 @@
     going(test)
 
 
-def test_without_descriptors_what_is_taken_has_its_answer_and_accepting_goes_on(monkeypatch):
+def test_without_descriptors_active_requests_are_answered_and_accepting_goes_on(monkeypatch):
     async def test():
         front = ParkingFront(give_way_after_s=0)
         worker = await StandIn(wait_then(ok())).start()
         front.list(line("w", worker.port))
-        taken = [await front.client() for _ in range(3)]
-        for client in taken:
+        active = [await front.client() for _ in range(3)]
+        for client in active:
             client.ask()
             await worker.arrived.get()
         idle = [await front.client() for _ in range(20)]
         await front.until(total=23)
-        # The client's end is made with the limit as it was; the accept then finds no descriptor free.
+        # The client's end is made before the limit is lowered; then accept finds no free descriptor.
         late = socket.socket()
         late.setblocking(False)
         soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
@@ -306,13 +304,13 @@
             while not errors:
                 await asyncio.sleep(0.001)
             assert os.strerror(errno.EMFILE) in errors[0]
-            await front.until(total=4)  # the idle ones gave way, and the new one is in
+            await front.until(total=4)  # the idle ones were evicted, and the new one was accepted
         finally:
             resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
             for fd in spare:
                 os.close(fd)
         worker.go.set()
-        assert [(await client.answer())[0] for client in taken] == [200] * 3
+        assert [(await client.answer())[0] for client in active] == [200] * 3
         assert all(await asyncio.gather(*(client.ended() for client in idle)))
         late.close()
         front.listener.close()
@@ -321,9 +319,9 @@
     going(test)
 
 
-def test_a_drain_with_all_parked_closes_them_and_answers_who_speaks_meanwhile():
+def test_a_drain_closes_parked_connections_and_answers_requests_that_still_come():
     async def test():
-        async with parking() as front:
+        async with parking_front() as front:
             done = [await front.client() for _ in range(100)]
             for client in done:
                 await served(client)
@@ -331,8 +329,8 @@
             await front.until(parked=150)
             drain = asyncio.create_task(front.listener.drain(0.2, 0.1))
             assert all(await asyncio.gather(*(client.ended() for client in done)))
-            assert front.parking.table.parked_count == 50  # they may be about to ask
-            new = await front.client()  # it still accepts
+            assert front.parking.table.parked_count == 50  # they may be about to send a request
+            new = await front.client()  # connections are still accepted
             for client in (*fresh[:25], new):
                 client.ask()
             answers = await asyncio.gather(*(client.answer() for client in (*fresh[:25], new)))
@@ -344,25 +342,27 @@
     going(test)
 
 
-def test_holders_keep_what_is_silent_and_give_back_who_speaks():
+def test_holders_hold_idle_connections_and_return_those_with_input():
     async def test():
-        async with parking(here=40, holders=2, give_way_after_s=0) as front:
+        async with parking_front(here=40, holders=2, give_way_after_s=0) as front:
             clients = [await front.client() for _ in range(200)]
             await front.until(total=200)
             assert front.parking.holders is not None
             while len(front.parking.table) > 30:
                 await asyncio.sleep(0.001)
             assert front.parking.holders.connection_count() == 200 - len(front.parking.table)
-            for client in clients[::3]:  # some of each are served, and go back to a holder
+            for client in clients[
+                ::3
+            ]:  # some here and some in each holder are served, and go back to a holder
                 await served(client)
-            clients[0].writer.write(HEALTH[:5])  # half a request comes back, and the rest later
+            clients[0].writer.write(HEALTH[:5])  # a partial request is returned, and its rest comes later
             await asyncio.sleep(0.05)
             clients[0].writer.write(HEALTH[5:])
             assert (await clients[0].answer())[0] == 200
             clients[1].writer.close()
             reset(clients[2])
             await front.until(total=198)
-            # One dies: its connections end, nobody else's, and another takes its place.
+            # A holder dies: only its connections end, and another holder replaces it.
             victim = front.parking.holders.holders[0]
             lost = victim.connection_count()
             victim.process.kill()
@@ -377,22 +377,22 @@
                 with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError):
                     alive += (await client.answer())[0] == 200
             assert 0 < alive <= 197 - lost + 1
-            # A drain with connections in holders: all end, those that speak are answered.
+            # A drain with connections in holders: requests are answered, all connections end.
             fresh = [await front.client() for _ in range(60)]
             drain = asyncio.create_task(front.listener.drain(0.3, 0.1))
             for client in fresh:
                 client.writer.write(HEALTH)
             answers = await asyncio.gather(*(client.answer() for client in fresh))
-            assert {status for status, _, _ in answers} == {503}  # /ready says that it drains
+            assert {status for status, _, _ in answers} == {503}  # /ready reports that the gatekeeper drains
             await drain
             await front.until(total=0)
 
     going(test)
 
 
-def test_at_the_limit_holders_ask_theirs_to_give_way():
+def test_at_the_limit_holders_evict_their_connections():
     async def test():
-        async with parking(here=40, holders=1, most=120, most_asking=10, give_way_after_s=0) as front:
+        async with parking_front(here=40, holders=1, most=120, most_asking=10, give_way_after_s=0) as front:
             clients = [await front.client() for _ in range(120)]
             more: list[Client] = []
             await front.until(total=120)
@@ -406,14 +406,14 @@
             assert front.parking.total() <= 120 and front.parking.sockets.evicted == 0
             while sum(ended := [client.reader.at_eof() for client in clients]) < 40:
                 await asyncio.sleep(0.001)
-            assert not any(ended[-20:])  # the longest silent, not the last to come
+            assert not any(ended[-20:])  # the longest idle connections were evicted, not the newest
 
     going(test)
 
 
-def test_two_fronts_share_a_lot_and_each_connection_keeps_its_own(monkeypatch):
+def test_two_listeners_share_a_parking_manager_and_each_connection_keeps_its_own(monkeypatch):
     async def test():
-        async with parking() as front:
+        async with parking_front() as front:
             loop, made = asyncio.get_running_loop(), []
 
             def make(listener: Listener) -> asyncio.BufferedProtocol:
@@ -448,14 +448,14 @@
     async def test():
         bad = await start({"idle_s": 0})
         assert await bad.wait() == 2
-        (told,) = (await bad.stderr.read()).decode().splitlines()
-        assert "clients.json: idle_s:" in told
+        (error_line,) = (await bad.stderr.read()).decode().splitlines()
+        assert "clients.json: idle_s:" in error_line
         process = await start({"idle_s": 3600, "first_byte_s": 3600, "holders": 1, "most_here": 30})
         port = int((await line_with(process, "listens at")).rsplit(":", 1)[1])
         clients = [await Client.to(port) for _ in range(60)]
         clients[0].writer.write(HEALTH)
         assert (await clients[0].answer())[0] == 200
-        # A file that is no good changes nothing; another one holds for those parked here and in the holder.
+        # An invalid file changes nothing; a valid one applies to connections parked here and in the holder.
         (tmp_path / "clients.json").write_text('{"idle_s": -3}')
         process.send_signal(signal.SIGHUP)
         assert "idle_s" in await line_with(process, "configuration is invalid")
@@ -471,7 +471,7 @@
     going(test)
 
 
-def test_states_are_told_apart():
+def test_states_and_snapshots_of_records():
     assert [state.name for state in State] == ["FREE", "PARKED", "WAITING", "ACTIVE"]
     assert manager_module.snapshot_from_record(
         manager_module.record_from_snapshot(0, (3, 5, 7, b"x", 9))
--- a/tests/test_parking_core.py
+++ b/tests/test_parking_core.py
@@ -1,4 +1,4 @@
-"""The deciding half of parked connections: wheel, ledger, budget, messages and the operators' file."""
+"""The parts of parking without I/O: timer wheel, connection table, budget, messages and clients file."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class AgainstASortedReference(RuleBasedStateMachine):
-    """The wheel fires what a sorted list of (due, key) would fire: never early, a tick late at most."""
+    """The wheel fires what a sorted list of (due, key) would: never early, and at most a tick late."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -66,7 +66,7 @@
         assert all(self.set[key] <= self.now for key in fired if key not in self.again), "fired early"
         assert self.again <= set(fired)
         self.again.clear()
-        # A timer is on time once its tick has begun.
+        # A timer must fire once its tick has begun.
         must = {key for key, due in self.set.items() if due <= (self.now >> TICK_BITS) << TICK_BITS}
         assert must <= set(fired) and len(set(fired)) == len(fired)
         for key in fired:
@@ -90,7 +90,7 @@
         assert {key: self.timers.due_at(key) for key in self.set} == self.set
         wake = self.timers.next_advance_at()
         if self.set:
-            # The moment to look next: no later than the tick by which the first must fire.
+            # The next advance is no later than the tick by which the first timer must fire.
             assert wake is not None and wake <= max(
                 -(-min(self.set.values()) >> TICK_BITS) << TICK_BITS, self.now
             )
@@ -104,11 +104,11 @@
 test_the_wheel_against_a_sorted_reference = AgainstASortedReference.TestCase
 
 
-def test_a_hundred_thousand_timers_due_together_are_worked_off_in_bounded_steps():
+def test_a_hundred_thousand_timers_due_together_are_processed_in_bounded_steps():
     wheel, count = TimerWheel(0), 100_000
     wheel.grow(count)
     for key in range(count):
-        wheel.insert(key, 3600 * S)  # far off: they come down the levels together, too
+        wheel.insert(key, 3600 * S)  # far off, so that they also move down the levels together
     now, fired, steps = 0, 0, 0
     while len(wheel):
         now = max(now, wheel.next_advance_at())
@@ -117,12 +117,12 @@
             got = wheel.take_due(now, 500)
             assert len(got) <= 500 and (not got or now >= 3600 * S)
             fired, steps = fired + len(got), steps + 1
-    # Each timer is looked at once a level at most.
+    # Each timer is processed at most once per level.
     assert fired == count and steps <= (LEVELS + 1) * count / 500 + LEVELS
 
 
-class LedgerAgainstADictionary(RuleBasedStateMachine):
-    """The arrays say of each descriptor what plain dictionaries say, whatever happens to its number."""
+class TableAgainstADictionary(RuleBasedStateMachine):
+    """The arrays agree with plain dictionaries on each descriptor, however its number is reused."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -190,26 +190,30 @@
         assert ranks == sorted(ranks)
 
 
-LedgerAgainstADictionary.TestCase.settings = settings(
+TableAgainstADictionary.TestCase.settings = settings(
     derandomize=True, max_examples=40, stateful_step_count=40
 )
-test_the_ledger_against_a_dictionary = LedgerAgainstADictionary.TestCase
+test_the_connection_table_against_a_dictionary = TableAgainstADictionary.TestCase
 
 
-def test_a_new_connection_has_a_moment_to_ask_before_it_gives_way():
+def test_a_new_connection_has_a_grace_time_before_it_may_be_evicted():
     table = ConnectionTable(config(give_way_after_s=1), 0)
     table.park(5, Record(0, EvictionRank.NEVER_ANSWERED, 0))
     table.park(6, Record(0, EvictionRank.NEVER_ANSWERED, S))
     table.park(7, Record(0, EvictionRank.MORE_EXCHANGES, 0))
     assert table.eviction_candidates(9, S + 1) == [5, 7] and table.eviction_candidates(1, S + 1) == [5]
-    assert table.hand_over_candidates(9, S + 1) == [7, 5, 6]  # who has only just come is about to speak
+    assert table.hand_over_candidates(9, S + 1) == [
+        7,
+        5,
+        6,
+    ]  # a connection that is new is likely to send soon
     assert table.hand_over_candidates(9, 6 * S) == [5, 6, 7] and table.hand_over_candidates(9, 6 * S - 1) == [
         5,
         7,
     ]
 
 
-def test_parked_connections_follow_other_times_at_once_and_longer_ones_without_a_look_at_each():
+def test_new_timeouts_apply_to_parked_connections_at_once():
     table = ConnectionTable(config(), 0)
     for key in range(100):
         table.park(key, Record(0, EvictionRank.ONE_EXCHANGE, 0))
@@ -218,9 +222,9 @@
     assert len(table.expire_due(2 * S + TICK, 1000)) == 100
 
 
-def test_a_turns_budget_follows_what_an_item_costs_and_lets_one_through_always():
+def test_a_turns_budget_follows_the_cost_of_items_and_always_allows_one():
     budget = Budget(2_000_000, max_items=500)
-    assert budget.allowed_items("wake") == 100  # nothing measured yet: 20 us each
+    assert budget.allowed_items("wake") == 100  # nothing measured yet: 20 us are assumed for each
     for _ in range(50):
         budget.record_cost("wake", 10, 10 * 500_000)
     assert budget.allowed_items("wake") == 4 and budget.allowed_items("timer") == 100
@@ -236,7 +240,7 @@
     st.binary(max_size=60)
     | st.integers(0, 9).map(lambda kind: bytes([kind]) + bytes(random.Random(kind).randbytes(17)))
 )
-def test_messages_of_holders_are_read_or_refused(data):
+def test_messages_of_holders_are_decoded_or_rejected(data):
     try:
         kind, _ = wire.decode(data)
     except ValueError:
@@ -244,7 +248,7 @@
     assert isinstance(kind, wire.Kind)
 
 
-def test_messages_of_holders_come_back_as_they_were():
+def test_messages_of_holders_survive_encoding_and_decoding():
     batch = [Record(n % 2, EvictionRank(n % 4), n * S) for n in range(wire.MAX_BATCH)]
     assert wire.decode(wire.encode_records(wire.Kind.RETURN, batch)) == (wire.Kind.RETURN, batch)
     times, report = wire.Times(1, 2, 3, 4, 5), wire.Report(1, 2, 3, 4, 5, 6, 7)
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -1,4 +1,4 @@
-"""Decisions in common: the register in order, under faults, and the search that looks at every order."""
+"""The register of zones: normal operation, faults, and the search over the orders of its messages."""
 
 from __future__ import annotations
 
@@ -12,81 +12,84 @@
 from pepperrun.zones.register import FIRST_VERSION, NO_BALLOT, Ballot, Kind, Message, Phase, Value
 
 
-def run(world: World, seconds: float, cut: frozenset[int] = frozenset()) -> None:
-    """All messages arrive at once, but those over the cut, and time goes on for so long."""
+def run(world: World, seconds: float, minority_side: frozenset[int] = frozenset()) -> None:
+    """Lets time pass. Messages arrive at once; those between the two sides of the partition are lost."""
     until = world.now + int(seconds * 1e9)
     while world.now < until:
         while world.sent:
             sent = min(world.sent, key=repr)
-            if (sent[0] in cut) == (sent[1] in cut):
+            if (sent[0] in minority_side) == (sent[1] in minority_side):
                 assert act(world, ("deliver", sent), Register) == ""
             else:
                 world.sent.discard(sent)
-        dues = [due for one in world.voters if (due := one.next_tick_at()) is not None]
-        world.now = min([until, *(max(world.now + 1, due) for due in dues)])
+        tick_times = [due for voter in world.voters if (due := voter.next_tick_at()) is not None]
+        world.now = min([until, *(max(world.now + 1, due) for due in tick_times)])
         for one in world.voters:
             one.tick(world.now)
         assert world.collect() == ""
 
 
-def want(world: World, *voters: int) -> None:
-    """Each wants a change of its own."""
+def submit(world: World, *voters: int) -> None:
+    """Submits a different change at each of the voters."""
     for number in voters:
         world.voters[number].submit(mark(number, 1), world.now)
     assert world.collect() == ""
 
 
-def held(world: World) -> list[Value]:
+def chosen_values(world: World) -> list[Value]:
     return [one.chosen_value for one in world.voters]
 
 
 @pytest.mark.parametrize("count", [3, 5, 7])
-def test_those_that_start_together_begin_and_each_wish_is_decided_once(count: int) -> None:
+def test_voters_that_start_together_bootstrap_and_each_change_is_chosen_once(count: int) -> None:
     world = World([Register(number, count, 10 + number, number, 0) for number in range(count)])
     run(world, 10)
-    assert all(one.is_voter for one in world.voters) and len(set(held(world))) == 1
-    want(world, *range(count))
+    assert all(one.is_voter for one in world.voters) and len(set(chosen_values(world))) == 1
+    submit(world, *range(count))
     run(world, 10)
-    assert len(set(held(world))) == 1
-    assert sorted(held(world)[0].body) == [(number, 1) for number in range(count)]
+    assert len(set(chosen_values(world))) == 1
+    assert sorted(chosen_values(world)[0].body) == [(number, 1) for number in range(count)]
     assert all(one.phase is Phase.IDLE for one in world.voters)
 
 
-def test_a_smaller_side_decides_nothing_and_learns_of_what_was_decided() -> None:
+def test_a_minority_side_of_a_partition_chooses_nothing_and_later_learns_what_was_chosen() -> None:
     world = begun(5)
-    want(world, 0, 4)
+    submit(world, 0, 4)
     run(world, 3, frozenset({3, 4}))
-    assert [one.body for one in held(world)] == [((0, 1),)] * 3 + [()] * 2
-    run(world, 3)  # healed: its own wish is still there
-    assert set(held(world)) == {held(world)[0]} and set(held(world)[0].body) == {(0, 1), (4, 1)}
+    assert [one.body for one in chosen_values(world)] == [((0, 1),)] * 3 + [()] * 2
+    run(world, 3)  # after the partition: the minority's own change is still pending
+    assert set(chosen_values(world)) == {chosen_values(world)[0]} and set(chosen_values(world)[0].body) == {
+        (0, 1),
+        (4, 1),
+    }
 
 
-def test_who_restarts_votes_again_only_once_a_round_has_let_it_in() -> None:
+def test_a_restarted_voter_votes_again_only_once_a_round_has_let_it_join() -> None:
     world = begun(3)
     assert act(world, ("restart", 2), Register) == ""
     assert not world.voters[2].is_voter
     run(world, 3, frozenset({2}))
     assert not world.voters[2].is_voter and world.voters[2].chosen_value.version == 0
     run(world, 3)
-    assert world.voters[2].is_voter and held(world)[0].incarnations == (1, 1, 2)
+    assert world.voters[2].is_voter and chosen_values(world)[0].incarnations == (1, 1, 2)
     assert act(world, ("restart", 0), Register) == "" and act(world, ("restart", 1), Register) == ""
-    run(world, 12)  # a majority has forgotten: one that remembers is asked, and may not decide for all
-    assert len(set(held(world))) == 1 or not any(one.is_voter for one in world.voters[:2])
+    run(world, 12)  # a majority has no state: the voter that has it is asked, and may not decide alone
+    assert len(set(chosen_values(world))) == 1 or not any(one.is_voter for one in world.voters[:2])
 
 
-def test_a_majority_that_has_forgotten_begins_anew_and_is_followed() -> None:
+def test_a_majority_without_state_bootstraps_and_the_others_follow() -> None:
     world = begun(3)
-    want(world, 0)
+    submit(world, 0)
     run(world, 1)
     for number in (0, 1, 2):
         assert act(world, ("restart", number), Register) == ""
-    world.chosen.clear()  # what was held is void: nothing of it has to be in what follows
+    world.chosen.clear()  # the previous value is void: the next one need not contain it
     run(world, 12)
-    assert all(one.is_voter for one in world.voters) and len(set(held(world))) == 1
-    assert world.voters[0].chosen_ballot.epoch > 1 and held(world)[0].version >= FIRST_VERSION
+    assert all(one.is_voter for one in world.voters) and len(set(chosen_values(world))) == 1
+    assert world.voters[0].chosen_ballot.epoch > 1 and chosen_values(world)[0].version >= FIRST_VERSION
 
 
-def test_what_can_not_be_meant_is_dropped() -> None:
+def test_invalid_messages_are_dropped() -> None:
     world = begun(3)
     one, before = world.voters[0], world.key()
     ballot = Ballot(1, 9, 1)
@@ -106,7 +109,7 @@
 
 @settings(max_examples=40, deadline=None)
 @given(st.integers(0, 10**6))
-def test_whatever_happens_there_is_one_line_of_decisions_and_all_agree_in_the_end(seed: int) -> None:
+def test_any_order_of_events_gives_one_sequence_of_values_and_agreement_in_the_end(seed: int) -> None:
     from pepperrun.lab.ballots import actions
 
     rng, world = random.Random(seed), begun(3)
@@ -116,12 +119,13 @@
     assert settle(world, Register, rng) == ""
 
 
-# By one that is let in, a round is chosen that another, by an answer of the life before, is chosen beside.
+# Two different values are chosen if an incarnation counts in the round that lets it join: it accepts one
+# value while a late answer of its previous incarnation counts for the other.
 TRAP = """begin 0; ASK_PROMISE 0 1; begin 1; ASK_PROMISE 0 2; ASK_PROMISE 1 2; restart 2; JOIN 2 0;
 PROMISE 2 1; PROMISE 1 0; PROPOSE 1 0; PROPOSE 0 2; VALUE_ACCEPTED 0 1; VALUE_ACCEPTED 2 0"""
 
 
-def played(make: Make) -> str:
+def replay_trap(make: Make) -> str:
     world = begun(3, make)
     for step in TRAP.split(";"):
         what, *numbers = step.split()
@@ -139,12 +143,12 @@
     return ""
 
 
-def test_who_is_let_in_has_no_say_in_that() -> None:
-    assert "has not all of it" in played(MUTANTS["hasty"])
-    assert played(Register) == ""
+def test_an_incarnation_does_not_count_in_the_round_that_lets_it_join() -> None:
+    assert "has not all of it" in replay_trap(MUTANTS["hasty"])
+    assert replay_trap(Register) == ""
 
 
-def test_the_search_finds_both_bugs_put_in_on_purpose_and_none_without() -> None:
+def test_the_search_finds_both_injected_bugs_and_none_without_them() -> None:
     deaf = search(3, 2, 0, 60, MUTANTS["deaf"], most=5_000, seed=1)
     assert "has not all of it" in deaf.broken and deaf.trace
     hasty = search(3, 2, 1, 13, MUTANTS["hasty"], most=40_000, seed=3)
