--- a/tests/test_parking_core.py
+++ b/tests/test_parking_core.py
@@ -39,41 +39,43 @@
         self.now = 5 * S
         self.timers = TimerWheel(self.now)
         self.timers.grow(64)
-        self.set: dict[int, int] = {}
-        self.again: set[int] = set()
+        self.due_times: dict[int, int] = {}
+        self.handed_out: set[int] = set()
 
     @rule(key=KEYS, span=SPANS)
     def insert(self, key: int, span: int) -> None:
         self.timers.insert(key, self.now + span)
-        self.set[key] = self.now + span
-        self.again.discard(key)
+        self.due_times[key] = self.now + span
+        self.handed_out.discard(key)
 
     @rule(key=KEYS)
     def cancel(self, key: int) -> None:
         self.timers.cancel(key)
-        self.set.pop(key, None)
-        self.again.discard(key)
+        self.due_times.pop(key, None)
+        self.handed_out.discard(key)
 
-    @rule(span=SPANS, most=st.integers(1, 50))
-    def advance(self, span: int, most: int) -> None:
+    @rule(span=SPANS, limit=st.integers(1, 50))
+    def advance(self, span: int, limit: int) -> None:
         self.now += span
         self.timers.advance(self.now)
         fired = []
         while self.timers.has_pending():
-            got = self.timers.take_due(self.now, most)
-            assert len(got) <= most
+            got = self.timers.take_due(self.now, limit)
+            assert len(got) <= limit
             fired += got
-        assert all(self.set[key] <= self.now for key in fired if key not in self.again), "fired early"
-        assert self.again <= set(fired)
-        self.again.clear()
+        assert all(self.due_times[key] <= self.now for key in fired if key not in self.handed_out), (
+            "fired early"
+        )
+        assert self.handed_out <= set(fired)
+        self.handed_out.clear()
         # A timer must fire once its tick has begun.
-        must = {key for key, due in self.set.items() if due <= (self.now >> TICK_BITS) << TICK_BITS}
-        assert must <= set(fired) and len(set(fired)) == len(fired)
+        overdue = {key for key, due in self.due_times.items() if due <= (self.now >> TICK_BITS) << TICK_BITS}
+        assert overdue <= set(fired) and len(set(fired)) == len(fired)
         for key in fired:
-            if self.set[key] > self.now:
-                self.timers.insert(key, self.set[key])
+            if self.due_times[key] > self.now:
+                self.timers.insert(key, self.due_times[key])
             else:
-                del self.set[key]
+                del self.due_times[key]
 
     @rule(back=st.integers(1, 100 * TICK))
     def clock_steps_back(self, back: int) -> None:
@@ -82,39 +84,39 @@
     @rule()
     def hand_out_all(self) -> None:
         self.timers.hand_out_all()
-        self.again = set(self.set)
+        self.handed_out = set(self.due_times)
 
     @invariant()
-    def wakes_in_time(self) -> None:
-        assert len(self.timers) == len(self.set)
-        assert {key: self.timers.due_at(key) for key in self.set} == self.set
-        wake = self.timers.next_advance_at()
-        if self.set:
+    def next_advance_is_in_time(self) -> None:
+        assert len(self.timers) == len(self.due_times)
+        assert {key: self.timers.due_at(key) for key in self.due_times} == self.due_times
+        wake_at = self.timers.next_advance_at()
+        if self.due_times:
             # The next advance is no later than the tick by which the first timer must fire.
-            assert wake is not None and wake <= max(
-                -(-min(self.set.values()) >> TICK_BITS) << TICK_BITS, self.now
+            assert wake_at is not None and wake_at <= max(
+                -(-min(self.due_times.values()) >> TICK_BITS) << TICK_BITS, self.now
             )
         elif not self.timers.has_pending():
-            assert wake is None
+            assert wake_at is None
 
 
 AgainstASortedReference.TestCase.settings = settings(
     derandomize=True, max_examples=60, stateful_step_count=40
 )
-test_the_wheel_against_a_sorted_reference = AgainstASortedReference.TestCase
+test_the_timer_wheel_against_a_sorted_reference = AgainstASortedReference.TestCase
 
 
 def test_a_hundred_thousand_timers_due_together_are_processed_in_bounded_steps():
-    wheel, count = TimerWheel(0), 100_000
-    wheel.grow(count)
+    timers, count = TimerWheel(0), 100_000
+    timers.grow(count)
     for key in range(count):
-        wheel.insert(key, 3600 * S)  # far off, so that they also move down the levels together
+        timers.insert(key, 3600 * S)  # far off, so that they also move down the levels together
     now, fired, steps = 0, 0, 0
-    while len(wheel):
-        now = max(now, wheel.next_advance_at())
-        wheel.advance(now)
-        while wheel.has_pending():
-            got = wheel.take_due(now, 500)
+    while len(timers):
+        now = max(now, timers.next_advance_at())
+        timers.advance(now)
+        while timers.has_pending():
+            got = timers.take_due(now, 500)
             assert len(got) <= 500 and (not got or now >= 3600 * S)
             fired, steps = fired + len(got), steps + 1
     # Each timer is processed at most once per level.
@@ -130,10 +132,12 @@
         self.table = ConnectionTable(config(most_asking=4, most=50), self.now)
         self.parked: dict[int, Record] = {}
         self.waiting: list[tuple[int, Record, int]] = []
-        self.taken: set[int] = set()
+        self.active: set[int] = set()
 
     def free(self, key: int) -> bool:
-        return key not in self.parked and key not in self.taken and key not in [k for k, _, _ in self.waiting]
+        return (
+            key not in self.parked and key not in self.active and key not in [k for k, _, _ in self.waiting]
+        )
 
     @rule(key=KEYS, rank=st.sampled_from(EvictionRank), held=st.sampled_from([b"", b"", b"GET "]))
     def park(self, key: int, rank: EvictionRank, held: bytes) -> None:
@@ -151,9 +155,9 @@
     @rule()
     def resume_next(self) -> None:
         got = self.table.resume_next()
-        if self.waiting and len(self.taken) < 4:
+        if self.waiting and len(self.active) < 4:
             assert got == self.waiting[0]
-            self.taken.add(self.waiting.pop(0)[0])
+            self.active.add(self.waiting.pop(0)[0])
         else:
             assert got is None
 
@@ -161,7 +165,7 @@
     def remove(self, key: int) -> None:
         self.table.remove(key)
         self.parked.pop(key, None)
-        self.taken.discard(key)
+        self.active.discard(key)
         self.waiting = [one for one in self.waiting if one[0] != key]
 
     @rule(span=st.integers(0, 12 * S))
@@ -171,22 +175,22 @@
         assert all(state is State.PARKED for _, state in fired)
         for key, _ in fired:
             record = self.parked.pop(key)
-            life = 5 if record.buffered else 10 if record.rank is EvictionRank.NEVER_ANSWERED else 100
-            assert record.last_used_at + life * S <= self.now
+            timeout_s = 5 if record.buffered else 10 if record.rank is EvictionRank.NEVER_ANSWERED else 100
+            assert record.last_used_at + timeout_s * S <= self.now
             self.table.remove(key)
 
     @invariant()
-    def same(self) -> None:
+    def agrees(self) -> None:
         table = self.table
         assert (table.parked_count, table.active_count, len(table.woken_at)) == (
             len(self.parked),
-            len(self.taken),
+            len(self.active),
             len(self.waiting),
         )
         assert {key: table.record(key) for key in self.parked} == self.parked
-        victims = table.eviction_candidates(100, self.now + S)
-        assert sorted(victims) == sorted(key for key, one in self.parked.items() if not one.buffered)
-        ranks = [self.parked[key].rank for key in victims]
+        candidates = table.eviction_candidates(100, self.now + S)
+        assert sorted(candidates) == sorted(key for key, one in self.parked.items() if not one.buffered)
+        ranks = [self.parked[key].rank for key in candidates]
         assert ranks == sorted(ranks)
 
 
