--- a/pepperrun/parking/manager.py
+++ b/pepperrun/parking/manager.py
@@ -86,7 +86,7 @@
 
 
 class ListenerPort(Protocol):
-    """What connections of one number are taken up by."""
+    """A listener, as the manager uses it."""
 
     family: int
 
--- a/tests/test_parking.py
+++ b/tests/test_parking.py
@@ -266,10 +266,10 @@
             health.writer.write(HEALTH)
             assert (await health.answer())[0] == 200
             await front.until(parked=3)
-            silent = [await front.client() for _ in range(5)]
+            unused = [await front.client() for _ in range(5)]
             await front.until(parked=8)
             flood = [await front.client() for _ in range(6)]
-            assert all(await asyncio.gather(*(client.ended() for client in silent)))
+            assert all(await asyncio.gather(*(client.ended() for client in unused)))
             for client in (flood[-1], health, once, often):
                 await served(client)
             assert front.parking.total() <= 8
--- a/tests/test_parking_core.py
+++ b/tests/test_parking_core.py
@@ -139,10 +139,10 @@
             key not in self.parked and key not in self.active and key not in [k for k, _, _ in self.waiting]
         )
 
-    @rule(key=KEYS, rank=st.sampled_from(EvictionRank), held=st.sampled_from([b"", b"", b"GET "]))
-    def park(self, key: int, rank: EvictionRank, held: bytes) -> None:
+    @rule(key=KEYS, rank=st.sampled_from(EvictionRank), buffered=st.sampled_from([b"", b"", b"GET "]))
+    def park(self, key: int, rank: EvictionRank, buffered: bytes) -> None:
         if self.free(key):
-            record = Record(1, rank, self.now, held, self.now if held else 0)
+            record = Record(1, rank, self.now, buffered, self.now if buffered else 0)
             self.table.park(key, record)
             self.parked[key] = record
 
