--- a/pepperrun/core/fair_scheduler.py
+++ b/pepperrun/core/fair_scheduler.py
@@ -1,6 +1,6 @@
-"""Which retries rule 2 allows a request, and the fair scheduler that picks the next customer's request.
+"""Which retries a request's class allows, and the fair scheduler that picks the next customer's request.
 
-Rule 2: a request may run twice only as its class allows.
+A request may run twice only as its class allows (`RequestClass.repeat`, `group` and `window_ns`).
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 class PendingRequest(RequestState):
-    """A request together with the checks of rule 2."""
+    """A request with the checks that it runs twice only as its class allows."""
 
     def may_refuse(self) -> bool:
         """Return whether the request may be refused: a refusal tells the client that a retry is safe."""
@@ -24,7 +24,7 @@
         return self.request_class.repeat is Repeat.KEYED and self.request_class.group is Group.ALL
 
     def may_send(self, server: Server, now: int, settings: Settings, parallel: bool = False) -> bool:
-        """Return whether rule 2 and the configured limits allow another attempt at this backend now.
+        """Return whether its class and the configured limits allow another attempt at this backend now.
 
         `parallel`: also in parallel to an attempt that is in flight, as its backend may hang.
         """
--- a/pepperrun/core/fleet.py
+++ b/pepperrun/core/fleet.py
@@ -21,7 +21,7 @@
 MAX_SLOWDOWN = 20.0  # limit of one sample: a single slow answer must not exclude a backend
 MIN_WINDOW_CAPACITY = 0.7  # share of a window's full capacity below which the window gets less load
 CROSS_ZONE_FACTOR = 1.1  # latency factor of a backend in another zone: crossing zones is cheap
-REFRESH_INTERVAL_NS = SECOND // 4  # short against the slow start; list changes are applied at once
+REFRESH_INTERVAL_NS = SECOND // 4  # much shorter than the slow start; list changes are applied at once
 MIN_WINDOW = 8  # backends: with few, a gateway gets many samples of each and reuses connections
 WINDOW_SPARE = 4  # backends beyond the attempts in flight, so that a busy or slow one can be skipped
 
@@ -41,7 +41,9 @@
         self.tail_ratio = 3.0  # the TAIL_QUANTILE of latency over expected; initial value
         # Ready backends, starting at this gateway's offset; `warm` holds those past their slow start.
         self.ring, self.warm = list[Server](), list[Server]()
-        self.in_flight, self.capacity = 0, 0.0  # in backends; one that is warming up counts in part
+        # `in_flight`: attempts that count against the concurrency limit. `capacity`: of the ready backends,
+        # in backends; one that is warming up counts in part, an ejected one only in a widespread failure.
+        self.in_flight, self.capacity = 0, 0.0
         # Most backends fail, so the cause is not a single backend: none is ejected and the limit is lowered.
         self.widespread_failure = False
         self.refreshed_at = -REFRESH_INTERVAL_NS
@@ -132,9 +134,10 @@
         With a window, this gateway's attempts are a relevant part of the load of each backend in it. If all
         gateways used all backends, each would know too little of a backend's load and choose at random.
 
-        Rule 4: a backend that is warming up is drawn with its share of the window's capacity, by all gateways
-        and in bursts too. If nearly the whole window is warming up, each gets less than its share, and the
-        rest goes to warm backends outside the window or waits.
+        A backend that is warming up is to get no more load than its present capacity allows. It is drawn with
+        its share of the window's capacity, by all gateways and in bursts too. If nearly the whole window is
+        warming up, each gets less than its share, and the rest goes to warm backends outside the window or
+        waits.
         """
         width = max(MIN_WINDOW, self.in_flight + WINDOW_SPARE)
         window = [(server, self.capacity_share(server, now)) for server in self.ring[:width]]
--- a/pepperrun/core/gateway.py
+++ b/pepperrun/core/gateway.py
@@ -46,10 +46,11 @@
 HEDGE_AT = 0.4  # of the latency target: a hedged request can then still be answered in time
 UNLOADED_RETRY_COST = 0.3  # budget units of a retry while the fleet is not overloaded: its load is negligible
 LATE_RETRY_RESERVE = 0.5  # of the retry budget's depth, kept for requests within their latency target
-# Waiting requests are checked at this interval, with one timer at a time: buckets fill and scores decay.
+# While requests wait, dispatch is repeated at this interval, with one timer at a time. Buckets refill and
+# failure scores decay with time alone, so a waiting request can become admissible without any event.
 DISPATCH_INTERVAL_NS = SECOND // 50
-# A request waits at least this part of its latency target before it is shed: long against the time in which a
-# local bucket fills, short against the time after which a client retries.
+# With `adaptive_latency_goal`, a request waits at least its latency target divided by this before it is shed.
+# That is much longer than a local bucket takes to fill, and much shorter than a client waits before a retry.
 MIN_WAIT_DIVISOR = 5
 ABANDONED_GRACE_NS = 150 * SECOND // 1000  # for an attempt to end by itself after its client disconnected
 LOG_INTERVAL_NS = 5 * SECOND  # at most one line of each kind per interval
@@ -125,7 +126,7 @@
         self.quotas.send_reports(self.now)
 
     def _client_left(self, event: ClientLeft | StreamStarted) -> None:
-        """The client has disconnected, or a streamed answer has begun."""
+        """Handle that a client has disconnected, or that a streamed answer has begun."""
         if (request := self.pending.get(event.request)) is not None:
             request.stream = isinstance(event, StreamStarted)
             if not request.stream:
--- a/pepperrun/core/gossip.py
+++ b/pepperrun/core/gossip.py
@@ -1,5 +1,8 @@
 """Packs and unpacks the messages between gateways, and keeps what peers report. Makes no quota decisions.
 
+Only backend reports are gossiped: each receiver forwards them to its own peers. Usage entries, unit requests
+and unit responses go point to point, from their sender to the receiver, and are never forwarded.
+
 A message is a header followed by records of four kinds, little-endian:
 
     header         u8 version, u32 incarnation of the sender, u32 sequence number, u8 latency as the sender
@@ -79,7 +82,7 @@
     attempts_in_flight: int
 
     def size(self) -> int:
-        """Returns the number of bytes that the entry takes in a message."""
+        """Return the number of bytes that the entry takes in a message."""
         return (
             _ENTRY.size + _HARD_LIMIT.size * (self.hard_limit_level < NOT_LOW) + (self.attempts_in_flight > 0)
         )
@@ -134,7 +137,7 @@
     backend_reports: list[BackendReport] = field(default_factory=list)
 
     def is_full(self) -> bool:
-        """Reports whether one more record of any kind might not fit into `MAX_BYTES`."""
+        """Return whether one more record of any kind might not fit into `MAX_BYTES`."""
         size = (
             _HEADER.size
             + _RECEIVER.size
@@ -149,12 +152,12 @@
 
 
 def quantize_units(amount: float) -> float:
-    """Returns the amount that a peer receives for `amount`: rounded down to a step, clamped to 16 bits."""
+    """Return the amount that a peer receives for `amount`: rounded down to a step, clamped to 16 bits."""
     return min(65535, max(0, int(amount * STEPS_PER_UNIT))) / STEPS_PER_UNIT
 
 
 def _wrapped_difference(now: int, before: int, wrap: int = 2**32) -> int:
-    """Returns how far a counter that wraps has advanced; below 0 if `now` is the older value."""
+    """Return how far a counter that wraps has advanced; below 0 if `now` is the older value."""
     return (now - before + wrap // 2) % wrap - wrap // 2
 
 
@@ -163,12 +166,12 @@
 
 
 def quantize_owed(amount: float) -> float:
-    """Returns the part of an amount owed (negative: to be given back) that fits into one unit request."""
+    """Return the part of an amount owed (negative: to be given back) that fits into one unit request."""
     return max(-(2**15), min(2**15 - 1, round(amount * STEPS_PER_UNIT))) / STEPS_PER_UNIT
 
 
 def pack(message: Message) -> bytes:
-    """Returns the message as bytes; entries beyond `MAX_ENTRIES` are left out."""
+    """Return the message as bytes; entries beyond `MAX_ENTRIES` are left out."""
     entries = message.entries[:MAX_ENTRIES]
     latency = min(255, max(0, int(message.latency * 100)))
     ids = (message.incarnation, message.sequence, latency)
@@ -236,7 +239,7 @@
 
 
 def _unpack_entries(data: bytes, offset: int, count: int) -> tuple[list[UsageEntry], int]:
-    """Returns the entries and the offset of their end, which is past the end of `data` if it is too short."""
+    """Return the entries and the offset of their end, which is past the end of `data` if it is too short."""
     entries = []
     for _ in range(count):
         if offset + _ENTRY.size > len(data):
@@ -297,7 +300,7 @@
 
 
 def unpack(data: bytes) -> Message | None:
-    """Returns the message in `data`, or None if it is malformed, too long or of another version."""
+    """Return the message in `data`, or None if it is malformed, too long or of another version."""
     if not _HEADER.size <= len(data) <= MAX_BYTES or data[0] != VERSION:
         return None
     _, incarnation, sequence, latency, entry_count, request_count, response_count, report_count = (
@@ -345,7 +348,7 @@
     recent_use: DecayingSum
 
     def estimated_unreported(self, now: int, max_ns: int) -> float:
-        """Returns the units that the peer has probably used since its report.
+        """Return the units that the peer has probably used since its report.
 
         Extrapolates its recent rate of use over the report's age, at most `max_ns`.
         """
@@ -359,7 +362,7 @@
         self.by_peer: dict[int, PeerReport] = {}
 
     def record(self, peer: int, incarnation: int, entry: UsageEntry, now: int) -> float:
-        """Stores an entry and returns the units of use that it adds.
+        """Store an entry and return the units of use that it adds.
 
         Units used long ago have been refilled since. The peer's local used units therefore bound what its
         first count, or a count after a gap, adds.
@@ -382,7 +385,7 @@
         return used
 
     def received_since(self, at: int) -> list[PeerReport]:
-        """Returns the reports received after that time."""
+        """Return the reports received after that time."""
         return [report for report in self.by_peer.values() if report.received_at > at]
 
 
@@ -401,7 +404,7 @@
         self.pending_forwards: dict[tuple[int, int], tuple[int, int]] = {}
 
     def record(self, backend: int, cls: int, failure_score: float, seen_at: int, forward: bool) -> None:
-        """Stores a failure score unless a newer one is known; `forward` also queues it for the peers."""
+        """Store a failure score unless a newer one is known; with `forward`, also queue it for the peers."""
         known, known_at = self.known.get((backend, cls), (-1.0, 0))
         if seen_at - known_at < 2 * AGE_STEP_NS and abs(failure_score - known) < SAME_SCORE_WITHIN:
             return  # the same score from another peer: storing it would renew the age on each forward
@@ -411,14 +414,14 @@
                 self.pending_forwards[backend, cls] = (seen_at + self.forward_for_ns, self.forward_times)
 
     def retain(self, backends: Container[int]) -> None:
-        """Drops the scores of all backends other than these."""
+        """Drop the scores of all backends other than these."""
         self.known = {key: seen for key, seen in self.known.items() if key[0] in backends}
         self.pending_forwards = {
             key: until for key, until in self.pending_forwards.items() if key[0] in backends
         }
 
     def sample(self, rng: random.Random, now: int) -> list[BackendReport]:
-        """Returns a random choice of scores still to be forwarded, as many as fit into one message."""
+        """Return a random choice of scores still to be forwarded, as many as fit into one message."""
         self.pending_forwards = {
             key: left for key, left in self.pending_forwards.items() if left[0] > now and left[1] > 0
         }
@@ -437,7 +440,7 @@
         self.malformed = 0  # messages that could not be unpacked
 
     def accept(self, peer: int, data: bytes, now: int) -> Message | None:
-        """Returns the message in `data`, or None if it is malformed or not newer than the last one."""
+        """Return the message in `data`, or None if it is malformed or not newer than the last one."""
         message = unpack(data)
         if message is None:
             self.malformed += 1
@@ -451,7 +454,7 @@
         return message
 
     def incarnation_of(self, peer: int) -> int:
-        """Returns the peer's incarnation as last received, 0 if none was received."""
+        """Return the peer's incarnation as last received, 0 if none was received."""
         return self.peers[peer][0] if peer in self.peers else 0
 
 
@@ -464,7 +467,7 @@
         self.full_messages: list[tuple[int, Message]] = []
 
     def message_for(self, peer: int) -> Message:
-        """Returns the peer's current message, a new one if the last one is full."""
+        """Return the peer's current message, a new one if the last one is full."""
         if peer in self.open_messages and self.open_messages[peer].is_full():
             self.full_messages.append((peer, self.open_messages.pop(peer)))
         if peer not in self.open_messages:
@@ -472,7 +475,7 @@
         return self.open_messages[peer]
 
     def drain(self) -> list[tuple[int, Message]]:
-        """Returns all collected messages with their peers, numbers them in order and starts anew."""
+        """Return all collected messages with their peers, number them in order and start anew."""
         numbered = self.full_messages + list(self.open_messages.items())
         self.full_messages, self.open_messages = [], {}
         for _, message in numbered:
--- a/pepperrun/core/interface.py
+++ b/pepperrun/core/interface.py
@@ -20,11 +20,15 @@
 
 
 class Group(enum.Enum):
-    """The set of backends that share their deduplication of keyed requests."""
+    """Which backends deduplicate keyed requests together: a repeat at any of them doesn't run it again.
 
-    ALL = "all"
-    ZONE = "zone"
-    CELL = "cell"
+    The backends recognize the repeats, not the gateway. The gateway retries an attempt that may have run only
+    at a backend of the same group.
+    """
+
+    ALL = "all"  # all backends of the service: also the client may repeat the request safely
+    ZONE = "zone"  # the backends in the same zone
+    CELL = "cell"  # the backends of the same cell
 
 
 class Outcome(enum.Enum):
@@ -38,7 +42,9 @@
     RESET = "reset"
     STALE = "stale"  # a reused connection was reset at once: no sign of a faulty backend
     CANCELLED = "cancelled"
-    MOOT = "moot"  # the attempt ended before it was sent to the backend
+    # The attempt ended before any of it was sent, for example as its request was finished or no connection
+    # could take it. It is no failure of the backend, and a retry costs no retry budget.
+    MOOT = "moot"
 
     @property
     def never_ran(self) -> bool:
@@ -140,7 +146,20 @@
     zone. `tick_ns` is the shortest time between two calls of `Gateway.handle`. A backend that has just
     started has at least `slow_start_min_capacity` of its capacity, and all of it after `slow_start_ns`. A
     backend that gets more than `overload_multiple` times its capacity for `overload_for_ns` fails.
-    `peer_message_rate` is how many messages from peers a gateway accepts per second.
+    `peer_message_rate` is how many messages from peers a gateway accepts per second; gateways exchange
+    messages only with `peer_messages`. A request takes at most `max_units` units.
+
+    `max_attempts`: limit on the attempts of a request whose class or route has none. `hedging`: a second
+    attempt may be sent in parallel to an overdue one. `may_cancel`: without `hedging`, an overdue attempt at
+    a slow backend is cancelled if another backend would take the request. `retry_after`: refusals advise a
+    delay, of at most `max_retry_after_ns`. `must_ask_for_list`: the gateway subscribes to the backend list at
+    its start (`Watch`); otherwise the list is pushed.
+
+    This package only carries the following fields for others. `may_probe`: health checks (`Probe`) are
+    permitted; a gateway makes none. `answer_grace_ns`: how long after its deadline a request may still get
+    its answer. `drain_grace_ns`: how long after the notification of a drain the backend may still get
+    requests; the polling of discovery depends on it. `report_columns`: names of the figures in the `report`
+    of an event. `cross_zone_price`: fee for traffic that crosses zones.
 
     `cancel_when_client_left`: cancel the attempts of a client that has disconnected if its class is safe to
     repeat. Leave it off where only answers report what a request has cost.
@@ -193,6 +212,8 @@
     local_plan_numbers: bool = False
 
     def __post_init__(self) -> None:
+        # The names in the messages are fixed texts, as tests and operators match them. Some are not the field
+        # names, and the settings files spell their keys in other ways (`ColdFrom` for `cold_from`).
         _require(self.gateways >= 1, "gateways", "1 or more")
         _require(0 <= self.me < self.gateways, "me", "from 0 up to, not including, gateways")
         _require(self.zone >= 0, "zone", "0 or more")
--- a/pepperrun/core/quota_owners.py
+++ b/pepperrun/core/quota_owners.py
@@ -60,7 +60,7 @@
 
 
 def rendezvous_weight(customer: int, name: str) -> bytes:
-    """Returns the weight of a gatekeeper for a customer; the highest in a domain owns the share.
+    """Return the weight of a gatekeeper for a customer; the highest in a domain owns the share.
 
     The same everywhere and after each start.
     """
@@ -98,10 +98,10 @@
         self.empty_until: dict[tuple[int, int], int] = {}  # by customer and owner
 
     def update(self, membership: Mapping[str, Any] | None, now: int) -> bool:
-        """Takes over the membership in force; returns True if that changes anything.
+        """Take over the membership in force; return True if that changes anything.
 
-        `settled` in it: the core has held this membership for so long that every owner by an earlier one has
-        stopped granting.
+        `settled` in it: the control nodes have had this membership for so long that every owner by an earlier
+        one has stopped granting.
         """
         membership = membership or {}
         term, settled = (int(membership.get("term", 0)), bool(membership.get("settled")))
@@ -125,7 +125,7 @@
         return True
 
     def takeover_delay_ns(self) -> int:
-        """Returns how long a gatekeeper waits, in ns, after it learned that a share is its own."""
+        """Return how long a gatekeeper waits, in ns, after it learned that a share is its own."""
         return self.fence() + GRANT_TTL_NS
 
     @property
@@ -134,7 +134,7 @@
         return self.memberships[-1][1] if self.memberships else {}
 
     def owners_by_domain(self, customer: int) -> dict[str, str]:
-        """Returns the owner of a tenant's share in each domain."""
+        """Return the owner of a tenant's share in each domain."""
         if customer not in self.owner_cache:
             self.owner_cache[customer] = {
                 domain: max(stations, key=lambda one: rendezvous_weight(customer, one))
@@ -143,7 +143,7 @@
         return self.owner_cache[customer]
 
     def share_starts_at(self, customer: int) -> int | None:
-        """Returns from when on a share of this tenant's quota is spent here, ns; None if others own all."""
+        """Return from when on a share of this tenant's quota is spent here, ns; None if others own all."""
         starts_at, domains = None, self.domains
         if self.me not in self.owners_by_domain(customer).values():
             return None
@@ -157,7 +157,7 @@
         return None if starts_at is None else starts_at + self.takeover_delay_ns()
 
     def assign(self, account: ShareAccount, now: int) -> float:
-        """Sets an account's owners, nearest first, and returns this gatekeeper's share of the hard limit.
+        """Set an account's owners, nearest first, and return this gatekeeper's share of the hard limit.
 
         Empties the hard limit bucket if this gatekeeper owns no share or newly owns one.
         """
@@ -196,7 +196,7 @@
         absent: Container[int],
         now: int,
     ) -> int | None:
-        """Returns the first owner that is present, responds and may have units; None if there is none."""
+        """Return the first owner that is present, responds and may have units; None if there is none."""
         for owner in account.owners:
             if owner == ABSENT or owner in absent:
                 continue
@@ -207,13 +207,13 @@
         return None
 
     def mark_empty(self, account: ShareAccount, owner: int, wait_ns: int, now: int) -> None:
-        """Records that an owner has no units for `wait_ns`, capped at `EMPTY_TTL_NS`."""
+        """Record that an owner has no units for `wait_ns`, capped at `EMPTY_TTL_NS`."""
         if len(self.empty_until) >= MAX_EMPTY_ENTRIES:
             self.empty_until = {key: at for key, at in self.empty_until.items() if at > now}
         self.empty_until[account.customer, owner] = now + min(wait_ns, EMPTY_TTL_NS)
 
     def earliest_refill(self, account: ShareAccount, now: int) -> int:
-        """Returns when the first of the empty owners may have units again, ns; 0 if none is empty."""
+        """Return when the first of the empty owners may have units again, ns; 0 if none is empty."""
         empty_until = [self.empty_until.get((account.customer, owner), 0) for owner in account.owners]
         return min((at for at in empty_until if at > now), default=0)
 
@@ -222,7 +222,7 @@
     def handle_request(
         self, quotas: AccountTable, peer: int, unit_request: gossip.UnitRequest, now: int
     ) -> gossip.UnitResponse:
-        """Answers a peer's unit request; the tenant decides the plan, as peers number plans differently."""
+        """Answer a peer's unit request; the tenant decides the plan, as peers number plans differently."""
         plan = self.plans.get(unit_request.customer)
         if plan is None:
             return gossip.UnitResponse(
@@ -243,7 +243,7 @@
     def grant(
         self, quotas: AccountTable, account: ShareAccount, request: int, units: float, now: int
     ) -> gossip.UnitResponse:
-        """Grants units of the global bucket and this gatekeeper's hard limit share, or returns a wait."""
+        """Grant units of the global bucket and this gatekeeper's hard limit share, or return a wait."""
         wait, plan, settings = 0, account.plan, quotas.settings
         account.recent_requests.add(1.0, now)
         if 0 not in account.owners or not self.is_fresh(now, self.fence()):
--- a/pepperrun/core/quotas.py
+++ b/pepperrun/core/quotas.py
@@ -22,11 +22,14 @@
 )
 from pepperrun.core.unit_transfers import MIN_UNITS, is_exhausted, transfer_units
 
-USE_HALF_LIFE_NS = 2 * SECOND  # of recent use: long against a request, short against a burst of load
+# Half-life of recent use: much longer than a request, much shorter than a burst of load.
+USE_HALF_LIFE_NS = 2 * SECOND
 # Interval of heartbeats and of answers to requesting peers, and how long increased use counts as active.
 REPORT_INTERVAL_NS = SECOND
 IN_FLIGHT_VALID_NS = SECOND // 4  # reported attempts in flight are outdated after about one attempt's time
-PROMPT_REPORT_RATIO = 1 / 8  # of the units left: use below it waits for `REPORT_INTERVAL_NS`
+# Of the units left in the global bucket. With a fixed set of gateways, unreported use above it is reported to
+# all peers with the next message, less use only once per `REPORT_INTERVAL_NS`.
+PROMPT_REPORT_RATIO = 1 / 8
 DIRECT_MAX_INTERVAL_NS = SECOND // 2  # peers report directly if their intake allows messages this often
 
 
@@ -45,19 +48,23 @@
             event.spread,
             quotas.started_at,
         )
-        # Buckets start full, as most customers use a part of their quota. A gateway that doesn't know the
-        # others yet starts the global bucket with its own share only.
+        # `update_shares` sets the buckets' rates and depths; their levels are set after it.
         self.global_bucket, self.local_bucket = Bucket(0.0, 0.0, 0.0, now), Bucket(0.0, 0.0, 0.0, now)
         self.hard_limit = Bucket(0.0, 0.0, 0.0, now)
         self.update_shares(now)
-        # The hard limit starts empty with this gateway: its previous incarnation may have spent it (rule 5).
+        # The hard limit bucket is empty at the start of this process (with quota owners: of its share) and
+        # fills from then on, as the previous incarnation or owner may have spent units until then.
         self.hard_limit.at = self.hard_limit_starts_at
+        # The global and the local bucket start full, as most customers use only a part of their quota. A
+        # gateway that doesn't know the others yet starts the global bucket with its own share only.
         self.global_bucket.level = self.global_bucket.depth / (
             self.spread if quotas.membership_status.local_share_only else 1
         )
         self.local_bucket.level = self.local_bucket.depth
         self.owed = 0.0  # units used without a grant, less those given back
-        self.low_balance_reported, self.rejected_until = False, now  # by an owner's last response
+        # `low_balance_reported`: the last response of an owner reported a low balance. `rejected_until`: new
+        # requests are rejected until then, as the owners had no units.
+        self.low_balance_reported, self.rejected_until = False, now
         self.recent_requests = DecayingSum(SECOND, now)  # unit requests received as an owner
         self.granted_at: dict[tuple[int, int], int] = {}  # as an owner: by peer and request
         # Not from 0: peers remember the count of a dropped account, and a lower one would give units back.
@@ -74,7 +81,7 @@
         self.recent_use = DecayingSum(USE_HALF_LIFE_NS, now)
 
     def update_shares(self, now: int) -> None:
-        """Recomputes this gateway's shares, peers and owners from the plan and the number of gateways.
+        """Recompute this gateway's shares, peers and owners from the plan and the number of gateways.
 
         Keeps the buckets' levels, as far as the new depths allow.
         """
@@ -106,8 +113,11 @@
             bucket.fill(now)
             bucket.rate, bucket.depth, bucket.level = rate, depth, min(depth, bucket.level)
 
-    def is_low(self, now: int) -> bool:
-        """Reports whether a bucket is low or attempts in flight count against a concurrency limit."""
+    def needs_reporting(self, now: int) -> bool:
+        """Return whether peers need reports on this account.
+
+        They do if a bucket is low, or attempts in flight count against a concurrency limit.
+        """
         if (
             self.plan.ceiling_rate > 0
             and self.hard_limit.fill(now) < LOW_BALANCE_RATIO * self.hard_limit.depth
@@ -120,16 +130,18 @@
         )
 
     def available_units(self, now: int) -> float:
-        """Returns the units that this gateway may use before it receives further reports."""
-        reports_answered = (
+        """Return the units that this gateway may use before it receives further reports."""
+        peers_had_time_to_report = (
             self.reporting_since + 2 * self.message_interval_ns <= now
             and now - self.reported_at < REPORT_VALID_NS
         )
         reports = self.peer_reports.received_since(now - REPORT_VALID_NS)
         if self.spread > 1 and (
-            self.quotas.membership_status.local_share_only or not reports_answered and not reports
+            self.quotas.membership_status.local_share_only or not peers_had_time_to_report and not reports
         ):
-            # A full local bucket may be smaller than one request. It pays for one request and owes the rest.
+            # A request may need more units than the local bucket's depth. So a full bucket admits a request
+            # of up to the burst. `charge` may take the level below 0, and further requests are refused until
+            # enough units are refilled.
             return (
                 self.local_bucket.fill(now)
                 if self.local_bucket.level < self.local_bucket.depth
@@ -144,11 +156,11 @@
         )
 
     def within_quota(self, units: float, now: int) -> bool:
-        """Reports whether the quota has so many units left here; always True for a plan without a rate."""
+        """Return whether the quota has so many units left here; always True for a plan without a rate."""
         return self.plan.rate <= 0 or self.available_units(now) >= units
 
     def within_limits(self, units: float, now: int) -> bool:
-        """Reports whether the hard limit and the concurrency limit let a request of so many units go.
+        """Return whether the hard limit and the concurrency limit let a request of so many units go.
 
         Of the concurrency limit, this gateway has what its peers' recent reports leave. Without such reports
         it has its share.
@@ -165,7 +177,7 @@
         return self.plan.ceiling_rate <= 0 or self.hard_limit.fill(now) >= units
 
     def charge(self, units: float, now: int) -> None:
-        """Takes units out of the global and local buckets, or gives them back if negative."""
+        """Take units out of the global and local buckets, or give them back if negative."""
         # Units given back don't fill a bucket beyond its depth.
         for bucket in (self.global_bucket, self.local_bucket):
             bucket.level = min(bucket.depth, bucket.fill(now) - units)
@@ -196,17 +208,17 @@
         self.quota_owners: QuotaOwners | None = None  # the owners of each domain, if quotas have them
 
     def update_settings(self, settings: Settings, now: int) -> None:
-        """Applies new plans or another number of gateways, and recomputes each account's shares."""
+        """Apply new plans or another number of gateways, and recompute each account's shares."""
         self.settings, self.message_interval_ns = settings, message_interval_of(settings)
         for account in self.accounts.values():
             account.update_shares(now)
 
     def create_account(self, event: Request | gossip.UnitRequest, now: int) -> Account:
-        """Returns a new account for the customer of a client's request or of a peer's unit request."""
+        """Return a new account for the customer of a client's request or of a peer's unit request."""
         return Account(event, now, self)
 
     def reconcile(self, account: Account, units: float, now: int) -> None:
-        """Charges units found used after the grant (negative: not used) here or at the owner."""
+        """Charge units found used after the grant (negative: not used) here or at the owner."""
         if not account.owners:
             account.charge(units, now)
             self.dirty[account.customer] = None
@@ -220,7 +232,7 @@
                 self.unit_grants.request_units(account, owner, 0, 0.0)
 
     def receive(self, peer: int, data: bytes, now: int) -> gossip.Message | None:
-        """Processes a peer's message and returns it, or None if the peer or the message isn't acceptable."""
+        """Process a peer's message and return it, or None if the peer or the message isn't acceptable."""
         known_peers = range(self.settings.gateways) if self.members is None else self.members
         message = (
             self.inbox.accept(peer, data, now) if peer in known_peers and peer != self.settings.me else None
@@ -250,7 +262,7 @@
         return message
 
     def send_reports(self, now: int) -> None:
-        """Queues reports on changed customers to the peers that share them, if their balance is low.
+        """Queue reports on changed customers that need reporting to the peers that share them.
 
         Customers that peers reported lately are reported too. A heartbeat goes out if there is nothing else.
         """
@@ -261,7 +273,9 @@
             account = self.accounts.get(customer)
             if account is None or not account.peers:
                 continue
-            if not account.is_low(now) and not account.peer_reports.received_since(now - REPORT_VALID_NS):
+            if not account.needs_reporting(now) and not account.peer_reports.received_since(
+                now - REPORT_VALID_NS
+            ):
                 continue
             # With changing members the hard limit backs the quota, so use needn't be reported at once.
             report_now = self.members is None and abs(account.unreported_units) > PROMPT_REPORT_RATIO * max(
@@ -300,7 +314,7 @@
                     self.outbox.message_for(peer)
 
     def refresh(self, now: int) -> None:
-        """Sets the refill rates by the peers reachable, and drops accounts that are full and unused.
+        """Set the refill rates by the peers reachable, and drop accounts that are full and unused.
 
         An unreachable peer's share isn't refilled here. Dropping a full account loses no state.
         """
@@ -312,7 +326,9 @@
             if self.reports_directly and now - known[2] > REPORT_VALID_NS
         }
         timed_out &= timed_out if self.members is None else set(self.members)
-        # In a partition the larger side has the whole quota, the smaller side only its members' shares.
+        # With a membership protocol (`tracks_unreachable`) the majority side of a partition has the whole
+        # quota, and the minority side only its members' shares. Without it each side, also the larger one,
+        # loses the shares of the peers from which it receives nothing.
         unreachable = (
             self.membership_status.unreachable if self.membership_status.tracks_unreachable else timed_out
         )
--- a/pepperrun/core/state.py
+++ b/pepperrun/core/state.py
@@ -27,9 +27,8 @@
     def __init__(self, entry: Backend, now: int) -> None:
         self.id, self.zone, self.cell = entry.id, entry.zone, entry.cell
         self.state, self.started_at = entry.state, entry.started_ns
-        self.in_flight: dict[
-            tuple[int, int], tuple[int, float]
-        ] = {}  # by request and attempt: when sent, expected ns
+        # By request and attempt: when it was sent, and its expected duration in ns.
+        self.in_flight: dict[tuple[int, int], tuple[int, float]] = {}
         self.unreachable_at = 0  # when a connection to it last failed
         self.slowdown, self.sampled_at = 1.0, now  # latency over expected, and time of the last sample
         self.distance_factor = entry.distance_factor
@@ -96,12 +95,12 @@
         self.max_attempts = request_class.max_attempts if limits is None else limits.max_attempts
         self.deadline, self.target_at = now + event.left_ns, now + min(self.target_ns, event.left_ns)
         self.attempts: list[Attempt] = []
-        # The body is not buffered completely; part of it has been sent.
+        # `unbuffered`: the body is longer than the buffer and still arriving. `body_consumed`: part of such a
+        # body has been sent.
         self.unbuffered, self.body_consumed = event.unbuffered, False
         self.asking = self.waiting = self.done = self.stream = False
-        self.asks = self.asked_at = (
-            0  # requests for units since the last answer, and the time of the last one
-        )
+        # Requests for units since the last answer, and the time of the last one.
+        self.asks = self.asked_at = 0
 
     def in_flight(self) -> int:
         """Return how many attempts are in flight."""
--- a/pepperrun/core/unit_grants.py
+++ b/pepperrun/core/unit_grants.py
@@ -24,7 +24,7 @@
 
 
 def message_interval_of(settings: Settings) -> int:
-    """Returns how often a gateway may send to each of its peers, in nanoseconds.
+    """Return how often a gateway may send to each of its peers, in nanoseconds.
 
     All peers of a gateway together then fill no more than `INTAKE_RATIO` of its message intake.
     """
@@ -64,7 +64,7 @@
 
 
 def owners_of(customer: int, first: int, spread: int, count: int, me: int) -> tuple[list[int], float]:
-    """Returns the two gateways that own a customer's quota, and this gateway's share of its hard limit."""
+    """Return the two gateways that own a customer's quota, and this gateway's share of its hard limit."""
     at = customer * HASH_MULTIPLIER % 2**32 * spread >> 32
     owners = [(first + step % spread) % count for step in (at, at + (spread + 1) // 2)]
     return owners, OWNER_SHARES[owners.index(me)] if me in owners else 0.0
@@ -78,7 +78,7 @@
         self.unanswered: dict[int, tuple[int, int]] = {}  # owner: timeouts in a row, time of the last
 
     def owner_of(self, account: OwnedAccount, now: int) -> int:
-        """Returns the first owner that is present and answers, else the first one.
+        """Return the first owner that is present and answers, else the first one.
 
         An owner doesn't answer if its last two unit requests timed out, the latest within the last second.
         """
@@ -93,7 +93,7 @@
         return account.owners[responsive.index(True) if True in responsive else 0]
 
     def request_units(self, account: OwnedAccount, owner: int, request: int, units: float) -> None:
-        """Queues a unit request to an owner and reports the units owed with it."""
+        """Queue a unit request to an owner and report the units owed with it."""
         owed = gossip.quantize_owed(account.owed)
         account.owed -= owed
         where = (account.plan_number, account.first, account.spread)
@@ -103,7 +103,7 @@
     def grant(
         self, account: OwnedAccount, peer: int, request: int, units: float, now: int
     ) -> gossip.UnitResponse:
-        """As an owner, grants units of the global bucket and this owner's hard limit, or returns a wait."""
+        """As an owner, grant units of the global bucket and this owner's hard limit, or return a wait."""
         plan, hard_limit = account.plan, account.hard_limit
         max_request_rate = min(
             self.quotas.settings.peer_message_rate * INTAKE_RATIO, 2 * plan.rate / max(units, 0.1)
@@ -136,7 +136,7 @@
         )
 
     def handle_requests(self, peer: int, message: gossip.Message, now: int) -> None:
-        """Answers, as an owner, the unit requests in a peer's message."""
+        """Answer, as an owner, the unit requests in a peer's message."""
         count = self.quotas.settings.gateways
         for unit_request in message.unit_requests:
             if self.quotas.quota_owners is not None:
--- a/pepperrun/core/unit_requester.py
+++ b/pepperrun/core/unit_requester.py
@@ -36,7 +36,7 @@
         raise NotImplementedError
 
     def _request_units(self, request: PendingRequest) -> None:
-        """Requests units from the customer's owners in turn; if none responds, the local bucket decides."""
+        """Request units from the customer's owners in turn; if none responds, the local bucket decides."""
         account, me = request.account, self.settings.me
         if request.asked_at and self.now + request.service.fleet.expected_ns(request) > request.target_at:
             self._fail_or_refuse(request)
@@ -66,7 +66,7 @@
         self._send_unit_request(request, owner)
 
     def _request_from_quota_owners(self, request: PendingRequest, quota_owners: QuotaOwners) -> None:
-        """Requests units from the next owner that may have some; if none has, the request is over quota."""
+        """Request units from the next owner that may have some; if none has, the request is over quota."""
         account, unanswered, absent = (
             request.account,
             self.quotas.unit_grants.unanswered,
@@ -104,7 +104,7 @@
         self.timers.add(deadline, on_timeout, lambda: not request.asking or request.asks != request_count)
 
     def _on_unit_response(self, response: gossip.UnitResponse, owner: int) -> None:
-        """Acts on an owner's response: granted units queue the request, units that come too late go back."""
+        """Act on an owner's response: granted units queue the request, units that come too late go back."""
         request, account = self.pending.get(response.request), self.quotas.accounts.get(response.customer)
         if request is None or not request.asking or request.account is not account:
             if account is not None and response.units > 0:
@@ -121,10 +121,8 @@
             account.rejected_until = self.now + int(wait * self.rng.random())
             self._refuse(request, wait / SECOND, True)
         else:
-            request.asks, request.asked_at = (
-                0,
-                self.now,
-            )  # the owner responded: asks again when units may be there
+            # The owner responded: the request asks again when units may be there.
+            request.asks, request.asked_at = 0, self.now
             retry_at = self.now + wait
             self.timers.add(
                 retry_at,
@@ -132,10 +130,11 @@
             )
 
     def _grant_expired(self, request: PendingRequest) -> bool:
-        """Reports whether the request's grant is too old to use.
+        """Return whether the request's grant is too old to use.
 
-        Rule 5: units that are granted but not used while the owner's bucket is full exceed the hard limit.
-        The plan's slack bounds them, so a grant is valid for the slack divided by the hard limit's rate.
+        All gateways together may exceed a hard limit by no more than the plan's slack. Units that are granted
+        but not used while the owner's bucket is full exceed the limit. So a grant is valid for the slack
+        divided by the hard limit's rate.
         """
         plan, granted = request.account.plan, request.account.owners and not request.attempts
         max_age_s = (
--- a/pepperrun/core/unit_transfers.py
+++ b/pepperrun/core/unit_transfers.py
@@ -29,7 +29,7 @@
 
 
 def is_exhausted(account: HardLimitAccount, now: int) -> bool:
-    """Reports whether no unit is left for a request, and notes the time if one is.
+    """Return whether no unit is left for a request; if one is, set `last_unit_at` to `now`.
 
     Always False for a plan without a hard limit.
     """
@@ -40,18 +40,21 @@
 
 
 def spend_units(account: HardLimitAccount, units: float, now: int) -> None:
-    """Takes units out of the hard limit bucket for a request that is sent."""
+    """Take units out of the hard limit bucket for a request that is sent."""
     account.hard_limit.level -= units
     account.last_unit_at = now
 
 
 def is_starved(account: HardLimitAccount, now: int) -> bool:
-    """Reports whether there has been no unit for so long that waiting for one is useless."""
+    """Return whether there has been no unit for so long that waiting for one is useless.
+
+    Like `is_exhausted`, it sets `last_unit_at` if a unit is left.
+    """
     return is_exhausted(account, now) and now - account.last_unit_at > STARVED_AFTER_NS
 
 
 def refill_wait_s(account: HardLimitAccount, units: float, now: int) -> float:
-    """Returns the seconds until the bucket's own refill brings so many units; 0 if they are there.
+    """Return the seconds until the bucket's own refill brings so many units; 0 if they are there.
 
     Also 0 for a plan without a hard limit and where owners grant the units.
     """
@@ -61,7 +64,7 @@
 
 
 def transfer_units(account: HardLimitAccount, peer: int, now: int) -> float:
-    """Takes hard limit units out of the bucket for a peer that has fewer, and returns how many.
+    """Take hard limit units out of the bucket for a peer that has fewer, and return how many.
 
     They are debited here and credited there when the message arrives; a lost message loses them.
     """
--- a/pepperrun/membership/member.py
+++ b/pepperrun/membership/member.py
@@ -403,9 +403,8 @@
         self.handlers[datagram.kind](datagram, now)
         if datagram.kind is not Kind.NAME_CONFLICT:
             self._apply_gossip(datagram, now)
-        if (
-            self.counters["denied"] > refuted
-        ):  # the member that sent the false update gets the refutation first
+        # The member that sent the false update gets the refutation first.
+        if self.counters["denied"] > refuted:
             self.outbox.post(sender, Kind.GOSSIP)
         self._update_view(now)
 
--- a/pepperrun/membership/steps.py
+++ b/pepperrun/membership/steps.py
@@ -10,10 +10,10 @@
 | SELF_SUSPECT | stalled, or gets no replies | its own local bucket | no |
 | NOT_MEMBER | left gracefully, or its name was rejected | its own local bucket | no |
 
-Hard rate limits need no step: each gatekeeper (of two owners each) has its own share of a hard limit, all
-shares together are the limit, and units move only from a gatekeeper that has them to one that needs them,
-debited at the giver first. So no partition, failure or return lets more through than the limit and its slack
-(`FLEET.md`, `MEMBERS.md`).
+Hard rate limits need no step. A customer's hard limit is split into shares: each of its gatekeepers has one,
+or, where a quota has two owners, each owner has one. All shares together are the limit. Units pass only from
+a gatekeeper that has them to one that needs them, and are debited at the first before the second gets them.
+So no partition, failure or return lets more through than the limit and its slack (`FLEET.md`, `MEMBERS.md`).
 """
 
 from __future__ import annotations
@@ -43,7 +43,7 @@
 
 
 def step_of(member: Member, now: int) -> Step:
-    """The step in force at a time."""
+    """Returns the row of the table for a member's state and partition side at `now`, in ns."""
     if member.own.state in (OwnState.LEFT, OwnState.REJECTED):
         return Step.NOT_MEMBER
     if member.suspects_itself:
--- a/pepperrun/membership/views.py
+++ b/pepperrun/membership/views.py
@@ -23,7 +23,7 @@
 
 
 def digest_of(members: MemberSet, wire_ids: Mapping[int, int] | None = None) -> int:
-    """A 32-bit hash of a set; `ids` maps numbers to common IDs where each process has its own numbers."""
+    """A 32-bit hash of a set; `wire_ids` maps numbers to common IDs if each process has its own numbers."""
     if wire_ids is None:
         data = b"".join(struct.pack("<HI", *one) for one in sorted(members))
     else:
@@ -112,7 +112,9 @@
     """Partition side of a member, among all members of the roster that have not left gracefully."""
 
     COMPLETE = "whole"  # all are present
-    MAJORITY = "majority"  # more than half, or exactly half including the lowest number
+    # More than half are present, or exactly half including the first of all these members: the one with the
+    # lowest wire ID, or with the lowest number if there are no wire IDs.
+    MAJORITY = "majority"
     MINORITY = "minority"
     ISOLATED = "alone"  # no other member is present
 
