--- a/pepperrun/assembly.py
+++ b/pepperrun/assembly.py
@@ -1,4 +1,4 @@
-"""Creates and connects the components of a gatekeeper: cores, listeners, discovery, admin and handover."""
+"""Creates and connects the components of a process: gatekeepers, listeners, discovery, admin and handover."""
 
 from __future__ import annotations
 
@@ -42,12 +42,12 @@
     from pepperrun.parking.manager import ParkingManager
 
 PEER_RETRY_INTERVAL_S = 0.5  # between attempts to bind an address that another process still uses
-CoreAndListener = tuple["Core", "Listener | None"]
+PartsAndListener = tuple["GatekeeperParts", "Listener | None"]
 # Descriptors that are not connections of clients or to backends: files, listeners and the event loop's.
 RESERVED_DESCRIPTORS = 24
 
 
-class Core:
+class GatekeeperParts:
     """A gatekeeper with the connections to its backends, its peers and its membership service."""
 
     def __init__(
@@ -158,7 +158,7 @@
 def create_parking(
     config: ClientsConfig, clock: Clock, sockets: int, auth_sockets: int
 ) -> tuple[ParkingManager, int]:
-    """Returns the manager that parks client connections, and the limit on connections to workers.
+    """Returns the parking manager for idle client connections and the limit on connections to workers.
 
     The limit is a sixth of the descriptors. Raises the process's soft limit on descriptors to the hard one.
     """
@@ -177,10 +177,10 @@
 
 async def start_auth(
     config: AuthConfig, clock: Clock, seed: int, parking: ParkingManager | None = None
-) -> tuple[Core, AuthService, Listener | None]:
-    """Starts the core for the authentication servers and, where configured, its listener."""
+) -> tuple[GatekeeperParts, AuthService, Listener | None]:
+    """Starts the gatekeeper for the authentication servers and, where configured, its listener."""
     max_clients, max_backends = config.sockets // 2, config.sockets // 2
-    core = Core(
+    parts = GatekeeperParts(
         clock,
         config.settings,
         seed,
@@ -190,14 +190,14 @@
         config.keepalive_ns,
         config.connect_timeout_ns,
     )
-    core.apply_endpoint_list(config.servers, ListKind.CACHED)
-    await core.open_peers(config.peer_listen, config.peers)
-    service = AuthService(config, core.gatekeeper, clock)
+    parts.apply_endpoint_list(config.servers, ListKind.CACHED)
+    await parts.open_peers(config.peer_listen, config.peers)
+    service = AuthService(config, parts.gatekeeper, clock)
     if config.listen is None:
-        return core, service, None
+        return parts, service, None
     protocol_factory = ForwardAuth(service).new_connection
     return (
-        core,
+        parts,
         service,
         open_listener("forward authentication", config.listen, clock, max_clients, protocol_factory, parking),
     )
@@ -213,14 +213,14 @@
     inherited: socket.socket | None = None,
     successor: Successor | None = None,
     watch: DiscoveryWatch | None = None,
-) -> tuple[Core, Listener]:
-    """Starts the core for the workers and the platform's listener.
+) -> tuple[GatekeeperParts, Listener]:
+    """Starts the gatekeeper for the workers and the platform's listener.
 
     `successor`: the connection to the predecessor, whose endpoint list and state are applied first.
     """
     max_clients, max_backends = split_sockets(sockets) if parking is None else (0, backends)
     budget = MemoryBudget.from_memory_limit(config.memory_mb)
-    core = Core(
+    parts = GatekeeperParts(
         clock,
         config.settings,
         config.seed,
@@ -231,26 +231,26 @@
         config.connect_timeout_ns,
         budget,
     )
-    core.apply_endpoint_list(config.known, ListKind.CACHED)
+    parts.apply_endpoint_list(config.known, ListKind.CACHED)
     if successor is not None:
         endpoint_list = successor.endpoint_list()
         if endpoint_list is not None and endpoint_list.endpoints:
-            core.apply_endpoint_list(endpoint_list, ListKind.FULL)
-        successor.restore(core.gatekeeper)
+            parts.apply_endpoint_list(endpoint_list, ListKind.FULL)
+        successor.restore(parts.gatekeeper)
     fd = successor.peer_socket_fd if successor is not None else None
-    await core.open_peers(config.peer_listen, config.peers, fd, retry=inherited is not None)
+    await parts.open_peers(config.peer_listen, config.peers, fd, retry=inherited is not None)
     if watch is not None:
         # The agent's list counts as received from the start on: no request is sent before the first call.
         known_version = config.known.version if config.known.endpoints else None
         if successor is not None and successor.process_state is not None:
             known_version = successor.list_version()
-        watch.move(config.discovery, core.apply_endpoint_list, discovery_backoff(config), known_version)
+        watch.move(config.discovery, parts.apply_endpoint_list, discovery_backoff(config), known_version)
         if successor is None or successor.process_state is None:
             # A drain must take effect within this time of its notification: a longer wait would gain nothing
             # and serve no client.
             await watch.wait_for_first_call(config.settings.drain_grace_ns / SECOND)
-    front = Platform(config.settings, core.gatekeeper, clock, auth, budget)
-    return core, open_listener(
+    front = Platform(config.settings, parts.gatekeeper, clock, auth, budget)
+    return parts, open_listener(
         config.name, config.listen, clock, max_clients, front.new_connection, parking, inherited
     )
 
@@ -277,7 +277,7 @@
 
 
 def start_membership(
-    config: Config, members: MembershipConfig, core: Core, inherited_state: Any = None
+    config: Config, members: MembershipConfig, parts: GatekeeperParts, inherited_state: Any = None
 ) -> MembershipService:
     """Starts membership over the socket of the peer messages.
 
@@ -287,25 +287,25 @@
 
     names = members.names or [f"gatekeeper {number}" for number in range(config.settings.gateways)]
     service = MembershipService(
-        members, config.name, names, core.gatekeeper, core._send_to_peer, config.seed, inherited_state
+        members, config.name, names, parts.gatekeeper, parts._send_to_peer, config.seed, inherited_state
     )
-    core.membership = service
-    if core.peers is not None:
-        core.peers.on_membership = service.on_datagram
+    parts.membership = service
+    if parts.peers is not None:
+        parts.peers.on_membership = service.on_datagram
     return service
 
 
-async def open_admin(address: Address, core: Core, listener: Listener) -> AdminServer:
+async def open_admin(address: Address, parts: GatekeeperParts, listener: Listener) -> AdminServer:
     """Opens the admin address, which reports ready while clients are accepted."""
 
     def all_metrics() -> Iterator[Metric]:
-        yield from core_metrics(core.gatekeeper, core.upstream, core.directory)
-        if core.membership is not None:
-            yield from core.membership.figures()
+        yield from core_metrics(parts.gatekeeper, parts.upstream, parts.directory)
+        if parts.membership is not None:
+            yield from parts.membership.figures()
 
     def extra(command: bytes) -> bytes | None:
-        if core.membership is not None:
-            return core.membership.answer_call(command)
+        if parts.membership is not None:
+            return parts.membership.answer_call(command)
         return b"error membership is off\n" if command.split()[:1] == [b"members"] else None
 
     handler = CommandHandler(listener.accepts_clients, all_metrics, extra)
@@ -416,17 +416,23 @@
     return successor
 
 
-def await_successor(path: Path, core: Core, listener: Listener, watch: DiscoveryWatch) -> Predecessor:
+def await_successor(
+    path: Path, parts: GatekeeperParts, listener: Listener, watch: DiscoveryWatch
+) -> Predecessor:
     """Listens for the process that will replace this one."""
 
     def export_process_state() -> dict[str, Any]:
         version = watch.discovery.version if watch.discovery is not None else None
-        endpoint_list = {"version": version or 0, "full": True, "servers": core.directory.discovery_rows()}
-        process_state = {"list": endpoint_list, "known": version is not None, "peers": core.peers is not None}
+        endpoint_list = {"version": version or 0, "full": True, "servers": parts.directory.discovery_rows()}
+        process_state = {
+            "list": endpoint_list,
+            "known": version is not None,
+            "peers": parts.peers is not None,
+        }
         return process_state | (
-            {"members": core.membership.export_state()} if core.membership is not None else {}
+            {"members": parts.membership.export_state()} if parts.membership is not None else {}
         )
 
     return Predecessor(
-        path, core.gatekeeper, core.upstream, listener, lambda: core.peers, export_process_state
+        path, parts.gatekeeper, parts.upstream, listener, lambda: parts.peers, export_process_state
     )
--- a/pepperrun/operator/core_client.py
+++ b/pepperrun/operator/control_client.py
@@ -18,7 +18,7 @@
 TIMEOUT_S = 20.0  # for one call, over all attempts
 
 
-class CoreResponse(NamedTuple):
+class ControlResponse(NamedTuple):
     """The final response to a call, and the `HOST:PORT` of the node that sent it."""
 
     status: int
@@ -31,7 +31,7 @@
     return [parse_address(one.strip()) for one in text.split(",") if one.strip()]
 
 
-class CoreClient:
+class ControlClient:
     """Calls the control nodes at these addresses. `clock` returns s, `sleep` takes s."""
 
     def __init__(
@@ -42,13 +42,13 @@
         sleep: Callable[[float], None] = time.sleep,
     ) -> None:
         if not addresses:
-            raise PepperrunError("bad-address", "calling the core", "no control address is given")
+            raise PepperrunError("bad-address", "calling a control node", "no control address is given")
         self.addresses, self.timeout_s, self.clock, self.sleep = addresses, timeout_s, clock, sleep
         self.preferred = 0  # index of the address that gave the last final response; tried first
 
     def call(
         self, method: str, path: str, body: bytes = b"", headers: Mapping[str, str] | None = None
-    ) -> CoreResponse:
+    ) -> ControlResponse:
         """Repeats a call until a node gives a final response: 2xx, or 4xx except 408 and 429.
 
         Each attempt sends the same bytes. If a change was applied but its response was lost, the repeated
@@ -82,7 +82,7 @@
 
     def _call_with_redirects(
         self, address: Address, method: str, path: str, body: bytes, headers: Mapping[str, str]
-    ) -> CoreResponse:
+    ) -> ControlResponse:
         for _ in range(MAX_REDIRECTS + 1):
             response, location = self._call_once(address, method, path, body, headers)
             if response.status != 307 or not location:
@@ -95,7 +95,7 @@
 
     def _call_once(
         self, address: Address, method: str, path: str, body: bytes, headers: Mapping[str, str]
-    ) -> tuple[CoreResponse, str]:
+    ) -> tuple[ControlResponse, str]:
         timeout = RESPONSE_TIMEOUT_S + TIMEOUT_PER_KB_S * len(body) / 1024
         connection = http.client.HTTPConnection(*address, timeout=timeout)
         try:
@@ -103,7 +103,7 @@
             connection.request(method, path, body or None, {"Connection": "close", **more, **headers})
             reply = connection.getresponse()
             return (
-                CoreResponse(reply.status, reply.read(), _host_port(address)),
+                ControlResponse(reply.status, reply.read(), _host_port(address)),
                 reply.getheader("Location") or "",
             )
         finally:
--- a/pepperrun/operator/explain.py
+++ b/pepperrun/operator/explain.py
@@ -79,7 +79,7 @@
     description: str
     order: LogEvent | None
     first_time_s: float
-    core_times_s: dict[str, float]
+    control_node_times_s: dict[str, float]
     gateway_times_s: dict[str, float]
 
 
@@ -97,7 +97,7 @@
     An order belongs to the version that its control node agreed on during the call. It is found by its
     edition, or for an evacuation, which does not change the edition, by its zone.
     """
-    core: dict[int, dict[str, float]] = defaultdict(dict)
+    control_nodes: dict[int, dict[str, float]] = defaultdict(dict)
     gateways: dict[int, dict[str, float]] = defaultdict(dict)
     editions: dict[int, int] = {}
     descriptions: dict[int, str] = {}
@@ -110,10 +110,12 @@
             editions.setdefault(version, int(pairs.get("edition", 0)))
             if "do" in pairs:
                 descriptions.setdefault(version, _describe(pairs))
-            (gateways if "station" in pairs else core)[version].setdefault(event.source, event.time_s)
+            (gateways if "station" in pairs else control_nodes)[version].setdefault(
+                event.source, event.time_s
+            )
         elif pairs["event"] == "order" and pairs.get("status") == "200":
             if pairs.get("do") == "evacuate":
-                version = _version_of_evacuation(event, core, descriptions)
+                version = _version_of_evacuation(event, control_nodes, descriptions)
                 if version:
                     evacuations.setdefault(version, event)
             else:
@@ -122,22 +124,22 @@
     for version, edition in sorted(editions.items()):
         order = orders.get(edition) if edition > highest_edition else evacuations.get(version)
         highest_edition = max(highest_edition, edition)
-        times_s = [*core[version].values(), *gateways[version].values()]
+        times_s = [*control_nodes[version].values(), *gateways[version].values()]
         description = descriptions.get(version) or (_describe(order.pairs) if order is not None else "")
         out[version] = Change(
-            version, edition, description, order, min(times_s), core[version], gateways[version]
+            version, edition, description, order, min(times_s), control_nodes[version], gateways[version]
         )
     return out
 
 
 def _version_of_evacuation(
-    order: LogEvent, core: dict[int, dict[str, float]], descriptions: dict[int, str]
+    order: LogEvent, control_nodes: dict[int, dict[str, float]], descriptions: dict[int, str]
 ) -> int:
     """Returns the version that this evacuation call created; 0 if the zone already had that state."""
     begun_s = order.time_s - float(order.pairs.get("ms", 0)) / 1000 - ROUNDING_S
     created = [
         version
-        for version, times_s in core.items()
+        for version, times_s in control_nodes.items()
         if begun_s <= times_s.get(order.source, begun_s - 1) <= order.time_s
     ]
     return max(
@@ -163,7 +165,7 @@
     else:
         start_s = found.first_time_s
         out.append("times count from the first log line of this number")
-    for name, times_s in (("core", found.core_times_s), ("gatekeeper", found.gateway_times_s)):
+    for name, times_s in (("core", found.control_node_times_s), ("gatekeeper", found.gateway_times_s)):
         for source, time_s in sorted(times_s.items(), key=lambda one: one[1]):
             out.append(f"  {name} {source}: {(time_s - start_s) * 1000:.0f} ms")
     gateways = {
--- a/pepperrun/operator/local_cluster.py
+++ b/pepperrun/operator/local_cluster.py
@@ -28,7 +28,7 @@
 
 from pepperrun.foundation.errors import PepperrunError
 from pepperrun.foundation.settings import Address
-from pepperrun.operator.core_client import CoreClient
+from pepperrun.operator.control_client import ControlClient
 
 STEP = "starting the local cluster"
 FIRST_HOST = 2  # last byte of the first address, 127.0.0.2
@@ -45,15 +45,15 @@
 class Sizes(NamedTuple):
     """Numbers of processes. `workers` is the number for each service."""
 
-    cores: int = 3
+    control_nodes: int = 3
     gateways: int = 3
     workers: int = 2
     services: tuple[str, ...] = ("search", "booking")
 
     def check(self) -> None:
         """Raises PepperrunError `bad-size` if such a cluster can't be started."""
-        hosts = self.cores + self.gateways + self.workers * len(self.services)
-        if min(self.cores, self.gateways, self.workers, len(self.services)) < 1 or hosts > MAX_HOSTS:
+        hosts = self.control_nodes + self.gateways + self.workers * len(self.services)
+        if min(self.control_nodes, self.gateways, self.workers, len(self.services)) < 1 or hosts > MAX_HOSTS:
             raise PepperrunError(
                 "bad-size",
                 STEP,
@@ -111,12 +111,12 @@
         self.worker_options = worker_options  # for the toy workers; `{name}` is replaced by the worker's name
         self.stop = threading.Event()
         self.children: list[Child] = []
-        count = sizes.cores + sizes.gateways + sizes.workers * len(sizes.services)
+        count = sizes.control_nodes + sizes.gateways + sizes.workers * len(sizes.services)
         hosts = [f"127.0.0.{FIRST_HOST + index}" for index in range(count)]
         self.ports = free_ports(hosts)
-        self.cores, rest = hosts[: sizes.cores], hosts[sizes.cores :]
+        self.control_nodes, rest = hosts[: sizes.control_nodes], hosts[sizes.control_nodes :]
         self.gateways, self.worker_hosts = rest[: sizes.gateways], rest[sizes.gateways :]
-        self.control_addresses = [(ip, self.ports["control_port"]) for ip in self.cores]
+        self.control_addresses = [(ip, self.ports["control_port"]) for ip in self.control_nodes]
         self.key = ""
         # Nodes may bootstrap a system only if no disk contains data.
         self.first_run = not any(folder.glob("disks/*/data.mdb"))
@@ -149,7 +149,7 @@
         for name in ("settings", "disks", "logs"):
             (self.folder / name).mkdir(parents=True, exist_ok=True)
         zones = list(ZONES)
-        for role, hosts in (("control_node", self.cores), ("gateway_node", self.gateways)):
+        for role, hosts in (("control_node", self.control_nodes), ("gateway_node", self.gateways)):
             for index, ip in enumerate(hosts):
                 zone, name = zones[index % len(zones)], f"{role}-{index + 1}"
                 if role == "control_node":
@@ -207,7 +207,7 @@
         self.prepare_children()
         for child in self.children:
             self.launch(child)
-        client = CoreClient(self.control_addresses, READY_TIMEOUT_S, sleep=self._wait_or_raise)
+        client = ControlClient(self.control_addresses, READY_TIMEOUT_S, sleep=self._wait_or_raise)
         configuration = json.loads(client.call("GET", "/timetable/read").body)
         if not configuration["edition"]:
             configuration = self.first_configuration()
@@ -303,7 +303,7 @@
                 *(f"  {curl} http://{gateway}/{service}/1", "the system:"),
                 *(
                     f"  {command} show {self.gateways[0]}:{internal_port}",
-                    f"  {command} show {self.cores[0]}:{internal_port}",
+                    f"  {command} show {self.control_nodes[0]}:{internal_port}",
                 ),
                 f"  {command} read --at {at}",
                 f"  {command} evacuate {next(iter(ZONES))} --at {at}",
--- a/pepperrun/operator/problems.py
+++ b/pepperrun/operator/problems.py
@@ -1,8 +1,8 @@
 """Lists all problems of a settings file or a configuration, each in one sentence that names the item.
 
-The core reports only the first problem; the author of a file needs all of them. The checks and sentences are
-those of `control.order_codec`, so the core rejects a configuration that passes here only because of the
-edition that the configuration is based on.
+A control node reports only the first problem; the author of a file needs all of them. The checks and
+sentences are those of `control.order_codec`, so a control node rejects a configuration that passes here only
+because of the edition that the configuration is based on.
 """
 
 from __future__ import annotations
--- a/pepperrun/operator/report.py
+++ b/pepperrun/operator/report.py
@@ -67,7 +67,7 @@
     axis.plot(
         [at_s - start_s for at_s, _, _ in delays], [ms for _, _, ms in delays], "o", markersize=4, alpha=0.6
     )
-    axis = add_plot("Depth of the distribution tree", "links from the core")
+    axis = add_plot("Depth of the distribution tree", "links from a control node")
     depths = [
         (event.time_s - start_s, int(event.pairs["depth"]))
         for event in events
--- a/pepperrun/operator/state.py
+++ b/pepperrun/operator/state.py
@@ -219,9 +219,8 @@
         raise PepperrunError("not-safe", STEP, f"{path}: {detail}")
     folder.mkdir(parents=True, exist_ok=True)
     if keep_disk_id:
-        write_export(
-            path, state, owner, False
-        )  # marks the file as used first: a disk id must never exist twice
+        # Marks the file as used first: a disk id must never exist twice.
+        write_export(path, state, owner, False)
         _save_state(folder, state, owner)
         return f"{folder}: disk id {state.disk_id} continues here, on the machine {owner} only"
     disk_id = new_disk_id(str(path))
--- a/pepperrun/operator/toy_workers.py
+++ b/pepperrun/operator/toy_workers.py
@@ -1,8 +1,8 @@
 """A simple worker of a service for trials, run as `python3 -m pepperrun.operator.toy_workers`.
 
-It sends heartbeats to the core, answers its health path, and answers each request with its own id. A request
-for another worker gets 421. It shuts down gracefully: it reports that it is draining, serves for `--drain`
-ms, then reports that it has ended.
+It sends heartbeats to a control node, answers its health path, and answers each request with its own id. A
+request for another worker gets 421. It shuts down gracefully: it reports that it is draining, serves for
+`--drain` ms, then reports that it has ended.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 from pepperrun.foundation.errors import PepperrunError
 from pepperrun.foundation.settings import Address, parse_address
-from pepperrun.operator.core_client import CoreClient, parse_addresses
+from pepperrun.operator.control_client import ControlClient, parse_addresses
 
 HEARTBEAT_TIMEOUT_S = 1.5  # for one heartbeat, over all addresses of a list
 MAX_HEAD_BYTES = 64 * 1024
@@ -55,23 +55,26 @@
         )
         self.id = f"{service}-{secrets.token_hex(4)}"
         self.serial, self.is_draining = 0, False
-        self.forward_addresses: list[Address] = []  # requested by the core for heartbeats, until one fails
+        # The control node that a response named for further heartbeats; empty after a failed call.
+        self.preferred_addresses: list[Address] = []
         self.slots = asyncio.Semaphore(concurrency_limit)
         self.work_ms, self.record = work_ms, record
 
-    # Calls to the core.
+    # Calls to control nodes.
 
     def _call(self, path: str, body: bytes) -> bool:
-        """Calls the core and returns whether it accepted the call. Blocks, so use a thread of its own."""
-        for addresses in filter(None, (self.forward_addresses, self.control_addresses)):
+        """Calls a control node; returns whether it accepted the call. Blocks, so use a thread of its own."""
+        for addresses in filter(None, (self.preferred_addresses, self.control_addresses)):
             try:
-                response = CoreClient(addresses, HEARTBEAT_TIMEOUT_S).call("POST", path, body)
+                response = ControlClient(addresses, HEARTBEAT_TIMEOUT_S).call("POST", path, body)
             except PepperrunError:
-                self.forward_addresses = []
+                self.preferred_addresses = []
                 continue
             if 200 <= response.status < 300:
-                forward = json.loads(response.body or b"{}").get("forward_to")
-                self.forward_addresses = [parse_address(forward)] if forward else self.forward_addresses
+                preferred = json.loads(response.body or b"{}").get("forward_to")
+                self.preferred_addresses = (
+                    [parse_address(preferred)] if preferred else self.preferred_addresses
+                )
                 return True
         return False
 
--- a/pepperrun/operatorctl.py
+++ b/pepperrun/operatorctl.py
@@ -11,7 +11,7 @@
 from pepperrun.foundation.errors import PepperrunError
 from pepperrun.foundation.settings import parse_address
 from pepperrun.operator import files, inspection, local_cluster, log_commands, problems, state
-from pepperrun.operator.core_client import TIMEOUT_S, CoreClient, CoreResponse, parse_addresses
+from pepperrun.operator.control_client import TIMEOUT_S, ControlClient, ControlResponse, parse_addresses
 from pepperrun.soak import command as soak
 
 EXIT_OK, EXIT_REJECTED, EXIT_INVALID, EXIT_UNCERTAIN = 0, 1, 2, 3
@@ -40,11 +40,11 @@
     return exit_code
 
 
-def _client(options: argparse.Namespace) -> CoreClient:
-    return CoreClient(parse_addresses(options.at), options.patience)
+def _client(options: argparse.Namespace) -> ControlClient:
+    return ControlClient(parse_addresses(options.at), options.patience)
 
 
-def _print_response(response: CoreResponse) -> int:
+def _print_response(response: ControlResponse) -> int:
     """Prints the status and the sentence of a response. Returns the exit code."""
     try:
         data = json.loads(response.body) if response.body else {}
--- a/pepperrun/serve.py
+++ b/pepperrun/serve.py
@@ -16,9 +16,9 @@
 
 from pepperrun.admin.server import MAX_DESCRIPTORS, AdminServer
 from pepperrun.assembly import (
-    Core,
-    CoreAndListener,
     DiscoveryWatch,
+    GatekeeperParts,
+    PartsAndListener,
     await_successor,
     create_parking,
     discovery_backoff,
@@ -57,15 +57,15 @@
 
 
 def create_reporters(
-    config: MetricsConfig, instance: str, cores: dict[str, CoreAndListener]
+    config: MetricsConfig, instance: str, parts_by_front: dict[str, PartsAndListener]
 ) -> list[Reporter]:
     """Returns a reporter for each configured metrics sink."""
     from pepperrun.metrics import collectd, gateway_samples, graphite, process_samples
 
     def collect_samples() -> list[Sample]:
         collected = process_samples()
-        for name, (core, listener) in cores.items():
-            collected += gateway_samples(name, core.gatekeeper, core.upstream, listener)
+        for name, (parts, listener) in parts_by_front.items():
+            collected += gateway_samples(name, parts.gatekeeper, parts.upstream, listener)
         return collected
 
     reporters = []
@@ -83,7 +83,7 @@
     files: ConfigFiles,
     config: Config | None,
     auth_config: AuthConfig | None,
-    cores: dict[str, CoreAndListener],
+    parts_by_front: dict[str, PartsAndListener],
     watch: DiscoveryWatch,
     parking: ParkingManager | None = None,
 ) -> tuple[Config | None, AuthConfig | None]:
@@ -102,20 +102,20 @@
     if config is not None and new is not None:
         deferred += changed_keys(config, new, "seed", "known", "discovery")
         config = replace(config, discovery=new.discovery)
-        core = cores["platform"][0]
+        parts = parts_by_front["platform"][0]
         # All gatekeepers move at once: one that has a list need not be the first to call the new address.
         watch.move(
             new.discovery,
-            core.apply_endpoint_list,
+            parts.apply_endpoint_list,
             discovery_backoff(config),
-            moved=bool(core.directory.endpoints),
+            moved=bool(parts.directory.endpoints),
         )
     if auth_config is not None and new_auth is not None:
         deferred += [f"forward-auth {key}" for key in changed_keys(auth_config, new_auth, "servers")]
         if new_auth.servers != auth_config.servers:
-            cores["auth"][0].apply_endpoint_list(new_auth.servers, ListKind.FULL)
+            parts_by_front["auth"][0].apply_endpoint_list(new_auth.servers, ListKind.FULL)
         auth_config = replace(auth_config, servers=new_auth.servers)
-    if config is not None and (service := cores["platform"][0].membership) is not None:
+    if config is not None and (service := parts_by_front["platform"][0].membership) is not None:
         membership = files.membership(config)
         if membership is not None:
             service.reload(membership)
@@ -127,7 +127,7 @@
 
 
 def count_connections(listeners: list[Listener], parking: ParkingManager | None) -> int:
-    """Returns the number of open client connections; listeners with a lot share its count."""
+    """Returns the number of open client connections; with a parking manager all listeners share its count."""
     return parking.total() if parking is not None else sum(listener.count() for listener in listeners)
 
 
@@ -144,7 +144,7 @@
     clock, stop = files.clock, asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop.set)
-    cores: dict[str, CoreAndListener] = {}
+    parts_by_front: dict[str, PartsAndListener] = {}
     tasks: list[asyncio.Task[None]] = []
     auth = None
     classes: list[RequestClass] = []
@@ -158,8 +158,8 @@
         sockets = config.sockets if config is not None else resource.getrlimit(resource.RLIMIT_NOFILE)[1]
         parking, backends = create_parking(clients, clock, sockets, auth_sockets)
     if auth_config is not None:
-        core, auth, auth_listener = await start_auth(auth_config, clock, secrets.randbits(64), parking)
-        cores["auth"] = core, auth_listener
+        parts, auth, auth_listener = await start_auth(auth_config, clock, secrets.randbits(64), parking)
+        parts_by_front["auth"] = parts, auth_listener
         classes += auth_config.settings.classes
     if config is not None:
         sockets = config.sockets - (auth_config.sockets if auth_config is not None else 0)
@@ -167,10 +167,10 @@
         inherited = inherited_socket(os.environ)
         path = handover_path(config.name, os.environ) if inherited is not None else None
         successor = await request_handover(path)
-        core, listener = await start_platform(
+        parts, listener = await start_platform(
             config, clock, sockets, auth, parking, backends, inherited, successor, watch
         )
-        cores["platform"] = core, listener
+        parts_by_front["platform"] = parts, listener
         classes += config.settings.classes
         if (membership := files.membership(config)) is not None:
             member_state = (
@@ -178,42 +178,45 @@
                 if successor is not None and successor.process_state is not None
                 else None
             )
-            start_membership(config, membership, core, member_state)
+            start_membership(config, membership, parts, member_state)
         if path is not None:
-            predecessor = await_successor(path, core, listener, watch)
+            predecessor = await_successor(path, parts, listener, watch)
         if successor is not None:
-            successor.announce_ready(listener, core.peers)
+            successor.announce_ready(listener, parts.peers)
         if config.admin is not None:
-            admin = await open_admin(config.admin, core, listener)
+            admin = await open_admin(config.admin, parts, listener)
     if metrics is not None:
         instance = config.name if config is not None else "auth"
-        tasks += [loop.create_task(reporter.run()) for reporter in create_reporters(metrics, instance, cores)]
+        tasks += [
+            loop.create_task(reporter.run())
+            for reporter in create_reporters(metrics, instance, parts_by_front)
+        ]
 
     def reload() -> None:
         nonlocal config, auth_config
         if not stop.is_set():  # no reload during a drain
-            config, auth_config = reload_config(files, config, auth_config, cores, watch, parking)
+            config, auth_config = reload_config(files, config, auth_config, parts_by_front, watch, parking)
 
     recorders = []
     if files.capture_folder is not None:
         name = config.name if config is not None else "auth"
-        for core_name, (core, _) in cores.items():
-            label = name if core_name == "platform" else f"{name}-auth"
-            recorders.append(create_recorder(files.capture_folder, label, core, clock))
+        for front_name, (parts, _) in parts_by_front.items():
+            label = name if front_name == "platform" else f"{name}-auth"
+            recorders.append(create_recorder(files.capture_folder, label, parts, clock))
 
     loop.add_signal_handler(signal.SIGHUP, reload)
     gc.collect()
     gc.freeze()
 
     await stop.wait()
-    listeners = [listener for _, listener in cores.values() if listener is not None]
+    listeners = [listener for _, listener in parts_by_front.values() if listener is not None]
     log_message("stop", f"draining {count_connections(listeners, parking)} connections")
     max_deadline_s = max(request_class.deadline_ns for request_class in classes) / SECOND
     if predecessor is not None and await predecessor.finish(max_deadline_s + DRAIN_MARGIN_S):
         listeners.remove(listener)
-    for core, _ in cores.values():
-        if core.membership is not None:
-            core.membership.leave()
+    for parts, _ in parts_by_front.values():
+        if parts.membership is not None:
+            parts.membership.leave()
     try:
         async with asyncio.timeout(max_deadline_s + DRAIN_MARGIN_S):
             await asyncio.gather(*(listener.drain() for listener in listeners))
@@ -223,9 +226,9 @@
     except TimeoutError:
         log_message("stop", "the drain timed out with open connections")
     watch.stop()
-    for core, _ in cores.values():
-        if core.membership is not None:
-            core.membership.close()
+    for parts, _ in parts_by_front.values():
+        if parts.membership is not None:
+            parts.membership.close()
     if admin is not None:
         admin.close()
     for task in tasks:
@@ -247,11 +250,11 @@
     load_or_create_key(Path(folder))
 
 
-def create_recorder(folder: str, name: str, core: Core, clock: Clock) -> Recorder:
-    """Starts to record a core's requests in the folder; workers are recorded with their names and zones."""
+def create_recorder(folder: str, name: str, parts: GatekeeperParts, clock: Clock) -> Recorder:
+    """Starts to record a gatekeeper's requests in the folder; workers appear with their names and zones."""
     from pepperrun.capture.recorder import Recorder, load_or_create_key, rotating_files
 
-    directory = core.directory
+    directory = parts.directory
 
     def name_and_zone(backend: int) -> tuple[str, str]:
         endpoint = directory.endpoints.get(backend)
@@ -259,14 +262,14 @@
 
     path = Path(folder)
     recorder = Recorder(
-        core.settings,
+        parts.settings,
         name,
         load_or_create_key(path),
         name_and_zone,
         rotating_files(path, name, MAX_CAPTURE_FILES),
         clock,
     )
-    core.gatekeeper.observer = recorder.record
+    parts.gatekeeper.observer = recorder.record
     return recorder
 
 
--- a/pepperrun/soak/planned_work.py
+++ b/pepperrun/soak/planned_work.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 
 from pepperrun.foundation.errors import PepperrunError
-from pepperrun.operator.core_client import CoreClient
+from pepperrun.operator.control_client import ControlClient
 from pepperrun.operator.local_cluster import Child, LocalCluster
 from pepperrun.soak.records import Stop
 
@@ -37,7 +37,7 @@
         self.stops: list[Stop] = []
         self.overdue: list[str] = []
         self.counts: Counter[str] = Counter()
-        self.core_client, self.edition = CoreClient(cluster.control_addresses, CALL_TIMEOUT_S), 1
+        self.control_client, self.edition = ControlClient(cluster.control_addresses, CALL_TIMEOUT_S), 1
 
     async def run(self, stop_requested: asyncio.Event, routes: Callable[[int], dict[str, object]]) -> None:
         """Do all kinds of work until `stop_requested` is set; a restart step under way is completed.
@@ -102,7 +102,7 @@
     async def read_edition(self) -> int:
         """Return the configuration edition of the control plane; 0 if it can't be read."""
         try:
-            response = await asyncio.to_thread(self.core_client.call, "GET", "/timetable/read")
+            response = await asyncio.to_thread(self.control_client.call, "GET", "/timetable/read")
         except PepperrunError:
             return 0
         return int(json.loads(response.body)["edition"]) if response.status == 200 else 0
@@ -120,7 +120,7 @@
         headers, data = {"Based-On": str(self.edition)}, json.dumps(body).encode()
         try:
             response = await asyncio.to_thread(
-                self.core_client.call, "POST", "/timetable/amend", data, headers
+                self.control_client.call, "POST", "/timetable/amend", data, headers
             )
         except PepperrunError:
             self.counts["change without an answer"] += 1
--- a/pepperrun/soak/run.py
+++ b/pepperrun/soak/run.py
@@ -130,7 +130,7 @@
 
 async def _run(options: Options, cluster: LocalCluster, records: Path) -> Report:
     rng, sent = random.Random(options.seed), list[SentRequest]()
-    directory = [(ip, cluster.ports["directory_port"]) for ip in cluster.cores]
+    directory = [(ip, cluster.ports["directory_port"]) for ip in cluster.control_nodes]
     regions = sorted(set(ZONES.values()))
     clients = []
     for number in range(options.clients):
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -16,7 +16,7 @@
 from pepperrun import operatorctl
 from pepperrun.foundation.errors import PepperrunError
 from pepperrun.operator import inspection, problems
-from pepperrun.operator.core_client import CoreClient
+from pepperrun.operator.control_client import ControlClient
 from pepperrun.operator.local_cluster import LocalCluster, Sizes
 
 
@@ -54,14 +54,14 @@
         server.server_close()
 
 
-def client(*addresses: tuple[str, int]) -> CoreClient:
+def client(*addresses: tuple[str, int]) -> ControlClient:
     """Returns a client whose pauses take no real time."""
     now = [0.0]
 
     def sleep(seconds: float) -> None:
         now[0] += seconds
 
-    return CoreClient(list(addresses), 5, lambda: now[0], sleep)
+    return ControlClient(list(addresses), 5, lambda: now[0], sleep)
 
 
 def test_a_call_is_repeated_unchanged_until_a_final_response():
@@ -146,11 +146,12 @@
         internal_port = cluster.ports["siding"]
         core_state, gateway_state = (
             asyncio.run(inspection.query_process((ip, internal_port)))
-            for ip in (cluster.cores[0], cluster.gateways[0])
+            for ip in (cluster.control_nodes[0], cluster.gateways[0])
         )
         assert (core_state["class"], core_state["edition"], core_state["majority"]) == ("sorting", 1, True)
         assert (
-            core_state["voters"] == [[cluster.cores[0], "first"]] and core_state["keeper"] == cluster.cores[0]
+            core_state["voters"] == [[cluster.control_nodes[0], "first"]]
+            and core_state["keeper"] == cluster.control_nodes[0]
         )
         assert core_state["cells"]["north-a"]["workers"] == {"search": {"boarding": 1}}
         assert (gateway_state["class"], gateway_state["edition"], gateway_state["root"]) == (
