--- a/benchmarks/capacity_control.py
+++ b/benchmarks/capacity_control.py
@@ -127,7 +127,7 @@
 
     def beat() -> None:
         cells.heartbeat(read_heartbeat(id, body), 0, SECOND)
-        cells.forward_to(id, zone, "zone-0", regions)
+        cells.other_preferred_node(id, zone, "zone-0", regions)
 
     now = [SECOND]
 
--- a/pepperrun/control/configuration.py
+++ b/pepperrun/control/configuration.py
@@ -1,6 +1,16 @@
 """Types of a configuration: the routes, services, tenants ("senders") and client limits of one edition.
 
-Operators send the fields under these names.
+Operators send the fields under the keys of this file. Where the code uses another name for one:
+
+| key | name in the code |
+|---|---|
+| `senders` | tenants (`TenantConfig`) |
+| `stamps`, `unstamped` | keys of a tenant; `keyless`: no key is needed |
+| `carrier_lines`, `line` | services (`ServiceConfig`); the service of a route or split |
+| `depot` | host |
+| `berth_cap` | limit on connections to one worker |
+| `surge` | burst of a quota |
+| `tries` | attempts (`max_attempts`) |
 """
 
 from __future__ import annotations
--- a/pepperrun/control/endpoint_registry.py
+++ b/pepperrun/control/endpoint_registry.py
@@ -121,8 +121,8 @@
         self.peers.pop(ip, None)
         self.liveness.disconnected(ip)
 
-    def stop_forwarding_to(self, ip: str) -> None:
-        """Forward no more heartbeats to a node that is shutting down."""
+    def stop_assigning_workers_to(self, ip: str) -> None:
+        """Stop naming a node that is shutting down to workers as the node for their heartbeats."""
         self.peers.pop(ip, None)
 
     def quorum_changed(self, *, has_quorum: bool, now: int) -> None:
@@ -256,8 +256,13 @@
             possibly_cold = replace(worker, maybe_cold=True, serial=self._last_serial(worker))
             self._update(possibly_cold, now, urgent=True)
 
-    def forward_to(self, worker_id: str, zone: str, own_zone: str, regions: Mapping[str, str]) -> str | None:
-        """Return the ip of the node to which a worker should send its heartbeats; None for this node."""
+    def other_preferred_node(
+        self, worker_id: str, zone: str, own_zone: str, regions: Mapping[str, str]
+    ) -> str | None:
+        """Return the ip of the node to which a worker should send its heartbeats; None for this node.
+
+        Nothing is forwarded: the response to a heartbeat names that node, and the worker then calls it.
+        """
         nodes = {self.own_ip: own_zone} | self.peers
         best = preferred_node(worker_id, zone, nodes, regions)
         return None if best == self.own_ip else best
--- a/pepperrun/control/handlers.py
+++ b/pepperrun/control/handlers.py
@@ -167,14 +167,14 @@
         needed = node.voter_count // 2 if is_draining else 0
         token = node.registry.heartbeat(heartbeat, needed, node.now())
         node.process_pending()
-        body = self._forwarding(heartbeat)
+        body = self._preferred_node_body(heartbeat)
         return Answer(200, body) if token is None else self._once_replicated(token, body)
 
-    def _forwarding(self, heartbeat: WorkerHeartbeat) -> bytes:
-        """Return the response body, which names the node to which a worker should send its heartbeats."""
+    def _preferred_node_body(self, heartbeat: WorkerHeartbeat) -> bytes:
+        """Return the response body: the node that the worker should call from now on, or an empty object."""
         node = self.node
         zones = node.settings.network.zones
-        ip = node.registry.forward_to(heartbeat.id, heartbeat.zone, node.settings.me.zone, zones)
+        ip = node.registry.other_preferred_node(heartbeat.id, heartbeat.zone, node.settings.me.zone, zones)
         return json.dumps({"forward_to": node.control_address(ip)}).encode() if ip is not None else b"{}"
 
     def worker_ended(self, call: Call) -> Answer | AwaitedAnswer:
--- a/pepperrun/control/heartbeat_routing.py
+++ b/pepperrun/control/heartbeat_routing.py
@@ -1,4 +1,7 @@
-"""Heartbeat routing: chooses the control node to which a worker sends its heartbeats. Pure."""
+"""Heartbeat routing: chooses the control node to which a worker sends its heartbeats. Pure.
+
+No node forwards heartbeats: the response to a heartbeat names the chosen node, which the worker then calls.
+"""
 
 from __future__ import annotations
 
--- a/pepperrun/control/node.py
+++ b/pepperrun/control/node.py
@@ -151,7 +151,7 @@
             case peer_messages.KNOWN_PEERS:
                 self.peer_links.add_known(peer_messages.decode_known_peers(data), now)
             case peer_messages.PEER_STOPPING:
-                self.registry.stop_forwarding_to(ip)
+                self.registry.stop_assigning_workers_to(ip)
 
     def closed(self, link: Link) -> None:
         """Handle the end of a link."""
@@ -200,17 +200,17 @@
 
     @property
     def workers(self) -> Mapping[str, Worker]:
-        """Records of workers by id."""
+        """All workers in this node's copy of the records, by id; ended ones stay for a while."""
         return self.registry.workers
 
     @property
     def gateways(self) -> Mapping[str, GatewayRecord]:
-        """Records of gatekeepers by name."""
+        """All gatekeepers in this node's copy of the records, by name; gone ones stay for a while."""
         return self.registry.gateways
 
     @property
     def digests(self) -> RangeDigests:
-        """Digests of the records."""
+        """Digests over ranges of this node's records, by which other nodes find the records that differ."""
         return self.registry.digests
 
     @property
--- a/pepperrun/control/peer_messages.py
+++ b/pepperrun/control/peer_messages.py
@@ -94,7 +94,7 @@
 
 
 def encode_stopping() -> Message:
-    """Return the message of a node that shuts down: others then forward no more heartbeats to it."""
+    """Return the message of a node that shuts down: others then name it to no worker."""
     return {"k": PEER_STOPPING}
 
 
--- a/tests/test_endpoint_registry.py
+++ b/tests/test_endpoint_registry.py
@@ -250,15 +250,18 @@
     assert set(answer([near, home, far], "other.example").addresses) == {"g0:80", "g1:80", "g2:80"}
 
 
-def test_heartbeats_are_forwarded_evenly_to_linked_nodes_of_the_zone_and_keep_their_node() -> None:
+def test_workers_are_assigned_evenly_to_linked_nodes_of_the_zone_and_keep_their_node() -> None:
     world, regions = World(4), {"z0": "r0", "z1": "r0", "z2": "r0", "z3": "r1", "z4": "r0"}
-    forward_to = world.registries[A].forward_to
-    assert forward_to("w1", "z1", "z0", regions) == B and forward_to("w1", "z0", "z0", regions) is None
+    other_preferred_node = world.registries[A].other_preferred_node
+    assert (
+        other_preferred_node("w1", "z1", "z0", regions) == B
+        and other_preferred_node("w1", "z0", "z0", regions) is None
+    )
     # No node is in its zone, three are in its region.
-    spread = [forward_to(f"w{n}", "z4", "z0", regions) for n in range(300)]
+    spread = [other_preferred_node(f"w{n}", "z4", "z0", regions) for n in range(300)]
     assert {one: spread.count(one) > 60 for one in spread} == {None: True, B: True, C: True}
     world.registries[A].disconnected(B, world.now)
-    after = [forward_to(f"w{n}", "z4", "z0", regions) for n in range(300)]
+    after = [other_preferred_node(f"w{n}", "z4", "z0", regions) for n in range(300)]
     assert B not in after and all(was in (B, now) for was, now in zip(spread, after, strict=True))
 
 
