--- a/pepperrun/dataplane/attempt_reports.py
+++ b/pepperrun/dataplane/attempt_reports.py
@@ -20,7 +20,7 @@
 from pepperrun.foundation.logs import event as log_event
 from pepperrun.net.connection import AbandonReason, Attempt
 
-ABANDONED, LATE, ANSWERED_OVER = "attempt-abandoned", "attempt-late", "answered-over-attempt"
+ABANDONED, LATE, ANSWERED_WITH_OPEN_ATTEMPTS = "attempt-abandoned", "attempt-late", "answered-over-attempt"
 CLIENT_LEFT, OUTLIVED = "client-left", "attempt-outlived-client"
 OUTLIVED_NS = 500 * MS  # work that goes on for so long after its client has left is reported as wasted
 LINES_PER_S = 20.0
@@ -33,11 +33,11 @@
     Parameters
     ----------
     clock
-        Returns the steady clock in nanoseconds.
+        Returns the monotonic clock in nanoseconds.
     worker_name
         Returns the id of the worker with this number.
     is_draining
-        Returns True once this gatekeeper has been told to stop.
+        Returns True once this gatekeeper is draining.
     log
         Writes one event.
     """
@@ -66,10 +66,10 @@
         measure = {"mean_ms": known.mean_ns / MS, "limit_ms": limit_ns / MS, "answers": known.answers}
         self._write(LATE, attempt.exchange, attempt.number, attempt.backend, **measure)
 
-    def answered_over(self, exchange: Exchange[Any, Any], end: End) -> None:
+    def answered_with_open_attempts(self, exchange: Exchange[Any, Any], end: End) -> None:
         """Records a final answer of this gatekeeper itself while a worker may be at work on the request."""
         number = max(exchange.open_attempts)
-        self._write(ANSWERED_OVER, exchange, number, None, end=end.value.replace(" ", "-"))
+        self._write(ANSWERED_WITH_OPEN_ATTEMPTS, exchange, number, None, end=end.value.replace(" ", "-"))
 
     def client_left(self, attempts: list[Attempt]) -> None:
         """Records that the client of these attempts has left while they are in flight."""
--- a/pepperrun/dataplane/ejection.py
+++ b/pepperrun/dataplane/ejection.py
@@ -3,7 +3,7 @@
 Decides without I/O. A single gatekeeper sees an unhealthy worker too seldom: with 12 requests a second over
 three services and eight workers each, a worker that fails half of them would be told from chance only after
 most of a fault's duration. So the gatekeepers of a zone combine what they see. A gatekeeper that has seen a
-failure reports the counts of that worker to the others of its zone, and while the worker is in doubt so do
+failure reports the counts of that worker to the others of its zone, and while the worker is suspected so do
 they; of workers that do well nothing is reported. Each gatekeeper judges for itself from the same counts. So
 an ejection holds for the callers of this zone and depends on no machine that might be down, and a worker that
 fails the callers of one zone is ejected by those only.
@@ -19,6 +19,11 @@
 its service has any: one failure ends the trial, some successes end the ejection. Of the workers of one
 service in one region that take load, at most a third are ejected. Where more than half look bad the fault is
 not theirs, and none is ejected.
+
+`core.fleet` ejects backends too, in each gatekeeper for itself and for one class of requests. It knows only
+the outcomes that this gatekeeper saw, because `Numbering.settings` turns `share_backend_reports` off. There
+three failures in a row suffice, and the score halves every 8 s. A worker gets a request only where both allow
+it: `core.fleet` calls `Gate.may_send`, which asks this module, for each backend that it would choose.
 """
 
 from __future__ import annotations
@@ -48,7 +53,7 @@
 
 @dataclass(slots=True)
 class FailureRecord:
-    """What is known of one worker that has failed recently. Times are steady ns."""
+    """What is known of one worker that has failed recently. Times are monotonic ns."""
 
     updated_at: int
     score: float = 0.0
--- a/pepperrun/dataplane/front.py
+++ b/pepperrun/dataplane/front.py
@@ -97,7 +97,7 @@
         self._timeouts, self._keep_alive = ClientTimeouts(), b""
 
     def update_table(self, table: RoutingTable) -> None:
-        """Takes a newer configuration."""
+        """Applies a newer configuration."""
         self.table, limits = table, table.limits
         idle_ns, request_ns = int(limits.dwell_ms * MS), int(limits.envelope_ms * MS)
         announced_s = idle_ns // SECOND
@@ -111,16 +111,20 @@
         )
 
     def client_timeouts(self) -> ClientTimeouts:
-        """Returns the time-outs of client connections."""
+        """Returns the time-outs of the present configuration, or the defaults before there is one."""
         return self._timeouts
 
     def make_client(self, listener: Listener) -> FrontClient:
-        """Returns the protocol of a new connection."""
+        """Returns the object that reads the requests of a newly accepted connection and answers them."""
         return FrontClient(self, listener)
 
-    def _if_fresh(self, answer: Answer, now: int) -> Answer:
-        """Returns the answer, or advice to retry while a newer configuration may be in force."""
-        return answer if self.gate.is_fresh(now, self.max_age_ns) else self.retry_later()
+    def _if_fresh(self, answer: Answer, arrived_at: int) -> Answer:
+        """Returns the answer, or advice to retry while a newer configuration may be in force.
+
+        The age of the state counts at the arrival of the request: the answer has to be right for the
+        configuration that was in force then.
+        """
+        return answer if self.gate.is_fresh(arrived_at, self.max_age_ns) else self.retry_later()
 
     def retry_later(self, wait_ns: int = 0) -> Answer:
         """Returns a 503: the request has not run and never will, and may be retried after the wait."""
@@ -248,8 +252,8 @@
 
     def _abort_upload(self, status: int, text: bytes) -> None:
         # 408 would promise that the worker, which has part of the body, does not run the request.
-        spent = self.pending is not None and self.pending[1].body_consumed
-        super()._abort_upload(504 if status == 408 and spent else status, text)
+        consumed = self.pending is not None and self.pending[1].body_consumed
+        super()._abort_upload(504 if status == 408 and consumed else status, text)
 
     def handle_request(self, request: Request) -> Submission | Answer:
         routed = self.front.route_request(request)
--- a/pepperrun/dataplane/gate.py
+++ b/pepperrun/dataplane/gate.py
@@ -15,7 +15,10 @@
 from pepperrun.dataplane.workers import WorkerTable
 from pepperrun.foundation.settings import Bounds
 
-REVOCATION_MARGIN_MS = 500  # before a revoked key expires requests with a key are no longer sent
+# A revoked key must be out of use after `revoke_ms`. A gatekeeper that may have missed a revocation stops
+# sending requests with a key this long before that: when its state was last confirmed `revoke_ms` minus this
+# margin ago.
+REVOCATION_MARGIN_MS = 500
 SAFE_TIMEOUT_NS = 5000 * MS  # a service without a safe request for so long is tried with unsafe ones
 RETRY_NS = 500 * MS  # until the state may be fresh again
 RECORDS_TIMEOUT_MS = 4000  # without updates for so long any worker may be warming up
@@ -25,7 +28,7 @@
     """Decides at the moment of sending whether a request may go out, and to which workers.
 
     Implements `core.interface.Gate`. `confirmed_at` and `records_confirmed_at` return when the replicated
-    state and the records were last known to be the newest, in steady ns.
+    state and the records were last known to be the newest, in monotonic ns.
     """
 
     def __init__(
@@ -49,8 +52,8 @@
 
     def update_bounds(self, bounds: Bounds) -> None:
         """Applies the present bounds of the settings."""
-        # Without a request to an owner, quotas may be spent only for a limited time as well: the others split
-        # them anew without a gatekeeper that is partitioned.
+        # A gatekeeper spends its quota shares without a call to an owner for each request. A partitioned one
+        # must stop after a limited time, because the others will have divided its shares among themselves.
         self.tenants_need_fresh_state = bounds.revocation_total or bounds.quota_window_s > 0
         self.fence_ns = int(max(0.0, bounds.revoke_ms - REVOCATION_MARGIN_MS) * MS)
 
--- a/pepperrun/dataplane/inspection.py
+++ b/pepperrun/dataplane/inspection.py
@@ -8,7 +8,7 @@
 
 from pepperrun.control.records import GatewayRecord, WorkerState
 from pepperrun.core.clock import Bucket
-from pepperrun.dataplane.attempt_reports import ANSWERED_OVER, CLIENT_LEFT, LATE, OUTLIVED
+from pepperrun.dataplane.attempt_reports import ANSWERED_WITH_OPEN_ATTEMPTS, CLIENT_LEFT, LATE, OUTLIVED
 from pepperrun.dataplane.plane import DataPlane
 from pepperrun.distribution.service import DistributionService
 from pepperrun.distribution.tree import parents
@@ -33,7 +33,7 @@
         plane.gatekeeper,
         plane.table,
     )
-    core, parent = follower.control_node, follower.parent
+    control_node, parent = follower.control_node, follower.parent
     return {
         **{"k": "shown", "class": "counter", "station": own.name, "zone": own.zone, "region": own.region},
         **{
@@ -47,7 +47,7 @@
             "age_ms": _age(replicated.confirmed_at, now),
             "cells_age_ms": _age(replicated.records_confirmed_at, now),
         },
-        "core": {"ip": core.address[0], "linked": core.connection is not None},
+        "core": {"ip": control_node.address[0], "linked": control_node.connection is not None},
         "parent": {"station": parent.parent_name, "number": parent.version} if parent else None,
         **{"root": follower.is_root, "depth": tree_depth(own.name, own.zone, replicated.gateways.values())},
         "children": [
@@ -71,7 +71,10 @@
         "answers": {end.value: count for end, count in gatekeeper.counts.items()},
         "attempts": {outcome.name.lower(): count for outcome, count in gatekeeper.outcomes.items()},
         "abandoned": {str(reason): count for reason, count in plane.reports.abandoned_by_reason.items()},
-        **{"late": plane.reports.counts[LATE], "answered_over": plane.reports.counts[ANSWERED_OVER]},
+        **{
+            "late": plane.reports.counts[LATE],
+            "answered_over": plane.reports.counts[ANSWERED_WITH_OPEN_ATTEMPTS],
+        },
         **{"clients_left": plane.reports.counts[CLIENT_LEFT], "outlived": plane.reports.counts[OUTLIVED]},
         "answer_times": _answer_times(plane),
     }
@@ -94,7 +97,7 @@
 
 
 def tree_depth(name: str, zone: str, gateways: Iterable[GatewayRecord]) -> int:
-    """Returns the number of links from the core to this gatekeeper, if each follows its preferred parent."""
+    """Returns the number of links from a control node to this gatekeeper if all use preferred parents."""
     known, steps = list(gateways), 1
     while steps < MAX_DEPTH and (above := parents(name, zone, known)):
         name, steps = above[0].name, steps + 1
--- a/pepperrun/dataplane/numbering.py
+++ b/pepperrun/dataplane/numbering.py
@@ -132,7 +132,7 @@
         )
 
     def set_agreed_gateways(self, gateways: int) -> None:
-        """Takes the number of gatekeepers from the agreed state."""
+        """Applies the number of gatekeepers of the agreed state."""
         if gateways != self.agreed_gateways:
             self.agreed_gateways, self.changed = gateways, True
 
--- a/pepperrun/dataplane/outcome_sharing.py
+++ b/pepperrun/dataplane/outcome_sharing.py
@@ -108,7 +108,7 @@
     # Membership.
 
     def on_gateways(self, gateways: Iterable[GatewayRecord], own_name: str, zone: str) -> None:
-        """Takes in the gatekeepers present: those of this zone share what they see."""
+        """Applies which gatekeepers are present: those of this zone share what they see."""
         names = {own_name}
         for gateway in gateways:
             if gateway.zone == zone and gateway.state in (GatewayState.READY, GatewayState.STARTING):
@@ -150,7 +150,7 @@
         given: object = None,
         units: float = 0.0,
     ) -> None:
-        """Takes in the end of an attempt. Other attempts of a request that was answered are cancelled."""
+        """Handles the end of an attempt. Other attempts of a request that was answered are cancelled."""
         now, key = self.clock(), (exchange.id, attempt)
         self.reports.ended(exchange, attempt, backend, outcome)
         if outcome is Outcome.OK:
@@ -259,7 +259,7 @@
                 self.peer_messages.send_datagram(data, address)
 
     def on_report(self, data: bytes, addr: Address) -> None:
-        """Takes in a datagram of another gatekeeper."""
+        """Handles a report from another gatekeeper; ignores one that is invalid or of an unknown sender."""
         report = decode(data)
         if report is None:
             return
--- a/pepperrun/dataplane/peer_messages.py
+++ b/pepperrun/dataplane/peer_messages.py
@@ -39,7 +39,7 @@
         return tuple(sorted(number for _, number in self.present.values()))
 
     def update(self, gateways: Iterable[GatewayRecord]) -> bool:
-        """Takes in records; returns whether the set of present gatekeepers changed."""
+        """Applies records; returns whether the set of present gatekeepers changed."""
         before = self.members
         for gateway in gateways:
             if gateway.name == self.own_name:
--- a/pepperrun/dataplane/plane.py
+++ b/pepperrun/dataplane/plane.py
@@ -1,4 +1,4 @@
-"""Assembles the data plane: takes in updates of state and records, and serves requests through the core."""
+"""Assembles the data plane: applies updates of state and records, and serves requests through the core."""
 
 from __future__ import annotations
 
@@ -37,8 +37,12 @@
 CONNECT_TIMEOUT_NS = SECOND
 MIN_CONNECTIONS_PER_WORKER = 2  # of this gatekeeper
 CONNECTION_CAP_FRACTION = 0.9  # of a worker's connections, as others may assume another number of gatekeepers
-RESTORE_S = 4.0  # after a 421; by then the worker's address may be its own again
-ANSWER_NS = 500 * MS  # margin: a 404 or 401 needs a state younger than `edition_ms` by this
+# After a 421 a worker gets no requests for this time: its address belongs to another worker. Longer than
+# `workers.MISDIRECTED_NS`, so that the exclusion has ended when the timer fires.
+MISDIRECTED_RESTORE_DELAY_S = 4.0
+# A 404 or 401 is sent only if the state was last confirmed at most `edition_ms` minus this margin, or half of
+# `edition_ms` if that is longer, before the request arrived. Otherwise the client gets a 503 and may retry.
+DEFINITE_REFUSAL_MARGIN_NS = 500 * MS
 
 
 class DataPlane:
@@ -85,7 +89,7 @@
         self.reports = AttemptReports(
             clock, lambda worker: self.workers.id_by_number.get(worker, "?"), lambda: self.listener.draining
         )
-        self.gatekeeper.on_answered_with_open_attempts = self.reports.answered_over
+        self.gatekeeper.on_answered_with_open_attempts = self.reports.answered_with_open_attempts
         self.outcome_sharing = OutcomeSharing(
             loop,
             clock,
@@ -116,7 +120,7 @@
         self.gatekeeper.on_client_left = self._on_client_left
         self.outcome_sharing.start(self.upstream)
         self.gatekeeper.backends = self.upstream
-        max_age_ns = int(max(bounds.edition_ms - ANSWER_NS / MS, bounds.edition_ms / 2) * MS)
+        max_age_ns = int(max(bounds.edition_ms - DEFINITE_REFUSAL_MARGIN_NS / MS, bounds.edition_ms / 2) * MS)
         self.front = Front(self.numbering, self.gate, self.gatekeeper, clock, budget, seed, max_age_ns)
         self.listener = FrontListener(loop, clock, sockets // 2, self.front.make_client)
         self.listener.get_timeouts = self.front.client_timeouts
@@ -132,7 +136,7 @@
     # Updates from the distribution tree.
 
     def on_agreed_state(self, version: int, state: dict[str, Any], change: object = None) -> None:
-        """Takes in a newer agreed state; an older one changes nothing."""
+        """Applies a newer agreed state; an older one changes nothing."""
         if self.table is not None and version <= self.table.version:
             return
         table = RoutingTable(version, state, self.numbering, self.table)
@@ -146,7 +150,7 @@
         self._limit_connections()
 
     def _update_quota_owners(self, listed: dict[str, Any] | None, table: RoutingTable) -> None:
-        """Takes the quota owners from the agreed state."""
+        """Applies the quota owners of the agreed state."""
         quota_owners, quotas = self.quota_owners, self.gatekeeper.gateway.quotas
         quota_owners.plans = {tenant.customer: tenant.plan for tenant in table.tenants.values()}
         if quota_owners.update(listed, self.clock()):
@@ -161,7 +165,7 @@
         return self.peers.present.get(name, (0, ABSENT))[1]
 
     def on_workers(self, changed: Iterable[Worker]) -> None:
-        """Takes in records of workers that are new or have changed."""
+        """Applies records of workers that are new or have changed."""
         changes = self.workers.update(changed)
         self._apply_settings()
         self._update_backends(changes)
@@ -169,7 +173,7 @@
         self.outcome_sharing.ejection.retain(self.workers.by_number)
 
     def on_gateways(self, changed: Iterable[GatewayRecord]) -> None:
-        """Takes in records of gatekeepers that are new or have changed."""
+        """Applies records of gatekeepers that are new or have changed."""
         changed = list(changed)
         self.slow_start.update(changed)
         membership_changed = self.peers.update(changed)
@@ -186,7 +190,7 @@
             self._limit_connections()
 
     def update_membership_status(self, absent: frozenset[str], suspects_itself: bool) -> None:
-        """Takes the gatekeepers that are probably absent, which own no quota shares for now.
+        """Applies which gatekeepers are probably absent; these own no quota shares for now.
 
         A gatekeeper that suspects itself grants no units. Otherwise quotas still depend on when each peer was
         last heard from: the share of a peer that is only unreachable is not given to others.
@@ -213,11 +217,13 @@
         each = int(min(caps) * CONNECTION_CAP_FRACTION) // self.numbering.gateways if caps else 0
         self.upstream.max_per_backend = max(MIN_CONNECTIONS_PER_WORKER, each) if caps else 0
 
+    # Callbacks of the connections to workers and of the gatekeeper.
+
     def _on_misdirected(self, backend: int) -> None:
         now = self.clock()
         event("misdirected", worker=self.workers.id_by_number.get(backend, "?"))
         self._update_backends(self.workers.mark_misdirected(backend, now))
-        asyncio.get_running_loop().call_later(RESTORE_S, self._restore_misdirected)
+        asyncio.get_running_loop().call_later(MISDIRECTED_RESTORE_DELAY_S, self._restore_misdirected)
 
     def _restore_misdirected(self) -> None:
         self._update_backends(self.workers.restore_misdirected(self.clock()))
@@ -234,8 +240,10 @@
         text = re.sub(r"backend (\d+)", lambda match: f"worker {names.get(int(match[1]), match[1])}", text)
         event("decisions", text=text)
 
+    # Readiness and shutdown.
+
     def ready(self) -> bool:
-        """Whether it has a configuration, knows the state to be fresh, and accepts clients."""
+        """Whether this gatekeeper has a configuration, knows the state to be fresh, and accepts clients."""
         fresh = self.gate.is_fresh(self.clock(), int(self.settings.tariffs.bounds.edition_ms * MS))
         return self.table is not None and fresh and self.listener.accepts_clients()
 
@@ -248,6 +256,8 @@
         for exchange in list(self.gatekeeper.exchanges.values()):
             self.gatekeeper.expire(exchange)
 
+    # Settings.
+
     def reload_settings(self, settings: Settings) -> None:
         """Applies a changed settings file."""
         me, bounds = settings.me, settings.tariffs.bounds
@@ -263,6 +273,8 @@
         self._apply_settings()
         self._update_backends(self.workers.update_zones(zones))
 
+    # End.
+
     def close(self) -> None:
         """Closes all sockets and stops all timers."""
         self.listener.close()
--- a/pepperrun/dataplane/routes.py
+++ b/pepperrun/dataplane/routes.py
@@ -22,7 +22,7 @@
 
 
 def read_item(kind: type[Converted], item: Item) -> Converted:
-    """Returns an item of the agreed state, converted as the core machines converted it when it was accepted.
+    """Returns an item of the agreed state, converted as the control nodes converted it when it was accepted.
 
     The same columns may be missing, and whole numbers may be written as 3.0. Raises PepperrunError for an
     item that is not valid.
@@ -112,7 +112,10 @@
         ]
 
     def limits_for(self, remaining_ns: int) -> RequestLimits:
-        """Returns the limits for a request whose client waits for so long."""
+        """Returns the limits for a request with this time left; remembers the route's longest one so far.
+
+        The longest is `initial_ns`: what a request has less than that counts as time it has waited already.
+        """
         if remaining_ns > self.limits.initial_ns:
             self.limits = replace(self.limits, initial_ns=remaining_ns)
         return self.limits
--- a/pepperrun/dataplane/slow_start.py
+++ b/pepperrun/dataplane/slow_start.py
@@ -9,6 +9,10 @@
 requests in any second, and V different views of the membership lead to at most V * K * (1 + floor(1 / S)):
 with cold_per_s 5.3 that is 6 for one view and 12 for two, below B = 12.95. Where two views could exceed B, S
 grows until they do not.
+
+`core.fleet` has a slow start of its own: a share of load that grows with the time since a backend's start.
+That one is off in the data plane, as `Numbering.settings` leaves `slow_start_ns` at 0. It is for gatekeepers
+without control nodes (`pepperrun.serve`).
 """
 
 from __future__ import annotations
@@ -63,7 +67,7 @@
         self.next_at: dict[int, int] = {}  # by worker: when the next request may go there
 
     def update(self, gateways: Iterable[GatewayRecord]) -> None:
-        """Takes in records of gatekeepers that are new or have changed."""
+        """Applies records of gatekeepers that are new or have changed."""
         for gateway in gateways:
             old = self.gateways.get(gateway.name)
             self.gateways[gateway.name] = gateway
--- a/pepperrun/dataplane/trace.py
+++ b/pepperrun/dataplane/trace.py
@@ -27,7 +27,7 @@
 
 
 class LogRateLimit:
-    """Lets `rate` lines through a second, in bursts of as many, and counts the others. Times: steady ns."""
+    """Lets `rate` lines a second through, in bursts of as many, counts the others. Times: monotonic ns."""
 
     def __init__(self, rate: float, now: int) -> None:
         self.rate, self.burst, self.level, self.at, self.suppressed = (
--- a/pepperrun/dataplane/workers.py
+++ b/pepperrun/dataplane/workers.py
@@ -52,7 +52,7 @@
         return self.number_by_id[name]
 
     def update(self, workers: Iterable[Worker]) -> BackendList:
-        """Takes in records that are new or have changed; returns the changes for the core."""
+        """Applies records that are new or have changed; returns the changes for the core."""
         changed = []
         for worker in workers:
             number = self.number_for(worker.id)
--- a/pepperrun/distribution/publisher.py
+++ b/pepperrun/distribution/publisher.py
@@ -37,7 +37,8 @@
 MAX_HISTORY_BYTES = 256 * 1024
 LARGE_BYTES = 32 * 1024  # on the link; takes 0.13 s at 2 Mbit/s, the slowest link
 LARGE_TIMEOUT_NS = 5 * SECOND  # after this an unacknowledged large message no longer delays newer ones
-# By then a change that is too long to relay has come from a control node; else it is relayed.
+# A relay sends a change longer than its budget only this long after it received the change, in case no
+# control node has sent the change directly.
 RELAY_AFTER_NS = 600 * MS
 CHECKSUM_BYTES = 8
 UNKNOWN_VERSION = -1
@@ -186,7 +187,7 @@
         self.peers[connection] = Peer(now, relay_budget_bytes=int(hello.get("room") or 0))
 
     def closed(self, connection: Connection, now: int) -> None:
-        """Handle the end of a link."""
+        """Forget the peer of a link that has ended, and what was sent to it."""
         self.peers.pop(connection, None)
 
     def received(self, connection: Connection, message: Message, now: int) -> bool:
--- a/pepperrun/exchange.py
+++ b/pepperrun/exchange.py
@@ -121,7 +121,7 @@
         self.trace: list[list[Any]] | None = None
 
     def begin_attempt(self, now: int) -> int:
-        """Adds an attempt and return its number."""
+        """Adds an attempt and returns its number."""
         self.attempt_times.append(now)
         number = len(self.attempt_times) - 1
         self.open_attempts.add(number)
--- a/pepperrun/fronts/http_connection.py
+++ b/pepperrun/fronts/http_connection.py
@@ -319,7 +319,10 @@
             self._reject((status, [TEXT], text))
 
     def _reject(self, answer: Answer) -> None:
-        """Writes a response and closes: the start of the next request is unknown, or it would be as wrong.
+        """Writes a response and closes the connection.
+
+        The start of the next request in the input is unknown, or the next request would be as invalid as this
+        one, or the connection was to end after this response anyway.
 
         Input is discarded for a while: a close with unread bytes would reset the connection, and the client
         might never read the response. It may be sending 60 MB.
--- a/pepperrun/gatekeeper.py
+++ b/pepperrun/gatekeeper.py
@@ -134,7 +134,7 @@
         self.outcomes = {outcome: 0 for outcome in Outcome}
 
     def update_settings(self, settings: Settings) -> None:
-        """Applys settings at once: additional classes, plans or services, or another number of gateways."""
+        """Applies settings at once: additional classes, plans or services, or another number of gateways."""
         self.flush_events()
         self.settings, self._deadline_margin = settings, 4 * settings.tick_ns
         self.by_class += [dict.fromkeys(End, 0) for _ in settings.classes[len(self.by_class) :]]
@@ -290,8 +290,9 @@
                 log_message(
                     type(action).__name__, f"{type(action).__name__} failed: {type(error).__name__}: {error}"
                 )
-        # Not earlier: in the call that notifies the gateway of the end, it may still send an attempt. It has
-        # to be notified of the end of that attempt too, or it counts the attempt as in flight forever.
+        # Finished exchanges are removed only after the actions: in the call that reports the end of an
+        # exchange to the gateway, the gateway may still begin an attempt for it. The end of that attempt must
+        # be reported too, or the gateway counts the attempt as in flight forever.
         for exchange in finished:
             self._remove_if_closed(exchange)
 
--- a/pepperrun/gateway_node.py
+++ b/pepperrun/gateway_node.py
@@ -77,7 +77,7 @@
         )
 
     def on_agreed_state(self, version: int, state: dict[str, Any], change: object = None) -> None:
-        """Logs each version of the agreed state that the data plane took in; tracing adds the tree depth."""
+        """Logs each version of the agreed state that the data plane applied; tracing adds the tree depth."""
         if version <= self.logged_version:
             return
         self.logged_version, me = version, self.settings.me
@@ -89,7 +89,7 @@
         logs.event("agreed", **known)
 
     def on_gateways(self, changed: list[GatewayRecord]) -> None:
-        """Takes in records of gatekeepers that are new or have changed."""
+        """Applies records of gatekeepers that are new or have changed."""
         self.plane.on_gateways(changed)
         self.probes.on_gateways(changed)
         self.on_probes()
--- a/pepperrun/net/connection.py
+++ b/pepperrun/net/connection.py
@@ -1,6 +1,6 @@
 """A connection to a backend: one request at a time and its response, with long bodies streamed both ways.
 
-A long request body can be sent once only: it is spent when its first attempt has a connection. A long
+A long request body can be sent once only: it is consumed when its first attempt has a connection. A long
 response becomes the final answer as soon as its streaming begins.
 """
 
@@ -100,11 +100,11 @@
         return None
 
     def is_surplus(self, connection: Connection, response: Response) -> bool:
-        """Whether it is a second response to an earlier request, received before the expected one."""
+        """Whether the response is a second one to an earlier request, received before the expected one."""
         return False
 
     def is_foreign(self, attempt: Attempt, response: Response) -> bool:
-        """Whether it belongs to another request or to none: the connection can't be reused."""
+        """Whether the response belongs to another request or to none: the connection can't be reused."""
         return False
 
     def is_idempotent(self, attempt: Attempt) -> bool:
@@ -219,15 +219,14 @@
         self.deadline = 0  # of the request whose response is being streamed, ns
         self.paused = False  # reading is paused: the client does not read the response now
         self.request_unsent = False  # the last byte of the request has not been written
-        self.client_aborted = False  # it never will be: the client has gone
+        self.client_aborted = False  # the client has left, so the rest of the request is never written
         self.idle_since = self.last_received_at = self.started_at = 0
         self.responses = 0  # complete responses so far
         self.keep_alive_ns = 0  # how long the backend keeps it open while idle; 0: not announced
         self.previous_request_id: object = None  # ids of the previous and the current request
         self.request_id: object = None
-        self.has_surplus = (
-            False  # input that no request asked for has arrived: no further request is sent here
-        )
+        # Input that no request asked for has arrived: no further request is sent here.
+        self.has_surplus = False
         self.stall_timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -302,7 +301,7 @@
             return
         if self.chunked:
             transport.write(LAST_CHUNK)
-        attempt.exchange.request.complete = True  # read by this connection only; the body is spent
+        attempt.exchange.request.complete = True  # read by this connection only; the body is consumed
         if not self.write_blocked:
             self.request_unsent = False
             self.owner.requests_written += 1
--- a/pepperrun/net/upstream.py
+++ b/pepperrun/net/upstream.py
@@ -22,7 +22,9 @@
 from pepperrun.net.stale_rates import StaleRates
 from pepperrun.net.stream import MemoryBudget
 
-MAX_CONNECTS = 3  # tries per attempt where connections are accepted and reset: nothing has been written yet
+# Connection attempts per request attempt. Only after a connection that is accepted and then reset is there a
+# further one, which is safe, as nothing has been written yet.
+MAX_CONNECT_ATTEMPTS = 3
 MAX_STALE_RATE = 0.2  # connections of an idle time with a higher rate of stale ones are not reused
 MAX_STALE_RATE_UNSAFE = 0.03  # the same for a request that may not be sent again
 IDLE_FRACTION = 0.8  # of the backend's idle timeout: connections are closed here before that
@@ -340,7 +342,7 @@
             return
         first = pool.waiting[0]
         first.failed_connects += 1
-        if was_accepted and first.failed_connects < MAX_CONNECTS:
+        if was_accepted and first.failed_connects < MAX_CONNECT_ATTEMPTS:
             self._open_connections(pool.backend, pool)  # a process that is down would not have accepted
         else:
             self.finish_attempt(first, Outcome.CONNECT_FAILED)
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -441,9 +441,8 @@
         moving.writer.write(HEAD + b"Content-Length: 250000\r\n\r\n")
         for _ in range(25):
             moving.writer.write(bytes(10_000))
-            await asyncio.sleep(
-                0.12
-            )  # about 80 kB a second, for longer than the request timeout without progress
+            # About 80 kB a second, for longer than the request timeout without progress.
+            await asyncio.sleep(0.12)
         assert (await moving.answer())[0] == 200
         assert (await still.answer())[0] == 408
 
--- a/tests/test_forward_auth.py
+++ b/tests/test_forward_auth.py
@@ -237,9 +237,8 @@
         client.ask("confirm")
         assert (await client.answer())[::2] == (401, b"who")
         assert len(worker.heads) == 1
-        client.ask(
-            "search", X_Auth_User="admin"
-        )  # a class without authentication; the claimed header is dropped all the same
+        # A class without authentication; the claimed header is dropped all the same.
+        client.ask("search", X_Auth_User="admin")
         assert (await client.answer())[0] == 200
         await worker.arrived.get()
         assert len(auth.heads) == 2 and b"admin" not in worker.heads[-1]
@@ -366,10 +365,11 @@
         ({"identity_headers": ["a b"]}, "identity_headers"),
         ({"classes": [{"name": "c", "wanted_ms": 0, "deadline_ms": 5}]}, "wanted_ms"),
         ({"plans": [{"name": "p", "customers": []}]}, "plans"),
+        # A typing error that would trust a client's claim.
         (
             {"identity_header": ["X-Auth-User"]},
             "identity_header",
-        ),  # a typing error that would trust a client's claim
+        ),
         ({"classes": [{"name": "c", "wanted_ms": 1, "deadline_ms": 5, "path": "/"}]}, "classes.path"),
         ({"me": 2, "peers": [f"{HOST}:1", f"{HOST}:2"]}, "me"),
     ],
--- a/tests/test_linearizability.py
+++ b/tests/test_linearizability.py
@@ -59,9 +59,8 @@
     assert linear(unclear, call(Read(), (2, 3), 200), call(Read(), (4, 5), 200, 1, rows(a=1)))
     assert linear(call(ONE, (0, 1), 503), call(TWO, (2, 3), 412))
     assert not linear(unclear, call(Read(), (2, 3), 200, 1, rows(a=1)), call(Read(), (4, 5), 200))
-    assert not linear(
-        call(Read(), (2, 3), 200, 1, rows(a=1)), call(ONE, (4, None))
-    )  # seen before it was sent
+    # Seen before it was sent.
+    assert not linear(call(Read(), (2, 3), 200, 1, rows(a=1)), call(ONE, (4, None)))
 
 
 @pytest.mark.parametrize(
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -132,10 +132,8 @@
         settings = dataclasses.replace(SETTINGS, hedging=True, max_attempts=2)
         front = Front(settings)
         workers = [await StandIn(wait_then(ok(b"slow")), wait_then(ok(b"slow"))).start() for _ in range(2)]
-        front.gatekeeper.gateway.fleet.unit_latency_ns = [
-            MS * 5.0,
-            MS * 5.0,
-        ]  # an attempt is overdue soon, and a hedged request is sent
+        # An attempt is overdue soon, and a hedged request is sent.
+        front.gatekeeper.gateway.fleet.unit_latency_ns = [MS * 5.0, MS * 5.0]
         front.list(*(line(f"w{n}", worker.port) for n, worker in enumerate(workers)))
         client = await front.client()
         client.ask()
--- a/tests/test_quota_owners.py
+++ b/tests/test_quota_owners.py
@@ -292,9 +292,8 @@
     assert quota_owners.update({"term": 2, "places": membership["places"] | {"b": ["b2"]}}, now + SECOND)
     assert quota_owners.share_starts_at(1) == now + takeover_delay_ns  # the share did not move
     assert quota_owners.update(membership | {"term": 4}, now + 20 * SECOND)
-    assert (
-        quota_owners.share_starts_at(1) == now + 20 * SECOND + takeover_delay_ns
-    )  # by the skipped term 3 another gatekeeper may have owned it
+    # By the skipped term 3 another gatekeeper may have owned the share.
+    assert quota_owners.share_starts_at(1) == now + 20 * SECOND + takeover_delay_ns
     assert not quota_owners.update(membership | {"term": 4}, now + 21 * SECOND)
     assert quota_owners.update(membership | {"term": 4, "settled": True}, now + 21 * SECOND)
     assert quota_owners.share_starts_at(1) == now + 21 * SECOND + GRANT_TTL_NS
