--- a/pepperrun/dataplane/plane.py
+++ b/pepperrun/dataplane/plane.py
@@ -240,7 +240,7 @@
         text = re.sub(r"backend (\d+)", lambda match: f"worker {names.get(int(match[1]), match[1])}", text)
         event("decisions", text=text)
 
-    # Readiness and shutdown.
+    # Readiness and pending requests.
 
     def ready(self) -> bool:
         """Whether this gatekeeper has a configuration, knows the state to be fresh, and accepts clients."""
@@ -273,7 +273,7 @@
         self._apply_settings()
         self._update_backends(self.workers.update_zones(zones))
 
-    # End.
+    # Shutdown.
 
     def close(self) -> None:
         """Closes all sockets and stops all timers."""
--- a/pepperrun/serve.py
+++ b/pepperrun/serve.py
@@ -127,7 +127,7 @@
 
 
 def count_connections(listeners: list[Listener], parking: ParkingManager | None) -> int:
-    """Returns the number of open client connections; listeners with a lot share its count."""
+    """Returns the number of open client connections; with a parking manager all listeners share its count."""
     return parking.total() if parking is not None else sum(listener.count() for listener in listeners)
 
 
