--- a/pepperrun/fronts/client_connection.py
+++ b/pepperrun/fronts/client_connection.py
@@ -67,7 +67,7 @@
         self.parked = False  # the connection lives on without this object
         self.fd = -1  # set by an owner that indexes connections by descriptor
         # When a parked connection received input; 0 once that is read or for one that was not parked.
-        self.woken_at = 0
+        self.readable_at = 0
 
     # For the listener.
 
@@ -76,7 +76,7 @@
         if self.lingering:
             return self.has_unwritten_output()
         response_owed = self.pending is not None or self.download is not None or self.has_unwritten_output()
-        return response_owed or self.has_partial_request() or self.woken_at > 0
+        return response_owed or self.has_partial_request() or self.readable_at > 0
 
     def never_answered(self) -> bool:
         """Whether the connection has had no response yet."""
@@ -158,7 +158,7 @@
         if self.download is not None or self.upload is not None:
             return None
         if (
-            self.woken_at
+            self.readable_at
             or self.reading_paused
             or self.write_blocked_at is not None
             or self.parser.request is not None
@@ -219,10 +219,10 @@
         self.park()
         return snapshot, fd
 
-    def restore(self, snapshot: ConnectionSnapshot, woken_at: int) -> None:
-        """Restores the state of a snapshot. Input has waited since `woken_at`, 0 for none."""
+    def restore(self, snapshot: ConnectionSnapshot, readable_at: int) -> None:
+        """Restores the state of a snapshot. Input has waited since `readable_at`, 0 for none."""
         self.response_count, self.exchange_count, self.last_used_at, buffered, first_byte_at = snapshot
-        self.connected_at, self.woken_at = self.last_used_at, woken_at
+        self.connected_at, self.readable_at = self.last_used_at, readable_at
         if buffered:
             self.buffer.add(buffered, first_byte_at)
 
--- a/pepperrun/fronts/http_connection.py
+++ b/pepperrun/fronts/http_connection.py
@@ -155,10 +155,10 @@
         if not self.lingering:
             first = not len(self.buffer)
             self.buffer.commit(nbytes, self.clock())
-            if self.woken_at:
+            if self.readable_at:
                 if first:  # its time counts from its arrival while the connection was parked
-                    self.buffer.first_byte_at = self.buffer.last_byte_at = self.woken_at
-                self.woken_at = 0
+                    self.buffer.first_byte_at = self.buffer.last_byte_at = self.readable_at
+                self.readable_at = 0
             if self.upload is not None:
                 self._feed_upload(self.upload)
             else:
--- a/pepperrun/parking/budget.py
+++ b/pepperrun/parking/budget.py
@@ -9,8 +9,8 @@
 class Budget:
     """Limits a turn by time: allows as many items as fit into it at their recent cost.
 
-    A fixed number of items would not do: waking a connection costs a hundred times as much as moving a timer,
-    and machines differ as much as their loads.
+    A fixed number of items would not do: resuming a connection costs a hundred times as much as moving a
+    timer, and machines differ as much as their loads.
     """
 
     def __init__(self, turn_ns: int, max_items: int = 1024, initial_cost_ns: int = 20_000) -> None:
--- a/pepperrun/parking/config.py
+++ b/pepperrun/parking/config.py
@@ -24,10 +24,10 @@
     first_byte_ns: int  # time-out of a connection that has sent nothing since it was made
     request_ns: int  # time-out from the first byte of a request until the request is complete
     park_after_ns: int  # a connection that is idle for this long is parked: only its record is kept
-    give_way_ns: int  # a new connection is not evicted for others before this time has passed
-    most: int  # limit on all connections
-    most_asking: int  # limit on active connections: those with transport, protocol and buffer
-    most_here: int  # limit on the serving process's descriptors of connections; 0: what its own limit leaves
+    give_way_ns: int  # one without a response is evicted no sooner than so long after its accept or last use
+    most: int  # limit on all client connections, in this process and in holders
+    most_asking: int  # limit on active connections; others with input wait for one to be parked or closed
+    most_here: int  # limit on connections in this process, without holders; 0: what descriptors allow
     holders: int  # processes that hold idle connections beyond that limit
     turn_ns: int  # time for each kind of upkeep in one turn of the event loop
     backlog: int  # of the listening sockets
--- a/pepperrun/parking/connection_table.py
+++ b/pepperrun/parking/connection_table.py
@@ -1,8 +1,8 @@
-"""The state of each connection by descriptor: its record, timers, eviction order and wake queues. No I/O.
+"""The state of each connection by descriptor: its record, timers, eviction order and resume queues. No I/O.
 
 The key of a record is the connection's descriptor. The system assigns the lowest free numbers, so arrays
 indexed by descriptor are dense, and no mapping from connection to index is needed. A descriptor number that
-is closed and used again is told apart by its generation, which the wake queues store with the number.
+is closed and used again is told apart by its generation, which the resume queues store with the number.
 """
 
 from __future__ import annotations
@@ -71,15 +71,15 @@
         self.generations = array("H")
         self.last_used_at = array("q")
         self.partial_requests: dict[int, tuple[bytes, int]] = {}
-        self.woken_at: dict[int, int] = {}  # of waiting connections, when their input arrived
-        # Key and generation in the order of waking: connections in use, and those that were long idle.
-        self.wake_queues: tuple[deque[tuple[int, int]], deque[tuple[int, int]]] = deque(), deque()
+        self.readable_at: dict[int, int] = {}  # of waiting connections, when their input arrived
+        # Key and generation in the order in which input arrived: connections in use, and long idle ones.
+        self.resume_queues: tuple[deque[tuple[int, int]], deque[tuple[int, int]]] = deque(), deque()
         self.resume_count = 0
         self.parked_count = self.active_count = 0
         self.rank_counts = [0] * (len(EvictionRank) + 1)  # parked connections by list
 
     def __len__(self) -> int:
-        return self.parked_count + self.active_count + len(self.woken_at)
+        return self.parked_count + self.active_count + len(self.readable_at)
 
     def _reserve(self, key: int) -> None:
         capacity = len(self.states)
@@ -145,7 +145,7 @@
             case State.PARKED:
                 self._unpark(key)
             case State.WAITING:
-                del self.woken_at[key]
+                del self.readable_at[key]
             case State.ACTIVE:
                 self.active_count -= 1
             case _:
@@ -160,32 +160,32 @@
         self.rank_counts[self._list_of(key)] -= 1
         self.parked_count -= 1
 
-    # Waking.
+    # Queueing and resuming.
 
-    def wake(self, key: int, now: int) -> bool:
+    def queue_readable(self, key: int, now: int) -> bool:
         """Queues a parked connection that has input; False if it is not parked (the event came too late)."""
         if key >= len(self.states) or self.states[key] != State.PARKED:
             return False
         self._unpark(key)
         self.timers.cancel(key)
         self.states[key] = State.WAITING
-        self.woken_at[key] = now
+        self.readable_at[key] = now
         long_idle = now - self.last_used_at[key] >= RECENT_NS
-        self.wake_queues[long_idle].append((key, self.generations[key]))
+        self.resume_queues[long_idle].append((key, self.generations[key]))
         return True
 
     def resume_next(self) -> tuple[int, Record, int] | None:
-        """Makes the next waiting connection active; returns its key, its record and when it woke.
+        """Makes the next waiting connection active; returns its key, its record and when its input arrived.
 
         Returns None if no connection waits or the limit on active ones is reached. Connections in use go
-        first and have some capacity reserved: 10,000 connections that wake at once must not delay a client
-        that is in the middle of its work and whose connection happened to be parked.
+        first and have some capacity reserved: 10,000 connections that get input at once must not delay a
+        client that is in the middle of its work and whose connection happened to be parked.
         """
-        in_use, idle = self.wake_queues
+        in_use, idle = self.resume_queues
         limit = self.config.most_asking
         if self.active_count >= limit:
             return None
-        for queue in self.wake_queues:
+        for queue in self.resume_queues:
             while queue and not self._is_waiting(*queue[0]):
                 queue.popleft()
         self.resume_count += 1
@@ -198,16 +198,16 @@
         return self.states[key] == State.WAITING and self.generations[key] == generation
 
     def _resume(self, key: int) -> tuple[int, Record, int]:
-        record, woken_at = self.record(key), self.woken_at.pop(key)
+        record, readable_at = self.record(key), self.readable_at.pop(key)
         self.partial_requests.pop(key, None)
         self.states[key] = State.ACTIVE
         self.active_count += 1
-        return key, record, woken_at
+        return key, record, readable_at
 
     def is_crowded(self) -> bool:
         """Whether connections wait while only the reserved capacity for active ones, or none, is left."""
         limit = self.config.most_asking
-        return bool(self.woken_at) and self.active_count >= limit - limit // RESERVED_DIVISOR
+        return bool(self.readable_at) and self.active_count >= limit - limit // RESERVED_DIVISOR
 
     # Active connections.
 
@@ -257,7 +257,7 @@
         return chosen
 
     def hand_over_candidates(self, count: int, now: int) -> list[int]:
-        """Returns up to `count` parked connections to hand to another process, the least likely to wake soon.
+        """Returns up to `count` parked connections to hand over, those least likely to get input soon.
 
         Long idle ones are chosen first, whatever their rank. If there are none, those with fewer exchanges
         come first and those without a response last. A connection with a partial request stays: its client
--- a/pepperrun/parking/listener.py
+++ b/pepperrun/parking/listener.py
@@ -106,10 +106,10 @@
         self.parking.is_accept_paused = True
         self.loop.call_later(SHORTAGE_RETRY_S, self.parking.resume_accepting)
 
-    def restore_client(self, snapshot: ConnectionSnapshot, woken_at: int) -> asyncio.BufferedProtocol:
+    def restore_client(self, snapshot: ConnectionSnapshot, readable_at: int) -> asyncio.BufferedProtocol:
         """Returns the protocol of a resumed connection, in the state of the snapshot."""
         client = self.client_factory(self)
-        client.restore(snapshot, woken_at)  # type: ignore[attr-defined]
+        client.restore(snapshot, readable_at)  # type: ignore[attr-defined]
         return client
 
     def resume_accepting(self) -> None:
--- a/pepperrun/parking/manager.py
+++ b/pepperrun/parking/manager.py
@@ -68,7 +68,7 @@
 
 
 class Client(Protocol):
-    """An active connection, as the manager uses it."""
+    """What the manager needs of an active connection, one with transport, protocol and buffer."""
 
     transport: asyncio.Transport | None
     fd: int
@@ -85,12 +85,12 @@
     def park(self) -> None: ...
 
 
-class ListenerPort(Protocol):
-    """A listener, as the manager uses it."""
+class ParkingListener(Protocol):
+    """What the manager needs of a listener: to restore a connection and to accept again after a pause."""
 
     family: int
 
-    def restore_client(self, snapshot: ConnectionSnapshot, woken_at: int) -> asyncio.BufferedProtocol: ...
+    def restore_client(self, snapshot: ConnectionSnapshot, readable_at: int) -> asyncio.BufferedProtocol: ...
 
     def resume_accepting(self) -> None: ...
 
@@ -106,7 +106,7 @@
         max_here: int,
     ) -> None:
         self.loop, self.clock, self.config, self.max_here = loop, clock, config, max_here
-        self.listeners: list[ListenerPort] = []
+        self.listeners: list[ParkingListener] = []
         self.clients: dict[int, Client] = {}
         self.sockets = ParkedSockets(config, clock)
         self.table, self.budget = self.sockets.table, self.sockets.budget
@@ -127,7 +127,7 @@
         self._tasks: set[asyncio.Task[None]] = set()
         self._timer: asyncio.TimerHandle | None = None
         self._timer_at: int | None = None
-        self._is_serving_scheduled = self._is_hand_over_scheduled = False
+        self._is_resuming_scheduled = self._is_hand_over_scheduled = False
         self._idle_fds: deque[int] = deque()  # answered while others waited, oldest first
         self._scan_timer: asyncio.TimerHandle | None = None
         # How many connections were resumed last, and when, if others still wait.
@@ -196,23 +196,23 @@
 
     def _on_events(self) -> None:
         self.sockets.poll_events()
-        if self.sockets.table.woken_at:
+        if self.sockets.table.readable_at:
             self._resume_waiting()
         self.resume_accepting()
 
     def _on_returned(self, fd: int, record: Record) -> None:
         """Queues a connection that a holder returned because it has input."""
         self.table.park(fd, record)
-        self.table.wake(fd, self.clock())
-        self._schedule_serving()
+        self.table.queue_readable(fd, self.clock())
+        self._schedule_resuming()
 
-    def _schedule_serving(self) -> None:
-        if not self._is_serving_scheduled:
-            self._is_serving_scheduled = True
-            self.loop.call_soon(self._on_serving_turn)
+    def _schedule_resuming(self) -> None:
+        if not self._is_resuming_scheduled:
+            self._is_resuming_scheduled = True
+            self.loop.call_soon(self._on_resuming_turn)
 
-    def _on_serving_turn(self) -> None:
-        self._is_serving_scheduled = False
+    def _on_resuming_turn(self) -> None:
+        self._is_resuming_scheduled = False
         self._resume_waiting()
 
     def _resume_waiting(self) -> None:
@@ -232,11 +232,11 @@
         self._last_batch = 0, 0
         if self.table.is_crowded():
             self._park_idle()
-        elif self.table.woken_at:
+        elif self.table.readable_at:
             self._last_batch = count, start
-            self._schedule_serving()
+            self._schedule_resuming()
 
-    def _resume_connection(self, fd: int, record: Record, woken_at: int) -> None:
+    def _resume_connection(self, fd: int, record: Record, readable_at: int) -> None:
         listener = self.listeners[record.listener_index]
         try:
             sock = socket.socket(listener.family, socket.SOCK_STREAM, 0, fileno=fd)
@@ -246,16 +246,18 @@
             os.close(fd)
             return
         self.resumed_count += 1
-        task = self.loop.create_task(self._set_up_client(listener, sock, record, woken_at))
+        task = self.loop.create_task(self._set_up_client(listener, sock, record, readable_at))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     async def _set_up_client(
-        self, listener: ListenerPort, sock: socket.socket, record: Record, woken_at: int
+        self, listener: ParkingListener, sock: socket.socket, record: Record, readable_at: int
     ) -> None:
         fd, snapshot = sock.fileno(), snapshot_from_record(record)
         try:
-            await self.loop.connect_accepted_socket(lambda: listener.restore_client(snapshot, woken_at), sock)
+            await self.loop.connect_accepted_socket(
+                lambda: listener.restore_client(snapshot, readable_at), sock
+            )
         except OSError:
             if fd not in self.clients:
                 self.table.remove(fd)
@@ -274,8 +276,8 @@
         if self.clients.get(client.fd) is client:
             del self.clients[client.fd]
             self.table.remove(client.fd)
-        if self.table.woken_at:
-            self._schedule_serving()
+        if self.table.readable_at:
+            self._schedule_resuming()
         self.resume_accepting()
 
     # Parking.
@@ -330,11 +332,11 @@
         """Notes that a connection has had its response. While others wait it is parked early."""
         if self.table.is_crowded():
             self._idle_fds.append(client.fd)
-            self._schedule_serving()
+            self._schedule_resuming()
 
     def _park_idle(self) -> None:
         """Parks idle active connections, longest idle first, as others wait to be resumed."""
-        limit = min(len(self.table.woken_at), self.budget.allowed_items("park"))
+        limit = min(len(self.table.readable_at), self.budget.allowed_items("park"))
         count, start = 0, time.perf_counter_ns()
         while count < limit and self._idle_fds:
             fd = self._idle_fds.popleft()
@@ -342,7 +344,7 @@
             count += client is not None and self._park(fd, client)
         self.budget.record_cost("park", count, time.perf_counter_ns() - start)
         if count:
-            self._schedule_serving()
+            self._schedule_resuming()
         elif self._scan_timer is None:  # finds those that were idle before others waited
             self._scan_timer = self.loop.call_later(IDLE_SCAN_S, self._find_idle)
 
@@ -375,8 +377,8 @@
         self._timer = self._timer_at = None
         for fd in self.sockets.expire_due():
             self._check(fd)
-        if self.table.woken_at:
-            self._schedule_serving()
+        if self.table.readable_at:
+            self._schedule_resuming()
         self.schedule_upkeep()
         self.resume_accepting()
 
@@ -457,8 +459,8 @@
             if not fds:
                 return
             self.sockets.evict(fds)  # those with input are queued instead
-            if self.table.woken_at:
-                self._schedule_serving()
+            if self.table.readable_at:
+                self._schedule_resuming()
             await asyncio.sleep(0)
 
     async def finish(self) -> None:
@@ -472,12 +474,12 @@
             if (
                 not holders_pending
                 and not self.table.parked_count
-                and not self.table.woken_at
+                and not self.table.readable_at
                 and not self._tasks
             ):
                 return
-            if self.table.woken_at:
-                self._schedule_serving()
+            if self.table.readable_at:
+                self._schedule_resuming()
             await asyncio.sleep(0.005)
 
     def close(self) -> None:
--- a/pepperrun/parking/parked_sockets.py
+++ b/pepperrun/parking/parked_sockets.py
@@ -87,7 +87,7 @@
 
     def on_readable(self, fd: int, now: int) -> None:
         """Queues a parked connection that has input and stops watching it."""
-        if self.table.wake(fd, now):
+        if self.table.queue_readable(fd, now):
             self.epoll.unregister(fd)
 
     def expire_due(self) -> list[int]:
--- a/tests/test_parking.py
+++ b/tests/test_parking.py
@@ -227,7 +227,7 @@
         first.ask()
         await worker.arrived.get()
         second.ask(budget="500m")
-        while not front.parking.table.woken_at:
+        while not front.parking.table.readable_at:
             await asyncio.sleep(0)
         front.clock_offset += 600 * MS  # the first request is still in flight
         worker.go.set()
--- a/tests/test_parking_core.py
+++ b/tests/test_parking_core.py
@@ -147,8 +147,8 @@
             self.parked[key] = record
 
     @rule(key=KEYS)
-    def wake(self, key: int) -> None:
-        assert self.table.wake(key, self.now) == (key in self.parked)
+    def queue_readable(self, key: int) -> None:
+        assert self.table.queue_readable(key, self.now) == (key in self.parked)
         if key in self.parked:
             self.waiting.append((key, self.parked.pop(key), self.now))
 
@@ -182,7 +182,7 @@
     @invariant()
     def agrees(self) -> None:
         table = self.table
-        assert (table.parked_count, table.active_count, len(table.woken_at)) == (
+        assert (table.parked_count, table.active_count, len(table.readable_at)) == (
             len(self.parked),
             len(self.active),
             len(self.waiting),
@@ -228,16 +228,16 @@
 
 def test_a_turns_budget_follows_the_cost_of_items_and_always_allows_one():
     budget = Budget(2_000_000, max_items=500)
-    assert budget.allowed_items("wake") == 100  # nothing measured yet: 20 us are assumed for each
+    assert budget.allowed_items("resume") == 100  # nothing measured yet: 20 us are assumed for each
     for _ in range(50):
-        budget.record_cost("wake", 10, 10 * 500_000)
-    assert budget.allowed_items("wake") == 4 and budget.allowed_items("timer") == 100
+        budget.record_cost("resume", 10, 10 * 500_000)
+    assert budget.allowed_items("resume") == 4 and budget.allowed_items("timer") == 100
     for _ in range(50):
-        budget.record_cost("wake", 1, 60 * S)  # the process was stopped meanwhile
-    assert budget.allowed_items("wake") == 2
+        budget.record_cost("resume", 1, 60 * S)  # the process was stopped meanwhile
+    assert budget.allowed_items("resume") == 2
     for _ in range(100):
-        budget.record_cost("wake", 100, 100)
-    assert budget.allowed_items("wake") == 500
+        budget.record_cost("resume", 100, 100)
+    assert budget.allowed_items("resume") == 500
 
 
 @given(
