--- a/pepperrun/admin/commands.py
+++ b/pepperrun/admin/commands.py
@@ -1,7 +1,7 @@
 """Parses and answers operators' commands. Does no I/O.
 
 A command is one line. Its answer begins with `done` or `error`; metrics have no such line but end with a line
-`end`.
+`end`. Operators match the texts of the answers, so these stay as they are: "call" in them means a command.
 """
 
 from __future__ import annotations
--- a/pepperrun/admin/core_metrics.py
+++ b/pepperrun/admin/core_metrics.py
@@ -1,4 +1,8 @@
-"""The metrics of a core at the admin address, from the same counters as those for Graphite and collectd."""
+"""The metrics of a gatekeeper at the admin address.
+
+They come from the same counters as those for Graphite and collectd. Operators match the names
+here and those in `pepperrun.metrics`, so the two lists stay different.
+"""
 
 from __future__ import annotations
 
--- a/pepperrun/config.py
+++ b/pepperrun/config.py
@@ -1,4 +1,8 @@
-"""Parses the configuration into the values that the program uses. An error names the key at fault."""
+"""Parses the configuration of the stand-alone sidecar, `python -m pepperrun`.
+
+An error names the key at fault. `control_node` and `gateway_node` read their settings with
+`pepperrun.foundation.settings`.
+"""
 
 from __future__ import annotations
 
@@ -200,7 +204,8 @@
 class Config:
     """The configuration of a gatekeeper.
 
-    `changed_keys` in `pepperrun.serve` shows the field names to operators.
+    Operators see the field names: a reload logs the changed fields that take effect only at the next start,
+    by these names (`changed_keys` in `pepperrun.serve`).
     """
 
     name: str
@@ -292,7 +297,8 @@
 class AuthConfig:
     """The configuration of forward authentication: its address, its servers and their limits.
 
-    `changed_keys` in `pepperrun.serve` shows the field names to operators.
+    Operators see the field names: a reload logs the changed fields that take effect only at the next start,
+    by these names (`changed_keys` in `pepperrun.serve`).
     """
 
     listen: Address | None
--- a/pepperrun/foundation/logs.py
+++ b/pepperrun/foundation/logs.py
@@ -1,4 +1,7 @@
-"""Structured logs through absl: one line of key=value pairs for each event, on standard error."""
+"""Structured logs through absl: one line of key=value pairs for each event, on standard error.
+
+`control_node` and `gateway_node` log in this way; the stand-alone sidecar uses `pepperrun.log` alone.
+"""
 
 from __future__ import annotations
 
--- a/pepperrun/log.py
+++ b/pepperrun/log.py
@@ -1,4 +1,8 @@
-"""Log lines for operators: text or JSON on standard error, at most one line per kind and second."""
+"""Log lines for operators: text or JSON on standard error, at most one line per kind and second.
+
+The stand-alone sidecar, `python -m pepperrun`, writes its lines in this way. In `control_node` and
+`gateway_node` the lines go to absl as events, once `pepperrun.foundation.logs.setup` has run.
+"""
 
 from __future__ import annotations
 
--- a/pepperrun/metrics/__init__.py
+++ b/pepperrun/metrics/__init__.py
@@ -32,7 +32,11 @@
 def gateway_samples(
     name: str, gatekeeper: Gatekeeper, upstream: UpstreamClient, listener: Listener | None
 ) -> list[Sample]:
-    """Returns the metrics of a core and its listener, with dotted names that begin with the core's name."""
+    """Returns the metrics of a gatekeeper and its listener, by dotted names that begin with `name`.
+
+    Operators match these names and those of `telemetry` (`pepperrun.admin.core_metrics`), so the two lists
+    stay different.
+    """
     requests = [
         Sample(f"{name}.requests.{end.value.replace(' ', '_')}", count, True)
         for end, count in gatekeeper.counts.items()
--- a/pepperrun/simulation/__init__.py
+++ b/pepperrun/simulation/__init__.py
@@ -1,1 +1,4 @@
-"""Simulation: the deciding halves in seeded worlds, and searches of what can befall them."""
+"""Searches for faults: runs the programs' own code in seeded virtual time and checks the rules under faults.
+
+`pepperrun.model` is the capacity model.
+"""
--- a/pepperrun/simulation/conversations/judge.py
+++ b/pepperrun/simulation/conversations/judge.py
@@ -1,4 +1,16 @@
-"""Checks a conversation against the rules, from what clients sent and received and workers received only."""
+"""Checks a conversation against the rules, from what clients sent and received and workers received only.
+
+- TWICE: a request that is not idempotent ran more than once.
+- UNASKED: a worker got a request that no client sent, that is malformed or was changed, one that ran before
+  it was sent completely, one with a wrong Sender or a tenant's key, or one that has one of `GATEWAY_FIELDS`
+  not exactly once.
+- ROUTE: a request ran at a service that its route did not allow, or was forwarded without a known key.
+- GONE: an idempotent request reached a worker, or was still in work, more than `ABANDON_LIMIT_S` after its
+  client disconnected; the time around a freeze is exempt.
+- MIXED: a client got bytes, a response or a body that do not belong to its request.
+- REFUSED: a request that is not idempotent ran, but its client got a status that promises it never runs.
+- LOST: workers answered a request validly before its deadline, but its client got no complete response.
+"""
 
 from __future__ import annotations
 
--- a/pepperrun/simulation/conversations/scripts.py
+++ b/pepperrun/simulation/conversations/scripts.py
@@ -1,4 +1,14 @@
-"""Scripts of conversations, drawn from a seed: requests, how they are sent, worker replies, other events."""
+"""Scripts of conversations, drawn from a seed: requests, how they are sent, worker replies, other events.
+
+Headers and keys that the checks rely on:
+
+- Postmark: a value in the response to each run, by which the checks find the run; some replies leave it out.
+- Sender: the tenant's name, which the gateway sets from the key of the request (none on the route `open`);
+  one from a client is dropped.
+- Stamp: a key that a client sends as `Authorization: Token KEY`; `KEYS` has the tenant of each.
+- Attempt-Id: the id of a request, which a worker's reply repeats unless a fault is drawn.
+- Not-Run: a worker's promise that it has not run the request.
+"""
 
 from __future__ import annotations
 
@@ -60,7 +70,11 @@
 
 @dataclass
 class ReplySpec:
-    """How a worker treats one request."""
+    """How a worker treats one request.
+
+    `kind` is `answer` (runs the request and responds), `not-run` (rejects the request without running it) or
+    `silence` (runs the request and sends nothing).
+    """
 
     kind: str = "answer"  # answer | not-run | silence
     status: int = 200
@@ -85,7 +99,16 @@
 
 @dataclass
 class ScriptedEvent:
-    """A change around the conversation, such as a frozen process, a drain or a replaced worker."""
+    """A change around the conversation.
+
+    - freeze: the gateway's event loop stops for `duration_s`.
+    - drain: the gateway begins to drain, as at SIGTERM.
+    - reread: the gateway reloads its settings, which are unchanged.
+    - move: the route `once` moves to another service.
+    - revoke: a tenant and its keys are removed from the configuration.
+    - restart: a worker is stopped and a new one of the same service starts at its address.
+    - hand-on: the same, but the new worker is of the other service.
+    """
 
     at_s: float
     kind: str  # freeze | drain | reread | move | revoke | restart | hand-on
--- a/pepperrun/soak/judge.py
+++ b/pepperrun/soak/judge.py
@@ -35,7 +35,22 @@
 def judge(
     sent: Sequence[SentRequest], runs: Sequence[Run], stops: Sequence[Stop], grace_ns: int
 ) -> list[Finding]:
-    """Return the violations of the rules LOST, TWICE, REFUSED, MIXED, UNASKED, GONE, CUT."""
+    """Return the violations of the rules. A request is reported for the first rule below that it violates.
+
+    - MIXED: the client got the response of another request, or a changed body.
+    - TWICE: an unsafe request ran more than once.
+    - REFUSED: an unsafe request ran, but its client got a gateway's status that promises it never runs.
+    - CUT: an unsafe request's run was cut after its client had disconnected, before its deadline and outside
+      the end of its gateway's grace period.
+    - LOST: the client stayed and a worker started the request, but the client got no worker's response, and
+      neither the deadline nor the end of a grace period nor a run that had ended explains it.
+
+    In addition, whatever the others:
+
+    - UNASKED: a worker ran a request that no client sent.
+    - GONE: for disconnected clients, runs that began, or that safe requests continued, more than
+      `ABANDON_LIMIT_NS` after the disconnect, where they exceed the number tolerated in a soak run.
+    """
     by_id: dict[str, list[Run]] = defaultdict(list)
     for run in sorted(runs, key=lambda run: run.started_ns):
         by_id[run.id].append(run)
--- a/pepperrun/storage/formats.py
+++ b/pepperrun/storage/formats.py
@@ -14,7 +14,8 @@
 from pepperrun.foundation.errors import CorruptStateError, NewerFormatError
 
 CURRENT_FORMAT = 1
-IDENTITY = "life"  # the record with format, disk id, starts and owner
+# Name on disk of the identity record: format, disk id, starts and owner.
+IDENTITY = "life"
 
 Records = dict[str, Any]
 Migration = Callable[[Records], Records]
--- a/pepperrun/storage/store.py
+++ b/pepperrun/storage/store.py
@@ -58,7 +58,7 @@
 
 
 class DiskStore:
-    """Stores the durable state of one node in one folder.
+    """Stores the durable state of one control node in one folder.
 
     Parameters
     ----------
--- a/pepperrun/zones/register.py
+++ b/pepperrun/zones/register.py
@@ -84,8 +84,8 @@
 class Message(NamedTuple):
     """A message between two voters.
 
-    `ballot` is that of the round. `reported_ballot` is the ballot at which `value` was accepted or, in a
-    rejection, the one that was promised.
+    `ballot` is that of the round, `incarnation` the sender's. `reported_ballot` is the ballot at which
+    `value` was accepted or, in a rejection, the one that was promised.
     """
 
     kind: Kind
@@ -98,10 +98,10 @@
 class Phase(enum.Enum):
     """Phase of the round that this voter proposes; the module's table lists the transitions."""
 
-    IDLE = "idle"
-    PREPARING = "asking"
-    ACCEPTING = "putting"
-    BACKING_OFF = "waiting"
+    IDLE = "idle"  # proposes nothing
+    PREPARING = "asking"  # waits for promises of a majority
+    ACCEPTING = "putting"  # waits for acceptances of a majority
+    BACKING_OFF = "waiting"  # waits before the next round
 
 
 @dataclass(slots=True)
@@ -109,9 +109,9 @@
     """A round that this voter proposes."""
 
     ballot: Ballot
-    promises: dict[int, Message] = field(default_factory=dict)  # by voter
+    promises: dict[int, Message] = field(default_factory=dict)  # of voters with state, by voter
     without_state: dict[int, Message] = field(default_factory=dict)  # promises of voters without state
-    proposed: Value | None = None
+    proposed: Value | None = None  # sent for acceptance; None before that
     accepted: dict[int, int] = field(default_factory=dict)  # incarnations that accepted, by voter
 
 
@@ -121,9 +121,13 @@
 class Register:
     """One of `voter_count` voters, in an incarnation of 1 or more; its state is in memory only.
 
+    `voter_count` is the fixed number of seats; `is_voter` tells whether this incarnation of a seat may vote.
+
     The caller passes in messages and the time, sends what `take_outgoing` returns, and reads `chosen_value`.
-    `change` gets the current body and returns the wanted one, the same body for no change. It is called in
-    each round and must not depend on anything but what this voter knows.
+    `change` gets the current body and returns the wanted one, the same body for no change. One change
+    may be called several times, with different bodies: in each round that proposes it, and again on the value
+    chosen. So it must have no side effects, must leave its argument as it is, and must return its argument
+    once its effect is part of the body, which ends the repetition. It may read the state of this voter only.
     """
 
     def __init__(self, own_number: int, voter_count: int, incarnation: int, seed: int, now: int) -> None:
