--- a/pepperrun/foundation/settings.py
+++ b/pepperrun/foundation/settings.py
@@ -128,8 +128,8 @@
     revert_slack_ms: float = 250
     # Only judged: see `contact_ms`.
     stretch_ms: float = 8000
-    # Whether a gatekeeper rejects the requests of tenants while its state may be older than `revoke_ms`. A
-    # `quota_window_s` above 0 has the same effect.
+    # Whether a gatekeeper holds back the requests of tenants while its state may be older than `revoke_ms`
+    # less a margin. A `quota_window_s` above 0 has the same effect.
     revocation_total: bool = False
     # Time within which a revoked key or a former quota owner stops counting at all gatekeepers.
     revoke_ms: float = 5000
@@ -139,7 +139,7 @@
     retry_window_s: float = 10
     # Retries above the ratio that all gatekeepers together may send; 0.6 of them are used.
     retry_slack: float = 0
-    # Length of the window in which a tenant's quota is checked; see `Numbering` in the data plane.
+    # Length of the window in which a tenant's quota is checked; see `pepperrun.dataplane.numbering`.
     quota_window_s: float = 5
     # Fraction above a tenant's quota that may be served in a window.
     quota_excess: float = 0.1
