--- a/pepperrun/fronts/http_connection.py
+++ b/pepperrun/fronts/http_connection.py
@@ -155,10 +155,10 @@
         if not self.lingering:
             first = not len(self.buffer)
             self.buffer.commit(nbytes, self.clock())
-            if self.woken_at:
+            if self.readable_at:
                 if first:  # its time counts from its arrival while the connection was parked
-                    self.buffer.first_byte_at = self.buffer.last_byte_at = self.woken_at
-                self.woken_at = 0
+                    self.buffer.first_byte_at = self.buffer.last_byte_at = self.readable_at
+                self.readable_at = 0
             if self.upload is not None:
                 self._feed_upload(self.upload)
             else:
@@ -319,7 +319,10 @@
             self._reject((status, [TEXT], text))
 
     def _reject(self, answer: Answer) -> None:
-        """Writes a response and closes: the start of the next request is unknown, or it would be as wrong.
+        """Writes a response and closes the connection.
+
+        The start of the next request in the input is unknown, or the next request would be as invalid as this
+        one, or the connection was to end after this response anyway.
 
         Input is discarded for a while: a close with unread bytes would reset the connection, and the client
         might never read the response. It may be sending 60 MB.
